--- /dev/null
+++ b/tests/forms/test_deploy.py
@@ -0,0 +1,43 @@
+"""Holds the files that the users' platform reads to build and run a gateway.
+
+Red means that the platform may build, start or scrape something else. Put the
+file back. A version in ``requirements.txt`` is raised on purpose only: then it
+is raised in ``recorded/deploy`` too, in the same commit, after the demo has run
+with it. When the module of the ``run`` line moves, its old path stays and still
+starts it.
+"""
+
+from __future__ import annotations
+
+import re
+import subprocess
+import sys
+import tomllib
+from pathlib import Path
+
+from tests.forms.recorded import ROOT
+
+WHAT_TO_DO = 'The deploy file is a contract; see the docstring of tests/forms/test_deploy.py.'
+RECORDED = ROOT / 'tests' / 'forms' / 'recorded' / 'deploy'
+
+
+def contents(directory: Path) -> dict[str, str]:
+    return {path.name: path.read_text() for path in directory.iterdir()}
+
+
+def test_files_are_the_recorded_ones() -> None:
+    assert contents(ROOT / 'deploy') == contents(RECORDED), WHAT_TO_DO
+
+
+def test_run_line_starts_a_program_that_takes_settings() -> None:
+    run = tomllib.loads((RECORDED / 'system.toml').read_text())['roles']['gateway']['run']
+    module, option = re.fullmatch(r'python3 -m (\S+) (\S+) \S+', run).groups()
+    done = subprocess.run(
+        [sys.executable, '-m', module, option, '/nonexistent/settings'],
+        cwd=ROOT,
+        text=True,
+        capture_output=True,
+        timeout=60,
+    )
+    assert done.returncode == 2, done
+    assert 'cannot be read' in done.stderr, WHAT_TO_DO
