--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -12,9 +12,10 @@
 
 from benchmarks.processes import cpu_s, resident_bytes
 from benchmarks.slopes import Slope, best_ms
-from limeshelf.config.catalog import Catalog
-from limeshelf.config.delta import Change, apply_changes, diff, document_to_json
-from limeshelf.config.document import (
+from limeshelf.peers.codec import Envelope, decode, encode
+from limeshelf.standalone.config.catalog import Catalog
+from limeshelf.standalone.config.delta import Change, apply_changes, diff, document_to_json
+from limeshelf.standalone.config.document import (
     Adapter,
     Deployment,
     Document,
@@ -22,16 +23,15 @@
     PolicyKind,
     PriorityClass,
 )
-from limeshelf.config.items import items_of
-from limeshelf.membership.upstreams import UpstreamDirectory
-from limeshelf.peers.codec import Envelope, decode, encode
-from limeshelf.peers.messages import ConfigChanges, UpstreamState, UpstreamStates
-from limeshelf.placement.planner import Planner
-from limeshelf.placement.policies import placement_policies
-from limeshelf.placement.view import AnchorView, PlacementView, RoomView, UnitView
-from limeshelf.routing.candidates import engine_candidates
-from limeshelf.routing.loads import LoadBook
-from limeshelf.services.instances import Listed, ListedKind
+from limeshelf.standalone.config.items import items_of
+from limeshelf.standalone.membership.upstreams import UpstreamDirectory
+from limeshelf.standalone.messages import ConfigChanges, UpstreamState, UpstreamStates
+from limeshelf.standalone.placement.planner import Planner
+from limeshelf.standalone.placement.policies import placement_policies
+from limeshelf.standalone.placement.view import AnchorView, PlacementView, RoomView, UnitView
+from limeshelf.standalone.routing.candidates import engine_candidates
+from limeshelf.standalone.routing.loads import LoadBook
+from limeshelf.standalone.services.instances import Listed, ListedKind
 from standins.launcher import System, wait_until
 
 MODELS = (100, 400, 1600)
--- a/benchmarks/path.py
+++ b/benchmarks/path.py
@@ -32,7 +32,7 @@
             'bindings': [{'name': 'admission', 'policy': 'all'}],
         }
         from limeshelf.admin import admin_pb2 as pb
-        from limeshelf.admin.client import Connection
+        from limeshelf.standalone.admin.client import Connection
 
         request = pb.ApplyRequest(
             operation=pb.Operation(operation_id='bench', operator='bench', based_on=-1),
--- a/demo/steps.py
+++ b/demo/steps.py
@@ -46,7 +46,11 @@
 
     def run(self, *words: str) -> Any:
         """Return the JSON reply of a command that succeeds."""
-        command = [sys.executable, '-c', 'from limeshelf.programs.cli import main; main()']
+        command = [
+            sys.executable,
+            '-c',
+            'from limeshelf.standalone.programs.cli import main; main()',
+        ]
         done = subprocess.run(
             [*command, '--address', self.address, '--json', *words],
             capture_output=True,
--- a/limeshelf/admission/__init__.py
+++ b/limeshelf/admission/__init__.py
@@ -1,1 +1,1 @@
-"""What is refused, retried and limited at an entry instance."""
+"""What is admitted, held, refused and repeated."""
--- a/limeshelf/fleet/needs.py
+++ b/limeshelf/demand/needs.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from limeshelf.fleet.demand import ModelKey, ModelLoad
+from limeshelf.demand.meter import ModelKey, ModelLoad
 from limeshelf.util.clock import boottime_s
 
 if TYPE_CHECKING:
--- a/limeshelf/dispatch/messages.py
+++ b/limeshelf/dispatch/messages.py
@@ -7,7 +7,7 @@
 import attrs
 import msgspec
 
-from limeshelf.fleet.demand import ModelKey
+from limeshelf.demand.meter import ModelKey
 from limeshelf.peers.messages import add_message
 
 
--- a/limeshelf/dispatch/room.py
+++ b/limeshelf/dispatch/room.py
@@ -9,9 +9,9 @@
 
 if TYPE_CHECKING:
     from limeshelf.calls.routes import EngineSpec
+    from limeshelf.demand.meter import ModelKey
     from limeshelf.dispatch.messages import DispatchQuery
     from limeshelf.dispatch.speed import ReadSpeed
-    from limeshelf.fleet.demand import ModelKey
     from limeshelf.replicas.directory import Replica, ReplicaDirectory
 
 #: Part of the bearable pause, less the steps of an event, that reading may take.
--- a/limeshelf/gateway/pipeline.py
+++ b/limeshelf/gateway/pipeline.py
@@ -5,30 +5,30 @@
 import asyncio
 from typing import TYPE_CHECKING
 
+from limeshelf.admission.retry_budget import RetryBudget
 from limeshelf.calls.call import CallKind
 from limeshelf.calls.wire import SendFacts
+from limeshelf.demand.meter import ModelKey
 from limeshelf.dispatch.client import NoPlace, PlaceRequest
 from limeshelf.errors import NotRun, RefusalReason
-from limeshelf.fleet.demand import ModelKey
-from limeshelf.gateway.budget import RetryBudget
-from limeshelf.gateway.choice import Chooser, note_warm_parts
 from limeshelf.gateway.exchange import Broken, Delivered, Doubt, Exchange, NeverRan, WholeAnswer
 from limeshelf.gateway.state import CallState, Choice
 from limeshelf.metrics.journal import log_request
 from limeshelf.replicas.health import Failure
+from limeshelf.routing.chooser import Chooser, note_warm_parts
 from limeshelf.util.clock import boottime_s
 
 if TYPE_CHECKING:
+    from limeshelf.admission.retry_budget import RetryRule
     from limeshelf.calls.call import Call, ModelNeed
     from limeshelf.calls.routes import ServingConfig
     from limeshelf.calls.wire import CallWire
+    from limeshelf.demand.meter import DemandMeter
     from limeshelf.dispatch.client import DispatchClient
-    from limeshelf.fleet.demand import DemandMeter
     from limeshelf.gateway.answer import Answer
-    from limeshelf.gateway.budget import RetryRule
     from limeshelf.gateway.exchange import Result
-    from limeshelf.gateway.pool import ConnectionPool
     from limeshelf.replicas.directory import Replica, ReplicaDirectory
+    from limeshelf.replicas.pool import ConnectionPool
 
 #: The final answer goes out this long before the caller's time is over.
 ANSWER_MARGIN_S = 0.02
--- a/limeshelf/lease/__init__.py
+++ b/limeshelf/lease/__init__.py
@@ -1,1 +1,1 @@
-"""The fenced lease that makes one placer per data centre the leader."""
+"""The lease under which one gateway gives orders, and its fence."""
--- a/limeshelf/membership/__init__.py
+++ b/limeshelf/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which instances and upstreams are live, leaving or gone."""
+"""The gateways of this deployment, and the state that they tell one another."""
--- a/limeshelf/fleet/digests.py
+++ b/limeshelf/membership/digests.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from limeshelf.fleet.messages import GatewayDigest, ReplicaLoad
+from limeshelf.membership.messages import GatewayDigest, ReplicaLoad
 from limeshelf.util.clock import boottime_s
 
 #: A digest counts for this long.
--- a/limeshelf/fleet/neighbours.py
+++ b/limeshelf/membership/neighbours.py
@@ -10,9 +10,9 @@
 
 from limeshelf.errors import PlatformUnavailable, PlatformUnknown
 from limeshelf.feeds.rows import ConditionFailed
-from limeshelf.fleet.digests import DigestBook
-from limeshelf.fleet.members import MEMBER_TABLE, SILENT_S, Members, MemberValue
-from limeshelf.fleet.messages import (
+from limeshelf.membership.digests import DigestBook
+from limeshelf.membership.members import MEMBER_TABLE, SILENT_S, Members, MemberValue
+from limeshelf.membership.messages import (
     AwaitedLoad,
     DigestBundle,
     FleetSummary,
@@ -22,18 +22,18 @@
     ReplicaLoad,
     ReplicaStates,
 )
-from limeshelf.fleet.states import report_of, state_of
+from limeshelf.membership.states import report_of, state_of
 from limeshelf.metrics.journal import log_change
 from limeshelf.util.backoff import full_jitter_s, jittered_s
 from limeshelf.util.clock import boottime_s
 
 if TYPE_CHECKING:
+    from limeshelf.demand.meter import DemandMeter, ModelKey
     from limeshelf.feeds.rows import Row, RowTable
-    from limeshelf.fleet.demand import DemandMeter, ModelKey
-    from limeshelf.fleet.leader import Leadership
-    from limeshelf.fleet.service import FleetService
+    from limeshelf.lease.leadership import Leadership
     from limeshelf.peers.codec import Envelope
     from limeshelf.peers.node import PeerNode
+    from limeshelf.placement.service import FleetService
     from limeshelf.replicas.directory import ReplicaDirectory
 
 DIGEST_S = 0.25
@@ -310,7 +310,7 @@
         self.leadership.note_fence(message.fence)
         if self.fleet.leads() or message.fence < self._states_fence:
             # A predecessor's word that a cut held up is older than what is known
-            # (tests/fleet/test_neighbours.py::test_late_word_of_a_predecessor).
+            # (tests/membership/test_neighbours.py::test_late_word_of_a_predecessor).
             return
         self._states_fence = message.fence
         self._note_leader(envelope.sender, message.fence)
--- a/limeshelf/fleet/sharing.py
+++ b/limeshelf/membership/sharing.py
@@ -9,12 +9,12 @@
 import attrs
 
 from limeshelf.feeds.rows import Row
-from limeshelf.fleet.messages import RowsQuery, TableRow, TableWord, TableWords
+from limeshelf.membership.messages import RowsQuery, TableRow, TableWord, TableWords
 from limeshelf.util.backoff import jittered_s
 
 if TYPE_CHECKING:
     from limeshelf.feeds.mirror import TableMirror
-    from limeshelf.fleet.members import Members
+    from limeshelf.membership.members import Members
     from limeshelf.peers.codec import Envelope
     from limeshelf.peers.node import PeerNode
 
--- a/limeshelf/fleet/states.py
+++ b/limeshelf/membership/states.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from limeshelf.fleet.messages import HeldModel, ReplicaState
+from limeshelf.membership.messages import HeldModel, ReplicaState
 from limeshelf.replicas.record import Holding, ReplicaReport
 
 if TYPE_CHECKING:
--- /dev/null
+++ b/limeshelf/orders/__init__.py
@@ -0,0 +1,1 @@
+"""Orders to replicas: what is sent, and what may be there meanwhile."""
--- a/limeshelf/fleet/desk.py
+++ b/limeshelf/orders/desk.py
@@ -7,17 +7,17 @@
 
 import attrs
 
-from limeshelf.fleet.orders import Order, OrderKind, OrderOutcome, ReplicaSilent
 from limeshelf.metrics.journal import log_change
+from limeshelf.orders.order import Order, OrderKind, OrderOutcome, ReplicaSilent
 from limeshelf.util.clock import boottime_s
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
     from limeshelf.calls.routes import EngineSpec
-    from limeshelf.fleet.leader import Leadership
-    from limeshelf.fleet.orders import OrderWire
+    from limeshelf.lease.leadership import Leadership
     from limeshelf.metrics.figures import Figures
+    from limeshelf.orders.order import OrderWire
     from limeshelf.replicas.directory import Replica, ReplicaDirectory
 
 #: Looks at a replica while something is on its way there.
@@ -161,7 +161,7 @@
         """Show the term's fence to a replica by an order that changes nothing.
 
         From then on the replica refuses what a predecessor ordered
-        (tests/fleet/test_desk.py::test_claim_shuts_a_predecessor_out).
+        (tests/orders/test_desk.py::test_claim_shuts_a_predecessor_out).
         """
         term = self._leadership.term
         if term is None or not await self.look(replica):
@@ -234,7 +234,7 @@
         while boottime_s() < limit_s and replica.takes_calls:
             await asyncio.sleep(ADAPTER_SETTLE_S if task.adapter else MODEL_LOOK_S)
             # A number that was counted wrongly would otherwise stay wrong for good
-            # (tests/fleet/test_desk.py::test_wrong_number_is_settled).
+            # (tests/orders/test_desk.py::test_wrong_number_is_settled).
             looked = await self.look(replica, settled=True)
             if looked and replica.report and not replica.report.busy:
                 return True
@@ -317,7 +317,7 @@
 
     def _is_done(self, replica: Replica, task: Task) -> bool:
         # Not holds(): what is about to go takes no calls but is still there
-        # (tests/fleet/test_desk.py::test_load_waits_for_late_unload).
+        # (tests/orders/test_desk.py::test_load_waits_for_late_unload).
         adapters = replica.holdings.get(task.model)
         there = adapters is not None and (not task.adapter or task.adapter in adapters)
         return there if task.kind is OrderKind.LOAD else not there
--- a/limeshelf/placement/__init__.py
+++ b/limeshelf/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Which model sits in which memory: ledger, anchors, policies and orders."""
+"""Which copy of which model stands at which replica."""
--- a/limeshelf/fleet/adapters.py
+++ b/limeshelf/placement/adapters.py
@@ -6,12 +6,12 @@
 
 import attrs
 
-from limeshelf.fleet.demand import ModelKey, ModelLoad
+from limeshelf.demand.meter import ModelKey, ModelLoad
 from limeshelf.util.clock import boottime_s
 
 if TYPE_CHECKING:
     from limeshelf.calls.routes import EngineSpec
-    from limeshelf.fleet.desk import Lane
+    from limeshelf.orders.desk import Lane
     from limeshelf.replicas.directory import Replica, ReplicaDirectory
 
 #: Adapters that may be on their way to one replica together.
--- a/limeshelf/fleet/service.py
+++ b/limeshelf/placement/service.py
@@ -5,23 +5,23 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from limeshelf.fleet.adapters import AdapterPlanner
-from limeshelf.fleet.demand import DemandTotals, ModelKey
-from limeshelf.fleet.desk import OrderDesk, Task
-from limeshelf.fleet.needs import needs_of
-from limeshelf.fleet.orders import OrderKind
-from limeshelf.fleet.pace import LoadPace
-from limeshelf.fleet.planner import Holder, Planner
-from limeshelf.fleet.starvation import Starvation
+from limeshelf.demand.meter import DemandTotals, ModelKey
+from limeshelf.demand.needs import needs_of
 from limeshelf.metrics.journal import log_change
+from limeshelf.orders.desk import OrderDesk, Task
+from limeshelf.orders.order import OrderKind
+from limeshelf.placement.adapters import AdapterPlanner
+from limeshelf.placement.pace import LoadPace
+from limeshelf.placement.planner import Holder, Planner
+from limeshelf.placement.starvation import Starvation
 from limeshelf.util.clock import boottime_s
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
     from limeshelf.calls.routes import EngineSpec, ServingConfig
-    from limeshelf.fleet.leader import Leadership
-    from limeshelf.fleet.planner import Move
+    from limeshelf.lease.leadership import Leadership
+    from limeshelf.placement.planner import Move
     from limeshelf.replicas.directory import Replica, ReplicaDirectory
     from limeshelf.util.tasks import TaskSet
 
@@ -152,7 +152,7 @@
             return
         if self._desk.lane(replica).claimed_fence != self._leadership.fence:
             # New in this term, or back in reach: what was ordered before may
-            # arrive just now (tests/fleet/test_desk.py::test_replica_back_in_reach).
+            # arrive just now (tests/orders/test_desk.py::test_replica_back_in_reach).
             await self._desk.claim(replica, engine)
 
     def _order_moves(self, engine: EngineSpec, planner: Planner, holders: list[Holder]) -> None:
@@ -231,14 +231,14 @@
         held = dict(replica.holdings)
         if replica.report is not None:
             # What an answer said to be missing may be there all the same
-            # (tests/fleet/test_service.py::test_answer_of_a_replica_frees_no_room).
+            # (tests/placement/test_service.py::test_answer_of_a_replica_frees_no_room).
             for one in replica.report.holdings:
                 held[one.model] = held.get(one.model, frozenset()) | one.adapters
         adapters = {(model, adapter) for model, names in held.items() for adapter in names}
         possible = lane.sent | set(lane.doubts)
         if replica.report is not None:
             # An adapter that was given up may still be on its way
-            # (tests/fleet/test_service.py::test_adapter_on_its_way_takes_a_place).
+            # (tests/placement/test_service.py::test_adapter_on_its_way_takes_a_place).
             possible |= set(replica.report.loading)
         adapters |= {(model, adapter) for model, adapter in possible if adapter}
         models = set(held) | {model for model, adapter in possible if not adapter}
--- a/limeshelf/fleet/starvation.py
+++ b/limeshelf/placement/starvation.py
@@ -7,8 +7,8 @@
 from limeshelf.util.clock import boottime_s
 
 if TYPE_CHECKING:
-    from limeshelf.fleet.needs import ModelNeed
-    from limeshelf.fleet.planner import Holder
+    from limeshelf.demand.needs import ModelNeed
+    from limeshelf.placement.planner import Holder
 
 
 class Starvation:
--- a/limeshelf/platform/engine.py
+++ b/limeshelf/platform/engine.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from limeshelf.errors import InvalidDocument
-from limeshelf.fleet.orders import Order, OrderAnswer, OrderOutcome, ReplicaSilent
+from limeshelf.orders.order import Order, OrderAnswer, OrderOutcome, ReplicaSilent
 from limeshelf.platform.headers import EXPECT_INSTANCE
 from limeshelf.platform.replicas import read_report
 from limeshelf.platform.sessions import open_session
@@ -31,7 +31,7 @@
 
 
 class EngineClient:
-    """Asks and orders replicas; implements :class:`limeshelf.fleet.orders.OrderWire`."""
+    """Asks and orders replicas; implements :class:`limeshelf.orders.order.OrderWire`."""
 
     def __init__(self) -> None:
         self._session: aiohttp.ClientSession | None = None
--- a/limeshelf/programs/gateway.py
+++ b/limeshelf/programs/gateway.py
@@ -14,25 +14,23 @@
 import uvloop
 from aiomisc import Service, entrypoint
 
+from limeshelf.admission.retry_budget import RetryRule
+from limeshelf.demand.meter import DemandMeter
 from limeshelf.dispatch.client import DispatchClient
 from limeshelf.errors import InvalidDocument
 from limeshelf.feeds.mirror import FollowRule, TableMirror
 from limeshelf.feeds.rows import Row
-from limeshelf.fleet.demand import DemandMeter
-from limeshelf.fleet.desk import OrderDesk
-from limeshelf.fleet.leader import Leadership
-from limeshelf.fleet.members import MEMBER_TABLE, Member, Members
-from limeshelf.fleet.neighbours import Neighbours
-from limeshelf.fleet.service import FleetService
-from limeshelf.fleet.sharing import RowSharing
-from limeshelf.gateway.budget import RetryRule
-from limeshelf.gateway.choice import Chooser
 from limeshelf.gateway.edge import Edge, Phase
 from limeshelf.gateway.pipeline import Pipeline
-from limeshelf.gateway.pool import ConnectionPool
+from limeshelf.lease.leadership import Leadership
+from limeshelf.membership.members import MEMBER_TABLE, Member, Members
+from limeshelf.membership.neighbours import Neighbours
+from limeshelf.membership.sharing import RowSharing
 from limeshelf.metrics.figures import Figures, FiguresServer
 from limeshelf.metrics.journal import journal, log_change
+from limeshelf.orders.desk import OrderDesk
 from limeshelf.peers.node import PeerNode
+from limeshelf.placement.service import FleetService
 from limeshelf.platform.configuration import CONFIG_KEY, CONFIG_TABLE, read_config
 from limeshelf.platform.engine import EngineClient
 from limeshelf.platform.replicas import REPLICA_TABLE, read_record
@@ -40,6 +38,8 @@
 from limeshelf.platform.wire import PlatformWire
 from limeshelf.programs.settings_watch import SettingsWatch
 from limeshelf.replicas.directory import ReplicaDirectory
+from limeshelf.replicas.pool import ConnectionPool
+from limeshelf.routing.chooser import Chooser
 from limeshelf.settings.gateway import GatewaySettings, load_gateway_settings
 from limeshelf.util.backoff import jittered_s
 from limeshelf.util.clock import boottime_s
--- a/limeshelf/routing/__init__.py
+++ b/limeshelf/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Which replica serves a request: load estimates and routing policies."""
+"""Which replica a call goes to."""
--- a/limeshelf/admin/client.py
+++ b/limeshelf/standalone/admin/client.py
@@ -9,7 +9,7 @@
 import grpc
 
 from limeshelf.admin import admin_pb2_grpc
-from limeshelf.admin.server import MAX_MESSAGE_BYTES, TOKEN_KEY, TOKEN_PREFIX
+from limeshelf.standalone.admin.server import MAX_MESSAGE_BYTES, TOKEN_KEY, TOKEN_PREFIX
 
 if TYPE_CHECKING:
     from collections.abc import Callable
--- a/limeshelf/admin/comparison.py
+++ b/limeshelf/standalone/admin/comparison.py
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from limeshelf.peers.messages import PolicySample
+    from limeshelf.standalone.messages import PolicySample
 
 #: Standard deviations of a 95 % interval of a normal distribution.
 NORMAL_95 = 1.96
--- a/limeshelf/admin/operations.py
+++ b/limeshelf/standalone/admin/operations.py
@@ -8,12 +8,6 @@
 import attrs
 import msgspec
 
-from limeshelf.admission.policies import admission_policies
-from limeshelf.admission.priorities import priority_policies
-from limeshelf.config.check import check_document
-from limeshelf.config.delta import Change, diff, document_from_json
-from limeshelf.config.document import Binding, Document, PolicyKind, Split
-from limeshelf.config.items import model_item_id
 from limeshelf.errors import (
     InvalidDocument,
     PlatformUnavailable,
@@ -21,24 +15,30 @@
     Problem,
     StaleRevision,
 )
-from limeshelf.placement.policies import placement_policies
-from limeshelf.revisions.store import (
+from limeshelf.standalone.admission.policies import admission_policies
+from limeshelf.standalone.admission.priorities import priority_policies
+from limeshelf.standalone.config.check import check_document
+from limeshelf.standalone.config.delta import Change, diff, document_from_json
+from limeshelf.standalone.config.document import Binding, Document, PolicyKind, Split
+from limeshelf.standalone.config.items import model_item_id
+from limeshelf.standalone.placement.policies import placement_policies
+from limeshelf.standalone.revisions.store import (
     SNAPSHOT_EVERY,
     Applied,
     CommitOutcome,
     RevisionStore,
 )
-from limeshelf.routing.policies import routing_policies
+from limeshelf.standalone.routing.policies import routing_policies
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
     from typing import Any
 
-    from limeshelf.config.holder import ConfigHolder
-    from limeshelf.membership.upstreams import UpstreamDirectory
     from limeshelf.registry import Registry
-    from limeshelf.revisions.sync import RevisionSync
-    from limeshelf.services.weights import WeightStoreClient
+    from limeshelf.standalone.config.holder import ConfigHolder
+    from limeshelf.standalone.membership.upstreams import UpstreamDirectory
+    from limeshelf.standalone.revisions.sync import RevisionSync
+    from limeshelf.standalone.services.weights import WeightStoreClient
 
 #: Deployments of one change whose size is asked of the weight store.
 CHECKED_DEPLOYMENTS = 20
--- a/limeshelf/admin/queries.py
+++ b/limeshelf/standalone/admin/queries.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import TYPE_CHECKING, Any
 
-from limeshelf.peers.messages import (
+from limeshelf.standalone.messages import (
     ExplainQuery,
     ExplainReply,
     SamplesQuery,
@@ -14,9 +14,9 @@
 from limeshelf.util.identifiers import new_id
 
 if TYPE_CHECKING:
-    from limeshelf.membership.processes import ProcessDirectory
     from limeshelf.peers.codec import Envelope
     from limeshelf.peers.node import PeerNode
+    from limeshelf.standalone.membership.processes import ProcessDirectory
 
 ANSWER_TIMEOUT_S = 1.0
 
--- a/limeshelf/admin/server.py
+++ b/limeshelf/standalone/admin/server.py
@@ -17,8 +17,8 @@
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
 
-    from limeshelf.admin.service import AdminService
     from limeshelf.settings.model import AdminSettings
+    from limeshelf.standalone.admin.service import AdminService
 
 #: Metadata key under which operators send their token.
 TOKEN_KEY = 'authorization'
--- a/limeshelf/admin/service.py
+++ b/limeshelf/standalone/admin/service.py
@@ -10,25 +10,25 @@
 
 from limeshelf.admin import admin_pb2 as pb
 from limeshelf.admin import admin_pb2_grpc
-from limeshelf.admin.comparison import Figures, difference, gather
-from limeshelf.admin.operations import Operation, Rejected, Unchanged, parse_document
-from limeshelf.config.delta import diff, document_to_json
 from limeshelf.errors import InvalidDocument, PlatformUnavailable, PlatformUnknown
-from limeshelf.membership.reach import centre_revisions
-from limeshelf.revisions.store import Applied, NotApplied, RaceLost, Undecided
+from limeshelf.standalone.admin.comparison import Figures, difference, gather
+from limeshelf.standalone.admin.operations import Operation, Rejected, Unchanged, parse_document
+from limeshelf.standalone.config.delta import diff, document_to_json
+from limeshelf.standalone.membership.reach import centre_revisions
+from limeshelf.standalone.revisions.store import Applied, NotApplied, RaceLost, Undecided
 from limeshelf.util.clock import boottime_s
 
 if TYPE_CHECKING:
-    from limeshelf.admin.operations import OperationOutcome, Operations
-    from limeshelf.admin.queries import PeerQueries
-    from limeshelf.config.delta import Change
-    from limeshelf.config.holder import ConfigHolder
     from limeshelf.errors import Problem
-    from limeshelf.membership.processes import ProcessDirectory
-    from limeshelf.membership.upstreams import Upstream, UpstreamDirectory
     from limeshelf.peers.codec import Envelope
-    from limeshelf.peers.messages import Reach
-    from limeshelf.revisions.store import RevisionRecord, RevisionStore
+    from limeshelf.standalone.admin.operations import OperationOutcome, Operations
+    from limeshelf.standalone.admin.queries import PeerQueries
+    from limeshelf.standalone.config.delta import Change
+    from limeshelf.standalone.config.holder import ConfigHolder
+    from limeshelf.standalone.membership.processes import ProcessDirectory
+    from limeshelf.standalone.membership.upstreams import Upstream, UpstreamDirectory
+    from limeshelf.standalone.messages import Reach
+    from limeshelf.standalone.revisions.store import RevisionRecord, RevisionStore
 
 DEFAULT_HISTORY = 20
 MAX_HISTORY = 500
--- /dev/null
+++ b/limeshelf/standalone/admission/__init__.py
@@ -0,0 +1,1 @@
+"""What is refused, retried and limited at an entry instance."""
--- a/limeshelf/admission/policies.py
+++ b/limeshelf/standalone/admission/policies.py
@@ -7,13 +7,13 @@
 
 import attrs
 
-from limeshelf.config.document import PriorityClass
 from limeshelf.errors import NotRun, RefusalReason
 from limeshelf.registry import Registry
+from limeshelf.standalone.config.document import PriorityClass
 from limeshelf.util.clock import boottime_s
 
 if TYPE_CHECKING:
-    from limeshelf.config.document import Policy
+    from limeshelf.standalone.config.document import Policy
 
 #: Shortest pause a refused caller is told, in seconds.
 MIN_RETRY_AFTER_S = 1.0
--- a/limeshelf/admission/priorities.py
+++ b/limeshelf/standalone/admission/priorities.py
@@ -6,11 +6,11 @@
 
 import attrs
 
-from limeshelf.config.document import PRIORITY_RANK, PriorityClass
 from limeshelf.registry import Registry
+from limeshelf.standalone.config.document import PRIORITY_RANK, PriorityClass
 
 if TYPE_CHECKING:
-    from limeshelf.config.document import Policy
+    from limeshelf.standalone.config.document import Policy
 
 #: Ranks between two classes, so that a class never overtakes a higher one.
 CLASS_STEP = 1000
--- a/limeshelf/claims/keeper.py
+++ b/limeshelf/standalone/claims/keeper.py
@@ -9,12 +9,12 @@
 import attrs
 
 from limeshelf.errors import PlatformUnavailable, PlatformUnknown
-from limeshelf.services.table import Committed, Condition, Row, Write
+from limeshelf.standalone.services.table import Committed, Condition, Row, Write
 from limeshelf.util.clock import wall_s
 from limeshelf.util.identifiers import new_id
 
 if TYPE_CHECKING:
-    from limeshelf.services.table import TableClient
+    from limeshelf.standalone.services.table import TableClient
 
 #: Larger answers are not kept for a repeat; the repeat learns only that the
 #: call ran.
--- a/limeshelf/config/catalog.py
+++ b/limeshelf/standalone/config/catalog.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from limeshelf.config.document import (
+from limeshelf.standalone.config.document import (
     Deployment,
     Document,
     Policy,
@@ -12,7 +12,7 @@
     Route,
     Split,
 )
-from limeshelf.config.items import Item, items_of
+from limeshelf.standalone.config.items import Item, items_of
 
 #: Separates a model from one of its adapters in the caller's ``model`` field.
 ADAPTER_SEPARATOR = ':'
--- a/limeshelf/config/check.py
+++ b/limeshelf/standalone/config/check.py
@@ -4,8 +4,8 @@
 
 from typing import TYPE_CHECKING
 
-from limeshelf.config.document import Document, PolicyKind
 from limeshelf.errors import Problem
+from limeshelf.standalone.config.document import Document, PolicyKind
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping
--- a/limeshelf/config/delta.py
+++ b/limeshelf/standalone/config/delta.py
@@ -6,7 +6,9 @@
 
 import attrs
 
-from limeshelf.config.document import (
+from limeshelf.errors import InvalidDocument, Problem
+from limeshelf.settings.structure import structure, unstructure
+from limeshelf.standalone.config.document import (
     Binding,
     Deployment,
     Document,
@@ -14,8 +16,6 @@
     Route,
     Split,
 )
-from limeshelf.errors import InvalidDocument, Problem
-from limeshelf.settings.structure import structure, unstructure
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
--- a/limeshelf/config/holder.py
+++ b/limeshelf/standalone/config/holder.py
@@ -6,10 +6,10 @@
 
 from absl import logging
 
-from limeshelf.config.catalog import Catalog
-from limeshelf.config.delta import Change, apply_changes
-from limeshelf.config.document import Document
 from limeshelf.errors import StaleRevision
+from limeshelf.standalone.config.catalog import Catalog
+from limeshelf.standalone.config.delta import Change, apply_changes
+from limeshelf.standalone.config.document import Document
 
 if TYPE_CHECKING:
     from collections.abc import Callable
--- a/limeshelf/config/items.py
+++ b/limeshelf/standalone/config/items.py
@@ -7,7 +7,7 @@
 import attrs
 
 if TYPE_CHECKING:
-    from limeshelf.config.document import Deployment
+    from limeshelf.standalone.config.document import Deployment
 
 VERSION_MARK = '@'
 ADAPTER_MARK = '+'
--- a/limeshelf/entry/answers.py
+++ b/limeshelf/standalone/entry/answers.py
@@ -8,12 +8,6 @@
 import msgspec
 from aiohttp import web
 
-from limeshelf.entry.headers import (
-    OUTCOME_HEADER,
-    REQUEST_ID_HEADER,
-    RETRY_AFTER_HEADER,
-    REVISION_HEADER,
-)
 from limeshelf.errors import (
     InvalidRequest,
     MayHaveRun,
@@ -21,6 +15,12 @@
     OutcomeKind,
     RefusalReason,
 )
+from limeshelf.standalone.entry.headers import (
+    OUTCOME_HEADER,
+    REQUEST_ID_HEADER,
+    RETRY_AFTER_HEADER,
+    REVISION_HEADER,
+)
 
 AnyAnswer = TypeVar('AnyAnswer', bound=web.StreamResponse)
 
--- a/limeshelf/entry/bound.py
+++ b/limeshelf/standalone/entry/bound.py
@@ -4,13 +4,13 @@
 
 from typing import TYPE_CHECKING, Any
 
-from limeshelf.admission.policies import AdmissionPolicy, admission_policies
-from limeshelf.admission.priorities import PriorityPolicy, priority_policies
-from limeshelf.routing.policies import RoutingPolicy, routing_policies
+from limeshelf.standalone.admission.policies import AdmissionPolicy, admission_policies
+from limeshelf.standalone.admission.priorities import PriorityPolicy, priority_policies
+from limeshelf.standalone.routing.policies import RoutingPolicy, routing_policies
 
 if TYPE_CHECKING:
-    from limeshelf.config.document import Policy
     from limeshelf.registry import Registry
+    from limeshelf.standalone.config.document import Policy
 
 
 class PolicyShelf:
--- a/limeshelf/entry/claimed.py
+++ b/limeshelf/standalone/entry/claimed.py
@@ -6,17 +6,6 @@
 
 from aiohttp import web
 
-from limeshelf.claims.keeper import (
-    MAX_KEPT_BYTES,
-    Claimed,
-    ClaimedBefore,
-    ClaimMismatch,
-    KeptAnswer,
-    fingerprint_of,
-)
-from limeshelf.entry.answers import tag
-from limeshelf.entry.headers import OUTCOME_HEADER, REPLAYED_HEADER
-from limeshelf.entry.tries import PlainTries
 from limeshelf.errors import (
     DoubtReason,
     ExchangeBroken,
@@ -29,13 +18,24 @@
     UpstreamRefused,
     UpstreamUnreachable,
 )
-from limeshelf.upstreams.plain import passable_headers
+from limeshelf.standalone.claims.keeper import (
+    MAX_KEPT_BYTES,
+    Claimed,
+    ClaimedBefore,
+    ClaimMismatch,
+    KeptAnswer,
+    fingerprint_of,
+)
+from limeshelf.standalone.entry.answers import tag
+from limeshelf.standalone.entry.headers import OUTCOME_HEADER, REPLAYED_HEADER
+from limeshelf.standalone.entry.tries import PlainTries
+from limeshelf.standalone.upstreams.plain import passable_headers
 
 if TYPE_CHECKING:
     import aiohttp
 
-    from limeshelf.entry.context import EntryContext
-    from limeshelf.entry.tries import PreparedCall
+    from limeshelf.standalone.entry.context import EntryContext
+    from limeshelf.standalone.entry.tries import PreparedCall
 
 #: What a caller is told when keys cannot be claimed.
 CLAIMS_RETRY_S = 5.0
--- a/limeshelf/entry/context.py
+++ b/limeshelf/standalone/entry/context.py
@@ -4,19 +4,19 @@
 
 import attrs
 
-from limeshelf.admission.retries import RetryBudget
-from limeshelf.claims.keeper import ClaimKeeper
-from limeshelf.config.holder import ConfigHolder
-from limeshelf.entry.bound import PolicyShelf
-from limeshelf.entry.demand import DemandCounter
-from limeshelf.entry.lifecycle import Lifecycle
-from limeshelf.entry.samples import SampleBook
-from limeshelf.membership.upstreams import UpstreamDirectory
 from limeshelf.metrics.decisions import DecisionLog
 from limeshelf.metrics.statsd import Metrics
-from limeshelf.routing.loads import LoadBook
 from limeshelf.settings.model import EntrySettings
-from limeshelf.upstreams.pool import UpstreamPool
+from limeshelf.standalone.admission.retries import RetryBudget
+from limeshelf.standalone.claims.keeper import ClaimKeeper
+from limeshelf.standalone.config.holder import ConfigHolder
+from limeshelf.standalone.entry.bound import PolicyShelf
+from limeshelf.standalone.entry.demand import DemandCounter
+from limeshelf.standalone.entry.lifecycle import Lifecycle
+from limeshelf.standalone.entry.samples import SampleBook
+from limeshelf.standalone.membership.upstreams import UpstreamDirectory
+from limeshelf.standalone.routing.loads import LoadBook
+from limeshelf.standalone.upstreams.pool import UpstreamPool
 
 
 @attrs.define
--- a/limeshelf/entry/demand.py
+++ b/limeshelf/standalone/entry/demand.py
@@ -6,12 +6,12 @@
 from collections import Counter
 from typing import TYPE_CHECKING
 
-from limeshelf.peers.messages import Demand, ItemDemand
+from limeshelf.standalone.messages import Demand, ItemDemand
 from limeshelf.util.backoff import jittered_s
 
 if TYPE_CHECKING:
-    from limeshelf.membership.processes import ProcessDirectory
     from limeshelf.peers.node import PeerNode
+    from limeshelf.standalone.membership.processes import ProcessDirectory
 
 PERIOD_S = 1.0
 
--- a/limeshelf/entry/exchange.py
+++ b/limeshelf/standalone/entry/exchange.py
@@ -6,8 +6,6 @@
 from contextlib import aclosing
 from typing import TYPE_CHECKING
 
-from limeshelf.admission.policies import AdmissionQuestion
-from limeshelf.config.document import PolicyKind
 from limeshelf.errors import (
     DoubtReason,
     ExchangeBroken,
@@ -19,20 +17,22 @@
     UpstreamRefused,
     UpstreamUnreachable,
 )
-from limeshelf.routing.candidates import Candidate, engine_candidates
-from limeshelf.routing.policies import RouteQuestion
-from limeshelf.upstreams.messages import GenerateRequest
+from limeshelf.standalone.admission.policies import AdmissionQuestion
+from limeshelf.standalone.config.document import PolicyKind
+from limeshelf.standalone.routing.candidates import Candidate, engine_candidates
+from limeshelf.standalone.routing.policies import RouteQuestion
+from limeshelf.standalone.upstreams.messages import GenerateRequest
 from limeshelf.util.clock import boottime_s
 from limeshelf.util.identifiers import new_id
 
 if TYPE_CHECKING:
     from collections.abc import AsyncGenerator
 
-    from limeshelf.config.catalog import Catalog, Target
-    from limeshelf.config.document import Policy
-    from limeshelf.entry.context import EntryContext
-    from limeshelf.entry.parse import ModelRequest
-    from limeshelf.upstreams.messages import TokenLine
+    from limeshelf.standalone.config.catalog import Catalog, Target
+    from limeshelf.standalone.config.document import Policy
+    from limeshelf.standalone.entry.context import EntryContext
+    from limeshelf.standalone.entry.parse import ModelRequest
+    from limeshelf.standalone.upstreams.messages import TokenLine
 
 #: Tries of one request, the first one included.
 MAX_TRIES = 4
--- a/limeshelf/entry/formats.py
+++ b/limeshelf/standalone/entry/formats.py
@@ -7,12 +7,12 @@
 
 import msgspec
 
-from limeshelf.entry.answers import error_body
+from limeshelf.standalone.entry.answers import error_body
 
 if TYPE_CHECKING:
-    from limeshelf.entry.parse import ModelRequest
     from limeshelf.errors import MayHaveRun, NotRun
-    from limeshelf.upstreams.messages import TokenLine
+    from limeshelf.standalone.entry.parse import ModelRequest
+    from limeshelf.standalone.upstreams.messages import TokenLine
 
 END_EVENT = b'data: [DONE]\n\n'
 _MARK = '\0'
--- a/limeshelf/entry/models.py
+++ b/limeshelf/standalone/entry/models.py
@@ -9,11 +9,6 @@
 import msgspec
 from aiohttp import web
 
-from limeshelf.entry.answers import invalid_answer, outcome_answer, tag
-from limeshelf.entry.exchange import ModelExchange
-from limeshelf.entry.formats import EventWriter, whole_body
-from limeshelf.entry.headers import OUTCOME_HEADER, REVISION_HEADER
-from limeshelf.entry.parse import ModelRequest, parse_model_request, read_body
 from limeshelf.errors import (
     DoubtReason,
     InvalidRequest,
@@ -24,11 +19,16 @@
     RequestInDoubt,
     RequestNotRun,
 )
+from limeshelf.standalone.entry.answers import invalid_answer, outcome_answer, tag
+from limeshelf.standalone.entry.exchange import ModelExchange
+from limeshelf.standalone.entry.formats import EventWriter, whole_body
+from limeshelf.standalone.entry.headers import OUTCOME_HEADER, REVISION_HEADER
+from limeshelf.standalone.entry.parse import ModelRequest, parse_model_request, read_body
 from limeshelf.util.identifiers import new_id
 
 if TYPE_CHECKING:
-    from limeshelf.config.catalog import Catalog, Target
-    from limeshelf.entry.context import EntryContext
+    from limeshelf.standalone.config.catalog import Catalog, Target
+    from limeshelf.standalone.entry.context import EntryContext
 
 
 class ModelHandlers:
--- a/limeshelf/entry/parse.py
+++ b/limeshelf/standalone/entry/parse.py
@@ -10,8 +10,8 @@
 import attrs
 import msgspec
 
-from limeshelf.entry.headers import CALLER_HEADER, DEADLINE_HEADER, IDEMPOTENCY_HEADER
 from limeshelf.errors import InvalidRequest
+from limeshelf.standalone.entry.headers import CALLER_HEADER, DEADLINE_HEADER, IDEMPOTENCY_HEADER
 
 if TYPE_CHECKING:
     from aiohttp import web
--- a/limeshelf/entry/plain.py
+++ b/limeshelf/standalone/entry/plain.py
@@ -7,17 +7,6 @@
 
 from aiohttp import web
 
-from limeshelf.entry.answers import invalid_answer, outcome_answer, tag
-from limeshelf.entry.claimed import ClaimedCalls
-from limeshelf.entry.headers import OUTCOME_HEADER
-from limeshelf.entry.parse import (
-    ANONYMOUS,
-    caller_of,
-    header_deadline_s,
-    idempotency_key_of,
-    read_body,
-)
-from limeshelf.entry.tries import NOT_READY_RETRY_S, PlainTries, PreparedCall
 from limeshelf.errors import (
     ExchangeBroken,
     InvalidRequest,
@@ -30,7 +19,18 @@
     UpstreamRefused,
     UpstreamUnreachable,
 )
-from limeshelf.upstreams.plain import PlainCall, passable_headers
+from limeshelf.standalone.entry.answers import invalid_answer, outcome_answer, tag
+from limeshelf.standalone.entry.claimed import ClaimedCalls
+from limeshelf.standalone.entry.headers import OUTCOME_HEADER
+from limeshelf.standalone.entry.parse import (
+    ANONYMOUS,
+    caller_of,
+    header_deadline_s,
+    idempotency_key_of,
+    read_body,
+)
+from limeshelf.standalone.entry.tries import NOT_READY_RETRY_S, PlainTries, PreparedCall
+from limeshelf.standalone.upstreams.plain import PlainCall, passable_headers
 from limeshelf.util.clock import boottime_s
 from limeshelf.util.identifiers import new_id
 
@@ -39,9 +39,9 @@
 
     import aiohttp
 
-    from limeshelf.config.catalog import Catalog
-    from limeshelf.config.document import Route
-    from limeshelf.entry.context import EntryContext
+    from limeshelf.standalone.config.catalog import Catalog
+    from limeshelf.standalone.config.document import Route
+    from limeshelf.standalone.entry.context import EntryContext
 
 CHUNK_BYTES = 64 << 10
 #: Methods whose repetition has the same effect as one call, by definition.
--- a/limeshelf/entry/samples.py
+++ b/limeshelf/standalone/entry/samples.py
@@ -6,10 +6,10 @@
 
 import attrs
 
-from limeshelf.peers.messages import PolicySample
+from limeshelf.standalone.messages import PolicySample
 
 if TYPE_CHECKING:
-    from limeshelf.config.document import Policy, PriorityClass
+    from limeshelf.standalone.config.document import Policy, PriorityClass
 
 
 @attrs.define
--- a/limeshelf/entry/server.py
+++ b/limeshelf/standalone/entry/server.py
@@ -7,18 +7,18 @@
 import msgspec
 from aiohttp import web
 
-from limeshelf.entry.answers import outcome_answer, tag
-from limeshelf.entry.lifecycle import Phase
-from limeshelf.entry.models import ModelHandlers
-from limeshelf.entry.plain import PlainHandlers
 from limeshelf.errors import NotRun, RefusalReason
+from limeshelf.standalone.entry.answers import outcome_answer, tag
+from limeshelf.standalone.entry.lifecycle import Phase
+from limeshelf.standalone.entry.models import ModelHandlers
+from limeshelf.standalone.entry.plain import PlainHandlers
 from limeshelf.util.identifiers import new_id
 
 if TYPE_CHECKING:
     import ssl
     from collections.abc import Awaitable, Callable
 
-    from limeshelf.entry.context import EntryContext
+    from limeshelf.standalone.entry.context import EntryContext
 
     Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
--- a/limeshelf/entry/tries.py
+++ b/limeshelf/standalone/entry/tries.py
@@ -15,15 +15,15 @@
     RequestNotRun,
     UpstreamRefused,
 )
-from limeshelf.routing.candidates import Candidate, plain_candidates
+from limeshelf.standalone.routing.candidates import Candidate, plain_candidates
 from limeshelf.util.clock import boottime_s
 
 if TYPE_CHECKING:
-    from limeshelf.config.catalog import Catalog
-    from limeshelf.config.document import Route
-    from limeshelf.entry.context import EntryContext
     from limeshelf.errors import UpstreamUnreachable
-    from limeshelf.upstreams.plain import PlainCall
+    from limeshelf.standalone.config.catalog import Catalog
+    from limeshelf.standalone.config.document import Route
+    from limeshelf.standalone.entry.context import EntryContext
+    from limeshelf.standalone.upstreams.plain import PlainCall
 
 #: Tries of one call, the first one included.
 MAX_TRIES = 3
--- a/limeshelf/experiment/centres.py
+++ b/limeshelf/standalone/experiment/centres.py
@@ -7,20 +7,20 @@
 import attrs
 
 from limeshelf.errors import LimeshelfError
-from limeshelf.lease.keeper import LeaseKeeper
-from limeshelf.membership.upstreams import UpstreamDirectory
 from limeshelf.metrics.decisions import DecisionLog
 from limeshelf.metrics.statsd import Metrics
-from limeshelf.peers.messages import Demand, ItemDemand
-from limeshelf.placement.anchors import AnchorBook
-from limeshelf.placement.placer import Placer
-from limeshelf.routing.loads import LoadBook
 from limeshelf.settings.model import MetricsSettings, PlacerSettings
+from limeshelf.standalone.lease.keeper import LeaseKeeper
+from limeshelf.standalone.membership.upstreams import UpstreamDirectory
+from limeshelf.standalone.messages import Demand, ItemDemand
+from limeshelf.standalone.placement.anchors import AnchorBook
+from limeshelf.standalone.placement.placer import Placer
+from limeshelf.standalone.routing.loads import LoadBook
 
 if TYPE_CHECKING:
-    from limeshelf.config.holder import ConfigHolder
-    from limeshelf.experiment.engine import SimulatedEngine
-    from limeshelf.services.instances import Listed
+    from limeshelf.standalone.config.holder import ConfigHolder
+    from limeshelf.standalone.experiment.engine import SimulatedEngine
+    from limeshelf.standalone.services.instances import Listed
 
 #: An upstream's state older than this is not trusted.
 STALE_S = 4.0
--- a/limeshelf/experiment/engine.py
+++ b/limeshelf/standalone/experiment/engine.py
@@ -9,7 +9,7 @@
 import attrs
 
 from limeshelf.errors import UpstreamUnreachable
-from limeshelf.upstreams.messages import (
+from limeshelf.standalone.upstreams.messages import (
     EngineReport,
     HeldItem,
     ItemState,
@@ -22,7 +22,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
 
-    from limeshelf.config.items import Item
+    from limeshelf.standalone.config.items import Item
     from limeshelf.util.clock import VirtualClock
 
 
--- a/limeshelf/experiment/measures.py
+++ b/limeshelf/standalone/experiment/measures.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from limeshelf.config.document import PriorityClass
+from limeshelf.standalone.config.document import PriorityClass
 
 FIRST_TOKEN_TARGET_S = 1.5
 NEXT_TOKEN_TARGET_S = 0.035
--- a/limeshelf/experiment/plan.py
+++ b/limeshelf/standalone/experiment/plan.py
@@ -6,15 +6,15 @@
 
 import attrs
 
-from limeshelf.experiment.engine import EngineSpeed
-from limeshelf.experiment.simulation import run_once
-from limeshelf.experiment.systems import SYSTEMS
-from limeshelf.experiment.workload import PROFILES, Variant
+from limeshelf.standalone.experiment.engine import EngineSpeed
+from limeshelf.standalone.experiment.simulation import run_once
+from limeshelf.standalone.experiment.systems import SYSTEMS
+from limeshelf.standalone.experiment.workload import PROFILES, Variant
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-    from limeshelf.experiment.measures import RunResult
+    from limeshelf.standalone.experiment.measures import RunResult
 
 
 @attrs.frozen
--- a/limeshelf/experiment/report.py
+++ b/limeshelf/standalone/experiment/report.py
@@ -6,13 +6,13 @@
 
 import attrs
 
-from limeshelf.config.document import PriorityClass
-from limeshelf.experiment.systems import BOUND, NAIVE
+from limeshelf.standalone.config.document import PriorityClass
+from limeshelf.standalone.experiment.systems import BOUND, NAIVE
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-    from limeshelf.experiment.measures import RunResult
+    from limeshelf.standalone.experiment.measures import RunResult
 
 HEADINGS = (
     'profile',
--- a/limeshelf/experiment/simulation.py
+++ b/limeshelf/standalone/experiment/simulation.py
@@ -9,26 +9,26 @@
 
 import attrs
 
-from limeshelf.admission.policies import AdmissionQuestion
-from limeshelf.config.document import PolicyKind
-from limeshelf.config.holder import ConfigHolder
-from limeshelf.entry.bound import PolicyShelf
 from limeshelf.errors import NotRun
-from limeshelf.experiment.centres import Centre
-from limeshelf.experiment.engine import EngineSpeed, SimulatedEngine, Work
-from limeshelf.experiment.measures import RunResult, met_targets
-from limeshelf.experiment.table import MemoryTable
-from limeshelf.experiment.workload import Arrival, Profile, Variant, arrivals, document
-from limeshelf.peers.messages import UpstreamState
-from limeshelf.routing.candidates import Candidate, engine_candidates
-from limeshelf.routing.policies import RouteQuestion
-from limeshelf.services.instances import Listed, ListedKind
-from limeshelf.upstreams.messages import EngineReport, ItemState, OrderAction
+from limeshelf.standalone.admission.policies import AdmissionQuestion
+from limeshelf.standalone.config.document import PolicyKind
+from limeshelf.standalone.config.holder import ConfigHolder
+from limeshelf.standalone.entry.bound import PolicyShelf
+from limeshelf.standalone.experiment.centres import Centre
+from limeshelf.standalone.experiment.engine import EngineSpeed, SimulatedEngine, Work
+from limeshelf.standalone.experiment.measures import RunResult, met_targets
+from limeshelf.standalone.experiment.table import MemoryTable
+from limeshelf.standalone.experiment.workload import Arrival, Profile, Variant, arrivals, document
+from limeshelf.standalone.messages import UpstreamState
+from limeshelf.standalone.routing.candidates import Candidate, engine_candidates
+from limeshelf.standalone.routing.policies import RouteQuestion
+from limeshelf.standalone.services.instances import Listed, ListedKind
+from limeshelf.standalone.upstreams.messages import EngineReport, ItemState, OrderAction
 from limeshelf.util.clock import VirtualClock, virtual_clock
 
 if TYPE_CHECKING:
-    from limeshelf.config.catalog import Target
-    from limeshelf.experiment.systems import System
+    from limeshelf.standalone.config.catalog import Target
+    from limeshelf.standalone.experiment.systems import System
 
 ROUND_S = 1.0
 STATES_S = 0.25
--- a/limeshelf/experiment/systems.py
+++ b/limeshelf/standalone/experiment/systems.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from limeshelf.config.document import Binding, Policy, PolicyKind
+from limeshelf.standalone.config.document import Binding, Policy, PolicyKind
 
 
 @attrs.frozen
--- a/limeshelf/experiment/table.py
+++ b/limeshelf/standalone/experiment/table.py
@@ -4,10 +4,10 @@
 
 from typing import TYPE_CHECKING, Any
 
-from limeshelf.services.table import Committed, Conflicted, Row
+from limeshelf.standalone.services.table import Committed, Conflicted, Row
 
 if TYPE_CHECKING:
-    from limeshelf.services.table import Condition, TransactOutcome, Write
+    from limeshelf.standalone.services.table import Condition, TransactOutcome, Write
 
 
 class MemoryTable:
--- a/limeshelf/experiment/workload.py
+++ b/limeshelf/standalone/experiment/workload.py
@@ -9,7 +9,13 @@
 
 import attrs
 
-from limeshelf.config.document import Adapter, Deployment, Document, Policy, PriorityClass
+from limeshelf.standalone.config.document import (
+    Adapter,
+    Deployment,
+    Document,
+    Policy,
+    PriorityClass,
+)
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
--- /dev/null
+++ b/limeshelf/standalone/lease/__init__.py
@@ -0,0 +1,1 @@
+"""The fenced lease that makes one placer per data centre the leader."""
--- a/limeshelf/lease/keeper.py
+++ b/limeshelf/standalone/lease/keeper.py
@@ -8,13 +8,13 @@
 from absl import logging
 
 from limeshelf.errors import PlatformUnavailable, PlatformUnknown
-from limeshelf.services.table import Committed, Condition, Row, Write
+from limeshelf.standalone.services.table import Committed, Condition, Row, Write
 from limeshelf.util.clock import boottime_s
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from limeshelf.services.table import TableClient
+    from limeshelf.standalone.services.table import TableClient
 
 #: A contender waits for this many lease lives without a renewal. Being above
 #: one, it leaves room for clocks that run at slightly different rates.
--- /dev/null
+++ b/limeshelf/standalone/membership/__init__.py
@@ -0,0 +1,1 @@
+"""Which instances and upstreams are live, leaving or gone."""
--- a/limeshelf/membership/processes.py
+++ b/limeshelf/standalone/membership/processes.py
@@ -7,14 +7,14 @@
 import attrs
 from absl import logging
 
-from limeshelf.membership.rendezvous import rank
-from limeshelf.services.instances import Listed, ListedKind
+from limeshelf.standalone.membership.rendezvous import rank
+from limeshelf.standalone.services.instances import Listed, ListedKind
 from limeshelf.util.clock import boottime_s
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from limeshelf.peers.messages import Heartbeat
+    from limeshelf.standalone.messages import Heartbeat
 
 ENTRY_PROGRAM = 'entry'
 PLACER_PROGRAM = 'placer'
--- a/limeshelf/membership/reach.py
+++ b/limeshelf/standalone/membership/reach.py
@@ -6,14 +6,14 @@
 import random
 from typing import TYPE_CHECKING
 
-from limeshelf.peers.messages import Reach
+from limeshelf.standalone.messages import Reach
 from limeshelf.util.backoff import jittered_s
 from limeshelf.util.clock import boottime_s
 
 if TYPE_CHECKING:
-    from limeshelf.membership.processes import ProcessDirectory
     from limeshelf.peers.codec import Envelope
     from limeshelf.peers.node import PeerNode
+    from limeshelf.standalone.membership.processes import ProcessDirectory
 
 #: Pause between two tellings when a revision changed, and when none did.
 CHANGED_S = 0.25
--- a/limeshelf/membership/upstreams.py
+++ b/limeshelf/standalone/membership/upstreams.py
@@ -7,14 +7,14 @@
 import attrs
 from absl import logging
 
-from limeshelf.config.items import unversioned
-from limeshelf.services.instances import Listed, ListedKind, ListedState
+from limeshelf.standalone.config.items import unversioned
+from limeshelf.standalone.services.instances import Listed, ListedKind, ListedState
 from limeshelf.util.clock import boottime_s
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from limeshelf.peers.messages import UpstreamState
+    from limeshelf.standalone.messages import UpstreamState
 
 
 #: States kept for upstreams that are not listed yet.
--- a/limeshelf/membership/watch.py
+++ b/limeshelf/standalone/membership/watch.py
@@ -7,20 +7,20 @@
 from typing import TYPE_CHECKING
 
 from limeshelf.errors import LimeshelfError
-from limeshelf.membership.rendezvous import rank
-from limeshelf.peers.messages import LeavingNotice, UpstreamState, UpstreamStates
-from limeshelf.services.instances import ListedKind
-from limeshelf.upstreams.messages import EngineReport, ItemState, PlainReport
+from limeshelf.standalone.membership.rendezvous import rank
+from limeshelf.standalone.messages import LeavingNotice, UpstreamState, UpstreamStates
+from limeshelf.standalone.services.instances import ListedKind
+from limeshelf.standalone.upstreams.messages import EngineReport, ItemState, PlainReport
 from limeshelf.util.backoff import jittered_s
 from limeshelf.util.clock import boottime_s
 from limeshelf.util.tasks import TaskSet
 
 if TYPE_CHECKING:
-    from limeshelf.membership.processes import ProcessDirectory
-    from limeshelf.membership.upstreams import Upstream, UpstreamDirectory
-    from limeshelf.peers.messages import Heartbeat
     from limeshelf.peers.node import PeerNode
-    from limeshelf.upstreams.pool import UpstreamPool
+    from limeshelf.standalone.membership.processes import ProcessDirectory
+    from limeshelf.standalone.membership.upstreams import Upstream, UpstreamDirectory
+    from limeshelf.standalone.messages import Heartbeat
+    from limeshelf.standalone.upstreams.pool import UpstreamPool
 
 #: Entry instances that watch each upstream.
 WATCHERS = 2
--- a/limeshelf/placement/anchors.py
+++ b/limeshelf/standalone/placement/anchors.py
@@ -8,11 +8,11 @@
 from absl import logging
 
 from limeshelf.errors import PlatformUnavailable, PlatformUnknown
-from limeshelf.services.table import Committed, Condition, Row, Write
+from limeshelf.standalone.services.table import Committed, Condition, Row, Write
 
 if TYPE_CHECKING:
-    from limeshelf.lease.keeper import LeaseKeeper
-    from limeshelf.services.table import TableClient
+    from limeshelf.standalone.lease.keeper import LeaseKeeper
+    from limeshelf.standalone.services.table import TableClient
 
 ANCHOR_PREFIX = 'anchor/'
 #: One row for each data centre, written with each change of an anchor, so that
--- a/limeshelf/placement/demand.py
+++ b/limeshelf/standalone/placement/demand.py
@@ -7,10 +7,10 @@
 
 import attrs
 
-from limeshelf.config.items import model_of
+from limeshelf.standalone.config.items import model_of
 
 if TYPE_CHECKING:
-    from limeshelf.peers.messages import Demand
+    from limeshelf.standalone.messages import Demand
 
 #: Time constant of the mean of requests in flight.
 SMOOTHING_S = 10.0
--- a/limeshelf/placement/gate.py
+++ b/limeshelf/standalone/placement/gate.py
@@ -4,11 +4,11 @@
 
 from typing import TYPE_CHECKING
 
-from limeshelf.config.items import model_of, unversioned
+from limeshelf.standalone.config.items import model_of, unversioned
 
 if TYPE_CHECKING:
-    from limeshelf.placement.anchors import AnchorBook
-    from limeshelf.placement.view import PlacementView, UnitView
+    from limeshelf.standalone.placement.anchors import AnchorBook
+    from limeshelf.standalone.placement.view import PlacementView, UnitView
 
 
 class UnloadGate:
@@ -63,7 +63,7 @@
         """Return whether the anchor itself holds this old version still.
 
         Without this, replicas of old versions could fill the memory that the
-        new ones need (tests/placement/test_rollout.py).
+        new ones need (tests/standalone/placement/test_rollout.py).
         """
         if self._anchors.may_be_anchored(unit.model, upstream_id):
             return False
--- a/limeshelf/placement/intents.py
+++ b/limeshelf/standalone/placement/intents.py
@@ -7,13 +7,13 @@
 import msgspec
 
 from limeshelf.errors import PlatformUnavailable, PlatformUnknown
-from limeshelf.services.table import Committed, Condition, Write
-from limeshelf.upstreams.messages import Order
+from limeshelf.standalone.services.table import Committed, Condition, Write
+from limeshelf.standalone.upstreams.messages import Order
 from limeshelf.util.clock import wall_s
 
 if TYPE_CHECKING:
-    from limeshelf.lease.keeper import LeaseKeeper
-    from limeshelf.services.table import TableClient
+    from limeshelf.standalone.lease.keeper import LeaseKeeper
+    from limeshelf.standalone.services.table import TableClient
 
 INTENT_PREFIX = 'intent/'
 
--- a/limeshelf/placement/ledger.py
+++ b/limeshelf/standalone/placement/ledger.py
@@ -6,10 +6,10 @@
 
 import attrs
 
-from limeshelf.upstreams.messages import ItemState, OrderAction
+from limeshelf.standalone.upstreams.messages import ItemState, OrderAction
 
 if TYPE_CHECKING:
-    from limeshelf.upstreams.messages import EngineReport, Order
+    from limeshelf.standalone.upstreams.messages import EngineReport, Order
 
 
 @attrs.frozen
--- a/limeshelf/placement/look.py
+++ b/limeshelf/standalone/placement/look.py
@@ -4,19 +4,19 @@
 
 from typing import TYPE_CHECKING
 
-from limeshelf.config.items import items_of
-from limeshelf.membership.rendezvous import rank
-from limeshelf.placement.view import AnchorView, PlacementView, RoomView, UnitView
+from limeshelf.standalone.config.items import items_of
+from limeshelf.standalone.membership.rendezvous import rank
+from limeshelf.standalone.placement.view import AnchorView, PlacementView, RoomView, UnitView
 from limeshelf.util.clock import boottime_s
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-    from limeshelf.config.holder import ConfigHolder
-    from limeshelf.membership.upstreams import Upstream, UpstreamDirectory
-    from limeshelf.placement.anchors import AnchorBook
-    from limeshelf.placement.demand import DemandBook
-    from limeshelf.placement.worker import EngineWorker
+    from limeshelf.standalone.config.holder import ConfigHolder
+    from limeshelf.standalone.membership.upstreams import Upstream, UpstreamDirectory
+    from limeshelf.standalone.placement.anchors import AnchorBook
+    from limeshelf.standalone.placement.demand import DemandBook
+    from limeshelf.standalone.placement.worker import EngineWorker
 
 #: An anchor's engine out of sight for this long counts as lost.
 LOST_S = 15.0
--- a/limeshelf/placement/placer.py
+++ b/limeshelf/standalone/placement/placer.py
@@ -7,35 +7,35 @@
 
 from absl import logging
 
-from limeshelf.config.document import PolicyKind
-from limeshelf.config.items import model_of
-from limeshelf.placement.demand import DemandBook
-from limeshelf.placement.gate import UnloadGate
-from limeshelf.placement.intents import IntentLog
-from limeshelf.placement.ledger import Ledger
-from limeshelf.placement.look import PlacementLook
-from limeshelf.placement.planner import Planner
-from limeshelf.placement.policies import placement_policies
-from limeshelf.placement.view import Move, MoveKind
-from limeshelf.placement.worker import EngineWorker, Wish
-from limeshelf.services.instances import ListedKind
-from limeshelf.upstreams.messages import OrderAction
+from limeshelf.standalone.config.document import PolicyKind
+from limeshelf.standalone.config.items import model_of
+from limeshelf.standalone.placement.demand import DemandBook
+from limeshelf.standalone.placement.gate import UnloadGate
+from limeshelf.standalone.placement.intents import IntentLog
+from limeshelf.standalone.placement.ledger import Ledger
+from limeshelf.standalone.placement.look import PlacementLook
+from limeshelf.standalone.placement.planner import Planner
+from limeshelf.standalone.placement.policies import placement_policies
+from limeshelf.standalone.placement.view import Move, MoveKind
+from limeshelf.standalone.placement.worker import EngineWorker, Wish
+from limeshelf.standalone.services.instances import ListedKind
+from limeshelf.standalone.upstreams.messages import OrderAction
 from limeshelf.util.backoff import jittered_s
 from limeshelf.util.clock import boottime_s
 from limeshelf.util.rate import TokenBucket
 from limeshelf.util.tasks import TaskSet
 
 if TYPE_CHECKING:
-    from limeshelf.config.document import Policy
-    from limeshelf.config.holder import ConfigHolder
-    from limeshelf.lease.keeper import LeaseKeeper
-    from limeshelf.membership.upstreams import Upstream, UpstreamDirectory
     from limeshelf.metrics.decisions import DecisionLog
     from limeshelf.metrics.statsd import Metrics
-    from limeshelf.placement.anchors import AnchorBook
-    from limeshelf.services.table import TableClient
     from limeshelf.settings.model import PlacerSettings
-    from limeshelf.upstreams.pool import UpstreamPool
+    from limeshelf.standalone.config.document import Policy
+    from limeshelf.standalone.config.holder import ConfigHolder
+    from limeshelf.standalone.lease.keeper import LeaseKeeper
+    from limeshelf.standalone.membership.upstreams import Upstream, UpstreamDirectory
+    from limeshelf.standalone.placement.anchors import AnchorBook
+    from limeshelf.standalone.services.table import TableClient
+    from limeshelf.standalone.upstreams.pool import UpstreamPool
 
 #: Anchors are read again after this time.
 ANCHOR_READ_S = 1.0
--- a/limeshelf/placement/policies.py
+++ b/limeshelf/standalone/placement/policies.py
@@ -1,7 +1,7 @@
 """Placement policies: which models get more replicas than they must have.
 
 A policy only adds wishes to the rules that every placement keeps
-(:mod:`limeshelf.placement.planner`); it cannot unload an anchor or overcommit.
+(:mod:`limeshelf.standalone.placement.planner`); it cannot unload an anchor or overcommit.
 """
 
 from __future__ import annotations
@@ -10,13 +10,13 @@
 
 import attrs
 
-from limeshelf.placement.rooms import eviction_moves
-from limeshelf.placement.view import Move, MoveKind
 from limeshelf.registry import Registry
+from limeshelf.standalone.placement.rooms import eviction_moves
+from limeshelf.standalone.placement.view import Move, MoveKind
 
 if TYPE_CHECKING:
-    from limeshelf.config.document import Policy
-    from limeshelf.placement.view import PlacementView, RoomView, UnitView
+    from limeshelf.standalone.config.document import Policy
+    from limeshelf.standalone.placement.view import PlacementView, RoomView, UnitView
 
 
 class PlacementPolicy(Protocol):
--- a/limeshelf/placement/rooms.py
+++ b/limeshelf/standalone/placement/rooms.py
@@ -6,11 +6,11 @@
 
 import attrs
 
-from limeshelf.config.items import Item, model_of
-from limeshelf.placement.view import Move, MoveKind
+from limeshelf.standalone.config.items import Item, model_of
+from limeshelf.standalone.placement.view import Move, MoveKind
 
 if TYPE_CHECKING:
-    from limeshelf.placement.view import PlacementView, RoomView, UnitView
+    from limeshelf.standalone.placement.view import PlacementView, RoomView, UnitView
 
 
 def ready_room(unit: UnitView, view: PlacementView) -> RoomView | None:
--- a/limeshelf/placement/view.py
+++ b/limeshelf/standalone/placement/view.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from limeshelf.config.items import Item
+from limeshelf.standalone.config.items import Item
 
 
 @attrs.frozen
--- a/limeshelf/placement/worker.py
+++ b/limeshelf/standalone/placement/worker.py
@@ -10,18 +10,18 @@
 from absl import logging
 
 from limeshelf.errors import ExchangeBroken, UpstreamRefused, UpstreamUnreachable
-from limeshelf.upstreams.messages import EngineReport, Order, OrderAction, OrderRefusal
+from limeshelf.standalone.upstreams.messages import EngineReport, Order, OrderAction, OrderRefusal
 from limeshelf.util.backoff import jittered_s
 from limeshelf.util.clock import boottime_s, wall_s
 
 if TYPE_CHECKING:
-    from limeshelf.lease.keeper import LeaseKeeper
-    from limeshelf.membership.upstreams import Upstream
     from limeshelf.metrics.statsd import Metrics
-    from limeshelf.placement.intents import IntentLog
-    from limeshelf.placement.ledger import Ledger
     from limeshelf.settings.model import PlacerSettings
-    from limeshelf.upstreams.pool import UpstreamPool
+    from limeshelf.standalone.lease.keeper import LeaseKeeper
+    from limeshelf.standalone.membership.upstreams import Upstream
+    from limeshelf.standalone.placement.intents import IntentLog
+    from limeshelf.standalone.placement.ledger import Ledger
+    from limeshelf.standalone.upstreams.pool import UpstreamPool
 
 EXCHANGE_TIMEOUT_S = 1.0
 
--- /dev/null
+++ b/limeshelf/standalone/programs/__init__.py
@@ -0,0 +1,1 @@
+"""The programs of the own wire: entry, placer, admin, the command line, experiments."""
--- a/limeshelf/programs/admin.py
+++ b/limeshelf/standalone/programs/admin.py
@@ -9,14 +9,14 @@
 
 import typer
 
-from limeshelf.admin.operations import Operations
-from limeshelf.admin.queries import PeerQueries
-from limeshelf.admin.server import AdminServer
-from limeshelf.admin.service import AdminService
-from limeshelf.membership.processes import ADMIN_PROGRAM
-from limeshelf.peers.messages import Reach
-from limeshelf.programs.process import EXIT_OK, Process, ProgramService, run_program
-from limeshelf.services.weights import WeightStoreClient
+from limeshelf.standalone.admin.operations import Operations
+from limeshelf.standalone.admin.queries import PeerQueries
+from limeshelf.standalone.admin.server import AdminServer
+from limeshelf.standalone.admin.service import AdminService
+from limeshelf.standalone.membership.processes import ADMIN_PROGRAM
+from limeshelf.standalone.messages import Reach
+from limeshelf.standalone.programs.process import EXIT_OK, Process, ProgramService, run_program
+from limeshelf.standalone.services.weights import WeightStoreClient
 
 #: Time for running calls at a planned stop.
 CALL_GRACE_S = 5.0
--- a/limeshelf/programs/cli.py
+++ b/limeshelf/standalone/programs/cli.py
@@ -9,8 +9,8 @@
 import typer
 
 from limeshelf.admin import admin_pb2 as pb
-from limeshelf.admin.client import Connection
-from limeshelf.programs.cli_common import (
+from limeshelf.standalone.admin.client import Connection
+from limeshelf.standalone.programs.cli_common import (
     EXIT_INVALID,
     EXIT_NOT_FOUND,
     BaseOption,
@@ -22,9 +22,9 @@
     make_operation,
     print_revisions,
 )
-from limeshelf.programs.cli_files import config_app, settings_app
-from limeshelf.programs.cli_policy import policy_app
-from limeshelf.programs.tables import print_json, print_line, print_table
+from limeshelf.standalone.programs.cli_files import config_app, settings_app
+from limeshelf.standalone.programs.cli_policy import policy_app
+from limeshelf.standalone.programs.tables import print_json, print_line, print_table
 
 app = typer.Typer(no_args_is_help=True, help='Operates limeshelf.', pretty_exceptions_enable=False)
 app.add_typer(policy_app, name='policy')
--- a/limeshelf/programs/cli_common.py
+++ b/limeshelf/standalone/programs/cli_common.py
@@ -12,8 +12,8 @@
 import typer
 
 from limeshelf.admin import admin_pb2 as pb
-from limeshelf.admin.client import Connection
-from limeshelf.programs.tables import print_json, print_line, print_table
+from limeshelf.standalone.admin.client import Connection
+from limeshelf.standalone.programs.tables import print_json, print_line, print_table
 from limeshelf.util.identifiers import new_id
 
 EXIT_UNREACHABLE = 1
--- a/limeshelf/programs/cli_files.py
+++ b/limeshelf/standalone/programs/cli_files.py
@@ -9,10 +9,10 @@
 
 from limeshelf.admin import admin_pb2 as pb
 from limeshelf.errors import InvalidDocument
-from limeshelf.programs.cli_common import EXIT_INVALID, call
-from limeshelf.programs.tables import print_json, print_line, print_table
 from limeshelf.settings.load import load_settings
 from limeshelf.settings.reference import settings_reference
+from limeshelf.standalone.programs.cli_common import EXIT_INVALID, call
+from limeshelf.standalone.programs.tables import print_json, print_line, print_table
 
 settings_app = typer.Typer(no_args_is_help=True, help='Check and describe settings files.')
 config_app = typer.Typer(no_args_is_help=True, help='Show the configuration in force.')
--- a/limeshelf/programs/cli_policy.py
+++ b/limeshelf/standalone/programs/cli_policy.py
@@ -7,7 +7,7 @@
 import typer
 
 from limeshelf.admin import admin_pb2 as pb
-from limeshelf.programs.cli_common import (
+from limeshelf.standalone.programs.cli_common import (
     BaseOption,
     NoteOption,
     OperationOption,
@@ -15,7 +15,7 @@
     finish,
     make_operation,
 )
-from limeshelf.programs.tables import print_json, print_line, print_table
+from limeshelf.standalone.programs.tables import print_json, print_line, print_table
 
 policy_app = typer.Typer(no_args_is_help=True, help='Swap, split and compare policies.')
 
--- a/limeshelf/programs/entry.py
+++ b/limeshelf/standalone/programs/entry.py
@@ -10,25 +10,25 @@
 import typer
 from absl import logging
 
-from limeshelf.claims.keeper import ClaimKeeper
-from limeshelf.entry.context import EntryContext
-from limeshelf.entry.demand import DemandCounter
-from limeshelf.entry.lifecycle import Lifecycle, Phase
-from limeshelf.entry.server import EntryServer
-from limeshelf.membership.processes import ENTRY_PROGRAM
-from limeshelf.membership.reach import ReachSender
-from limeshelf.membership.watch import UpstreamWatch
 from limeshelf.peers.codec import Envelope
-from limeshelf.peers.messages import Reach, SamplesQuery, SamplesReply
-from limeshelf.programs.process import (
+from limeshelf.settings.tls import follow_files, open_context
+from limeshelf.standalone.claims.keeper import ClaimKeeper
+from limeshelf.standalone.entry.context import EntryContext
+from limeshelf.standalone.entry.demand import DemandCounter
+from limeshelf.standalone.entry.lifecycle import Lifecycle, Phase
+from limeshelf.standalone.entry.server import EntryServer
+from limeshelf.standalone.membership.processes import ENTRY_PROGRAM
+from limeshelf.standalone.membership.reach import ReachSender
+from limeshelf.standalone.membership.watch import UpstreamWatch
+from limeshelf.standalone.messages import Reach, SamplesQuery, SamplesReply
+from limeshelf.standalone.programs.process import (
     EXIT_CUT_OFF,
     EXIT_OK,
     Process,
     ProgramService,
     run_program,
 )
-from limeshelf.settings.tls import follow_files, open_context
-from limeshelf.upstreams.pool import UpstreamPool
+from limeshelf.standalone.upstreams.pool import UpstreamPool
 
 #: A starting process looks this often for the states of upstreams.
 HEAR_LOOKS = 60
--- a/limeshelf/programs/experiment.py
+++ b/limeshelf/standalone/programs/experiment.py
@@ -11,10 +11,10 @@
 from absl import logging
 
 from limeshelf.errors import InvalidDocument
-from limeshelf.experiment.plan import ExperimentPlan
-from limeshelf.experiment.report import HEADINGS, summarise, table_rows, to_json
-from limeshelf.programs.tables import print_line, print_table
 from limeshelf.settings.structure import structure
+from limeshelf.standalone.experiment.plan import ExperimentPlan
+from limeshelf.standalone.experiment.report import HEADINGS, summarise, table_rows, to_json
+from limeshelf.standalone.programs.tables import print_line, print_table
 
 EXIT_INVALID = 3
 
--- a/limeshelf/programs/placer.py
+++ b/limeshelf/standalone/programs/placer.py
@@ -9,14 +9,14 @@
 
 import typer
 
-from limeshelf.lease.keeper import LeaseKeeper
-from limeshelf.membership.processes import PLACER_PROGRAM
 from limeshelf.peers.codec import Envelope
-from limeshelf.peers.messages import Demand
-from limeshelf.placement.anchors import AnchorBook
-from limeshelf.placement.placer import Placer
-from limeshelf.programs.process import EXIT_OK, Process, ProgramService, run_program
-from limeshelf.upstreams.pool import UpstreamPool
+from limeshelf.standalone.lease.keeper import LeaseKeeper
+from limeshelf.standalone.membership.processes import PLACER_PROGRAM
+from limeshelf.standalone.messages import Demand
+from limeshelf.standalone.placement.anchors import AnchorBook
+from limeshelf.standalone.placement.placer import Placer
+from limeshelf.standalone.programs.process import EXIT_OK, Process, ProgramService, run_program
+from limeshelf.standalone.upstreams.pool import UpstreamPool
 from limeshelf.util.clock import boottime_s
 
 
--- a/limeshelf/programs/process.py
+++ b/limeshelf/standalone/programs/process.py
@@ -15,27 +15,27 @@
 from absl import logging
 from aiomisc import Service, entrypoint
 
-from limeshelf.config.holder import ConfigHolder
 from limeshelf.errors import InvalidDocument
-from limeshelf.membership.processes import ENTRY_PROGRAM, ProcessDirectory
-from limeshelf.membership.upstreams import UpstreamDirectory
 from limeshelf.metrics.decisions import DecisionLog
 from limeshelf.metrics.statsd import Metrics
-from limeshelf.peers.messages import (
+from limeshelf.peers.node import PeerNode
+from limeshelf.settings.load import load_settings
+from limeshelf.standalone.config.holder import ConfigHolder
+from limeshelf.standalone.membership.processes import ENTRY_PROGRAM, ProcessDirectory
+from limeshelf.standalone.membership.upstreams import UpstreamDirectory
+from limeshelf.standalone.messages import (
     ExplainQuery,
     ExplainReply,
     Heartbeat,
     LeavingNotice,
     UpstreamStates,
 )
-from limeshelf.peers.node import PeerNode
-from limeshelf.programs.logs import set_up_logs
-from limeshelf.revisions.store import RevisionStore
-from limeshelf.revisions.sync import RevisionSync
-from limeshelf.services.instances import InstanceListClient
-from limeshelf.services.objects import ObjectStoreClient
-from limeshelf.services.table import TableClient
-from limeshelf.settings.load import load_settings
+from limeshelf.standalone.programs.logs import set_up_logs
+from limeshelf.standalone.revisions.store import RevisionStore
+from limeshelf.standalone.revisions.sync import RevisionSync
+from limeshelf.standalone.services.instances import InstanceListClient
+from limeshelf.standalone.services.objects import ObjectStoreClient
+from limeshelf.standalone.services.table import TableClient
 from limeshelf.util.backoff import jittered_s
 from limeshelf.util.identifiers import new_id
 from limeshelf.util.tasks import TaskSet
--- a/limeshelf/revisions/store.py
+++ b/limeshelf/standalone/revisions/store.py
@@ -9,15 +9,15 @@
 import msgspec
 from absl import logging
 
-from limeshelf.config.delta import Change, document_from_json, document_to_json
 from limeshelf.errors import PlatformUnavailable, PlatformUnknown
-from limeshelf.services.table import Committed, Condition, Write
+from limeshelf.standalone.config.delta import Change, document_from_json, document_to_json
+from limeshelf.standalone.services.table import Committed, Condition, Write
 from limeshelf.util.clock import wall_s
 
 if TYPE_CHECKING:
-    from limeshelf.config.document import Document
-    from limeshelf.services.objects import ObjectStoreClient
-    from limeshelf.services.table import TableClient
+    from limeshelf.standalone.config.document import Document
+    from limeshelf.standalone.services.objects import ObjectStoreClient
+    from limeshelf.standalone.services.table import TableClient
 
 HEAD_KEY = 'config/head'
 REVISION_PREFIX = 'config/revision/'
--- a/limeshelf/revisions/sync.py
+++ b/limeshelf/standalone/revisions/sync.py
@@ -8,14 +8,14 @@
 
 from absl import logging
 
-from limeshelf.config.delta import document_from_json, document_to_json
 from limeshelf.errors import (
     InvalidDocument,
     PlatformUnavailable,
     PlatformUnknown,
     StaleRevision,
 )
-from limeshelf.peers.messages import (
+from limeshelf.standalone.config.delta import document_from_json, document_to_json
+from limeshelf.standalone.messages import (
     ConfigChanges,
     ConfigPull,
     ConfigSnapshot,
@@ -28,12 +28,12 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from limeshelf.config.holder import ConfigHolder
-    from limeshelf.membership.processes import ProcessDirectory
     from limeshelf.peers.codec import Envelope
     from limeshelf.peers.node import PeerNode
-    from limeshelf.revisions.store import RevisionStore
-    from limeshelf.services.instances import InstanceListClient, Listed
+    from limeshelf.standalone.config.holder import ConfigHolder
+    from limeshelf.standalone.membership.processes import ProcessDirectory
+    from limeshelf.standalone.revisions.store import RevisionStore
+    from limeshelf.standalone.services.instances import InstanceListClient, Listed
 
 #: A starting process gives its peers this long to answer when the platform
 #: does not.
--- /dev/null
+++ b/limeshelf/standalone/routing/__init__.py
@@ -0,0 +1,1 @@
+"""Which replica serves a request: load estimates and routing policies."""
--- a/limeshelf/routing/candidates.py
+++ b/limeshelf/standalone/routing/candidates.py
@@ -6,12 +6,12 @@
 
 import attrs
 
-from limeshelf.config.items import unversioned
+from limeshelf.standalone.config.items import unversioned
 
 if TYPE_CHECKING:
-    from limeshelf.config.document import PriorityClass
-    from limeshelf.membership.upstreams import Upstream, UpstreamDirectory
-    from limeshelf.routing.loads import LoadBook
+    from limeshelf.standalone.config.document import PriorityClass
+    from limeshelf.standalone.membership.upstreams import Upstream, UpstreamDirectory
+    from limeshelf.standalone.routing.loads import LoadBook
 
 
 @attrs.frozen
--- a/limeshelf/routing/loads.py
+++ b/limeshelf/standalone/routing/loads.py
@@ -10,8 +10,8 @@
 from limeshelf.util.clock import boottime_s
 
 if TYPE_CHECKING:
-    from limeshelf.config.document import PriorityClass
-    from limeshelf.membership.upstreams import Upstream
+    from limeshelf.standalone.config.document import PriorityClass
+    from limeshelf.standalone.membership.upstreams import Upstream
 
 #: What others have in work, as reported, is believed less as it gets older.
 REPORT_TRUST_S = 2.0
--- a/limeshelf/routing/policies.py
+++ b/limeshelf/standalone/routing/policies.py
@@ -7,12 +7,12 @@
 
 import attrs
 
-from limeshelf.membership.rendezvous import rank
 from limeshelf.registry import Registry
+from limeshelf.standalone.membership.rendezvous import rank
 
 if TYPE_CHECKING:
-    from limeshelf.config.document import Policy
-    from limeshelf.routing.candidates import Candidate
+    from limeshelf.standalone.config.document import Policy
+    from limeshelf.standalone.routing.candidates import Candidate
 
 
 @attrs.frozen
--- a/limeshelf/services/objects.py
+++ b/limeshelf/standalone/services/objects.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from limeshelf.services.http import ServiceClient
+from limeshelf.standalone.services.http import ServiceClient
 
 if TYPE_CHECKING:
     from typing import Any
--- a/limeshelf/services/table.py
+++ b/limeshelf/standalone/services/table.py
@@ -9,7 +9,7 @@
 import attrs
 import msgspec
 
-from limeshelf.services.http import ServiceClient
+from limeshelf.standalone.services.http import ServiceClient
 
 if TYPE_CHECKING:
     from limeshelf.settings.model import PlatformSettings
--- a/limeshelf/upstreams/engine.py
+++ b/limeshelf/standalone/upstreams/engine.py
@@ -9,8 +9,8 @@
 import msgspec
 
 from limeshelf.errors import DoubtReason, ExchangeBroken
-from limeshelf.upstreams.http import failure_of, refusal_of
-from limeshelf.upstreams.messages import (
+from limeshelf.standalone.upstreams.http import failure_of, refusal_of
+from limeshelf.standalone.upstreams.messages import (
     EngineReport,
     GenerateRequest,
     Order,
--- a/limeshelf/upstreams/http.py
+++ b/limeshelf/standalone/upstreams/http.py
@@ -33,7 +33,7 @@
         cookie_jar=aiohttp.DummyCookieJar(),
     )
     # aiohttp sends idempotent methods a second time on a dropped connection
-    # (tests/upstreams/test_no_silent_retry.py).
+    # (tests/standalone/upstreams/test_no_silent_retry.py).
     session._retry_connection = False
     return session
 
--- a/limeshelf/upstreams/plain.py
+++ b/limeshelf/standalone/upstreams/plain.py
@@ -12,8 +12,8 @@
 from yarl import URL
 
 from limeshelf.errors import DoubtReason, ExchangeBroken, UpstreamRefused
-from limeshelf.upstreams.http import failure_of, refusal_of
-from limeshelf.upstreams.messages import PlainReport
+from limeshelf.standalone.upstreams.http import failure_of, refusal_of
+from limeshelf.standalone.upstreams.messages import PlainReport
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
--- a/limeshelf/upstreams/pool.py
+++ b/limeshelf/standalone/upstreams/pool.py
@@ -4,16 +4,16 @@
 
 from typing import TYPE_CHECKING
 
-from limeshelf.upstreams.engine import HttpEngineClient
-from limeshelf.upstreams.http import open_session
-from limeshelf.upstreams.plain import HttpPlainClient
+from limeshelf.standalone.upstreams.engine import HttpEngineClient
+from limeshelf.standalone.upstreams.http import open_session
+from limeshelf.standalone.upstreams.plain import HttpPlainClient
 
 if TYPE_CHECKING:
     from typing import Protocol
 
     import aiohttp
 
-    from limeshelf.services.instances import Listed
+    from limeshelf.standalone.services.instances import Listed
 
     class HasListed(Protocol):
         """Anything that carries a line of the instance list."""
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -13,7 +13,7 @@
 import msgspec
 from aiohttp import web
 
-from limeshelf.upstreams.messages import (
+from limeshelf.standalone.upstreams.messages import (
     EngineReport,
     GenerateRequest,
     HeldItem,
--- a/standins/launcher.py
+++ b/standins/launcher.py
@@ -22,7 +22,8 @@
 GIB = 1 << 30
 PROGRAMS = ('entry', 'placer', 'admin')
 RUN_PROGRAM = {
-    name: ('-c', f'from limeshelf.programs.{name} import main; main()') for name in PROGRAMS
+    name: ('-c', f'from limeshelf.standalone.programs.{name} import main; main()')
+    for name in PROGRAMS
 }
 
 
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -9,7 +9,7 @@
 import msgspec
 from aiohttp import web
 
-from limeshelf.services.instances import Listed
+from limeshelf.standalone.services.instances import Listed
 from standins.faults import add_faults
 
 
--- a/tests/fleet/test_demand.py
+++ b/tests/demand/test_meter.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from limeshelf.fleet.demand import DemandTotals, KeyDemand, ModelKey
+from limeshelf.demand.meter import DemandTotals, KeyDemand, ModelKey
 
 KEY = ModelKey('lm', 'm1')
 
--- a/tests/dispatch/test_dispatcher.py
+++ b/tests/dispatch/test_dispatcher.py
@@ -11,6 +11,7 @@
 from hypothesis import strategies as st
 
 from limeshelf.calls.routes import EngineSpec, ServiceSpec
+from limeshelf.demand.meter import ModelKey
 from limeshelf.dispatch.dispatcher import Dispatcher
 from limeshelf.dispatch.messages import (
     DispatchProgress,
@@ -20,7 +21,6 @@
     Stage,
     VerdictKind,
 )
-from limeshelf.fleet.demand import ModelKey
 from limeshelf.platform.replicas import read_record
 from limeshelf.replicas.directory import ReplicaDirectory
 from limeshelf.replicas.record import Holding, ReplicaRecord
@@ -205,7 +205,7 @@
 
 
 def test_calls_that_others_told_of_take_slots(clock: VirtualClock) -> None:
-    from limeshelf.fleet.messages import ReplicaLoad
+    from limeshelf.membership.messages import ReplicaLoad
 
     world = World(clock, 1)
     world.directory.take_peer_loads('g2', [ReplicaLoad('r0', 4, 400)])
--- a/tests/features/environment.py
+++ b/tests/features/environment.py
@@ -52,7 +52,11 @@
 
     def cli(self, *words: str, instance: str = 'x-0') -> tuple[int, dict]:
         """Run the operator's command line; return exit code and JSON."""
-        command = [sys.executable, '-c', 'from limeshelf.programs.cli import main; main()']
+        command = [
+            sys.executable,
+            '-c',
+            'from limeshelf.standalone.programs.cli import main; main()',
+        ]
         address = self.system.instances[instance].rpc
         done = subprocess.run(
             [*command, '--address', address, '--json', *words],
--- a/tests/forms/test_http.py
+++ b/tests/forms/test_http.py
@@ -13,8 +13,6 @@
 import re
 from typing import Any
 
-from limeshelf.entry.answers import invalid_answer, outcome_answer, tag
-from limeshelf.entry.lifecycle import Phase
 from limeshelf.errors import (
     DoubtReason,
     InvalidRequest,
@@ -23,6 +21,8 @@
     OutcomeKind,
     RefusalReason,
 )
+from limeshelf.standalone.entry.answers import invalid_answer, outcome_answer, tag
+from limeshelf.standalone.entry.lifecycle import Phase
 from tests.forms.recorded import check_recorded
 from tests.support.entry import Bench, bench
 from tests.support.gateway import GatewayWorld, configuration, route
--- a/tests/forms/test_metrics.py
+++ b/tests/forms/test_metrics.py
@@ -21,13 +21,13 @@
 import aiohttp
 import pytest
 
-from limeshelf.config.document import PriorityClass
-from limeshelf.fleet.orders import OrderOutcome
-from limeshelf.membership.processes import ADMIN_PROGRAM, ENTRY_PROGRAM, PLACER_PROGRAM
 from limeshelf.metrics.figures import Figures, FiguresServer
 from limeshelf.metrics.statsd import Metrics
+from limeshelf.orders.order import OrderOutcome
 from limeshelf.settings.model import MetricsSettings
-from limeshelf.upstreams.messages import OrderAction, OrderRefusal
+from limeshelf.standalone.config.document import PriorityClass
+from limeshelf.standalone.membership.processes import ADMIN_PROGRAM, ENTRY_PROGRAM, PLACER_PROGRAM
+from limeshelf.standalone.upstreams.messages import OrderAction, OrderRefusal
 from tests.forms.recorded import ROOT, check_recorded
 
 WHAT_TO_DO = 'Metric names are a contract; see the docstring of tests/forms/test_metrics.py.'
--- a/tests/forms/test_platform_wire.py
+++ b/tests/forms/test_platform_wire.py
@@ -20,7 +20,7 @@
 from limeshelf.calls.wire import AnswerFacts, SendFacts
 from limeshelf.errors import InvalidRequest, PlatformUnavailable, PlatformUnknown
 from limeshelf.feeds.rows import ConditionFailed, HistoryGone, Page, Row
-from limeshelf.fleet.orders import Order, OrderAnswer, OrderKind, OrderOutcome, ReplicaSilent
+from limeshelf.orders.order import Order, OrderAnswer, OrderKind, OrderOutcome, ReplicaSilent
 from limeshelf.platform.engine import EngineClient
 from limeshelf.platform.store import StoreClient
 from limeshelf.platform.wire import PlatformWire
--- a/tests/forms/test_rows.py
+++ b/tests/forms/test_rows.py
@@ -26,9 +26,17 @@
     ServingConfig,
     WeightedService,
 )
-from limeshelf.claims.keeper import Claimed, ClaimedBefore, ClaimKeeper, KeptAnswer
-from limeshelf.config.delta import Change
-from limeshelf.config.document import (
+from limeshelf.errors import InvalidDocument
+from limeshelf.feeds.rows import Page, Row
+from limeshelf.lease.leadership import Leadership
+from limeshelf.membership.members import Member, Members
+from limeshelf.membership.neighbours import Neighbours
+from limeshelf.platform.configuration import CONFIG_KEY, CONFIG_TABLE, read_config
+from limeshelf.platform.replicas import REPLICA_TABLE, read_record
+from limeshelf.replicas.record import Holding, ReplicaRecord
+from limeshelf.standalone.claims.keeper import Claimed, ClaimedBefore, ClaimKeeper, KeptAnswer
+from limeshelf.standalone.config.delta import Change
+from limeshelf.standalone.config.document import (
     Adapter,
     Binding,
     Deployment,
@@ -39,30 +47,22 @@
     PriorityClass,
     Split,
 )
-from limeshelf.config.document import Route as PlainRoute
-from limeshelf.errors import InvalidDocument
-from limeshelf.feeds.rows import Page, Row
-from limeshelf.fleet.leader import Leadership
-from limeshelf.fleet.members import Member, Members
-from limeshelf.fleet.neighbours import Neighbours
-from limeshelf.lease.keeper import LeaseKeeper
-from limeshelf.placement.anchors import AnchorBook
-from limeshelf.placement.intents import IntentLog
-from limeshelf.platform.configuration import CONFIG_KEY, CONFIG_TABLE, read_config
-from limeshelf.platform.replicas import REPLICA_TABLE, read_record
-from limeshelf.replicas.record import Holding, ReplicaRecord
-from limeshelf.revisions.store import Applied, Head, RevisionStore
-from limeshelf.services.http import Reply
-from limeshelf.services.objects import ObjectStoreClient
-from limeshelf.services.table import (
+from limeshelf.standalone.config.document import Route as PlainRoute
+from limeshelf.standalone.lease.keeper import LeaseKeeper
+from limeshelf.standalone.placement.anchors import AnchorBook
+from limeshelf.standalone.placement.intents import IntentLog
+from limeshelf.standalone.revisions.store import Applied, Head, RevisionStore
+from limeshelf.standalone.services.http import Reply
+from limeshelf.standalone.services.objects import ObjectStoreClient
+from limeshelf.standalone.services.table import (
     Committed,
     Condition,
     Conflicted,
     TableClient,
     Write,
 )
-from limeshelf.services.table import Row as TableRow
-from limeshelf.upstreams.messages import Order, OrderAction
+from limeshelf.standalone.services.table import Row as TableRow
+from limeshelf.standalone.upstreams.messages import Order, OrderAction
 from limeshelf.util.clock import VIRTUAL_EPOCH_S, virtual_clock
 from tests.support.table import FakeTable
 
--- a/tests/fleet/test_leader.py
+++ b/tests/lease/test_leadership.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import Any
 
-from limeshelf.fleet.leader import LEASE_KEY, LEASE_TABLE, Leadership
+from limeshelf.lease.leadership import LEASE_KEY, LEASE_TABLE, Leadership
 from limeshelf.platform.store import StoreClient
 from standins.users_platform.store import StoreStandIn
 
--- a/tests/fleet/test_members.py
+++ b/tests/membership/test_members.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from limeshelf.fleet.members import RELAY_SILENT_S, Member, Members
+from limeshelf.membership.members import RELAY_SILENT_S, Member, Members
 from limeshelf.util.clock import VirtualClock, virtual_clock
 
 
--- a/tests/fleet/test_neighbours.py
+++ b/tests/membership/test_neighbours.py
@@ -7,9 +7,9 @@
 
 import attrs
 
-from limeshelf.fleet.members import Member, Members
-from limeshelf.fleet.messages import HeldModel, ReplicaState, ReplicaStates
-from limeshelf.fleet.neighbours import Neighbours
+from limeshelf.membership.members import Member, Members
+from limeshelf.membership.messages import HeldModel, ReplicaState, ReplicaStates
+from limeshelf.membership.neighbours import Neighbours
 from limeshelf.peers.codec import Envelope
 from limeshelf.platform.replicas import read_record
 from limeshelf.replicas.directory import ReplicaDirectory
--- a/tests/fleet/test_sharing.py
+++ b/tests/membership/test_sharing.py
@@ -7,9 +7,9 @@
 
 from limeshelf.feeds.mirror import FollowRule, TableMirror
 from limeshelf.feeds.rows import Page, Row
-from limeshelf.fleet.members import Member, Members
-from limeshelf.fleet.messages import RowsQuery, TableRow, TableWord, TableWords
-from limeshelf.fleet.sharing import RowSharing
+from limeshelf.membership.members import Member, Members
+from limeshelf.membership.messages import RowsQuery, TableRow, TableWord, TableWords
+from limeshelf.membership.sharing import RowSharing
 from limeshelf.peers.codec import Envelope
 
 
--- a/tests/fleet/test_desk.py
+++ b/tests/orders/test_desk.py
@@ -9,10 +9,10 @@
 import pytest
 
 from limeshelf.calls.routes import EngineSpec, ModelSpec
-from limeshelf.fleet.desk import OrderDesk, Task
-from limeshelf.fleet.leader import Term
-from limeshelf.fleet.orders import OrderKind
+from limeshelf.lease.leadership import Term
 from limeshelf.metrics.figures import Figures
+from limeshelf.orders.desk import OrderDesk, Task
+from limeshelf.orders.order import OrderKind
 from limeshelf.platform.engine import EngineClient
 from limeshelf.platform.replicas import read_record
 from limeshelf.replicas.directory import ReplicaDirectory
--- a/tests/peers/test_peers.py
+++ b/tests/peers/test_peers.py
@@ -10,8 +10,9 @@
 from hypothesis import strategies as st
 
 from limeshelf.peers.codec import Envelope, MalformedMessage, decode, encode
-from limeshelf.peers.messages import ConfigPull, Heartbeat, message_kinds
+from limeshelf.peers.messages import message_kinds
 from limeshelf.peers.node import QUEUE_LIMIT, PeerNode
+from limeshelf.standalone.messages import ConfigPull, Heartbeat
 
 VALUES = st.recursive(
     st.none() | st.booleans() | st.integers(-(2**63), 2**63 - 1) | st.text() | st.binary(),
--- a/tests/fleet/test_planner.py
+++ b/tests/placement/test_planner.py
@@ -7,11 +7,11 @@
 from hypothesis import strategies as st
 
 from limeshelf.calls.routes import EngineSpec, ModelSpec
-from limeshelf.fleet.demand import ModelKey, ModelLoad
-from limeshelf.fleet.needs import ModelNeed, needs_of
-from limeshelf.fleet.pace import LoadPace
-from limeshelf.fleet.planner import Holder, Move, Planner
-from limeshelf.fleet.starvation import Starvation
+from limeshelf.demand.meter import ModelKey, ModelLoad
+from limeshelf.demand.needs import ModelNeed, needs_of
+from limeshelf.placement.pace import LoadPace
+from limeshelf.placement.planner import Holder, Move, Planner
+from limeshelf.placement.starvation import Starvation
 from limeshelf.util.clock import boottime_s, virtual_clock
 
 SIZES = {'big': 70.0, 'hot': 70.0, 'small': 40.0, 'rare': 40.0, 'other': 60.0}
--- a/tests/fleet/test_service.py
+++ b/tests/placement/test_service.py
@@ -6,10 +6,10 @@
 from typing import Any
 
 from limeshelf.calls.routes import EngineSpec, ModelSpec, ServiceSpec
-from limeshelf.fleet.desk import OrderDesk, Task
-from limeshelf.fleet.orders import OrderKind
-from limeshelf.fleet.service import FleetService
 from limeshelf.metrics.figures import Figures
+from limeshelf.orders.desk import OrderDesk, Task
+from limeshelf.orders.order import OrderKind
+from limeshelf.placement.service import FleetService
 from limeshelf.platform.replicas import read_record
 from limeshelf.replicas.directory import Replica, ReplicaDirectory
 from limeshelf.replicas.record import Holding, ReplicaRecord, ReplicaReport
--- a/tests/settings/test_load.py
+++ b/tests/settings/test_load.py
@@ -7,11 +7,11 @@
 
 import pytest
 
-from limeshelf.config.document import Deployment, PriorityClass
 from limeshelf.errors import InvalidDocument
 from limeshelf.settings.load import load_settings
 from limeshelf.settings.reference import settings_reference
 from limeshelf.settings.structure import structure
+from limeshelf.standalone.config.document import Deployment, PriorityClass
 
 URLS = {
     f'{name}_url': 'http://127.0.0.1:1' for name in ('table', 'objects', 'weights', 'instances')
--- a/tests/claims/test_claims_machine.py
+++ b/tests/standalone/claims/test_claims_machine.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from limeshelf.claims.keeper import (
+from limeshelf.standalone.claims.keeper import (
     Claimed,
     ClaimedBefore,
     ClaimKeeper,
--- a/tests/entry/test_hostile.py
+++ b/tests/standalone/entry/test_hostile.py
@@ -8,8 +8,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from limeshelf.entry.parse import parse_model_request
 from limeshelf.errors import InvalidRequest
+from limeshelf.standalone.entry.parse import parse_model_request
 from tests.support.entry import bench
 
 JSON = st.recursive(
--- a/tests/experiment/test_experiment.py
+++ b/tests/standalone/experiment/test_experiment.py
@@ -5,12 +5,12 @@
 import pytest
 
 from limeshelf.errors import InvalidDocument
-from limeshelf.experiment.plan import ExperimentPlan
-from limeshelf.experiment.report import HEADINGS, summarise, table_rows
-from limeshelf.experiment.simulation import run_once
-from limeshelf.experiment.systems import SYSTEMS
-from limeshelf.experiment.workload import HINOKUNI, Variant, arrivals
 from limeshelf.settings.structure import structure
+from limeshelf.standalone.experiment.plan import ExperimentPlan
+from limeshelf.standalone.experiment.report import HEADINGS, summarise, table_rows
+from limeshelf.standalone.experiment.simulation import run_once
+from limeshelf.standalone.experiment.systems import SYSTEMS
+from limeshelf.standalone.experiment.workload import HINOKUNI, Variant, arrivals
 
 DURATION_S = 15.0
 
--- a/tests/lease/test_lease_machine.py
+++ b/tests/standalone/lease/test_lease_machine.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from limeshelf.lease.keeper import LeaseKeeper
+from limeshelf.standalone.lease.keeper import LeaseKeeper
 from tests.support.fuzzing import run_machine
 from tests.support.table import FakeTable, TableFault
 
--- a/tests/membership/test_upstreams.py
+++ b/tests/standalone/membership/test_upstreams.py
@@ -5,10 +5,10 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from limeshelf.config.items import unversioned
-from limeshelf.membership.upstreams import UpstreamDirectory
-from limeshelf.peers.messages import UpstreamState
-from limeshelf.services.instances import Listed, ListedKind
+from limeshelf.standalone.config.items import unversioned
+from limeshelf.standalone.membership.upstreams import UpstreamDirectory
+from limeshelf.standalone.messages import UpstreamState
+from limeshelf.standalone.services.instances import Listed, ListedKind
 from tests.support.fuzzing import run_machine
 
 IDS = ['u0', 'u1', 'u2']
--- a/tests/placement/test_gate.py
+++ b/tests/standalone/placement/test_gate.py
@@ -4,11 +4,11 @@
 
 import asyncio
 
-from limeshelf.config.items import Item
-from limeshelf.lease.keeper import LeaseKeeper
-from limeshelf.placement.anchors import AnchorBook
-from limeshelf.placement.gate import UnloadGate
-from limeshelf.placement.view import AnchorView, PlacementView, RoomView, UnitView
+from limeshelf.standalone.config.items import Item
+from limeshelf.standalone.lease.keeper import LeaseKeeper
+from limeshelf.standalone.placement.anchors import AnchorBook
+from limeshelf.standalone.placement.gate import UnloadGate
+from limeshelf.standalone.placement.view import AnchorView, PlacementView, RoomView, UnitView
 from tests.support.table import FakeTable, TableFault
 
 BASE = Item('m@1', '', 6, 1)
--- a/tests/placement/test_memory_machine.py
+++ b/tests/standalone/placement/test_memory_machine.py
@@ -16,15 +16,15 @@
 )
 
 from limeshelf.errors import LimeshelfError
-from limeshelf.lease.keeper import LeaseKeeper
-from limeshelf.membership.upstreams import Upstream
 from limeshelf.metrics.statsd import Metrics
-from limeshelf.placement.intents import IntentLog
-from limeshelf.placement.ledger import Ledger
-from limeshelf.placement.worker import EngineWorker, Wish
-from limeshelf.services.instances import Listed, ListedKind
 from limeshelf.settings.model import MetricsSettings, PlacerSettings
-from limeshelf.upstreams.messages import OrderAction
+from limeshelf.standalone.lease.keeper import LeaseKeeper
+from limeshelf.standalone.membership.upstreams import Upstream
+from limeshelf.standalone.placement.intents import IntentLog
+from limeshelf.standalone.placement.ledger import Ledger
+from limeshelf.standalone.placement.worker import EngineWorker, Wish
+from limeshelf.standalone.services.instances import Listed, ListedKind
+from limeshelf.standalone.upstreams.messages import OrderAction
 from tests.support.clock import fake_time
 from tests.support.engine import OracleEngine, OraclePool
 from tests.support.fuzzing import run_machine
--- a/tests/placement/test_memory_scenarios.py
+++ b/tests/standalone/placement/test_memory_scenarios.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.placement.test_memory_machine import (
+from tests.standalone.placement.test_memory_machine import (
     CAPACITY_BYTES,
     MemoryMachine,
     UnfencedMemoryMachine,
--- a/tests/placement/test_reachable_machine.py
+++ b/tests/standalone/placement/test_reachable_machine.py
@@ -8,7 +8,11 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from limeshelf.config.document import (
+from limeshelf.errors import LimeshelfError
+from limeshelf.metrics.decisions import DecisionLog
+from limeshelf.metrics.statsd import Metrics
+from limeshelf.settings.model import MetricsSettings, PlacerSettings
+from limeshelf.standalone.config.document import (
     Adapter,
     Binding,
     Deployment,
@@ -16,20 +20,16 @@
     Policy,
     PolicyKind,
 )
-from limeshelf.config.holder import ConfigHolder
-from limeshelf.config.items import Item, items_of, model_of, unversioned
-from limeshelf.errors import LimeshelfError
-from limeshelf.lease.keeper import LeaseKeeper
-from limeshelf.membership.upstreams import UpstreamDirectory
-from limeshelf.metrics.decisions import DecisionLog
-from limeshelf.metrics.statsd import Metrics
-from limeshelf.peers.messages import Demand, ItemDemand, UpstreamState
-from limeshelf.placement.anchors import AnchorBook
-from limeshelf.placement.placer import Placer
-from limeshelf.placement.policies import placement_policies
-from limeshelf.placement.view import Move, MoveKind, PlacementView
-from limeshelf.services.instances import Listed, ListedKind
-from limeshelf.settings.model import MetricsSettings, PlacerSettings
+from limeshelf.standalone.config.holder import ConfigHolder
+from limeshelf.standalone.config.items import Item, items_of, model_of, unversioned
+from limeshelf.standalone.lease.keeper import LeaseKeeper
+from limeshelf.standalone.membership.upstreams import UpstreamDirectory
+from limeshelf.standalone.messages import Demand, ItemDemand, UpstreamState
+from limeshelf.standalone.placement.anchors import AnchorBook
+from limeshelf.standalone.placement.placer import Placer
+from limeshelf.standalone.placement.policies import placement_policies
+from limeshelf.standalone.placement.view import Move, MoveKind, PlacementView
+from limeshelf.standalone.services.instances import Listed, ListedKind
 from tests.support.clock import fake_time
 from tests.support.engine import OracleEngine, OraclePool
 from tests.support.fuzzing import run_machine
--- a/tests/placement/test_rollout.py
+++ b/tests/standalone/placement/test_rollout.py
@@ -2,13 +2,19 @@
 
 from __future__ import annotations
 
-from limeshelf.config.document import Policy, PolicyKind
-from limeshelf.config.items import Item
-from limeshelf.placement.gate import UnloadGate
-from limeshelf.placement.planner import Planner
-from limeshelf.placement.policies import placement_policies
-from limeshelf.placement.view import AnchorView, MoveKind, PlacementView, RoomView, UnitView
-from tests.placement.test_gate import anchored
+from limeshelf.standalone.config.document import Policy, PolicyKind
+from limeshelf.standalone.config.items import Item
+from limeshelf.standalone.placement.gate import UnloadGate
+from limeshelf.standalone.placement.planner import Planner
+from limeshelf.standalone.placement.policies import placement_policies
+from limeshelf.standalone.placement.view import (
+    AnchorView,
+    MoveKind,
+    PlacementView,
+    RoomView,
+    UnitView,
+)
+from tests.standalone.placement.test_gate import anchored
 from tests.support.table import TableFault
 
 SIZE_BYTES = 6
--- a/tests/programs/test_tls.py
+++ b/tests/standalone/programs/test_tls.py
@@ -14,7 +14,7 @@
 
 from standins.launcher import HOST, System, wait_until
 
-COMMAND = [sys.executable, '-c', 'from limeshelf.programs.cli import main; main()']
+COMMAND = [sys.executable, '-c', 'from limeshelf.standalone.programs.cli import main; main()']
 
 
 class Secured:
--- a/tests/revisions/test_revisions_machine.py
+++ b/tests/standalone/revisions/test_revisions_machine.py
@@ -8,11 +8,11 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from limeshelf.config.delta import Change, diff
-from limeshelf.config.document import Deployment, Document
-from limeshelf.config.holder import ConfigHolder
 from limeshelf.errors import StaleRevision
-from limeshelf.revisions.store import Applied, NotApplied, RaceLost, RevisionStore
+from limeshelf.standalone.config.delta import Change, diff
+from limeshelf.standalone.config.document import Deployment, Document
+from limeshelf.standalone.config.holder import ConfigHolder
+from limeshelf.standalone.revisions.store import Applied, NotApplied, RaceLost, RevisionStore
 from tests.support.fuzzing import run_machine
 from tests.support.table import FakeTable, TableFault
 
--- a/tests/revisions/test_store.py
+++ b/tests/standalone/revisions/test_store.py
@@ -4,9 +4,9 @@
 
 import asyncio
 
-from limeshelf.config.delta import Change
-from limeshelf.revisions.store import Applied, RaceLost, RevisionStore, Undecided
-from tests.revisions.test_revisions_machine import NoObjects
+from limeshelf.standalone.config.delta import Change
+from limeshelf.standalone.revisions.store import Applied, RaceLost, RevisionStore, Undecided
+from tests.standalone.revisions.test_revisions_machine import NoObjects
 from tests.support.table import FakeTable, TableFault
 
 CHANGES = [Change('drained_upstreams', 'u1', {})]
--- a/tests/routing/test_policies.py
+++ b/tests/standalone/routing/test_policies.py
@@ -4,15 +4,15 @@
 
 import pytest
 
-from limeshelf.admission.policies import AdmissionQuestion, Admitted, admission_policies
-from limeshelf.admission.priorities import priority_policies
-from limeshelf.config.document import NumberParameter, Policy, PolicyKind, PriorityClass
 from limeshelf.errors import NotRun, RefusalReason, UnknownName
-from limeshelf.membership.upstreams import Upstream
 from limeshelf.registry import Registry
-from limeshelf.routing.candidates import Candidate
-from limeshelf.routing.policies import RouteQuestion, routing_policies
-from limeshelf.services.instances import Listed, ListedKind
+from limeshelf.standalone.admission.policies import AdmissionQuestion, Admitted, admission_policies
+from limeshelf.standalone.admission.priorities import priority_policies
+from limeshelf.standalone.config.document import NumberParameter, Policy, PolicyKind, PriorityClass
+from limeshelf.standalone.membership.upstreams import Upstream
+from limeshelf.standalone.routing.candidates import Candidate
+from limeshelf.standalone.routing.policies import RouteQuestion, routing_policies
+from limeshelf.standalone.services.instances import Listed, ListedKind
 from limeshelf.util.clock import virtual_clock
 
 
--- a/tests/support/engine.py
+++ b/tests/support/engine.py
@@ -5,7 +5,7 @@
 import attrs
 
 from limeshelf.errors import DoubtReason, ExchangeBroken, UpstreamUnreachable
-from limeshelf.upstreams.messages import (
+from limeshelf.standalone.upstreams.messages import (
     EngineReport,
     HeldItem,
     ItemState,
--- a/tests/support/entry.py
+++ b/tests/support/entry.py
@@ -9,21 +9,21 @@
 import attrs
 from aiohttp import web
 
-from limeshelf.claims.keeper import ClaimKeeper
-from limeshelf.config.document import Deployment, Document, Route
-from limeshelf.config.holder import ConfigHolder
-from limeshelf.entry.context import EntryContext
-from limeshelf.entry.demand import DemandCounter
-from limeshelf.entry.lifecycle import Lifecycle, Phase
-from limeshelf.entry.server import EntryServer
-from limeshelf.membership.upstreams import UpstreamDirectory
 from limeshelf.metrics.decisions import DecisionLog
 from limeshelf.metrics.statsd import Metrics
-from limeshelf.peers.messages import UpstreamState
-from limeshelf.services.instances import Listed, ListedKind
 from limeshelf.settings.model import EntrySettings, MetricsSettings
-from limeshelf.upstreams.messages import HeldItem, ItemState
-from limeshelf.upstreams.pool import UpstreamPool
+from limeshelf.standalone.claims.keeper import ClaimKeeper
+from limeshelf.standalone.config.document import Deployment, Document, Route
+from limeshelf.standalone.config.holder import ConfigHolder
+from limeshelf.standalone.entry.context import EntryContext
+from limeshelf.standalone.entry.demand import DemandCounter
+from limeshelf.standalone.entry.lifecycle import Lifecycle, Phase
+from limeshelf.standalone.entry.server import EntryServer
+from limeshelf.standalone.membership.upstreams import UpstreamDirectory
+from limeshelf.standalone.messages import UpstreamState
+from limeshelf.standalone.services.instances import Listed, ListedKind
+from limeshelf.standalone.upstreams.messages import HeldItem, ItemState
+from limeshelf.standalone.upstreams.pool import UpstreamPool
 from standins.engine import Engine, EngineModel, engine_app
 from standins.plain import PlainService, plain_app
 from tests.support.table import FakeTable
--- a/tests/support/table.py
+++ b/tests/support/table.py
@@ -6,7 +6,7 @@
 from collections import deque
 
 from limeshelf.errors import PlatformUnavailable, PlatformUnknown
-from limeshelf.services.table import Committed, Conflicted, Row
+from limeshelf.standalone.services.table import Committed, Conflicted, Row
 
 
 class TableFault(enum.Enum):
--- a/tests/util/test_tasks.py
+++ b/tests/util/test_tasks.py
@@ -4,8 +4,8 @@
 
 import asyncio
 
-from limeshelf.peers.messages import ConfigPull
 from limeshelf.peers.node import PeerNode
+from limeshelf.standalone.messages import ConfigPull
 from limeshelf.util.tasks import TaskSet
 
 
