--- a/tests/forms/test_messages.py
+++ b/tests/forms/test_messages.py
@@ -20,8 +20,8 @@
 import pytest
 
 # Importing a module registers its kinds; this is the one place that names the modules.
-import limeshelf.dispatch.messages  # noqa: F401
-import limeshelf.membership.messages  # noqa: F401
+import limeshelf.dispatch.messages
+import limeshelf.membership.messages
 import limeshelf.standalone.messages  # noqa: F401
 from limeshelf.peers.codec import Envelope, decode, encode
 from limeshelf.peers.messages import message_kinds
