--- a/tests/platform_soak/world.py
+++ b/tests/platform_soak/world.py
@@ -37,7 +37,6 @@
     settings_path: Path
     log_path: Path
     process: subprocess.Popen[bytes] | None = None
-    is_frozen: bool = False
 
     def start(self) -> None:
         """Start the program."""
@@ -66,8 +65,6 @@
         """Send a signal to this process, by its id."""
         if self.process is not None and self.runs:
             os.kill(self.process.pid, number)
-            if number in (signal.SIGSTOP, signal.SIGCONT):
-                self.is_frozen = number == signal.SIGSTOP
 
 
 class World:
