--- a/limeshelf/platform/sessions.py
+++ b/limeshelf/platform/sessions.py
@@ -6,6 +6,8 @@
 
 import aiohttp
 
+from limeshelf.util.http import without_silent_retry
+
 if TYPE_CHECKING:
     import socket
     from collections.abc import Callable
@@ -34,6 +36,4 @@
         timeout=aiohttp.ClientTimeout(total=None, sock_connect=connect_s),
         cookie_jar=aiohttp.DummyCookieJar(),
     )
-    # Whether a call is repeated is decided by the caller.
-    session._retry_connection = False
-    return session
+    return without_silent_retry(session)
--- a/limeshelf/replicas/connections.py
+++ b/limeshelf/replicas/connections.py
@@ -12,6 +12,7 @@
 from aiohttp.client_proto import ResponseHandler
 from yarl import URL
 
+from limeshelf.util.http import without_silent_retry
 from limeshelf.util.sockets import lasting_socket
 
 if TYPE_CHECKING:
@@ -75,16 +76,14 @@
         )
         make: Any = functools.partial(StrictResponseHandler, loop=asyncio.get_running_loop())
         self._connector._factory = make
-        self._session = aiohttp.ClientSession(
+        session = aiohttp.ClientSession(
             connector=self._connector,
             timeout=aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_S),
             cookie_jar=aiohttp.DummyCookieJar(),
             auto_decompress=False,
             skip_auto_headers=SKIPPED_HEADERS,
         )
-        # The library repeats idempotent methods by itself on a dropped
-        # connection; every repeat here is a decision.
-        self._session._retry_connection = False
+        self._session = without_silent_retry(session)
 
     def _make_socket(self, address_info: Any) -> socket.socket:
         self.opened += 1
--- a/limeshelf/standalone/services/http.py
+++ b/limeshelf/standalone/services/http.py
@@ -10,6 +10,7 @@
 import msgspec
 
 from limeshelf.errors import PlatformUnavailable, PlatformUnknown
+from limeshelf.util.http import without_silent_retry
 from limeshelf.util.rate import TokenBucket
 
 
@@ -59,10 +60,7 @@
 
     def _open(self) -> aiohttp.ClientSession:
         if self._session is None:
-            self._session = aiohttp.ClientSession(timeout=self._timeout)
-            # The client would repeat idempotent methods by itself on a dropped
-            # connection; every repeat here is decided by the caller.
-            self._session._retry_connection = False
+            self._session = without_silent_retry(aiohttp.ClientSession(timeout=self._timeout))
         return self._session
 
     async def close(self) -> None:
--- a/limeshelf/standalone/upstreams/http.py
+++ b/limeshelf/standalone/upstreams/http.py
@@ -7,6 +7,7 @@
 import aiohttp
 
 from limeshelf.errors import DoubtReason, ExchangeBroken, UpstreamRefused, UpstreamUnreachable
+from limeshelf.util.http import without_silent_retry
 
 if TYPE_CHECKING:
     from multidict import CIMultiDictProxy
@@ -32,10 +33,7 @@
         auto_decompress=False,
         cookie_jar=aiohttp.DummyCookieJar(),
     )
-    # aiohttp sends idempotent methods a second time on a dropped connection
-    # (tests/standalone/upstreams/test_no_silent_retry.py).
-    session._retry_connection = False
-    return session
+    return without_silent_retry(session)
 
 
 def failure_of(error: Exception, upstream_id: str) -> UpstreamUnreachable | ExchangeBroken | None:
--- a/tests/mutate.py
+++ b/tests/mutate.py
@@ -88,7 +88,7 @@
     ),
     Mutation(
         'the HTTP client repeats by itself',
-        'standalone/upstreams/http.py',
+        'util/http.py',
         '    session._retry_connection = False\n',
         '',
         'tests/standalone/entry/test_plain.py',
