--- a/limeshelf/feeds/mirror.py
+++ b/limeshelf/feeds/mirror.py
@@ -93,11 +93,6 @@
         """Return whether the rows may be older than they should be."""
         return self.overdue_s > 0
 
-    @property
-    def in_touch(self) -> bool:
-        """Return whether the store answered the last call."""
-        return self.reached and not self._lost
-
     def rows(self) -> list[Row]:
         """Return the rows that are there."""
         return [row for row in self._rows.values() if not row.gone]
--- a/limeshelf/membership/members.py
+++ b/limeshelf/membership/members.py
@@ -61,11 +61,6 @@
         """Return whether it was heard lately."""
         return boottime_s() - self.heard_s < SILENT_S
 
-    @property
-    def is_relay_heard(self) -> bool:
-        """Return whether it was heard as lately as a relay would be."""
-        return boottime_s() - self.heard_s < RELAY_SILENT_S
-
     @property
     def rank(self) -> tuple[float, str]:
         """Return the place among the gateways of its data centre, lowest first."""
--- a/limeshelf/membership/neighbours.py
+++ b/limeshelf/membership/neighbours.py
@@ -85,7 +85,6 @@
     _leader: LeaderWord = attrs.field(factory=LeaderWord)
     _turn: int = 0
     _told_gateways: int = 0
-    _told_loads: dict[str, ReplicaLoad] = attrs.field(factory=dict)
     _states_fence: int = 0
     _states_due_s: float = 0.0
     _changed: set[str] = attrs.field(factory=set)
--- a/limeshelf/membership/sharing.py
+++ b/limeshelf/membership/sharing.py
@@ -20,8 +20,6 @@
 
 #: A relay says at least this often how new its rows are.
 CONFIRM_S = 0.3
-#: Who knows nothing new asks others this often.
-QUERY_S = 0.3
 #: A gateway gives those of lower rank in its data centre this much time each to
 #: ask the store before it does so itself.
 PATIENCE_STEP_S = 0.08
--- a/limeshelf/peers/node.py
+++ b/limeshelf/peers/node.py
@@ -11,7 +11,6 @@
 
 from limeshelf.errors import LimeshelfError
 from limeshelf.peers.codec import MAX_FRAME_BYTES, Envelope, MalformedMessage, decode, encode
-from limeshelf.util.clock import boottime_s
 from limeshelf.util.tasks import TaskSet
 
 if TYPE_CHECKING:
@@ -147,7 +146,6 @@
         self._frames: deque[bytes] = deque()
         self._arrived = asyncio.Event()
         self._socket: Any = None
-        self._used_s = boottime_s()
 
     def open(self) -> None:
         """Start connecting in the background."""
