--- a/limeshelf/platform/store.py
+++ b/limeshelf/platform/store.py
@@ -41,9 +41,12 @@
 
 
 def _rows(answer: _Answer) -> tuple[Row, ...]:
-    return tuple(
-        Row(row.key, base64.b64decode(row.value), row.ver, row.gone) for row in answer.rows
-    )
+    try:
+        return tuple(
+            Row(row.key, base64.b64decode(row.value), row.ver, row.gone) for row in answer.rows
+        )
+    except ValueError:
+        raise PlatformUnknown(STORE) from None
 
 
 class StoreClient:
