--- a/limeshelf/calls/call.py
+++ b/limeshelf/calls/call.py
@@ -47,11 +47,6 @@
         """Return the tokens of accelerator memory that the call likely fills."""
         return self.prompt_tokens + self.likely_tokens
 
-    @property
-    def shared_parts(self) -> tuple[str, ...]:
-        """Return the ids of the parts that other calls may share, in order."""
-        return tuple(part.part_id for part in self.parts[:-1])
-
 
 @attrs.frozen
 class Call:
--- a/limeshelf/dispatch/room.py
+++ b/limeshelf/dispatch/room.py
@@ -5,6 +5,7 @@
 from typing import TYPE_CHECKING
 
 from limeshelf.dispatch.tickets import ReplicaUse
+from limeshelf.replicas.penalties import with_penalties
 from limeshelf.util.clock import boottime_s
 
 if TYPE_CHECKING:
@@ -22,8 +23,6 @@
 PLAIN_STEP_MS = 12.0
 #: Part of a replica's memory that calls may fill before others wait.
 MEMORY_SHARE = 0.9
-OTHER_CENTRE_COST = 0.03
-FAILING_COST = 2.0
 
 
 class Room:
@@ -117,6 +116,4 @@
         told = self._directory.load_of(replica)
         cost += max(use.calls, told.calls) / max(1, replica.record.slots)
         cost += max(use.tokens, told.tokens) / max(1, engine.memory_tokens)
-        if replica.record.data_centre != query.data_centre:
-            cost += OTHER_CENTRE_COST
-        return cost + FAILING_COST * max(0.0, replica.health.failing - 0.2)
+        return with_penalties(cost, replica, query.data_centre)
--- a/limeshelf/gateway/pipeline.py
+++ b/limeshelf/gateway/pipeline.py
@@ -15,7 +15,6 @@
 from limeshelf.gateway.state import CallState, Choice
 from limeshelf.metrics.journal import log_request
 from limeshelf.replicas.health import Failure
-from limeshelf.routing.chooser import Chooser, note_warm_parts
 from limeshelf.util.clock import boottime_s
 
 if TYPE_CHECKING:
@@ -29,6 +28,7 @@
     from limeshelf.gateway.exchange import Result
     from limeshelf.replicas.directory import Replica, ReplicaDirectory
     from limeshelf.replicas.pool import ConnectionPool
+    from limeshelf.routing.chooser import Chooser
 
 #: The final answer goes out this long before the caller's time is over.
 ANSWER_MARGIN_S = 0.02
@@ -146,7 +146,6 @@
         )
         replica.own.calls += 1
         replica.own.tokens += tokens
-        note_warm_parts(replica, call)
         try:
             async with asyncio.timeout(max(0.0, state.left_s)):
                 return await exchange.run(facts, self._head_limit_s(state))
@@ -332,9 +331,8 @@
             answered.ended()
             state.excluded.add(answered.replica_id)
             return None
-        excluded = frozenset(state.excluded)
-        candidates = self._chooser.candidates(state.call, state.service, excluded)
-        return Choice(candidates[0].replica, None) if candidates else None
+        chosen = self._chooser.choose(state.service, frozenset(state.excluded))
+        return Choice(chosen, None) if chosen is not None else None
 
     def _request(self, state: CallState, need: ModelNeed) -> PlaceRequest:
         held_s = boottime_s() - state.call.arrived_s
--- a/limeshelf/replicas/directory.py
+++ b/limeshelf/replicas/directory.py
@@ -64,7 +64,6 @@
     reported_s: float = 0.0
     leaving: bool = False
     retiring: set[str] = attrs.field(factory=set)
-    warm_parts: dict[str, float] = attrs.field(factory=dict)
 
     @property
     def replica_id(self) -> str:
--- a/limeshelf/routing/chooser.py
+++ b/limeshelf/routing/chooser.py
@@ -1,4 +1,11 @@
-"""Chooses the replica for a call among those that can run it."""
+"""Which replica a plain call goes to, and a call that names no model to a model service.
+
+Each gateway chooses by itself, from the loads that the gateways tell one another.
+Model calls go through :mod:`limeshelf.dispatch` instead; no call falls back from there
+to here.
+Owns nothing; relies on the records, loads and health of
+:mod:`limeshelf.replicas.directory`.
+"""
 
 from __future__ import annotations
 
@@ -7,38 +14,48 @@
 
 import attrs
 
+from limeshelf.replicas.penalties import with_penalties
 from limeshelf.util.clock import boottime_s
 
 if TYPE_CHECKING:
-    from limeshelf.calls.call import Call
     from limeshelf.calls.routes import ServiceSpec
     from limeshelf.replicas.directory import Replica, ReplicaDirectory
 
-#: Costs in units of one replica's whole capacity.
-OTHER_CENTRE_COST = 0.03
-FAILING_COST = 2.0
+#: Cost of a suspended replica, in whole replicas: above what any load costs, so that
+#: one is tried only where all are suspended. Chosen, not measured (a904fff).
 SUSPENDED_COST = 50.0
+#: Cost of a request that waits at the replica, in slots. Chosen, not measured (a904fff).
 QUEUED_COST = 1.0
-#: Worth of a prompt part that the replica has lately read.
-WARM_PART_WORTH = 0.04
-WARM_PART_LIFE_S = 15.0
-WARM_PARTS_KEPT = 512
-#: Reports older than this say nothing about the queue.
+#: A report older than this says nothing about the replica's queue any more. Chosen, not
+#: measured (a904fff).
 REPORT_LIFE_S = 1.5
 
 
 @attrs.frozen
-class Candidate:
-    """A replica with what speaks against it."""
+class PlainLoad:
+    """What the calls of all gateways take of a replica.
+
+    :param calls: under way.
+    :param slots: calls that the replica runs at once.
+    :param memory_share: of its accelerator memory that is taken; 0 without one.
+    :param queued: requests that wait at the replica itself.
+    """
 
-    replica: Replica
-    cost: float
     calls: int
+    slots: int
+    memory_share: float = 0.0
+    queued: int = 0
+
+    @property
+    def cost(self) -> float:
+        """Return the load in units of one replica's whole capacity."""
+        slots = max(1, self.slots)
+        return max(self.calls / slots, self.memory_share) + QUEUED_COST * self.queued / slots
 
 
 @attrs.define
 class Chooser:
-    """Ranks the replicas of a service for a call.
+    """Chooses among the replicas of a service.
 
     :param data_centre: of this process.
     """
@@ -46,64 +63,40 @@
     directory: ReplicaDirectory
     data_centre: str
 
-    def candidates(
-        self, call: Call, service: ServiceSpec, excluded: frozenset[str]
-    ) -> list[Candidate]:
-        """Return the replicas that can run the call now, the best first."""
-        need = call.model_need
-        able = [
+    def choose(self, service: ServiceSpec, excluded: frozenset[str]) -> Replica | None:
+        """Return the cheapest replica of a service, any of them where several are alike.
+
+        :param excluded: ids of replicas that refused or failed this call.
+        """
+        replicas = [
             replica
             for replica in self.directory.of_service(service.name)
             if replica.replica_id not in excluded
-            and (need is None or service.engine is None or replica.holds(need.model, need.adapter))
         ]
-        ranked = [self._candidate(replica, call, service) for replica in able]
-        random.shuffle(ranked)
-        ranked.sort(key=lambda candidate: candidate.cost)
-        return ranked
-
-    def _candidate(self, replica: Replica, call: Call, service: ServiceSpec) -> Candidate:
+        costs = [(self._cost(replica, service), replica) for replica in replicas]
+        # Gateways that see the same loads must not all choose the same replica.
+        random.shuffle(costs)
+        cheapest = min(costs, key=lambda cost: cost[0], default=None)
+        return cheapest[1] if cheapest is not None else None
+
+    def _cost(self, replica: Replica, service: ServiceSpec) -> float:
+        load = self._load(replica, service)
+        cost = with_penalties(load.cost, replica, self.data_centre)
+        return cost + SUSPENDED_COST if replica.health.is_suspended() else cost
+
+    def _load(self, replica: Replica, service: ServiceSpec) -> PlainLoad:
         load = self.directory.load_of(replica)
-        cost = load.calls / max(1, replica.record.slots)
-        if service.engine is not None and service.engine.memory_tokens:
-            cost = max(cost, load.tokens / service.engine.memory_tokens)
-            cost += self._queued(replica)
-            cost -= self._warmth(replica, call)
-        if replica.record.data_centre != self.data_centre:
-            cost += OTHER_CENTRE_COST
-        cost += FAILING_COST * max(0.0, replica.health.failing - 0.2)
-        if replica.health.is_suspended():
-            cost += SUSPENDED_COST
-        return Candidate(replica, cost, load.calls)
-
-    def _queued(self, replica: Replica) -> float:
-        report = replica.report
-        if report is None or boottime_s() - replica.reported_s > REPORT_LIFE_S:
-            return 0.0
-        return QUEUED_COST * report.queued / max(1, replica.record.slots)
-
-    def _warmth(self, replica: Replica, call: Call) -> float:
-        need = call.model_need
-        if need is None:
-            return 0.0
-        oldest_s = boottime_s() - WARM_PART_LIFE_S
-        worth = 0.0
-        for part in need.shared_parts:
-            if replica.warm_parts.get(f'{need.model}/{need.adapter}/{part}', 0.0) < oldest_s:
-                break
-            worth += WARM_PART_WORTH
-        return worth
-
-
-def note_warm_parts(replica: Replica, call: Call) -> None:
-    """Remember that the replica reads the call's shared parts now."""
-    need = call.model_need
-    if need is None:
-        return
-    now_s = boottime_s()
-    for part in need.shared_parts:
-        key = f'{need.model}/{need.adapter}/{part}'
-        replica.warm_parts.pop(key, None)
-        replica.warm_parts[key] = now_s
-    while len(replica.warm_parts) > WARM_PARTS_KEPT:
-        del replica.warm_parts[next(iter(replica.warm_parts))]
+        slots = replica.record.slots
+        engine = service.engine
+        if engine is None or not engine.memory_tokens:
+            return PlainLoad(load.calls, slots)
+        return PlainLoad(
+            load.calls, slots, load.tokens / engine.memory_tokens, _queued_at(replica)
+        )
+
+
+def _queued_at(replica: Replica) -> int:
+    report = replica.report
+    if report is None or boottime_s() - replica.reported_s > REPORT_LIFE_S:
+        return 0
+    return report.queued
--- /dev/null
+++ b/tests/replicas/test_penalties.py
@@ -0,0 +1,30 @@
+"""What speaks against a replica whatever its load."""
+
+from __future__ import annotations
+
+import pytest
+
+from limeshelf.replicas.directory import Replica
+from limeshelf.replicas.health import Failure
+from limeshelf.replicas.penalties import with_penalties
+from limeshelf.replicas.record import ReplicaRecord
+
+
+@pytest.fixture
+def replica() -> Replica:
+    return Replica(ReplicaRecord('r0', 'lm', 'ip:0', 'z1', 4, False, None, (), 1), {})
+
+
+def test_replica_nearby_that_never_failed_costs_its_load(replica: Replica) -> None:
+    assert with_penalties(0.5, replica, 'z1') == 0.5
+
+
+def test_another_data_centre_costs_less_than_a_call_of_thirty(replica: Replica) -> None:
+    assert with_penalties(0.5, replica, 'z2') == pytest.approx(0.53)
+
+
+def test_one_failure_is_tolerated_and_a_second_is_not(replica: Replica) -> None:
+    replica.health.failed(Failure.REFUSED)
+    assert with_penalties(0.0, replica, 'z1') == 0.0
+    replica.health.failed(Failure.REFUSED)
+    assert with_penalties(0.0, replica, 'z1') == pytest.approx(2.0 * (0.2775 - 0.2))
--- /dev/null
+++ b/tests/routing/test_chooser.py
@@ -0,0 +1,90 @@
+"""Choice of a replica for a plain call."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+
+import pytest
+
+from limeshelf.calls.routes import EngineSpec, ServiceSpec
+from limeshelf.platform.replicas import read_record
+from limeshelf.replicas.directory import Replica, ReplicaDirectory
+from limeshelf.replicas.health import Failure
+from limeshelf.replicas.record import ReplicaRecord, ReplicaReport
+from limeshelf.routing.chooser import REPORT_LIFE_S, Chooser, PlainLoad
+from limeshelf.util.clock import VirtualClock, virtual_clock
+
+WEB = ServiceSpec('web', 50, None)
+MODELS = ServiceSpec('web', 50, EngineSpec(4, 20000, 100.0, 4, 1.0, {}, 2))
+
+
+@pytest.fixture
+def clock() -> Iterator[VirtualClock]:
+    with virtual_clock() as made:
+        yield made
+
+
+def directory_of(*data_centres: str) -> ReplicaDirectory:
+    directory = ReplicaDirectory(read_record)
+    for number, data_centre in enumerate(data_centres):
+        directory._take_record(
+            ReplicaRecord(f'r{number}', 'web', f'ip:{number}', data_centre, 4, False, None, (), 1)
+        )
+    return directory
+
+
+def replica(directory: ReplicaDirectory, replica_id: str) -> Replica:
+    found = directory.get(replica_id)
+    assert found is not None
+    return found
+
+
+def chosen(directory: ReplicaDirectory, service: ServiceSpec = WEB, *excluded: str) -> set[str]:
+    """Return the replicas that 40 choices in a row fall on."""
+    chooser = Chooser(directory, 'z1')
+    made = [chooser.choose(service, frozenset(excluded)) for _ in range(40)]
+    return {one.replica_id for one in made if one is not None}
+
+
+def test_cost_is_the_fuller_of_slots_and_memory_and_what_waits() -> None:
+    assert PlainLoad(calls=1, slots=4).cost == 0.25
+    assert PlainLoad(calls=1, slots=4, memory_share=0.5).cost == 0.5
+    assert PlainLoad(calls=1, slots=4, memory_share=0.5, queued=2).cost == 1.0
+    assert PlainLoad(calls=2, slots=0).cost == 2.0
+
+
+def test_replicas_alike_share_the_calls(clock: VirtualClock) -> None:
+    assert chosen(directory_of('z1', 'z1')) == {'r0', 'r1'}
+
+
+def test_least_loaded_replica_goes_first(clock: VirtualClock) -> None:
+    directory = directory_of('z1', 'z1')
+    replica(directory, 'r0').own.calls = 1
+    assert chosen(directory) == {'r1'}
+
+
+def test_own_data_centre_goes_first_until_it_has_a_call_more(clock: VirtualClock) -> None:
+    directory = directory_of('z1', 'z2')
+    assert chosen(directory) == {'r0'}
+    replica(directory, 'r0').own.calls = 1
+    assert chosen(directory) == {'r1'}
+
+
+def test_suspended_replica_is_tried_only_when_all_are(clock: VirtualClock) -> None:
+    directory = directory_of('z1', 'z1')
+    replica(directory, 'r0').own.calls = 4
+    replica(directory, 'r1').health.failed(Failure.NO_CONNECTION)
+    assert chosen(directory) == {'r0'}
+    assert chosen(directory, WEB, 'r0') == {'r1'}
+
+
+def test_no_replica_is_left(clock: VirtualClock) -> None:
+    assert chosen(directory_of('z1'), WEB, 'r0') == set()
+
+
+def test_queue_at_a_replica_counts_while_the_report_is_young(clock: VirtualClock) -> None:
+    directory = directory_of('z1', 'z1')
+    directory.take_report('r0', ReplicaReport((), False, 0, queued=3))
+    assert chosen(directory, MODELS) == {'r1'}
+    clock.advance(REPORT_LIFE_S + 0.1)
+    assert chosen(directory, MODELS) == {'r0', 'r1'}
