--- a/limeshelf/dispatch/client.py
+++ b/limeshelf/dispatch/client.py
@@ -16,7 +16,7 @@
     Stage,
     VerdictKind,
 )
-from limeshelf.metrics.journal import log_change
+from limeshelf.metrics.event_log import log_change
 from limeshelf.util.clock import boottime_s
 from limeshelf.util.identifiers import new_id
 
--- a/limeshelf/feeds/mirror.py
+++ b/limeshelf/feeds/mirror.py
@@ -10,7 +10,7 @@
 
 from limeshelf.errors import PlatformUnavailable, PlatformUnknown
 from limeshelf.feeds.rows import HistoryGone, Page, Row
-from limeshelf.metrics.journal import log_change
+from limeshelf.metrics.event_log import log_change
 from limeshelf.util.backoff import full_jitter_s
 from limeshelf.util.clock import boottime_s
 
--- a/limeshelf/gateway/edge.py
+++ b/limeshelf/gateway/edge.py
@@ -9,13 +9,13 @@
 
 from limeshelf.errors import InvalidRequest
 from limeshelf.gateway.answer import CallerGone, HttpAnswer
-from limeshelf.metrics.journal import log_change, log_request
+from limeshelf.metrics.event_log import log_change, log_request
 from limeshelf.util.clock import boottime_s
 
 if TYPE_CHECKING:
     from limeshelf.calls.wire import CallWire
     from limeshelf.gateway.pipeline import Pipeline
-    from limeshelf.metrics.figures import Figures
+    from limeshelf.metrics.prometheus import GatewayMetrics
 
 BACKLOG = 1024
 #: Largest head of a request before a configuration says less, in bytes.
@@ -37,7 +37,7 @@
 class Edge:
     """Takes callers' requests and hands them to the pipeline as calls."""
 
-    def __init__(self, pipeline: Pipeline, wire: CallWire, figures: Figures) -> None:
+    def __init__(self, pipeline: Pipeline, wire: CallWire, figures: GatewayMetrics) -> None:
         self.phase = Phase.STARTING
         self.running = 0
         self._pipeline = pipeline
--- a/limeshelf/gateway/pipeline.py
+++ b/limeshelf/gateway/pipeline.py
@@ -13,7 +13,7 @@
 from limeshelf.errors import NotRun, RefusalReason
 from limeshelf.gateway.exchange import Broken, Delivered, Doubt, Exchange, NeverRan, WholeAnswer
 from limeshelf.gateway.state import CallState, Choice
-from limeshelf.metrics.journal import log_request
+from limeshelf.metrics.event_log import log_request
 from limeshelf.replicas.health import Failure
 from limeshelf.util.clock import boottime_s
 
--- a/limeshelf/lease/leadership.py
+++ b/limeshelf/lease/leadership.py
@@ -9,7 +9,7 @@
 
 from limeshelf.errors import PlatformUnavailable, PlatformUnknown
 from limeshelf.feeds.rows import ConditionFailed
-from limeshelf.metrics.journal import log_change
+from limeshelf.metrics.event_log import log_change
 from limeshelf.util.clock import boottime_s
 
 if TYPE_CHECKING:
--- a/limeshelf/membership/neighbours.py
+++ b/limeshelf/membership/neighbours.py
@@ -23,7 +23,7 @@
     ReplicaStates,
 )
 from limeshelf.membership.states import report_of, state_of
-from limeshelf.metrics.journal import log_change
+from limeshelf.metrics.event_log import log_change
 from limeshelf.util.backoff import full_jitter_s, jittered_s
 from limeshelf.util.clock import boottime_s
 
--- a/limeshelf/metrics/decisions.py
+++ b/limeshelf/metrics/decision_log.py
@@ -1,4 +1,9 @@
-"""One line for each decision, kept for a while so that it can be explained."""
+"""The decision log of the own wire's programs: one line for each decision.
+
+Owns the latest lines by subject, which the operator's ``explain`` reads. Unlike
+the event log it writes ``name=value`` pairs through absl, as all lines of those
+programs do, and keeps what it wrote. Relies on nothing of the product.
+"""
 
 from __future__ import annotations
 
@@ -7,9 +12,9 @@
 
 from absl import logging
 
-#: Subjects (request ids or models) whose lines are kept.
+#: Subjects (request ids or models) whose lines are kept. Chosen, not measured.
 KEPT_SUBJECTS = 4096
-#: Lines kept for one subject; older ones are dropped.
+#: Lines kept for one subject; older ones are dropped. Chosen, not measured.
 KEPT_LINES = 20
 
 
@@ -28,6 +33,7 @@
 
         :param subject: request id or model that the decision is about.
         :param decision: kind of decision, for example ``route``.
+        :param fields: what decided it; the name carries the unit.
         """
         pairs = ' '.join(f'{name}={_text(value)}' for name, value in fields.items())
         line = f'decision={decision} subject={subject} {pairs}'
--- a/limeshelf/metrics/journal.py
+++ b/limeshelf/metrics/event_log.py
@@ -1,8 +1,10 @@
-"""Structured lines on standard output: decisions, and changes of what a process believes.
+"""The event log of a gateway: one JSON line on standard output for each event.
 
-Lines are buffered and written by the event loop when it is idle; under load
-lines of single requests are dropped, counted and the count is told. Writing
-never waits: standard output is put in non-blocking mode.
+Owns the buffer of lines that wait for a slow reader, and the allowance of
+lines about single requests. Relies on the clocks alone. Writing never blocks:
+standard output is put in non-blocking mode, and what it does not take at once
+waits in the buffer until the next event. Lines that find no room are counted,
+and the count is written as an event of its own.
 """
 
 from __future__ import annotations
@@ -15,18 +17,20 @@
 
 from limeshelf.util.clock import boottime_s, wall_s
 
-#: Lines of requests a second that are written; more are counted.
+#: Lines about single requests that are written; more are counted.
+#: Chosen, not measured.
 REQUEST_LINES_PER_S = 200
-#: Bytes that may wait for a slow reader; lines beyond are counted.
+#: What may wait for a slow reader; lines beyond are counted. Chosen, not measured.
 BUFFER_BYTES = 1 << 20
 
 _encoder = msgspec.json.Encoder()
 
 
-class Journal:
-    """Writes the lines of one process.
+class EventLog:
+    """Writes the events of one process.
 
-    :param descriptor: where the lines go.
+    :param descriptor: file descriptor of the output; ``None`` writes nothing.
+    :ivar dropped: lines left out since the count was last written.
     """
 
     def __init__(self, descriptor: int | None = None) -> None:
@@ -49,7 +53,7 @@
         if second != self._second:
             self._second = second
             self._written_in_second = 0
-            self._tell_dropped()
+            self._write_dropped()
         if self._written_in_second >= REQUEST_LINES_PER_S:
             self.dropped += 1
             return
@@ -65,33 +69,35 @@
             self.dropped += 1
             return
         self._waiting += _encoder.encode(line) + b'\n'
-        self._flush()
+        self._flush(self._descriptor)
 
-    def _tell_dropped(self) -> None:
+    def _write_dropped(self) -> None:
         if self.dropped:
             dropped, self.dropped = self.dropped, 0
             self.change('lines_dropped', count=dropped)
 
-    def _flush(self) -> None:
-        assert self._descriptor is not None
+    def _flush(self, descriptor: int) -> None:
         try:
-            written = os.write(self._descriptor, self._waiting)
+            written = os.write(descriptor, self._waiting)
         except BlockingIOError:
+            # The reader is slow; the next event tries again.
             return
         except OSError:
+            # The reader is gone, and with it the only place where this could be said.
             self._descriptor = None
             return
         del self._waiting[:written]
 
 
-journal = Journal()
+#: The event log of this process; writes nothing until it is opened.
+event_log = EventLog()
 
 
 def log_change(event: str, **fields: Any) -> None:
     """Write a line about a change of what this process believes."""
-    journal.change(event, **fields)
+    event_log.change(event, **fields)
 
 
 def log_request(event: str, **fields: Any) -> None:
     """Write a line about a decision on one request."""
-    journal.request(event, **fields)
+    event_log.request(event, **fields)
--- a/limeshelf/metrics/figures.py
+++ b/limeshelf/metrics/prometheus.py
@@ -1,4 +1,8 @@
-"""Counters and latency histograms, served as text."""
+"""Metrics of a gateway, served to a scraper in the text format of Prometheus.
+
+Owns the counters, and the histogram of latencies. Names and labels are listed
+in tests/forms/test_metrics.py.
+"""
 
 from __future__ import annotations
 
@@ -10,11 +14,12 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
+#: Upper bounds of the latency histogram. Chosen, not measured.
 LATENCY_BUCKETS_S = (0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0, 30.0)
 
 
-class Figures:
-    """The figures of one process."""
+class GatewayMetrics:
+    """The metrics of one gateway process."""
 
     def __init__(self) -> None:
         self._registry = CollectorRegistry()
@@ -35,12 +40,15 @@
         )
 
     def observe_call(self, status: int, seconds: float) -> None:
-        """Count a call that was answered after *seconds*."""
+        """Count a call that was answered with HTTP status *status* after *seconds*."""
         self._calls.labels(str(status)).inc()
         self._latency.observe(seconds)
 
     def observe_order(self, outcome: str) -> None:
-        """Count an order to a replica."""
+        """Count an order to a replica.
+
+        :param outcome: value of :class:`limeshelf.orders.order.OrderOutcome`.
+        """
         self._orders.labels(outcome).inc()
 
     def watch(self, name: str, meaning: str, read: Callable[[], float]) -> None:
@@ -48,15 +56,15 @@
         Gauge(f'limeshelf_{name}', meaning, registry=self._registry).set_function(read)
 
     def text(self) -> bytes:
-        """Return all figures as text."""
+        """Return all metrics in the text format."""
         return generate_latest(self._registry)
 
 
-class FiguresServer:
-    """Serves the figures on an address of their own."""
+class MetricsServer:
+    """Serves the metrics on an address of their own."""
 
-    def __init__(self, figures: Figures) -> None:
-        self._figures = figures
+    def __init__(self, metrics: GatewayMetrics) -> None:
+        self._metrics = metrics
         self._runner: web.ServerRunner | None = None
 
     async def start(self, host: str, port: int) -> None:
@@ -66,7 +74,7 @@
         await web.TCPSite(self._runner, host, port).start()
 
     async def _answer(self, request: web.BaseRequest) -> web.StreamResponse:
-        return web.Response(body=self._figures.text(), content_type='text/plain')
+        return web.Response(body=self._metrics.text(), content_type='text/plain')
 
     async def close(self) -> None:
         """Stop listening."""
--- a/limeshelf/metrics/statsd.py
+++ b/limeshelf/metrics/statsd.py
@@ -1,4 +1,8 @@
-"""Counters, gauges and timers, gathered in the process and sent by statsd."""
+"""Metrics of the own wire's programs: gathered in the process, sent by statsd.
+
+Owns what was gathered since the last sending. Names are listed in
+docs/reference/metrics.rst. Relies on the settings for the receiver's address.
+"""
 
 from __future__ import annotations
 
@@ -13,12 +17,12 @@
 if TYPE_CHECKING:
     from limeshelf.settings.model import MetricsSettings
 
-#: Timings kept between two sendings; more are thinned out.
+#: Timings kept between two sendings; later ones are left out. Chosen, not measured.
 TIMINGS_LIMIT = 1000
 
 
 class Metrics:
-    """Gathers figures and sends them once a period.
+    """Gathers metrics and sends them once a period.
 
     Gathering keeps the cost of a counter on the request path to one addition.
     """
--- a/limeshelf/orders/desk.py
+++ b/limeshelf/orders/desk.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from limeshelf.metrics.journal import log_change
+from limeshelf.metrics.event_log import log_change
 from limeshelf.orders.order import Order, OrderKind, OrderOutcome, ReplicaSilent
 from limeshelf.util.clock import boottime_s
 
@@ -16,7 +16,7 @@
 
     from limeshelf.calls.routes import EngineSpec
     from limeshelf.lease.leadership import Leadership
-    from limeshelf.metrics.figures import Figures
+    from limeshelf.metrics.prometheus import GatewayMetrics
     from limeshelf.orders.order import OrderWire
     from limeshelf.replicas.directory import Replica, ReplicaDirectory
 
@@ -118,7 +118,7 @@
         directory: ReplicaDirectory,
         leadership: Leadership,
         holder: str,
-        figures: Figures,
+        figures: GatewayMetrics,
     ) -> None:
         self._wire = wire
         self._directory = directory
--- a/limeshelf/placement/service.py
+++ b/limeshelf/placement/service.py
@@ -7,7 +7,7 @@
 
 from limeshelf.demand.meter import DemandTotals, ModelKey
 from limeshelf.demand.needs import needs_of
-from limeshelf.metrics.journal import log_change
+from limeshelf.metrics.event_log import log_change
 from limeshelf.orders.desk import OrderDesk, Task
 from limeshelf.orders.order import OrderKind
 from limeshelf.placement.adapters import AdapterPlanner
--- a/limeshelf/programs/gateway.py
+++ b/limeshelf/programs/gateway.py
@@ -26,8 +26,8 @@
 from limeshelf.membership.members import MEMBER_TABLE, Member, Members
 from limeshelf.membership.neighbours import Neighbours
 from limeshelf.membership.sharing import RowSharing
-from limeshelf.metrics.figures import Figures, FiguresServer
-from limeshelf.metrics.journal import journal, log_change
+from limeshelf.metrics.event_log import event_log, log_change
+from limeshelf.metrics.prometheus import GatewayMetrics, MetricsServer
 from limeshelf.orders.desk import OrderDesk
 from limeshelf.peers.node import PeerNode
 from limeshelf.placement.service import FleetService
@@ -73,7 +73,7 @@
         """Listen at once; call ourselves ready when a configuration is in force."""
         settings = self.settings
         self.tasks = TaskSet()
-        self.figures = Figures()
+        self.figures = GatewayMetrics()
         self.store = StoreClient(settings.store_address)
         self.directory = ReplicaDirectory(read_record)
         self.node = PeerNode(settings.ip, settings.peer_port, settings.data_centre)
@@ -88,7 +88,7 @@
         self.sharing.start()
         self.dispatch.start()
         await self.edge.start(settings.calls_address, settings.readiness_address)
-        self.figures_server = FiguresServer(self.figures)
+        self.figures_server = MetricsServer(self.figures)
         await self.figures_server.start(settings.ip, settings.figures_port)
         self._start_tasks()
         log_change('started', ip=settings.ip, data_centre=settings.data_centre, pid=os.getpid())
@@ -256,7 +256,7 @@
 
 
 def _run_gateway(settings: GatewaySettings, path: Path) -> int:
-    journal.open(settings.instance_id)
+    event_log.open(settings.instance_id)
     gc.collect()
     gc.freeze()
     service = Gateway(settings=settings, settings_path=path)
--- a/limeshelf/programs/settings_watch.py
+++ b/limeshelf/programs/settings_watch.py
@@ -8,7 +8,7 @@
 import attrs
 
 from limeshelf.errors import InvalidDocument
-from limeshelf.metrics.journal import log_change
+from limeshelf.metrics.event_log import log_change
 from limeshelf.settings.gateway import GatewaySettings, load_gateway_settings
 from limeshelf.util.backoff import jittered_s
 
--- a/limeshelf/replicas/directory.py
+++ b/limeshelf/replicas/directory.py
@@ -8,7 +8,7 @@
 import attrs
 
 from limeshelf.errors import InvalidDocument
-from limeshelf.metrics.journal import log_change
+from limeshelf.metrics.event_log import log_change
 from limeshelf.replicas.health import ReplicaHealth
 from limeshelf.replicas.record import Holding, ReplicaRecord, ReplicaReport
 from limeshelf.util.clock import boottime_s
--- a/limeshelf/replicas/pool.py
+++ b/limeshelf/replicas/pool.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from limeshelf.metrics.journal import log_change
+from limeshelf.metrics.event_log import log_change
 from limeshelf.replicas.connections import CONNECT_S, ReplicaConnections
 
 if TYPE_CHECKING:
--- a/limeshelf/standalone/entry/context.py
+++ b/limeshelf/standalone/entry/context.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from limeshelf.metrics.decisions import DecisionLog
+from limeshelf.metrics.decision_log import DecisionLog
 from limeshelf.metrics.statsd import Metrics
 from limeshelf.settings.model import EntrySettings
 from limeshelf.standalone.admission.retries import RetryBudget
--- a/limeshelf/standalone/experiment/centres.py
+++ b/limeshelf/standalone/experiment/centres.py
@@ -7,7 +7,7 @@
 import attrs
 
 from limeshelf.errors import LimeshelfError
-from limeshelf.metrics.decisions import DecisionLog
+from limeshelf.metrics.decision_log import DecisionLog
 from limeshelf.metrics.statsd import Metrics
 from limeshelf.settings.model import MetricsSettings, PlacerSettings
 from limeshelf.standalone.lease.keeper import LeaseKeeper
--- a/limeshelf/standalone/placement/placer.py
+++ b/limeshelf/standalone/placement/placer.py
@@ -26,7 +26,7 @@
 from limeshelf.util.tasks import TaskSet
 
 if TYPE_CHECKING:
-    from limeshelf.metrics.decisions import DecisionLog
+    from limeshelf.metrics.decision_log import DecisionLog
     from limeshelf.metrics.statsd import Metrics
     from limeshelf.settings.model import PlacerSettings
     from limeshelf.standalone.config.document import Policy
--- a/limeshelf/standalone/programs/process.py
+++ b/limeshelf/standalone/programs/process.py
@@ -16,7 +16,7 @@
 from aiomisc import Service, entrypoint
 
 from limeshelf.errors import InvalidDocument
-from limeshelf.metrics.decisions import DecisionLog
+from limeshelf.metrics.decision_log import DecisionLog
 from limeshelf.metrics.statsd import Metrics
 from limeshelf.peers.node import PeerNode
 from limeshelf.settings.load import load_settings
--- a/tests/forms/test_metrics.py
+++ b/tests/forms/test_metrics.py
@@ -21,7 +21,7 @@
 import aiohttp
 import pytest
 
-from limeshelf.metrics.figures import Figures, FiguresServer
+from limeshelf.metrics.prometheus import GatewayMetrics, MetricsServer
 from limeshelf.metrics.statsd import Metrics
 from limeshelf.orders.order import OrderOutcome
 from limeshelf.settings.model import MetricsSettings
@@ -124,11 +124,11 @@
     """Return content type and text of a scrape after one of each was observed."""
 
     async def play() -> tuple[str, str]:
-        figures = Figures()
+        figures = GatewayMetrics()
         figures.observe_call(200, 0.3)
         figures.observe_order('taken')
         figures.watch('some_gauge', 'Meaning.', lambda: 4.0)
-        server = FiguresServer(figures)
+        server = MetricsServer(figures)
         with socket.socket() as probe:
             probe.bind(('127.0.0.1', 0))
             port = probe.getsockname()[1]
--- a/tests/orders/test_desk.py
+++ b/tests/orders/test_desk.py
@@ -10,7 +10,7 @@
 
 from limeshelf.calls.routes import EngineSpec, ModelSpec
 from limeshelf.lease.leadership import Term
-from limeshelf.metrics.figures import Figures
+from limeshelf.metrics.prometheus import GatewayMetrics
 from limeshelf.orders.desk import OrderDesk, Task
 from limeshelf.orders.order import OrderKind
 from limeshelf.platform.engine import EngineClient
@@ -46,7 +46,7 @@
         self.leadership = FixedTerm(Term(5, 1e12, 1))
         self.client = EngineClient()
         leadership: Any = self.leadership
-        self.desk = OrderDesk(self.client, self.directory, leadership, 'g-1', Figures())
+        self.desk = OrderDesk(self.client, self.directory, leadership, 'g-1', GatewayMetrics())
 
     async def __aenter__(self) -> World:
         address = await self.stand_in.start()
--- a/tests/placement/test_service.py
+++ b/tests/placement/test_service.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from limeshelf.calls.routes import EngineSpec, ModelSpec, ServiceSpec
-from limeshelf.metrics.figures import Figures
+from limeshelf.metrics.prometheus import GatewayMetrics
 from limeshelf.orders.desk import OrderDesk, Task
 from limeshelf.orders.order import OrderKind
 from limeshelf.placement.service import FleetService
@@ -37,7 +37,7 @@
         directory._take_record(ReplicaRecord('r1', 'lm', 'ip:1', 'z1', 8, False, None, (), 1))
         directory.take_report('r1', report)
         unused: Any = None
-        desk = OrderDesk(unused, directory, unused, 'g-1', Figures())
+        desk = OrderDesk(unused, directory, unused, 'g-1', GatewayMetrics())
         config: Any = Config()
         FleetService(
             directory, unused, desk, TaskSet(), lambda: config, 5.0, lambda model, tokens: 0.0
--- a/tests/standalone/placement/test_reachable_machine.py
+++ b/tests/standalone/placement/test_reachable_machine.py
@@ -9,7 +9,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from limeshelf.errors import LimeshelfError
-from limeshelf.metrics.decisions import DecisionLog
+from limeshelf.metrics.decision_log import DecisionLog
 from limeshelf.metrics.statsd import Metrics
 from limeshelf.settings.model import MetricsSettings, PlacerSettings
 from limeshelf.standalone.config.document import (
--- a/tests/support/entry.py
+++ b/tests/support/entry.py
@@ -9,7 +9,7 @@
 import attrs
 from aiohttp import web
 
-from limeshelf.metrics.decisions import DecisionLog
+from limeshelf.metrics.decision_log import DecisionLog
 from limeshelf.metrics.statsd import Metrics
 from limeshelf.settings.model import EntrySettings, MetricsSettings
 from limeshelf.standalone.claims.keeper import ClaimKeeper
