--- a/limeshelf/standalone/entry/models.py
+++ b/limeshelf/standalone/entry/models.py
@@ -20,10 +20,11 @@
     RequestNotRun,
 )
 from limeshelf.standalone.entry.answers import invalid_answer, outcome_answer, tag
+from limeshelf.standalone.entry.body import read_body
 from limeshelf.standalone.entry.exchange import ModelExchange
 from limeshelf.standalone.entry.formats import EventWriter, whole_body
 from limeshelf.standalone.entry.headers import OUTCOME_HEADER, REVISION_HEADER
-from limeshelf.standalone.entry.parse import ModelRequest, parse_model_request, read_body
+from limeshelf.standalone.entry.parse import ModelRequest, parse_model_request
 from limeshelf.util.identifiers import new_id
 
 if TYPE_CHECKING:
--- a/limeshelf/standalone/entry/parse.py
+++ b/limeshelf/standalone/entry/parse.py
@@ -1,8 +1,12 @@
-"""Reads model requests in the OpenAI shape and checks them."""
+"""Reads model requests in the OpenAI shape and checks them.
+
+Owns the fields of the body that are understood, and the limits on their values.
+Relies on :mod:`~limeshelf.standalone.entry.headers` for what a request may name in
+a header as well. The first field that is wrong decides the answer.
+"""
 
 from __future__ import annotations
 
-import asyncio
 import hashlib
 import re
 from typing import TYPE_CHECKING, Any
@@ -11,19 +15,25 @@
 import msgspec
 
 from limeshelf.errors import InvalidRequest
-from limeshelf.standalone.entry.headers import CALLER_HEADER, DEADLINE_HEADER, IDEMPOTENCY_HEADER
+from limeshelf.standalone.entry.headers import (
+    ANONYMOUS,
+    caller_of,
+    checked_deadline_s,
+    header_deadline_s,
+    idempotency_key_of,
+)
 
 if TYPE_CHECKING:
     from aiohttp import web
 
+#: Length of an answer to a request that names none, in tokens. Chosen, not measured.
 DEFAULT_MAX_TOKENS = 256
+#: Longest answer that may be asked for, in tokens. Chosen, not measured.
 MAX_TOKENS_LIMIT = 1 << 20
-MAX_HEADER_CHARS = 256
-MAX_DEADLINE_S = 24 * 3600.0
-#: Characters of the prompt that make up its prefix key.
+#: Characters of the prompt that make up its prefix key. Chosen, not measured.
 PREFIX_CHARS = 256
-ANONYMOUS = 'anonymous'
-READ_BYTES = 64 << 10
+#: Length of the prefix key, in bytes: enough to tell prompts apart. Chosen, not measured.
+PREFIX_KEY_BYTES = 8
 
 
 @attrs.frozen
@@ -74,6 +84,9 @@
     """A checked model request.
 
     :param chat: whether it came as chat; otherwise as a plain completion.
+    :param deadline_s: time from its arrival until it is given up.
+    :param prefix_key: digest of the prompt's beginning; equal beginnings share a
+        prefix cache entry at an engine.
     """
 
     request_id: str
@@ -84,80 +97,45 @@
     stream: bool
     caller: str
     deadline_s: float
-    idempotency_key: str | None
     prefix_key: str
-    body: bytes
-
-
-async def read_body(request: web.Request, limit_bytes: int, timeout_s: float) -> bytes:
-    """Return the whole body, or raise :exc:`InvalidRequest` at once when it is too large."""
-    if request.content_length is not None and request.content_length > limit_bytes:
-        raise _oversize(limit_bytes)
-    chunks: list[bytes] = []
-    size = 0
-    try:
-        async with asyncio.timeout(timeout_s):
-            async for chunk in request.content.iter_chunked(READ_BYTES):
-                size += len(chunk)
-                if size > limit_bytes:
-                    raise _oversize(limit_bytes)
-                chunks.append(chunk)
-    except TimeoutError:
-        raise InvalidRequest('body', f'did not arrive within {timeout_s} s', 408) from None
-    return b''.join(chunks)
-
-
-def _oversize(limit_bytes: int) -> InvalidRequest:
-    return InvalidRequest('body', f'is larger than {limit_bytes} bytes', 413)
 
 
 def parse_model_request(
     request: web.Request, body: bytes, chat: bool, request_id: str, default_deadline_s: float
 ) -> ModelRequest:
-    """Return the checked request; raises :exc:`InvalidRequest` naming the field."""
+    """Return the checked request.
+
+    :param chat: whether *body* is a chat completion; otherwise a plain completion.
+    :param default_deadline_s: deadline of a request that names none, in seconds.
+    :raises InvalidRequest: names the first field that is wrong.
+    """
     parsed: ChatBody | CompletionBody
     parsed = _decode(body, ChatBody) if chat else _decode(body, CompletionBody)
     extension = _extension(parsed.limeshelf)
     if parsed.n != 1:
         raise InvalidRequest('n', 'must be 1')
     prompt = _prompt(parsed)
+    max_tokens = _max_tokens(parsed)
+    caller = extension.caller or caller_of(request) or parsed.user or ANONYMOUS
+    deadline_s = _deadline_s(extension, request, default_deadline_s)
+    # Model requests are not claimed, but a malformed key is refused here too.
+    idempotency_key_of(request)
     return ModelRequest(
         request_id=request_id,
         chat=chat,
         model=parsed.model,
         prompt=prompt,
-        max_tokens=_max_tokens(parsed),
+        max_tokens=max_tokens,
         stream=parsed.stream,
-        caller=extension.caller or caller_of(request) or parsed.user or ANONYMOUS,
-        deadline_s=_deadline_s(extension.deadline_s, request, default_deadline_s),
-        idempotency_key=idempotency_key_of(request),
-        prefix_key=hashlib.blake2b(prompt[:PREFIX_CHARS].encode(), digest_size=8).hexdigest(),
-        body=body,
+        caller=caller,
+        deadline_s=deadline_s,
+        prefix_key=_prefix_key(prompt),
     )
 
 
-def caller_of(request: web.Request) -> str | None:
-    """Return the caller named in the request's headers."""
-    return _short_header(request, CALLER_HEADER)
-
-
-def idempotency_key_of(request: web.Request) -> str | None:
-    """Return the idempotency key of the request, if it has one."""
-    return _short_header(request, IDEMPOTENCY_HEADER)
-
-
-def header_deadline_s(request: web.Request, default_s: float) -> float:
-    """Return the deadline named in the request's headers."""
-    return _deadline_s(None, request, default_s)
-
-
-def _short_header(request: web.Request, name: str) -> str | None:
-    value = request.headers.get(name)
-    if value is None:
-        return None
-    if not value or len(value) > MAX_HEADER_CHARS:
-        raise InvalidRequest(name, f'must have 1 to {MAX_HEADER_CHARS} characters')
-    return value
+def _prefix_key(prompt: str) -> str:
+    start = prompt[:PREFIX_CHARS].encode()
+    return hashlib.blake2b(start, digest_size=PREFIX_KEY_BYTES).hexdigest()
 
 
 def _decode(body: bytes, kind: type[Any]) -> Any:
@@ -212,17 +190,8 @@
     return wanted
 
 
-def _deadline_s(own_s: float | None, request: web.Request, default_s: float) -> float:
-    name = 'limeshelf.deadline_s'
-    text = request.headers.get(DEADLINE_HEADER)
-    if own_s is None and text is not None:
-        name = DEADLINE_HEADER
-        try:
-            own_s = float(text)
-        except ValueError:
-            raise InvalidRequest(name, 'must be a number of seconds') from None
-    if own_s is None:
-        return default_s
-    if not 0 < own_s <= MAX_DEADLINE_S:
-        raise InvalidRequest(name, f'must be above 0 and at most {MAX_DEADLINE_S} (seconds)')
-    return own_s
+def _deadline_s(extension: Extension, request: web.Request, default_s: float) -> float:
+    """Return the deadline that the body names, else the headers, else *default_s*."""
+    if extension.deadline_s is not None:
+        return checked_deadline_s('limeshelf.deadline_s', extension.deadline_s)
+    return header_deadline_s(request, default_s)
--- a/limeshelf/standalone/entry/plain.py
+++ b/limeshelf/standalone/entry/plain.py
@@ -20,14 +20,14 @@
     UpstreamUnreachable,
 )
 from limeshelf.standalone.entry.answers import invalid_answer, outcome_answer, tag
+from limeshelf.standalone.entry.body import CHUNK_BYTES, read_body
 from limeshelf.standalone.entry.claimed import ClaimedCalls
-from limeshelf.standalone.entry.headers import OUTCOME_HEADER
-from limeshelf.standalone.entry.parse import (
+from limeshelf.standalone.entry.headers import (
     ANONYMOUS,
+    OUTCOME_HEADER,
     caller_of,
     header_deadline_s,
     idempotency_key_of,
-    read_body,
 )
 from limeshelf.standalone.entry.tries import NOT_READY_RETRY_S, PlainTries, PreparedCall
 from limeshelf.standalone.upstreams.plain import PlainCall, passable_headers
@@ -43,7 +43,6 @@
     from limeshelf.standalone.config.document import Route
     from limeshelf.standalone.entry.context import EntryContext
 
-CHUNK_BYTES = 64 << 10
 #: Methods whose repetition has the same effect as one call, by definition.
 SAFE_METHODS = frozenset({'GET', 'HEAD', 'OPTIONS'})
 
