--- a/limeshelf/demand/meter.py
+++ b/limeshelf/demand/meter.py
@@ -57,14 +57,6 @@
     tokens: int = 0
 
 
-@attrs.frozen
-class ExpectedLoad:
-    """A load that the leader has ordered or is about to order."""
-
-    key: ModelKey
-    ready_s: float
-
-
 class DemandMeter:
     """Counts the calls of this process by model and adapter.
 
