--- a/limeshelf/demand/needs.py
+++ b/limeshelf/demand/needs.py
@@ -6,7 +6,8 @@
 
 import attrs
 
-from limeshelf.demand.meter import ModelKey, ModelLoad
+from limeshelf.demand.keys import ModelKey
+from limeshelf.demand.totals import KeyTotals
 from limeshelf.util.clock import boottime_s
 
 if TYPE_CHECKING:
@@ -54,14 +55,14 @@
 def needs_of(
     service: str,
     engine: EngineSpec,
-    loads: dict[ModelKey, ModelLoad],
+    loads: dict[ModelKey, KeyTotals],
     read_ms: Callable[[str, float], float],
 ) -> dict[str, ModelNeed]:
     """Return what each model of the service needs.
 
     :param read_ms: returns the time that reading tokens of a model takes.
     """
-    by_model: dict[str, list[tuple[ModelKey, ModelLoad]]] = {name: [] for name in engine.models}
+    by_model: dict[str, list[tuple[ModelKey, KeyTotals]]] = {name: [] for name in engine.models}
     for key, load in loads.items():
         if key.service == service and key.model in by_model:
             by_model[key.model].append((key, load))
@@ -72,7 +73,7 @@
 
 
 def _need(
-    items: list[tuple[ModelKey, ModelLoad]],
+    items: list[tuple[ModelKey, KeyTotals]],
     engine: EngineSpec,
     read_ms: Callable[[float], float],
 ) -> ModelNeed:
@@ -80,8 +81,8 @@
     loads = [load for _, load in items]
     running = sum(load.running for load in loads)
     adapters = sum(1 for key, load in items if key.adapter and now_s - load.seen_s < ACTIVE_S)
-    rate = sum(load.rate for load in loads)
-    lasting_rate = sum(load.lasting_rate for load in loads)
+    rate = sum(load.calls_per_s for load in loads)
+    lasting_rate = sum(load.lasting_calls_per_s for load in loads)
     rise = _rise(rate, lasting_rate)
     tokens_per_s = rise * sum(load.tokens_per_s for load in loads)
     reading = read_ms(tokens_per_s) / 1000 / READING_DUTY
@@ -93,7 +94,7 @@
         replicas=max(reading, slots, places),
         running=running,
         adapters=adapters,
-        waits=any(now_s - load.wanted_s < WAITING_S for load in loads),
+        waits=any(now_s - load.missing_s < WAITING_S for load in loads),
         objective_s=_shortest(load.objective_s for load in loads),
     )
 
--- a/limeshelf/dispatch/client.py
+++ b/limeshelf/dispatch/client.py
@@ -24,7 +24,7 @@
     from collections.abc import Callable
 
     from limeshelf.calls.call import ModelNeed
-    from limeshelf.demand.meter import ModelKey
+    from limeshelf.demand.keys import ModelKey
     from limeshelf.peers.codec import Envelope
     from limeshelf.peers.node import PeerNode
     from limeshelf.replicas.directory import ReplicaDirectory
--- a/limeshelf/dispatch/dispatcher.py
+++ b/limeshelf/dispatch/dispatcher.py
@@ -27,7 +27,7 @@
     from collections.abc import Callable
 
     from limeshelf.calls.routes import ServingConfig
-    from limeshelf.demand.meter import ModelKey
+    from limeshelf.demand.keys import ModelKey
     from limeshelf.replicas.directory import Replica, ReplicaDirectory
 
 #: Between two prompts at a replica, in milliseconds: a step, and the way there.
--- a/limeshelf/dispatch/messages.py
+++ b/limeshelf/dispatch/messages.py
@@ -7,7 +7,7 @@
 import attrs
 import msgspec
 
-from limeshelf.demand.meter import ModelKey
+from limeshelf.demand.keys import ModelKey
 from limeshelf.peers.messages import add_message
 
 
--- a/limeshelf/dispatch/room.py
+++ b/limeshelf/dispatch/room.py
@@ -10,7 +10,7 @@
 
 if TYPE_CHECKING:
     from limeshelf.calls.routes import EngineSpec
-    from limeshelf.demand.meter import ModelKey
+    from limeshelf.demand.keys import ModelKey
     from limeshelf.dispatch.messages import DispatchQuery
     from limeshelf.dispatch.speed import ReadSpeed
     from limeshelf.replicas.directory import Replica, ReplicaDirectory
--- a/limeshelf/gateway/pipeline.py
+++ b/limeshelf/gateway/pipeline.py
@@ -8,7 +8,7 @@
 from limeshelf.admission.retry_budget import RetryBudget
 from limeshelf.calls.call import CallKind
 from limeshelf.calls.wire import SendFacts
-from limeshelf.demand.meter import ModelKey
+from limeshelf.demand.keys import ModelKey
 from limeshelf.dispatch.client import NoPlace, PlaceRequest
 from limeshelf.errors import NotRun, RefusalReason
 from limeshelf.gateway.exchange import Broken, Delivered, Doubt, Exchange, NeverRan, WholeAnswer
@@ -392,7 +392,7 @@
                 min(max(LEAST_COME_BACK_S, wait_s * READY_MARGIN), come_back_s),
             )
             return False
-        self._demand.want(state.call, state.service)
+        self._demand.report_missing(state.call, state.service)
         await self._directory.changed(min(LOOK_S, state.left_s))
         return True
 
--- a/limeshelf/membership/messages.py
+++ b/limeshelf/membership/messages.py
@@ -5,7 +5,7 @@
 import attrs
 import msgspec
 
-from limeshelf.demand.meter import KeyDemand, ModelKey
+from limeshelf.demand.keys import KeyDemand, ModelKey
 from limeshelf.peers.messages import add_message
 
 
--- a/limeshelf/membership/neighbours.py
+++ b/limeshelf/membership/neighbours.py
@@ -28,7 +28,8 @@
 from limeshelf.util.clock import boottime_s
 
 if TYPE_CHECKING:
-    from limeshelf.demand.meter import DemandMeter, ModelKey
+    from limeshelf.demand.keys import ModelKey
+    from limeshelf.demand.meter import DemandMeter
     from limeshelf.feeds.rows import Row, RowTable
     from limeshelf.lease.leadership import Leadership
     from limeshelf.peers.codec import Envelope
--- a/limeshelf/placement/adapters.py
+++ b/limeshelf/placement/adapters.py
@@ -6,7 +6,8 @@
 
 import attrs
 
-from limeshelf.demand.meter import ModelKey, ModelLoad
+from limeshelf.demand.keys import ModelKey
+from limeshelf.demand.totals import KeyTotals
 from limeshelf.util.clock import boottime_s
 
 if TYPE_CHECKING:
@@ -36,7 +37,7 @@
     service: str
     engine: EngineSpec
     directory: ReplicaDirectory
-    loads: dict[ModelKey, ModelLoad]
+    loads: dict[ModelKey, KeyTotals]
 
     def plan(self, key: ModelKey, lanes: dict[str, Lane]) -> AdapterMove | None:
         """Return the move that brings *key*, if it is not there or coming."""
@@ -93,5 +94,5 @@
             return False, None
         return True, min(idle, key=lambda key: self._load(key).seen_s)
 
-    def _load(self, key: ModelKey) -> ModelLoad:
-        return self.loads.get(key) or ModelLoad()
+    def _load(self, key: ModelKey) -> KeyTotals:
+        return self.loads.get(key) or KeyTotals()
--- a/limeshelf/placement/service.py
+++ b/limeshelf/placement/service.py
@@ -5,8 +5,9 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from limeshelf.demand.meter import DemandTotals, ModelKey
+from limeshelf.demand.keys import ModelKey
 from limeshelf.demand.needs import needs_of
+from limeshelf.demand.totals import DemandTotals
 from limeshelf.metrics.event_log import log_change
 from limeshelf.orders.desk import OrderDesk, Task
 from limeshelf.orders.order import OrderKind
@@ -268,7 +269,7 @@
 
     def want(self, key: ModelKey) -> None:
         """A call waits for *key*; bring an adapter at once, a model with the next plan."""
-        self.totals.note_want(key)
+        self.totals.note_missing(key)
         config = self._config()
         if not self._is_there(key):
             self._wanted.set()
--- a/tests/demand/test_meter.py
+++ b/tests/demand/test_totals.py
@@ -2,7 +2,8 @@
 
 from __future__ import annotations
 
-from limeshelf.demand.meter import DemandTotals, KeyDemand, ModelKey
+from limeshelf.demand.keys import KeyDemand, ModelKey
+from limeshelf.demand.totals import DemandTotals
 
 KEY = ModelKey('lm', 'm1')
 
--- a/tests/dispatch/test_dispatcher.py
+++ b/tests/dispatch/test_dispatcher.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from limeshelf.calls.routes import EngineSpec, ServiceSpec
-from limeshelf.demand.meter import ModelKey
+from limeshelf.demand.keys import ModelKey
 from limeshelf.dispatch.dispatcher import Dispatcher
 from limeshelf.dispatch.messages import (
     DispatchProgress,
--- a/tests/placement/test_planner.py
+++ b/tests/placement/test_planner.py
@@ -7,8 +7,9 @@
 from hypothesis import strategies as st
 
 from limeshelf.calls.routes import EngineSpec, ModelSpec
-from limeshelf.demand.meter import ModelKey, ModelLoad
+from limeshelf.demand.keys import ModelKey
 from limeshelf.demand.needs import ModelNeed, needs_of
+from limeshelf.demand.totals import KeyTotals
 from limeshelf.placement.pace import LoadPace
 from limeshelf.placement.planner import Holder, Move, Planner
 from limeshelf.placement.starvation import Starvation
@@ -241,24 +242,24 @@
 def test_needs_add_up_the_keys_of_a_model() -> None:
     now_s = boottime_s()
     loads = {
-        ModelKey('lm', 'hot'): ModelLoad(
-            rate=2.0,
-            lasting_rate=2.0,
+        ModelKey('lm', 'hot'): KeyTotals(
+            calls_per_s=2.0,
+            lasting_calls_per_s=2.0,
             tokens_per_s=2000.0,
             running=3.0,
             seen_s=now_s,
             objective_s=6.0,
         ),
-        ModelKey('lm', 'hot', 'a1'): ModelLoad(
-            rate=1.0,
-            lasting_rate=1.0,
+        ModelKey('lm', 'hot', 'a1'): KeyTotals(
+            calls_per_s=1.0,
+            lasting_calls_per_s=1.0,
             tokens_per_s=1000.0,
             running=1.0,
             seen_s=now_s,
             objective_s=1.0,
         ),
-        ModelKey('lm', 'hot', 'a2'): ModelLoad(seen_s=now_s - 60.0),
-        ModelKey('lm2', 'hot'): ModelLoad(rate=50.0),
+        ModelKey('lm', 'hot', 'a2'): KeyTotals(seen_s=now_s - 60.0),
+        ModelKey('lm2', 'hot'): KeyTotals(calls_per_s=50.0),
     }
     need = needs_of('lm', engine(), loads, lambda model, tokens: 0.055 * tokens)['hot']
     assert (need.calls_per_s, need.running, need.objective_s) == (3.0, 4.0, 1.0)
@@ -268,7 +269,7 @@
 
 def test_rising_demand_counts_as_what_it_will_be() -> None:
     def replicas(lasting_rate: float) -> float:
-        load = ModelLoad(rate=10.0, lasting_rate=lasting_rate, tokens_per_s=10000.0)
+        load = KeyTotals(calls_per_s=10.0, lasting_calls_per_s=lasting_rate, tokens_per_s=10000.0)
         loads = {ModelKey('lm', 'hot'): load}
         return needs_of('lm', engine(), loads, lambda model, tokens: 0.055 * tokens)[
             'hot'
