--- a/limeshelf/platform/configuration.py
+++ b/limeshelf/platform/configuration.py
@@ -1,4 +1,8 @@
-"""The operator's configuration row, read into the product's routes and services."""
+"""The operator's configuration row, read into the product's routes and services.
+
+Owns the format and its defaults; fields that nothing reads are not declared.
+The comments stand where the platform's name misleads.
+"""
 
 from __future__ import annotations
 
@@ -16,6 +20,7 @@
 )
 from limeshelf.errors import InvalidDocument, Problem
 
+#: Table and key of the row that holds the newest configuration, whole.
 CONFIG_TABLE = 'op'
 CONFIG_KEY = 'config'
 
@@ -25,6 +30,7 @@
 
 class _Target(msgspec.Struct, rename='pascal'):
     service: str
+    #: Share of the route's calls, in proportion to the others' weights; no weights of a model.
     weight: float
 
 
@@ -33,42 +39,62 @@
     host: str
     path_prefix: str
     route_kind: str
+    #: How long a call may be held; the caller's own limit may be shorter.
     timeout_ms: float
+    #: To the end of a plain answer, but only to the first event of a stream.
     latency_slo_ms: float = 1000.0
+    #: 0 is the most urgent.
     priority: int = 5
+    #: The only target where ``split`` is empty.
     service: str = ''
     split: list[_Target] = []
+    #: Replicas that one call may go to, the first one included.
     max_attempts: int = 1
     resumable: bool = False
+    #: Longest pause between two events; one event may hold several tokens.
     itl_slo_ms: float = 300.0
 
 
 class _Model(msgspec.Struct, rename='pascal'):
     name: str
+    #: Size of this model.
     weights_mb: float
+    #: From the weight store; sooner from the machine's memory or disk.
     load_time_s: float
+    #: How many there are; they are called a1, a2 and so on.
     adapters: int = 0
+    #: Size of one adapter.
     adapter_size_mb: float = 0.0
+    #: From the memory of the replica's machine.
     warm_s: float | None = None
 
 
 class _Engine(msgspec.Struct, rename='pascal'):
+    #: Calls that run in one batch of a replica.
     slots: int
+    #: Tokens of running calls and kept prompts together, a replica.
     kv_capacity: int = 0
     models: list[_Model] = []
+    #: Not the size of a model: room of a replica for weights and adapters together.
     weights_mb: float = 0.0
+    #: Adapters of all models together, a replica.
     max_adapters: int = 0
+    #: Loads from the weight store by all replicas together.
     loads_per_s: float = 1.0
+    #: Tokens in one event of a stream.
     stride: int = 1
 
 
 class _Service(msgspec.Struct, rename='pascal'):
     name: str
+    #: Connections that one replica takes from all callers together.
     max_conns: int = 100
     engine: _Engine | None = None
 
 
 class _Limits(msgspec.Struct, rename='pascal'):
+    """What a caller may send, and how long it may take or rest."""
+
     max_header_bytes: int = 16384
     max_body_bytes: int = 4 << 20
     header_timeout_ms: float = 3000.0
@@ -88,7 +114,9 @@
 def read_config(value: bytes) -> ServingConfig:
     """Return the configuration in a row.
 
-    :raises InvalidDocument: it is no configuration.
+    A route of unknown kind is read as one whose calls may run at most once.
+
+    :raises InvalidDocument: it is no configuration, with what is wrong with it.
     """
     try:
         document = _configs.decode(value)
--- a/limeshelf/platform/headers.py
+++ b/limeshelf/platform/headers.py
@@ -1,29 +1,51 @@
-"""Headers of the platform's calls: read into the product's types and written from them."""
+"""The platform's headers: their names, what each means, and how its text is read.
+
+Owns the names alone; :mod:`limeshelf.platform.wire` builds calls and answers from
+them. Relies on the types of calls.
+"""
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
-from limeshelf.calls.call import Call, ModelNeed, PromptPart
-from limeshelf.calls.wire import AnswerFacts, SendFacts
+from limeshelf.calls.call import ModelNeed, PromptPart
 from limeshelf.errors import InvalidRequest
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
+#: One attempt of a caller; the caller's own retry has another id. A replica
+#: sends it back, which shows what its answer belongs to.
 CALL_ID = 'Limeshelf-Attempt-Id'
+#: A duration, not a moment: as received, how long the caller waits; as sent to a
+#: replica, how long that may still work.
 DEADLINE = 'Limeshelf-Deadline-Ms'
+#: All parts of the prompt in order, not only its beginning; each with its tokens.
 PARTS = 'Limeshelf-Prompt-Prefix'
+#: The model, and behind a slash one of its adapters.
 MODEL = 'Limeshelf-Model'
+#: Two counts: tokens of the prompt, and the most that may be generated.
 TOKENS = 'Limeshelf-Token-Count'
+#: The caller's guess at the generated tokens, which is often far off.
 LENGTH_HINT = 'Limeshelf-Length-Hint'
+#: The last event of the stream that the receiver of the answer already has.
 LAST_EVENT = 'Last-Event-Id'
+#: Not an instance in our sense: the incarnation of a replica that is meant.
 EXPECT_INSTANCE = 'Limeshelf-Expect-Instance'
+#: Urgency within a replica's batch; see :data:`MOST_URGENT`. Routes have their own rank.
 PRIORITY = 'Limeshelf-Request-Priority'
+#: The replica's signature of its answer.
 STAMP = 'Limeshelf-Server-Stamp'
+#: Set by a replica that did not run the call; without it the call may have run,
+#: whatever the status.
 NOT_EXECUTED = 'Limeshelf-Not-Executed'
+#: Seconds, with fractions.
 RETRY_AFTER = 'Retry-After'
 
+#: Lower numbers are more urgent.
+MOST_URGENT = 0
+LEAST_URGENT = 9
+
 #: Concern one connection only (RFC 9110, section 7.6.1), or are set anew.
 HOP_HEADERS = frozenset(
     {
@@ -40,15 +62,13 @@
         'upgrade',
     }
 )
-_SET_BY_US = frozenset(name.lower() for name in (DEADLINE, EXPECT_INSTANCE, PRIORITY, LAST_EVENT))
-#: Most urgent and least urgent value of the priority header.
-MOST_URGENT = 0
-LEAST_URGENT = 9
-STATUS_MISDIRECTED = 421
-STATUS_NOT_RUN = frozenset({408, 429, 503})
 
 
-def _number(text: str, name: str) -> int:
+def read_count(text: str, name: str) -> int:
+    """Return the whole number in header *name*.
+
+    :raises InvalidRequest: it is no whole number, or below zero.
+    """
     try:
         value = int(text)
     except ValueError:
@@ -58,116 +78,55 @@
     return value
 
 
-def _parts(text: str) -> tuple[PromptPart, ...]:
-    parts = []
-    for item in text.split(','):
-        part_id, _, tokens = item.strip().partition(':')
-        if part_id:
-            parts.append(PromptPart(part_id, _number(tokens or '0', PARTS)))
-    return tuple(parts)
-
+def read_model_need(headers: Mapping[str, str]) -> ModelNeed | None:
+    """Return what a call asks of a model, ``None`` for a call to a plain service.
 
-def _model_need(headers: Mapping[str, str]) -> ModelNeed | None:
-    named = headers.get(MODEL)
-    if not named:
+    :raises InvalidRequest: a header is malformed.
+    """
+    name = headers.get(MODEL)
+    if name is None:
         return None
-    model, _, adapter = named.partition('/')
+    model, _, adapter = name.partition('/')
     prompt, _, output = headers.get(TOKENS, '0,0').partition(',')
-    output_tokens = _number(output or '0', TOKENS)
+    output_tokens = read_count(output or '0', TOKENS)
     hint = headers.get(LENGTH_HINT)
-    likely = _number(hint, LENGTH_HINT) if hint else output_tokens
+    likely = read_count(hint, LENGTH_HINT) if hint else output_tokens
     return ModelNeed(
         model=model,
         adapter=adapter,
-        prompt_tokens=_number(prompt or '0', TOKENS),
+        prompt_tokens=read_count(prompt or '0', TOKENS),
         output_tokens=output_tokens,
         likely_tokens=min(likely, output_tokens) or likely,
-        parts=_parts(headers.get(PARTS, '')),
-    )
-
-
-def read_call(method: str, target: str, headers: Any, body: bytes, arrived_s: float) -> Call:
-    """Return the call in a request.
-
-    :param headers: case-insensitive multi-dictionary of the request.
-    :raises InvalidRequest: a header is missing or malformed.
-    """
-    call_id = headers.get(CALL_ID)
-    if not call_id:
-        raise InvalidRequest(CALL_ID, 'missing')
-    dropped = HOP_HEADERS | _SET_BY_US | _named_by_connection(headers)
-    passed = tuple((name, value) for name, value in headers.items() if name.lower() not in dropped)
-    deadline = headers.get(DEADLINE)
-    return Call(
-        call_id=call_id,
-        method=method,
-        host=headers.get('Host', '').partition(':')[0],
-        target=target,
-        headers=passed,
-        body=body,
-        arrived_s=arrived_s,
-        budget_s=_number(deadline, DEADLINE) / 1000 if deadline else None,
-        model_need=_model_need(headers),
-        last_event_id=headers.get(LAST_EVENT),
+        parts=_read_parts(headers.get(PARTS, '')),
     )
 
 
-def _named_by_connection(headers: Any) -> frozenset[str]:
-    named = headers.get('Connection', '')
-    return frozenset(name.strip().lower() for name in named.split(',')) - {'close', 'keep-alive'}
-
-
-def send_headers(call: Call, facts: SendFacts) -> list[tuple[str, str]]:
-    """Return the headers with which *call* goes to a replica."""
-    headers = list(call.headers)
-    headers.append((DEADLINE, str(max(1, int(facts.left_s * 1000)))))
-    headers.append((EXPECT_INSTANCE, facts.replica_id))
-    if call.model_need is not None:
-        rank = min(LEAST_URGENT, max(MOST_URGENT, facts.priority))
-        headers.append((PRIORITY, str(rank)))
-    if facts.last_event_id is not None:
-        headers.append((LAST_EVENT, facts.last_event_id))
-    return headers
-
-
-def read_answer(status: int, headers: Any) -> AnswerFacts:
-    """Return what the head of a replica's answer says."""
-    retry_after = headers.get(RETRY_AFTER)
-    refused = status == STATUS_MISDIRECTED or NOT_EXECUTED in headers
-    return AnswerFacts(
-        status=status,
-        call_id=headers.get(CALL_ID),
-        stamped=STAMP in headers,
-        encoded='Content-Encoding' in headers,
-        not_run=refused,
-        misdirected=status == STATUS_MISDIRECTED,
-        retry_after_s=_seconds(retry_after),
-        headers=tuple(
-            (name, value) for name, value in headers.items() if name.lower() not in HOP_HEADERS
-        ),
-        keep_alive_s=_keep_alive_s(headers.get('Keep-Alive')),
-        closes='close' in headers.get('Connection', '').lower(),
-    )
+def _read_parts(text: str) -> tuple[PromptPart, ...]:
+    parts = []
+    for item in text.split(','):
+        part_id, _, tokens = item.strip().partition(':')
+        if part_id:
+            parts.append(PromptPart(part_id, read_count(tokens or '0', PARTS)))
+    return tuple(parts)
 
 
-def _seconds(text: str | None) -> float | None:
+def read_seconds(text: str | None) -> float | None:
+    """Return a time in seconds; ``None`` if there is none, or another notation."""
     try:
         return max(0.0, float(text)) if text else None
     except ValueError:
         return None
 
 
-def _keep_alive_s(text: str | None) -> float | None:
+def read_keep_alive_s(text: str | None) -> float | None:
+    """Return how long the sender of a ``Keep-Alive`` header keeps an idle connection."""
     for item in (text or '').split(','):
         name, _, value = item.strip().partition('=')
         if name.lower() == 'timeout':
-            return _seconds(value)
+            return read_seconds(value)
     return None
 
 
-def refusal_headers(call_id: str | None, retry_after_s: float | None) -> list[tuple[str, str]]:
-    """Return the headers of an answer of our own."""
-    headers = [(CALL_ID, call_id)] if call_id else []
-    if retry_after_s is not None:
-        headers.append((RETRY_AFTER, f'{max(0.0, retry_after_s):.3f}'))
-    return headers
+def named_by_connection(text: str) -> frozenset[str]:
+    """Return the headers that a ``Connection`` header binds to the connection."""
+    return frozenset(name.strip().lower() for name in text.split(',')) - {'close', 'keep-alive'}
--- a/limeshelf/platform/engine.py
+++ b/limeshelf/platform/orders.py
@@ -1,4 +1,9 @@
-"""Orders to replicas and their reports."""
+"""Orders to replicas, and the reports that replicas give when asked.
+
+Owns the connections that carry them, apart from those of calls, so that an
+order never waits behind a call. Relies on :mod:`limeshelf.platform.replicas` to
+read a report. Retries nothing: the order queue decides what follows.
+"""
 
 from __future__ import annotations
 
@@ -16,28 +21,38 @@
 from limeshelf.replicas.record import ReplicaReport
 from limeshelf.util.sockets import forgetting_socket
 
+#: Longest time for a new connection. Chosen, not measured.
 CONNECT_S = 0.4
+#: Longest wait for a whole answer, the connection included. Chosen, not measured.
 ANSWER_S = 0.8
+#: An unused connection is closed after this time. Chosen, not measured.
 IDLE_S = 3.0
-#: Connections to one replica.
-LIMIT = 2
+#: Connections to one replica: one for an order, one for a report beside it.
+#: Chosen, not measured.
+CONNECTIONS_PER_REPLICA = 2
+
+#: What a replica's answer to an order means; any other status rejects the order.
 _OUTCOMES = {
     200: OrderOutcome.HOLDS_ALREADY,
     202: OrderOutcome.TAKEN,
+    # Another order is under way, or the replica has taken another number of orders.
     409: OrderOutcome.BUSY_OR_STALE,
     412: OrderOutcome.FENCED_OFF,
     421: OrderOutcome.GONE,
 }
 
 
-class EngineClient:
-    """Asks and orders replicas; implements :class:`limeshelf.orders.order.OrderWire`."""
+class ReplicaOrderClient:
+    """Implements :class:`limeshelf.orders.order.OrderWire`."""
 
     def __init__(self) -> None:
         self._session: aiohttp.ClientSession | None = None
 
     async def report(self, address: str, replica_id: str) -> ReplicaReport:
-        """Return a replica's report; raises :exc:`ReplicaSilent`."""
+        """Return a replica's report.
+
+        :raises ReplicaSilent: no usable report came in time.
+        """
         status, body = await self._call('GET', address, '/report', replica_id, None)
         if status != 200:
             raise ReplicaSilent(replica_id)
@@ -47,10 +62,14 @@
             raise ReplicaSilent(replica_id) from None
 
     async def order(self, address: str, replica_id: str, order: Order) -> OrderAnswer:
-        """Send an order; raises :exc:`ReplicaSilent` where it may have been taken."""
+        """Send an order.
+
+        :raises ReplicaSilent: no answer came in time; the order may have been taken.
+        """
         body: dict[str, Any] = {
             'Op': order.kind.value,
             'Model': order.model,
+            # No revision: the number of orders that the replica has taken.
             'ExpectedRevision': order.expected_number,
             'Holder': order.holder,
             'FencingToken': order.fence,
@@ -79,7 +98,9 @@
 
     def _open(self) -> aiohttp.ClientSession:
         if self._session is None:
-            self._session = open_session(CONNECT_S, IDLE_S, forgetting_socket, LIMIT)
+            self._session = open_session(
+                CONNECT_S, IDLE_S, forgetting_socket, CONNECTIONS_PER_REPLICA
+            )
         return self._session
 
     async def close(self) -> None:
--- a/limeshelf/platform/replicas.py
+++ b/limeshelf/platform/replicas.py
@@ -1,4 +1,8 @@
-"""Rows of replicas and their reports, read into the product's records."""
+"""Rows of replicas and their reports, read into the product's records.
+
+Owns the formats. Fields that nothing reads are not declared; the decoder passes
+over them. The comments stand where the platform's name misleads.
+"""
 
 from __future__ import annotations
 
@@ -9,17 +13,24 @@
 from limeshelf.errors import InvalidDocument, Problem
 from limeshelf.replicas.record import Holding, ReplicaRecord, ReplicaReport
 
+#: Table of the store in which replicas record themselves.
 REPLICA_TABLE = 'servers'
+#: State of a replica that takes no new calls and ends before long.
 DRAINING = 'draining'
 
 
 class _Held(msgspec.Struct, rename='pascal'):
+    """A model whose weights are loaded and ready."""
+
     name: str
-    version: int = 0
+    #: Ready adapters: names, or objects with a name.
     adapters: list[Any] = []
 
 
 class _Copies(msgspec.Struct, rename='pascal'):
+    """Weights that a load need not fetch from the store; not ready for calls."""
+
+    #: Memory of the replica's machine, not of its accelerator.
     in_memory: list[Any] = []
     on_disk: list[Any] = []
 
@@ -27,32 +38,47 @@
 class _Entry(msgspec.Struct, rename='pascal'):
     service: str
     address: str
+    #: The data centre.
     zone: str = ''
+    #: Calls that it works on at once; it queues a few more.
     slots: int = 1
     state: str = 'ready'
+    #: Time until the replica is gone, whatever it runs; told only by one that
+    #: goes at short notice.
     remaining_ms: float | None = None
     models: list[_Held] = []
+    #: Heartbeats here, but orders taken in a report (commit 199f897: every order
+    #: of a day was refused when the two were mixed up).
     seq_no: int = 0
 
 
 class _Report(msgspec.Struct, rename='pascal'):
     models: list[_Held] = []
+    #: An order is under way; says nothing of calls.
     is_busy: bool = False
+    #: Orders taken since its start, adapters' included; not heartbeats as in its row.
     seq_no: int = 0
+    #: Calls that wait there.
     queued: int = 0
+    #: Calls in its batch.
     running: int = 0
+    #: Tokens of memory that cannot be evicted; kept prompts that can are not in it.
     kv_used: int = 0
     kv_total: int = 0
+    #: Adapters on their way, as MODEL/NAME@VERSION; they count as held for room.
     loading: list[str] = []
+    #: As in its row; empty if not told.
     state: str = ''
     available: _Copies | None = None
 
 
+_MS = 1000.0
 _entries = msgspec.json.Decoder(_Entry, strict=False)
 _reports = msgspec.json.Decoder(_Report, strict=False)
 
 
 def _name(item: Any) -> str:
+    """Return the name in NAME@VERSION, or in an object with such a name."""
     text = item if isinstance(item, str) else str(item.get('Name', ''))
     return text.partition('@')[0]
 
@@ -65,12 +91,16 @@
 
 
 def _loading(text: str) -> tuple[str, str]:
+    """Return model and adapter of MODEL/NAME@VERSION."""
     model, _, adapter = text.partition('@')[0].partition('/')
     return model, adapter
 
 
 def read_record(replica_id: str, value: bytes) -> ReplicaRecord:
-    """Return the record in a replica's row; raises :exc:`InvalidDocument`."""
+    """Return the record in a replica's row.
+
+    :raises InvalidDocument: it is no record, with what is wrong with it.
+    """
     try:
         entry = _entries.decode(value)
     except msgspec.MsgspecError as error:
@@ -82,14 +112,17 @@
         data_centre=entry.zone,
         slots=entry.slots,
         leaving=entry.state == DRAINING,
-        leaves_in_s=None if entry.remaining_ms is None else entry.remaining_ms / 1000,
+        leaves_in_s=None if entry.remaining_ms is None else entry.remaining_ms / _MS,
         holdings=_holdings(entry.models),
         beat_number=entry.seq_no,
     )
 
 
 def read_report(value: bytes) -> ReplicaReport:
-    """Return a replica's report; raises :exc:`InvalidDocument`."""
+    """Return the report in the body of a replica's answer.
+
+    :raises InvalidDocument: it is no report, with what is wrong with it.
+    """
     try:
         report = _reports.decode(value)
     except msgspec.MsgspecError as error:
--- a/limeshelf/platform/sessions.py
+++ b/limeshelf/platform/sessions.py
@@ -1,4 +1,8 @@
-"""HTTP sessions towards the platform's services and replicas."""
+"""HTTP sessions of the adapter: towards the store, and for orders to replicas.
+
+Calls go over sessions of their own (:mod:`limeshelf.replicas.connections`), one
+a replica and with limits that the replica states.
+"""
 
 from __future__ import annotations
 
@@ -21,8 +25,11 @@
 ) -> aiohttp.ClientSession:
     """Return a session that repeats nothing by itself.
 
-    :param connect_s: longest time for a new connection.
-    :param idle_s: an unused connection is closed after this time.
+    The caller sets the time limit of each exchange.
+
+    :param connect_s: longest time for a new connection, in seconds.
+    :param idle_s: an unused connection is closed after this time, in seconds.
+    :param make_socket: makes the socket of a new connection.
     :param limit_per_host: connections to one address; 0 for no limit.
     """
     connector = aiohttp.TCPConnector(
--- a/limeshelf/platform/store.py
+++ b/limeshelf/platform/store.py
@@ -1,4 +1,9 @@
-"""The platform's metadata store: rows under conditions, and the feed of their changes."""
+"""The platform's metadata store: rows under conditions, and the feed of their changes.
+
+Owns the connections to the store. Relies on the port in
+:mod:`limeshelf.feeds.rows`. Retries nothing, and tells a call that had no effect
+from one whose effect is unknown.
+"""
 
 from __future__ import annotations
 
@@ -14,26 +19,41 @@
 from limeshelf.platform.sessions import open_session
 from limeshelf.util.sockets import lasting_socket
 
+#: Name of the store in errors and log lines.
 STORE = 'store'
 #: Longest wait for an answer, beyond what the call itself waits for.
+#: Chosen, not measured.
 ANSWER_S = 1.2
+#: Longest time for a new connection. Chosen, not measured.
 CONNECT_S = 0.6
+#: An unused connection is closed after this time. Chosen, not measured.
 IDLE_S = 20.0
+STATUS_OK = 200
+#: A row of the condition has another version; nothing was written.
 STATUS_CONDITION = 412
+#: The feed no longer has the changes after the asked version.
 STATUS_HISTORY_GONE = 410
+#: Refused before anything was done: too many calls, or the store is not available.
+STATUS_NOT_DONE = frozenset({429, 503})
 
 
 class _Row(msgspec.Struct, rename={'key': 'Key', 'value': 'Value'}):
     key: str
+    #: From one counter of the whole store, not one a row.
     ver: int = 0
+    #: In base64.
     value: str = ''
+    #: The row was deleted at this version; only the feed tells of it.
     gone: bool = False
 
 
 class _Answer(msgspec.Struct, rename={'rows': 'Rows'}):
+    #: Version of the whole store when it answered.
     ver: int = 0
     rows: list[_Row] = []
+    #: The answer was cut; the next one begins behind its last row.
     more: bool = False
+    #: The store's steady clock, not the time of day.
     now_ms: float = 0
 
 
@@ -41,6 +61,7 @@
 
 
 def _rows(answer: _Answer) -> tuple[Row, ...]:
+    """Return the rows of an answer; a malformed value makes it unusable."""
     try:
         return tuple(
             Row(row.key, base64.b64decode(row.value), row.ver, row.gone) for row in answer.rows
@@ -49,8 +70,28 @@
         raise PlatformUnknown(STORE) from None
 
 
+def _read_answer(status: int, body: bytes, query: dict[str, str] | None) -> _Answer:
+    """Return the answer of a call that was done; raises what any other one means."""
+    if status == STATUS_HISTORY_GONE:
+        raise HistoryGone((query or {}).get('table', ''))
+    if status in STATUS_NOT_DONE:
+        raise PlatformUnavailable(STORE)
+    if status not in (STATUS_OK, STATUS_CONDITION):
+        raise PlatformUnknown(STORE)
+    try:
+        answer = _answers.decode(body)
+    except ValueError:
+        raise PlatformUnknown(STORE) from None
+    if status == STATUS_CONDITION:
+        raise ConditionFailed(_rows(answer))
+    return answer
+
+
 class StoreClient:
-    """Client of the store; implements :class:`limeshelf.feeds.rows.RowTable`."""
+    """Implements :class:`limeshelf.feeds.rows.RowTable`, whose errors it raises.
+
+    :ivar calls: calls made so far.
+    """
 
     def __init__(self, address: str) -> None:
         self.calls = 0
@@ -58,7 +99,7 @@
         self._session: aiohttp.ClientSession | None = None
 
     def change_address(self, address: str) -> None:
-        """Make the next calls at another address."""
+        """Send the next calls to another address."""
         self._base_url = f'http://{address}'
 
     async def read(self, table: str) -> Page:
@@ -67,6 +108,7 @@
         version = 0
         start = ''
         while True:
+            # A part groups rows that are written together; the product uses none.
             query = {'table': table, 'part': ''}
             if start:
                 query['From'] = start
@@ -76,6 +118,7 @@
             version = min(version, answer.ver) if version else answer.ver
             if not answer.more or not page:
                 return Page(tuple(rows), version, int(answer.now_ms))
+            # The least key behind the last one.
             start = page[-1].key + '\0'
 
     async def changes(self, table: str, after: int, wait_s: float) -> Page:
@@ -85,13 +128,18 @@
         return Page(_rows(answer), answer.ver, int(answer.now_ms))
 
     async def write(self, table: str, key: str, value: bytes, expected: int | None) -> int:
-        """Write a row and return the store's version."""
+        """Write a row and return the store's version.
+
+        :param expected: version that the row must have, 0 for none; ``None``
+            writes whatever there is.
+        :raises ConditionFailed: the row has another version.
+        """
         put = {'table': table, 'part': '', 'Key': key, 'Value': base64.b64encode(value).decode()}
         answer = await self._transact(table, key, expected, put=[put], drop=[])
         return answer.ver
 
     async def delete(self, table: str, key: str, expected: int | None) -> None:
-        """Delete a row."""
+        """Delete a row; arguments and errors as for :meth:`write`."""
         drop = {'table': table, 'part': '', 'Key': key}
         await self._transact(table, key, expected, put=[], drop=[drop])
 
@@ -101,6 +149,7 @@
         conditions = []
         if expected is not None:
             conditions = [{'table': table, 'part': '', 'Key': key, 'ver': expected}]
+        # Not one revision: the rows of the condition with their versions.
         body = {'ExpectedRevision': conditions, 'put': put, 'Delete': drop}
         return await self._call('POST', '/rows-tx', body=body)
 
@@ -120,27 +169,12 @@
                 async with self._open().request(
                     method, self._base_url + path, params=query, data=data, headers=headers
                 ) as answer:
-                    return self._judge(answer.status, await answer.read(), query)
+                    return _read_answer(answer.status, await answer.read(), query)
         except aiohttp.ClientConnectorError:
             raise PlatformUnavailable(STORE) from None
         except (TimeoutError, aiohttp.ClientError, OSError):
             raise PlatformUnknown(STORE) from None
 
-    def _judge(self, status: int, body: bytes, query: dict[str, str] | None) -> _Answer:
-        if status == STATUS_HISTORY_GONE:
-            raise HistoryGone((query or {}).get('table', ''))
-        if status in (429, 503):
-            raise PlatformUnavailable(STORE)
-        if status not in (200, STATUS_CONDITION):
-            raise PlatformUnknown(STORE)
-        try:
-            answer = _answers.decode(body)
-            if status == STATUS_CONDITION:
-                raise ConditionFailed(_rows(answer))
-        except (msgspec.MsgspecError, ValueError):
-            raise PlatformUnknown(STORE) from None
-        return answer
-
     def _open(self) -> aiohttp.ClientSession:
         if self._session is None:
             self._session = open_session(CONNECT_S, IDLE_S, lasting_socket)
--- a/limeshelf/platform/wire.py
+++ b/limeshelf/platform/wire.py
@@ -1,14 +1,32 @@
-"""The platform's spelling of calls and answers behind the product's port."""
+"""Calls and answers as the platform writes them, behind the product's port.
+
+Owns nothing and decides nothing: it turns a request into a
+:class:`~limeshelf.calls.call.Call`, and the head of a replica's answer into
+:class:`~limeshelf.calls.wire.AnswerFacts`. Relies on the header names.
+"""
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
+from limeshelf.calls.call import Call
+from limeshelf.calls.wire import AnswerFacts, SendFacts
+from limeshelf.errors import InvalidRequest
 from limeshelf.platform import headers
 
-if TYPE_CHECKING:
-    from limeshelf.calls.call import Call
-    from limeshelf.calls.wire import AnswerFacts, SendFacts
+#: The replica is another incarnation than the one that was meant, or does not
+#: hold what the call needs; it did not run the call.
+STATUS_MISDIRECTED = 421
+#: Written by us for each replica that a call goes to; a caller's own are left out.
+_SET_BY_US = frozenset(
+    name.lower()
+    for name in (
+        headers.DEADLINE,
+        headers.EXPECT_INSTANCE,
+        headers.PRIORITY,
+        headers.LAST_EVENT,
+    )
+)
 
 
 class PlatformWire:
@@ -17,19 +35,78 @@
     def read_call(
         self, method: str, target: str, fields: Any, body: bytes, arrived_s: float
     ) -> Call:
-        """Return the call in a request; raises :exc:`InvalidRequest`."""
-        return headers.read_call(method, target, fields, body, arrived_s)
+        """Return the call in a request.
+
+        :param target: path and query exactly as received.
+        :param fields: case-insensitive multi-dictionary of the request's headers.
+        :param arrived_s: on the steady clock.
+        :raises InvalidRequest: a header is missing or malformed.
+        """
+        call_id = fields.get(headers.CALL_ID)
+        if not call_id:
+            raise InvalidRequest(headers.CALL_ID, 'missing')
+        bound = headers.named_by_connection(fields.get('Connection', ''))
+        dropped = headers.HOP_HEADERS | _SET_BY_US | bound
+        passed = tuple(
+            (name, value) for name, value in fields.items() if name.lower() not in dropped
+        )
+        deadline = fields.get(headers.DEADLINE)
+        return Call(
+            call_id=call_id,
+            method=method,
+            host=fields.get('Host', '').partition(':')[0],
+            target=target,
+            headers=passed,
+            body=body,
+            arrived_s=arrived_s,
+            budget_s=headers.read_count(deadline, headers.DEADLINE) / 1000 if deadline else None,
+            model_need=headers.read_model_need(fields),
+            last_event_id=fields.get(headers.LAST_EVENT),
+        )
 
     def send_headers(self, call: Call, facts: SendFacts) -> list[tuple[str, str]]:
         """Return the headers with which a call goes to a replica."""
-        return headers.send_headers(call, facts)
+        sent = list(call.headers)
+        sent.append((headers.DEADLINE, str(max(1, int(facts.left_s * 1000)))))
+        sent.append((headers.EXPECT_INSTANCE, facts.replica_id))
+        if call.model_need is not None:
+            rank = min(headers.LEAST_URGENT, max(headers.MOST_URGENT, facts.priority))
+            sent.append((headers.PRIORITY, str(rank)))
+        if facts.last_event_id is not None:
+            sent.append((headers.LAST_EVENT, facts.last_event_id))
+        return sent
 
     def read_answer(self, status: int, fields: Any) -> AnswerFacts:
-        """Return what the head of a replica's answer says."""
-        return headers.read_answer(status, fields)
+        """Return what the head of a replica's answer says.
+
+        :param fields: case-insensitive multi-dictionary of the answer's headers.
+        """
+        misdirected = status == STATUS_MISDIRECTED
+        return AnswerFacts(
+            status=status,
+            call_id=fields.get(headers.CALL_ID),
+            stamped=headers.STAMP in fields,
+            encoded='Content-Encoding' in fields,
+            not_run=misdirected or headers.NOT_EXECUTED in fields,
+            misdirected=misdirected,
+            retry_after_s=headers.read_seconds(fields.get(headers.RETRY_AFTER)),
+            headers=tuple(
+                (name, value)
+                for name, value in fields.items()
+                if name.lower() not in headers.HOP_HEADERS
+            ),
+            keep_alive_s=headers.read_keep_alive_s(fields.get('Keep-Alive')),
+            closes='close' in fields.get('Connection', '').lower(),
+        )
 
     def refusal_headers(
         self, call_id: str | None, retry_after_s: float | None
     ) -> list[tuple[str, str]]:
-        """Return the headers of an answer of our own."""
-        return headers.refusal_headers(call_id, retry_after_s)
+        """Return the headers of an answer of our own.
+
+        :param retry_after_s: when to come back, in seconds; ``None`` says nothing.
+        """
+        sent = [(headers.CALL_ID, call_id)] if call_id else []
+        if retry_after_s is not None:
+            sent.append((headers.RETRY_AFTER, f'{max(0.0, retry_after_s):.3f}'))
+        return sent
--- a/limeshelf/programs/gateway.py
+++ b/limeshelf/programs/gateway.py
@@ -32,7 +32,7 @@
 from limeshelf.peers.node import PeerNode
 from limeshelf.placement.service import FleetService
 from limeshelf.platform.configuration import CONFIG_KEY, CONFIG_TABLE, read_config
-from limeshelf.platform.engine import EngineClient
+from limeshelf.platform.orders import ReplicaOrderClient
 from limeshelf.platform.replicas import REPLICA_TABLE, read_record
 from limeshelf.platform.store import StoreClient
 from limeshelf.platform.wire import PlatformWire
@@ -97,7 +97,7 @@
         settings = self.settings
         self.meter = DemandMeter(self.directory, lambda key: self.neighbours.want(key))
         self.leadership = Leadership(self.store, settings.instance_id, settings.placement.lease_s)
-        self.engines = EngineClient()
+        self.engines = ReplicaOrderClient()
         self.desk = OrderDesk(
             self.engines, self.directory, self.leadership, settings.instance_id, self.figures
         )
--- a/tests/forms/test_platform_wire.py
+++ b/tests/forms/test_platform_wire.py
@@ -21,7 +21,7 @@
 from limeshelf.errors import InvalidRequest, PlatformUnavailable, PlatformUnknown
 from limeshelf.feeds.rows import ConditionFailed, HistoryGone, Page, Row
 from limeshelf.orders.order import Order, OrderAnswer, OrderKind, OrderOutcome, ReplicaSilent
-from limeshelf.platform.engine import EngineClient
+from limeshelf.platform.orders import ReplicaOrderClient
 from limeshelf.platform.store import StoreClient
 from limeshelf.platform.wire import PlatformWire
 from limeshelf.replicas.record import Holding, ReplicaReport
@@ -213,7 +213,7 @@
 
 def ask_replica(peer: Peer, call: Any) -> Any:
     async def scenario(address: str) -> Any:
-        client = EngineClient()
+        client = ReplicaOrderClient()
         try:
             return await call(client, address)
         finally:
@@ -226,7 +226,7 @@
     return lambda client, address: client.order(address, 'r-1', order)
 
 
-def report_call(client: EngineClient, address: str) -> Any:
+def report_call(client: ReplicaOrderClient, address: str) -> Any:
     return client.report(address, 'r-1')
 
 
--- a/tests/orders/test_desk.py
+++ b/tests/orders/test_desk.py
@@ -13,7 +13,7 @@
 from limeshelf.metrics.prometheus import GatewayMetrics
 from limeshelf.orders.desk import OrderDesk, Task
 from limeshelf.orders.order import OrderKind
-from limeshelf.platform.engine import EngineClient
+from limeshelf.platform.orders import ReplicaOrderClient
 from limeshelf.platform.replicas import read_record
 from limeshelf.replicas.directory import ReplicaDirectory
 from limeshelf.replicas.record import Holding, ReplicaRecord
@@ -44,7 +44,7 @@
         self.stand_in = replica
         self.directory = ReplicaDirectory(read_record)
         self.leadership = FixedTerm(Term(5, 1e12, 1))
-        self.client = EngineClient()
+        self.client = ReplicaOrderClient()
         leadership: Any = self.leadership
         self.desk = OrderDesk(self.client, self.directory, leadership, 'g-1', GatewayMetrics())
 
