--- a/limeshelf/lease/leadership.py
+++ b/limeshelf/lease/leadership.py
@@ -17,9 +17,8 @@
 
 LEASE_TABLE = 'lease'
 LEASE_KEY = 'placement'
-#: A holder stops this long before others may take the lease over.
-MARGIN_S = 0.4
-#: A holder renews when this share of the lease has passed.
+#: A holder renews when this share of the lease has passed; chosen, not measured
+#: (commit a904fff).
 RENEW_SHARE = 0.35
 
 
@@ -42,22 +41,14 @@
 class Term:
     """One holding of the lease.
 
-    :ivar valid_until_s: on this machine's steady clock, with a margin.
-    :ivar superseded: somebody else was seen with a higher fence.
+    :ivar renewed_s: when the row was last written, on this machine's steady
+        clock; a moment before the write was sent.
+    :ivar row_version: the store's version of that write.
     """
 
     fence: int
-    valid_until_s: float
+    renewed_s: float
     row_version: int
-    superseded: bool = False
-
-    def may_order(self) -> bool:
-        """Return whether orders may go out under this term.
-
-        A term that could not be renewed because the store is away goes on:
-        the replicas refuse its fence as soon as a successor used a higher one.
-        """
-        return not self.superseded
 
 
 class Leadership:
@@ -77,7 +68,7 @@
     @property
     def fence(self) -> int:
         """Return the fence of the term, or 0 without one."""
-        return self.term.fence if self.term and not self.term.superseded else 0
+        return self.term.fence if self.term else 0
 
     def note_fence(self, fence: int) -> None:
         """Note a fence that somebody else uses or a replica has seen."""
@@ -88,7 +79,6 @@
     def end(self, cause: str) -> None:
         """End the term; no order goes out under it any more."""
         if self.term is not None:
-            self.term.superseded = True
             log_change('term_ended', fence=self.term.fence, cause=cause)
             self.term = None
 
@@ -103,8 +93,7 @@
             return
 
     def _renewal_due(self, term: Term) -> bool:
-        left_s = term.valid_until_s - boottime_s()
-        return left_s < self._lease_s * (1 - RENEW_SHARE) - MARGIN_S
+        return boottime_s() - term.renewed_s > RENEW_SHARE * self._lease_s
 
     async def _contend(self) -> None:
         page = await self._store.read(LEASE_TABLE)
@@ -136,14 +125,12 @@
             if self.term is not None:
                 self.end('condition_failed')
             return
-        # The row's end counts from a moment before it was sent.
-        until_s = sent_s + self._lease_s - MARGIN_S
         if self.term is None:
-            self.term = Term(fence, until_s, version)
+            self.term = Term(fence, sent_s, version)
             self._highest_fence = max(self._highest_fence, fence)
             log_change('term_begun', fence=fence, row_version=version)
         else:
-            self.term.valid_until_s = until_s
+            self.term.renewed_s = sent_s
             self.term.row_version = version
 
     async def release(self) -> None:
--- a/limeshelf/orders/desk.py
+++ b/limeshelf/orders/desk.py
@@ -76,7 +76,6 @@
     claimed_s: float = 0.0
     going: set[tuple[str, str]] = attrs.field(factory=set)
     lock: asyncio.Lock = attrs.field(factory=asyncio.Lock)
-    waiting: int = 0
 
     @property
     def is_fresh(self) -> bool:
@@ -259,7 +258,7 @@
         if obstacle is not None:
             return obstacle
         term = self._leadership.term
-        if term is None or not term.may_order() or not replica.takes_calls:
+        if term is None or not replica.takes_calls:
             return OrderOutcome.FENCED_OFF
         expected = replica.order_number or 0
         order = Order(task.kind, task.model, task.adapter, expected, self._holder, term.fence)
--- a/limeshelf/placement/service.py
+++ b/limeshelf/placement/service.py
@@ -182,7 +182,7 @@
             report = replica.report
             at_hand = (report.in_memory | report.on_disk) if report else frozenset()
             claimed = lane.claimed_fence == self._leadership.fence
-            busy = lane.busy_with_model or lane.waiting > 0 or bool(report and report.busy)
+            busy = lane.busy_with_model or bool(report and report.busy)
             holders.append(
                 Holder(
                     replica.replica_id,
