--- a/limeshelf/gateway/answer.py
+++ b/limeshelf/gateway/answer.py
@@ -8,7 +8,6 @@
 from multidict import CIMultiDict
 
 from limeshelf.errors import LimeshelfError
-from limeshelf.util.clock import boottime_s
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -47,8 +46,6 @@
 
     def __init__(self, request: web.BaseRequest, closing: bool) -> None:
         self.started = False
-        self.aborted = False
-        self.first_byte_s = 0.0
         self.response: web.StreamResponse | None = None
         self._request = request
         self._closing = closing
@@ -64,7 +61,6 @@
             response.force_close()
         self.started = True
         self.response = response
-        self.first_byte_s = boottime_s()
         try:
             await response.prepare(self._request)
         except ConnectionError:
@@ -97,7 +93,6 @@
 
     def abort(self) -> None:
         """Break the connection off, so that the answer never looks whole."""
-        self.aborted = True
         transport = self._request.transport
         if transport is not None:
             transport.abort()
--- a/limeshelf/gateway/exchange.py
+++ b/limeshelf/gateway/exchange.py
@@ -22,7 +22,6 @@
     from limeshelf.replicas.connections import ReplicaConnections
 
 MAX_BODY_BYTES = 32 << 20
-CHUNK_BYTES = 1 << 16
 EVENT_STREAM = 'text/event-stream'
 
 
@@ -67,7 +66,6 @@
 
     reached: bool
     misdirected: bool = False
-    retry_after_s: float | None = None
     status: int = 0
 
 
@@ -142,7 +140,7 @@
             return Broken(Doubt.FOREIGN_ANSWER, Failure.FOREIGN)
         if facts.not_run:
             await self._finish(response, facts)
-            return NeverRan(True, facts.misdirected, facts.retry_after_s, facts.status)
+            return NeverRan(True, facts.misdirected, facts.status)
         if not facts.stamped or facts.encoded:
             return Broken(Doubt.FOREIGN_ANSWER, Failure.FOREIGN)
         if response.status == 200 and response.content_type == EVENT_STREAM:
