--- a/limeshelf/dispatch/client.py
+++ b/limeshelf/dispatch/client.py
@@ -1,4 +1,12 @@
-"""The asking side: gets a replica for a call from the dispatcher, or says there is none."""
+"""Gets a replica for a model call from the dispatcher in force.
+
+Asks the leading gateway, or the dispatcher of this process where
+:mod:`limeshelf.dispatch.fallback` says so, and asks again while the request is queued, so
+that a new dispatcher learns of it.
+Owns the requests of this process that have no final verdict yet, and this process's own
+dispatcher; relies on the connections to peers for the messages in
+:mod:`limeshelf.dispatch.messages`, which may get lost.
+"""
 
 from __future__ import annotations
 
@@ -8,6 +16,8 @@
 import attrs
 
 from limeshelf.dispatch.dispatcher import Dispatcher
+from limeshelf.dispatch.fallback import ANSWER_TIMEOUT_S, AVOID_S, LOCAL, Fallback
+from limeshelf.dispatch.grants import Grant, GrantRequest, NoHolder, NoRoom
 from limeshelf.dispatch.messages import (
     DispatchProgress,
     DispatchQuery,
@@ -23,99 +33,59 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from limeshelf.calls.call import ModelNeed
-    from limeshelf.demand.keys import ModelKey
+    from limeshelf.calls.routes import ServingConfig
     from limeshelf.peers.codec import Envelope
     from limeshelf.peers.node import PeerNode
     from limeshelf.replicas.directory import ReplicaDirectory
 
-#: A dispatcher that does not answer within this time is not asked for a while.
-ANSWER_S = 0.08
-AVOID_S = 0.4
-#: Without a dispatcher every gateway grants by itself, this part of the reading.
-OWN_SHARE = 0.4
-#: A call that waits asks again this often, so that a new dispatcher learns of it.
+#: A queued request is sent again this often, so that a new dispatcher learns of it; four
+#: times within the dispatcher's ``UNASKED_LIFE_S``. Chosen, not measured (7b7cfc1).
 ASK_AGAIN_S = 0.25
-PUMP_S = 0.015
-LOCAL = ''
-
-
-@attrs.frozen
-class PlaceRequest:
-    """What a call asks the dispatcher for.
-
-    :param objective_s: time left until the first event is late.
-    :param left_s: time until the caller gives up waiting for the first event.
-    :param returned: the caller was refused before and has come back.
-    """
-
-    key: ModelKey
-    need: ModelNeed
-    priority: int
-    objective_s: float
-    left_s: float
-    pause_s: float
-    excluded: frozenset[str]
-    returned: bool
-
-
-@attrs.frozen
-class NoPlace:
-    """No replica takes the call now.
-
-    :param absent: none holds what it needs.
-    :param wait_s: time until one likely has room, where some hold it.
-    """
-
-    absent: bool
-    wait_s: float = 0.0
+#: The own queue is tried this often, because time alone makes room too. Lowered from
+#: 50 ms by 92894f5, which names no run for it.
+PUMP_INTERVAL_S = 0.015
 
 
 @attrs.define(eq=False)
-class Place:
-    """A granted replica; the dispatcher is told how the call goes on.
+class _PendingRequest:
+    """A request without a final verdict.
 
-    :ivar replica_id: where the call goes.
+    :ivar dispatcher: who was asked last.
+    :ivar late_s: on the steady clock, when the first event is late.
+    :ivar ends_s: on the steady clock, when the caller gives up.
     """
 
-    ticket_id: str
-    replica_id: str
-    _client: DispatchClient
-    _dispatcher: str
-    _was_read: bool = False
-
-    def read(self) -> None:
-        """Say that the first event is there, so the prompt was read."""
-        if not self._was_read:
-            self._was_read = True
-            self._client.tell(self._dispatcher, DispatchProgress(self.ticket_id, Stage.READ))
-
-    def ended(self) -> None:
-        """Say that the call is no longer at the replica."""
-        self._client.tell(self._dispatcher, DispatchProgress(self.ticket_id, Stage.ENDED))
+    request_id: str
+    request: GrantRequest
+    dispatcher: str
+    ends_s: float
+    late_s: float
+    verdicts: asyncio.Queue[DispatchVerdict] = attrs.field(factory=asyncio.Queue)
 
 
 class DispatchClient:
     """Asks the dispatcher in force; holds this process's own dispatcher too.
 
-    :param leader: returns the peer address of the dispatching gateway, the
-        empty string for this process, or ``None`` if nobody is known.
+    :param config: returns the configuration in force, ``None`` before the first.
+    :param leader: returns the peer address of the leading gateway, the empty string
+        for this process, or ``None`` if none is known.
+    :param data_centre: of this process.
     """
 
     def __init__(
         self,
         node: PeerNode,
         directory: ReplicaDirectory,
-        config: Callable[[], object],
+        config: Callable[[], ServingConfig | None],
         leader: Callable[[], str | None],
         data_centre: str,
     ) -> None:
-        self.dispatcher = Dispatcher(directory, config, self._send_verdict)  # type: ignore[arg-type]
+        self.dispatcher = Dispatcher(directory, config, self._send_verdict)
         self._node = node
         self._leader = leader
         self._data_centre = data_centre
-        self._verdicts: dict[str, asyncio.Queue[DispatchVerdict]] = {}
-        self._avoid_until_s = 0.0
+        self._pending: dict[str, _PendingRequest] = {}
+        self._fallback = Fallback()
 
     def start(self) -> None:
         """Take messages."""
@@ -124,92 +94,103 @@
         self._node.add_handler(DispatchProgress, self._take_progress)
 
     async def run(self) -> None:
-        """Let waiting calls in also when only time has passed."""
+        """Try the own queue again and again, until cancelled."""
         while True:
-            await asyncio.sleep(PUMP_S)
+            await asyncio.sleep(PUMP_INTERVAL_S)
             if self.dispatcher.waiting:
                 self.dispatcher.pump()
 
-    async def ask(self, request: PlaceRequest) -> Place | NoPlace:
-        """Return a place, or why there is none."""
-        ticket_id = new_id('t')
-        queue: asyncio.Queue[DispatchVerdict] = asyncio.Queue()
-        self._verdicts[ticket_id] = queue
-        dispatcher = self._dispatcher_now()
-        granted = False
-        ends_s = boottime_s() + request.left_s
-        late_s = boottime_s() + request.objective_s
+    async def ask(self, request: GrantRequest) -> Grant | NoRoom | NoHolder:
+        """Return a grant, or why there is none.
+
+        Returns by the time that the request has left; then there is no room.
+        """
+        pending = self._pending_request(request)
+        self._pending[pending.request_id] = pending
+        outcome: Grant | NoRoom | NoHolder | None = None
         try:
-            while boottime_s() < ends_s:
-                chosen = self._dispatcher_now()
-                if chosen != dispatcher:
-                    self.tell(dispatcher, DispatchProgress(ticket_id, Stage.ENDED))
-                    dispatcher = chosen
-                query = self._query(ticket_id, request, late_s, ends_s)
-                self._send_query(dispatcher, query)
-                verdict = await self._wait(queue, dispatcher, ANSWER_S)
-                while verdict is not None and verdict.kind is VerdictKind.QUEUED:
-                    verdict = await self._next(queue, ASK_AGAIN_S)
-                    if verdict is None:
-                        break
-                else:
-                    if verdict is None:
-                        continue
-                    if verdict.kind is VerdictKind.ABSENT:
-                        return NoPlace(absent=True)
-                    if verdict.kind is VerdictKind.REFUSED:
-                        return NoPlace(absent=False, wait_s=verdict.wait_ms / 1000)
-                    granted = True
-                    return Place(ticket_id, verdict.replica_id, self, dispatcher)
-            return NoPlace(absent=False, wait_s=request.objective_s)
+            outcome = await self._settle(pending)
+            return outcome
         finally:
-            del self._verdicts[ticket_id]
-            if not granted:
-                self.tell(dispatcher, DispatchProgress(ticket_id, Stage.ENDED))
-
-    def _dispatcher_now(self) -> str:
-        leader = self._leader()
-        if leader == LOCAL:
-            self.dispatcher.grant_share(1.0)
-            return LOCAL
-        self.dispatcher.grant_share(OWN_SHARE)
-        if leader is None or boottime_s() < self._avoid_until_s:
-            return LOCAL
-        return leader
-
-    async def _wait(
-        self, queue: asyncio.Queue[DispatchVerdict], dispatcher: str, limit_s: float
-    ) -> DispatchVerdict | None:
-        verdict = await self._next(queue, limit_s)
-        if verdict is None and dispatcher != LOCAL:
-            self._avoid_until_s = boottime_s() + AVOID_S
-            log_change('dispatcher_silent', dispatcher=dispatcher, avoided_s=AVOID_S)
+            del self._pending[pending.request_id]
+            if not isinstance(outcome, Grant):
+                self._withdraw(pending)
+
+    def _pending_request(self, request: GrantRequest) -> _PendingRequest:
+        return _PendingRequest(
+            new_id('t'),
+            request,
+            self._choose_dispatcher(),
+            ends_s=boottime_s() + request.left_s,
+            late_s=boottime_s() + request.objective_s,
+        )
+
+    async def _settle(self, pending: _PendingRequest) -> Grant | NoRoom | NoHolder:
+        """Ask until there is a final verdict or the request's time is over."""
+        while boottime_s() < pending.ends_s:
+            chosen = self._choose_dispatcher()
+            if chosen != pending.dispatcher:
+                self._withdraw(pending)
+                pending.dispatcher = chosen
+            self._send_query(chosen, self._query(pending))
+            verdict = await self._final_verdict(pending)
+            if verdict is not None:
+                return self._outcome(pending, verdict)
+        return NoRoom(wait_s=pending.request.objective_s)
+
+    async def _final_verdict(self, pending: _PendingRequest) -> DispatchVerdict | None:
+        """Return the final verdict on a query, or ``None`` if it is time to ask again."""
+        verdict = await self._first_verdict(pending)
+        while verdict is not None and verdict.kind is VerdictKind.QUEUED:
+            verdict = await _next_verdict(pending, ASK_AGAIN_S)
         return verdict
 
-    async def _next(
-        self, queue: asyncio.Queue[DispatchVerdict], limit_s: float
-    ) -> DispatchVerdict | None:
-        try:
-            async with asyncio.timeout(limit_s):
-                return await queue.get()
-        except TimeoutError:
-            return None
-
-    def _query(
-        self, ticket_id: str, request: PlaceRequest, late_s: float, ends_s: float
-    ) -> DispatchQuery:
+    async def _first_verdict(self, pending: _PendingRequest) -> DispatchVerdict | None:
+        verdict = await _next_verdict(pending, ANSWER_TIMEOUT_S)
+        if verdict is None and pending.dispatcher != LOCAL:
+            self._fallback.note_silence(boottime_s())
+            log_change('dispatcher_silent', dispatcher=pending.dispatcher, avoided_s=AVOID_S)
+        return verdict
+
+    def _outcome(
+        self, pending: _PendingRequest, verdict: DispatchVerdict
+    ) -> Grant | NoRoom | NoHolder:
+        if verdict.kind is VerdictKind.ABSENT:
+            return NoHolder()
+        if verdict.kind is VerdictKind.REFUSED:
+            return NoRoom(wait_s=verdict.wait_ms / 1000)
+        dispatcher = pending.dispatcher
+        return Grant(
+            pending.request_id,
+            verdict.replica_id,
+            lambda progress: self._send_progress(dispatcher, progress),
+        )
+
+    def _choose_dispatcher(self) -> str:
+        choice = self._fallback.choose(self._leader(), boottime_s())
+        self.dispatcher.set_reading_share(choice.local_share)
+        return choice.address
+
+    def _withdraw(self, pending: _PendingRequest) -> None:
+        """Take the request back from the dispatcher that was asked last."""
+        ended = DispatchProgress(pending.request_id, Stage.ENDED)
+        self._send_progress(pending.dispatcher, ended)
+
+    def _query(self, pending: _PendingRequest) -> DispatchQuery:
+        request = pending.request
         need = request.need
         now_s = boottime_s()
         return DispatchQuery(
-            ticket_id=ticket_id,
+            ticket_id=pending.request_id,
             key=request.key,
             prompt_tokens=need.prompt_tokens,
             likely_tokens=need.likely_tokens,
             priority=request.priority,
-            objective_ms=int((late_s - now_s) * 1000),
-            left_ms=int((ends_s - now_s) * 1000),
+            objective_ms=int((pending.late_s - now_s) * 1000),
+            left_ms=int((pending.ends_s - now_s) * 1000),
             pause_ms=int(request.pause_s * 1000),
             data_centre=self._data_centre,
+            # The last block ends the prompt, so no other call shares it.
             parts=[SharedPart(part.part_id, part.tokens) for part in need.parts[:-1]],
             excluded=sorted(request.excluded),
             returned=request.returned,
@@ -221,8 +202,7 @@
         else:
             self._node.send(dispatcher, query)
 
-    def tell(self, dispatcher: str, progress: DispatchProgress) -> None:
-        """Tell the dispatcher how far a call has come."""
+    def _send_progress(self, dispatcher: str, progress: DispatchProgress) -> None:
         if dispatcher == LOCAL:
             self.dispatcher.take_progress(progress)
         else:
@@ -235,9 +215,9 @@
             self._node.send(asker, verdict)
 
     def _deliver(self, verdict: DispatchVerdict) -> None:
-        queue = self._verdicts.get(verdict.ticket_id)
-        if queue is not None:
-            queue.put_nowait(verdict)
+        pending = self._pending.get(verdict.ticket_id)
+        if pending is not None:
+            pending.verdicts.put_nowait(verdict)
 
     def _take_query(self, envelope: Envelope) -> None:
         self.dispatcher.take_query(envelope.message, envelope.sender)
@@ -247,3 +227,12 @@
 
     def _take_progress(self, envelope: Envelope) -> None:
         self.dispatcher.take_progress(envelope.message)
+
+
+async def _next_verdict(pending: _PendingRequest, limit_s: float) -> DispatchVerdict | None:
+    """Return the next verdict on a request, or ``None`` after *limit_s* seconds."""
+    try:
+        async with asyncio.timeout(limit_s):
+            return await pending.verdicts.get()
+    except TimeoutError:
+        return None
--- a/limeshelf/dispatch/dispatcher.py
+++ b/limeshelf/dispatch/dispatcher.py
@@ -65,8 +65,8 @@
         self._granted: dict[str, Ticket] = {}
         self._room = Room(directory, self.speed)
 
-    def grant_share(self, share: float) -> None:
-        """Set the part of a replica's reading that may be granted here."""
+    def set_reading_share(self, share: float) -> None:
+        """Set the part of a replica's reading, 0 to 1, that may be granted here."""
         self._room.share = share
 
     @property
--- a/limeshelf/gateway/pipeline.py
+++ b/limeshelf/gateway/pipeline.py
@@ -9,7 +9,7 @@
 from limeshelf.calls.call import CallKind
 from limeshelf.calls.wire import SendFacts
 from limeshelf.demand.keys import ModelKey
-from limeshelf.dispatch.client import NoPlace, PlaceRequest
+from limeshelf.dispatch.grants import GrantRequest, NoHolder, NoRoom
 from limeshelf.errors import NotRun, RefusalReason
 from limeshelf.gateway.exchange import Broken, Delivered, Doubt, Exchange, NeverRan, WholeAnswer
 from limeshelf.gateway.state import CallState, Choice
@@ -293,7 +293,7 @@
                 await self._give_up(state, answer, RefusalReason.UPSTREAM_REFUSED)
                 return None
             choice = await self._choose(state)
-            if isinstance(choice, NoPlace):
+            if isinstance(choice, NoRoom):
                 await self._refuse_for_now(state, answer, choice.wait_s)
                 return None
             if choice is not None:
@@ -319,12 +319,14 @@
         retry_after_s = min(max(LEAST_COME_BACK_S, wait_s), come_back_s)
         await self._give_up(state, answer, RefusalReason.OVERLOADED, retry_after_s)
 
-    async def _choose(self, state: CallState) -> Choice | NoPlace | None:
+    async def _choose(self, state: CallState) -> Choice | NoRoom | None:
         need = state.call.model_need
         if need is not None and state.service.engine is not None:
             answered = await self._dispatch.ask(self._request(state, need))
-            if isinstance(answered, NoPlace):
-                return None if answered.absent else answered
+            if isinstance(answered, NoHolder):
+                return None
+            if isinstance(answered, NoRoom):
+                return answered
             replica = self._directory.get(answered.replica_id)
             if replica is not None and replica.takes_calls:
                 return Choice(replica, answered)
@@ -334,9 +336,9 @@
         chosen = self._chooser.choose(state.service, frozenset(state.excluded))
         return Choice(chosen, None) if chosen is not None else None
 
-    def _request(self, state: CallState, need: ModelNeed) -> PlaceRequest:
+    def _request(self, state: CallState, need: ModelNeed) -> GrantRequest:
         held_s = boottime_s() - state.call.arrived_s
-        return PlaceRequest(
+        return GrantRequest(
             key=ModelKey(state.service.name, need.model, need.adapter),
             need=need,
             priority=state.route.priority,
--- a/limeshelf/gateway/state.py
+++ b/limeshelf/gateway/state.py
@@ -12,7 +12,7 @@
 if TYPE_CHECKING:
     from limeshelf.calls.call import Call
     from limeshelf.calls.routes import Route, ServiceSpec
-    from limeshelf.dispatch.client import Place
+    from limeshelf.dispatch.grants import Grant
     from limeshelf.gateway.exchange import Result
     from limeshelf.replicas.directory import Replica
 
@@ -58,7 +58,7 @@
     """The replica for an attempt, with the dispatcher's grant if it gave one."""
 
     replica: Replica
-    place: Place | None
+    place: Grant | None
 
     def note_first(self) -> None:
         """Say that the first event is there."""
