--- /dev/null
+++ b/limeshelf/membership/audience.py
@@ -0,0 +1,71 @@
+"""Decides which gateways are sent what, so that few messages reach everybody.
+
+=================  ======================  ==============================================
+message            sender                  receivers
+=================  ======================  ==============================================
+digest             every gateway           relays of its data centre
+summary            every relay             gateways of its data centre
+bundle of digests  first relay             the leader; now and then relays of other
+                                           data centres, so that a new leader knows them
+replica states     leader                  gateways of its data centre, relays of others
+the same, passed   first relay of another  gateways of its data centre
+on                 data centre
+rows               first relay             gateways of its data centre
+leaving            every gateway           all gateways
+=================  ======================  ==============================================
+
+With every gateway sending to every other, 71 of them sent 20,000 messages a second
+(commit 48b990a). Owns nothing; relies on :class:`~limeshelf.membership.members.Members`
+for who is a relay, and for leaving out who is silent.
+"""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from limeshelf.membership.members import Members
+
+#: Bundles go to other data centres with every so many digests of the first relay: each
+#: 0.5 s. Commit 48b990a; chosen, not measured.
+FAR_BUNDLE_EVERY_DIGESTS = 2
+
+
+def own_centre(members: Members) -> list[str]:
+    """Return the addresses of the other gateways of this data centre."""
+    return members.reachable(members.in_own_centre())
+
+
+def relays_elsewhere(members: Members) -> set[str]:
+    """Return the addresses of the relays of all other data centres."""
+    addresses: set[str] = set()
+    for centre in members.other_centres():
+        addresses.update(members.reachable(members.relays(centre)))
+    return addresses
+
+
+def of_bundle(members: Members, leader: str | None, digest_count: int) -> list[str]:
+    """Return who is sent this data centre's digests by its first relay.
+
+    :param leader: address of the leader; ``None`` if none is known or we lead.
+    :param digest_count: digests that this gateway has sent since its start.
+    """
+    addresses = {leader} if leader is not None else set()
+    if digest_count % FAR_BUNDLE_EVERY_DIGESTS == 0:
+        addresses |= relays_elsewhere(members)
+    return sorted(addresses)
+
+
+def of_states(members: Members) -> list[str]:
+    """Return who is sent the states of replicas by the leader."""
+    return sorted({*own_centre(members), *relays_elsewhere(members)})
+
+
+def of_forwarded_states(members: Members, sender_centre: str) -> list[str]:
+    """Return whom this gateway passes the leader's states on to.
+
+    :param sender_centre: data centre of the leader.
+    """
+    if sender_centre == members.own.data_centre or not members.is_first_relay:
+        return []
+    return own_centre(members)
--- a/limeshelf/membership/digests.py
+++ b/limeshelf/membership/digests.py
@@ -1,4 +1,7 @@
-"""The latest digest of each gateway."""
+"""Keeps the latest digest of each gateway, and decides which digests count.
+
+Owns the digests that came from other gateways. Relies on the clock alone.
+"""
 
 from __future__ import annotations
 
@@ -7,32 +10,43 @@
 from limeshelf.membership.messages import GatewayDigest, ReplicaLoad
 from limeshelf.util.clock import boottime_s
 
-#: A digest counts for this long.
+#: A digest counts for this long, in seconds; ten digests long. Commit 48b990a; chosen,
+#: not measured.
 DIGEST_LIFE_S = 2.5
 
 
-@attrs.define
-class _Entry:
+def is_late(number: int, known_number: int, known_age_s: float) -> bool:
+    """Return whether a digest was overtaken by the known one of the same gateway.
+
+    Numbers rise, but a machine that lost its power may count from the start again: a
+    known digest that no longer counts makes no other late.
+
+    :param known_age_s: time since the known digest came.
+    """
+    return number <= known_number and known_age_s < DIGEST_LIFE_S
+
+
+@attrs.frozen
+class _ReceivedDigest:
     digest: GatewayDigest
-    heard_s: float
+    received_s: float
 
 
 class DigestBook:
     """Keeps the newest digest of each gateway, whichever way it came."""
 
     def __init__(self) -> None:
-        self._entries: dict[str, _Entry] = {}
+        self._received: dict[str, _ReceivedDigest] = {}
 
     def take(self, digest: GatewayDigest) -> bool:
         """Keep a digest; return whether it is newer than the known one."""
         now_s = boottime_s()
-        known = self._entries.get(digest.instance_id)
-        if known is not None and digest.number <= known.digest.number:
-            # A machine that lost its power may count from the start again.
-            is_late = now_s - known.heard_s < DIGEST_LIFE_S
-            if is_late:
-                return False
-        self._entries[digest.instance_id] = _Entry(digest, now_s)
+        known = self._received.get(digest.instance_id)
+        if known is not None and is_late(
+            digest.number, known.digest.number, now_s - known.received_s
+        ):
+            return False
+        self._received[digest.instance_id] = _ReceivedDigest(digest, now_s)
         return True
 
     def fresh(self, data_centre: str | None = None) -> list[GatewayDigest]:
@@ -40,13 +54,13 @@
         oldest_s = boottime_s() - DIGEST_LIFE_S
         return [
             entry.digest
-            for entry in self._entries.values()
-            if entry.heard_s >= oldest_s
+            for entry in self._received.values()
+            if entry.received_s >= oldest_s
             and (data_centre is None or entry.digest.data_centre == data_centre)
         ]
 
     def loads(self) -> dict[str, ReplicaLoad]:
-        """Return what the gateways together have under way at each replica."""
+        """Return what the other gateways together have under way at each replica."""
         totals: dict[str, ReplicaLoad] = {}
         for digest in self.fresh():
             for load in digest.loads:
--- /dev/null
+++ b/limeshelf/membership/leader.py
@@ -0,0 +1,86 @@
+"""Which gateway leads, as far as this one knows, and so who dispatches calls.
+
+Owns the newest claim of another gateway to lead. Relies on
+:class:`~limeshelf.lease.leadership.Leadership` for whether this gateway leads itself,
+and on the messages of the others; the lease's row is not read here.
+"""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+import attrs
+
+from limeshelf.membership.contention import may_contend
+from limeshelf.membership.silence import is_active
+from limeshelf.util.clock import boottime_s
+
+if TYPE_CHECKING:
+    from limeshelf.lease.leadership import Leadership
+    from limeshelf.membership.members import Members
+
+
+@attrs.define
+class LeaderView:
+    """The leader by its latest message.
+
+    :param members: tell this gateway's own address and whether it is a relay.
+    :param leadership: this gateway's own term, if it holds the lease.
+    :ivar address: peer address of the gateway that claimed to lead last.
+    :ivar fence: of its lease; 0 before any claim. Claims with a lower one are late.
+    :ivar last_message_s: when it claimed so; 0 if it has stopped.
+    """
+
+    members: Members
+    leadership: Leadership
+    address: str = ''
+    fence: int = 0
+    last_message_s: float = 0.0
+    _last_led_s: float = attrs.field(factory=boottime_s)
+
+    @property
+    def is_active(self) -> bool:
+        """Return whether another gateway claimed lately to lead."""
+        return bool(self.fence) and is_active(boottime_s() - self.last_message_s)
+
+    @property
+    def is_self(self) -> bool:
+        """Return whether this gateway leads."""
+        return self.leadership.fence > 0
+
+    def note_claim(self, address: str, fence: int) -> None:
+        """Note that a gateway leads under *fence*."""
+        if fence >= self.fence and address != self.members.own.address:
+            self.address = address
+            self.fence = fence
+            self.last_message_s = boottime_s()
+
+    def note_leaving(self, address: str) -> None:
+        """Note that a gateway stops."""
+        if address == self.address:
+            self.last_message_s = 0.0
+
+    def dispatcher(self) -> str | None:
+        """Return the address of the gateway that dispatches calls: the leader.
+
+        The empty string stands for this process, ``None`` for nobody known.
+        """
+        if self.is_self:
+            return ''
+        return self.address if self.is_active else None
+
+    def may_contend(self) -> bool:
+        """Return whether this gateway should try to take the lease.
+
+        For a gateway without the lease; asked again and again, it also notes until
+        when another gateway led.
+        """
+        now_s = boottime_s()
+        leader_is_active = self.is_active
+        if leader_is_active:
+            self._last_led_s = now_s
+        return may_contend(
+            leader_is_active=leader_is_active,
+            is_relay=self.members.is_relay,
+            leaderless_s=now_s - self._last_led_s,
+        )
--- a/limeshelf/membership/members.py
+++ b/limeshelf/membership/members.py
@@ -1,71 +1,22 @@
-"""The gateways of all data centres, and which of them pass words on.
+"""Which gateways there are, in all data centres, and which of them are relays.
 
-In each data centre the first gateways by rank are its relays: the others tell
-them what they see, and hear from them what the rest of the fleet knows. The
-ranks come from rows of the store, so nobody has to be elected; gateways that see
-the others differently for a while send some messages more.
+Owns the table of gateways and when each was last heard from. Relies on the rules in
+:mod:`~limeshelf.membership.relays` and :mod:`~limeshelf.membership.silence`; what it
+knows comes from rows of the store, the seeds of the settings and messages.
 """
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
-import attrs
-import msgspec
-
+from limeshelf.membership.member import Member
+from limeshelf.membership.relays import choose_relays
+from limeshelf.membership.silence import Contact, contact_of
 from limeshelf.util.clock import boottime_s
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-MEMBER_TABLE = 'members'
-#: Relays of a data centre.
-RELAYS = 2
-#: A relay that was not heard for this long gives way to the next by rank.
-RELAY_SILENT_S = 1.2
-#: A gateway that was not heard for this long is not counted.
-SILENT_S = 2.5
-#: A silent gateway is still tried this often.
-TRY_SILENT_S = 2.0
-
-
-class MemberValue(msgspec.Struct):
-    """A gateway's row in the table of members.
-
-    :ivar weight: how much it can carry beside its calls; relays are the heaviest.
-    """
-
-    address: str
-    data_centre: str = ''
-    weight: float = 0.0
-
-
-@attrs.define
-class Member:
-    """A gateway, by its peer address.
-
-    :ivar heard_s: when it was last heard; 0 if never.
-    :ivar tried_s: when it was last tried while silent.
-    :ivar expected_s: since when words of it are expected; 0 if they are not.
-    """
-
-    address: str
-    data_centre: str = ''
-    weight: float = 0.0
-    heard_s: float = 0.0
-    tried_s: float = 0.0
-    expected_s: float = 0.0
-
-    @property
-    def is_heard(self) -> bool:
-        """Return whether it was heard lately."""
-        return boottime_s() - self.heard_s < SILENT_S
-
-    @property
-    def rank(self) -> tuple[float, str]:
-        """Return the place among the gateways of its data centre, lowest first."""
-        return (-self.weight, self.address)
-
 
 class Members:
     """The gateways that are known, this one among them.
@@ -87,57 +38,49 @@
             member.weight = member.weight if weight is None else weight
         return member
 
-    def hear(self, address: str, data_centre: str) -> bool:
-        """Note a word of a gateway; return whether it was silent before."""
+    def note_message(self, address: str, data_centre: str) -> bool:
+        """Note that a gateway sent something; return whether it was silent before."""
         member = self.add(address, data_centre)
-        was_silent = not member.is_heard
-        member.heard_s = boottime_s()
+        was_silent = not member.is_active
+        member.last_message_s = boottime_s()
         return was_silent
 
-    def forget(self, address: str) -> None:
+    def note_leaving(self, address: str) -> None:
         """Note that a gateway stops."""
         member = self._by_address.get(address)
         if member is not None and member is not self.own:
-            member.heard_s = member.expected_s = 0.0
-            member.tried_s = boottime_s()
+            member.last_message_s = member.relay_since_s = 0.0
+            member.last_retry_s = boottime_s()
 
     def others(self) -> list[Member]:
         """Return all gateways but this one."""
         return [member for member in self._by_address.values() if member is not self.own]
 
-    def heard(self) -> list[Member]:
-        """Return the other gateways that were heard lately."""
-        return [member for member in self.others() if member.is_heard]
+    def active(self) -> list[Member]:
+        """Return the other gateways that sent something lately."""
+        return [member for member in self.others() if member.is_active]
 
-    def centre_mates(self) -> list[Member]:
+    def in_own_centre(self) -> list[Member]:
         """Return the other gateways of this data centre."""
         centre = self.own.data_centre
         return [member for member in self.others() if member.data_centre == centre]
 
-    def centres(self) -> set[str]:
-        """Return the data centres that are known."""
-        return {member.data_centre for member in self._by_address.values() if member.data_centre}
+    def other_centres(self) -> set[str]:
+        """Return the other data centres that are known."""
+        centres = {member.data_centre for member in self.others() if member.data_centre}
+        return centres - {self.own.data_centre}
 
     def relays(self, data_centre: str) -> list[Member]:
-        """Return the relays of a data centre, the first by rank first.
-
-        A gateway that ranks high gets a moment to be heard; then the next takes
-        its place.
-        """
+        """Return the relays of a data centre, the first by rank first."""
         now_s = boottime_s()
         inside = [one for one in self._by_address.values() if one.data_centre == data_centre]
-        chosen: list[Member] = []
-        for member in sorted(inside, key=lambda one: one.rank):
-            if len(chosen) == RELAYS:
-                # Its turn may come; until then nothing is expected of it.
-                member.expected_s = 0.0
-                continue
+        choice = choose_relays(inside, self.own, now_s)
+        for member in [*choice.relays, *choice.silent]:
             if member is not self.own:
-                member.expected_s = member.expected_s or now_s
-                if now_s - max(member.heard_s, member.expected_s) > RELAY_SILENT_S:
-                    continue
-            chosen.append(member)
-        return chosen
+                member.relay_since_s = member.relay_since_s or now_s
+        for member in choice.standby:
+            member.relay_since_s = 0.0
+        return choice.relays
 
     def own_relays(self) -> list[Member]:
         """Return the relays of this data centre."""
@@ -153,22 +96,25 @@
         """Return whether this gateway speaks for its data centre."""
         return self.own_relays()[:1] == [self.own]
 
-    def place(self) -> int:
-        """Return this gateway's place by rank among those of its data centre."""
-        mates = sorted([*self.centre_mates(), self.own], key=lambda one: one.rank)
-        return mates.index(self.own)
+    def own_rank(self) -> int:
+        """Return this gateway's rank among those of its data centre, from 0."""
+        ranked = sorted([*self.in_own_centre(), self.own], key=lambda one: one.rank_key)
+        return ranked.index(self.own)
 
     def reachable(self, members: Iterable[Member]) -> list[str]:
-        """Return the addresses to send to; silent gateways are tried now and then."""
+        """Return the addresses of those that are sent a message now.
+
+        A silent gateway that is among them counts as tried again.
+        """
         now_s = boottime_s()
         addresses = []
         for member in members:
             if member is self.own:
                 continue
-            silent = now_s - max(member.heard_s, member.expected_s) > SILENT_S
-            if silent and now_s - member.tried_s < TRY_SILENT_S:
+            contact = contact_of(member.silent_s(now_s), now_s - member.last_retry_s)
+            if contact is Contact.SKIP:
                 continue
-            if silent:
-                member.tried_s = now_s
+            if contact is Contact.RETRY:
+                member.last_retry_s = now_s
             addresses.append(member.address)
         return addresses
--- /dev/null
+++ b/limeshelf/membership/registration.py
@@ -0,0 +1,84 @@
+"""Makes this gateway known to the others, and takes in which others there are.
+
+Owns nothing; writes this gateway's row in the store, and keeps the table of gateways
+up to date from the rows of the others and from their notice that they stop.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from typing import TYPE_CHECKING
+
+import attrs
+import msgspec
+
+from limeshelf.errors import PlatformUnavailable, PlatformUnknown
+from limeshelf.feeds.rows import ConditionFailed
+from limeshelf.membership.member import MEMBER_TABLE, MemberValue
+from limeshelf.membership.messages import GatewayLeaving
+from limeshelf.metrics.event_log import log_change
+from limeshelf.util.backoff import full_jitter_s
+
+if TYPE_CHECKING:
+    from limeshelf.feeds.rows import Row, RowTable
+    from limeshelf.membership.leader import LeaderView
+    from limeshelf.membership.members import Members
+    from limeshelf.peers.codec import Envelope
+    from limeshelf.peers.node import PeerNode
+
+#: Pause after a failed write of the own row: bound of the first, and the largest.
+#: Commit a904fff; chosen, not measured.
+RETRY_BASE_S = 0.2
+RETRY_LIMIT_S = 2.0
+
+_values = msgspec.json.Decoder(MemberValue)
+
+
+@attrs.define
+class Registration:
+    """Writes this gateway's row and reads those of the others."""
+
+    instance_id: str
+    node: PeerNode
+    members: Members
+    leader: LeaderView
+
+    def start(self) -> None:
+        """Take messages."""
+        self.node.add_handler(GatewayLeaving, self._take_leaving)
+
+    async def write_row(self, store: RowTable) -> None:
+        """Write this gateway's row, so that the others find it; repeat until it is there."""
+        own = self.members.own
+        value = msgspec.json.encode(MemberValue(own.address, own.data_centre, own.weight))
+        attempt = 0
+        while True:
+            try:
+                await store.write(MEMBER_TABLE, self.instance_id, value, None)
+                return
+            except (PlatformUnavailable, PlatformUnknown, ConditionFailed):
+                attempt += 1
+                await asyncio.sleep(full_jitter_s(attempt, RETRY_BASE_S, RETRY_LIMIT_S))
+
+    def take_row(self, row: Row) -> None:
+        """Take a row of the table of members.
+
+        A row that went says nothing: gateways that stopped are silent.
+        """
+        if row.gone:
+            return
+        try:
+            value = _values.decode(row.value)
+        except msgspec.MsgspecError:
+            log_change('member_row_invalid', key=row.key)
+            return
+        self.members.add(value.address, value.data_centre, value.weight)
+
+    def announce_leaving(self) -> None:
+        """Tell all other gateways that this one stops."""
+        addresses = [member.address for member in self.members.others()]
+        self.node.send_all(addresses, GatewayLeaving(self.instance_id))
+
+    def _take_leaving(self, envelope: Envelope) -> None:
+        self.members.note_leaving(envelope.sender)
+        self.leader.note_leaving(envelope.sender)
--- /dev/null
+++ b/limeshelf/membership/relays.py
@@ -0,0 +1,63 @@
+"""Decides which gateways of a data centre are its relays.
+
+The first gateways by rank are the relays: they pass on what the others of their data
+centre do, and what the rest of the fleet does. Ranks come from rows of the store, so
+nobody has to be elected; gateways that see the others differently for a while send
+some messages more.
+
+Decides only; :class:`limeshelf.membership.members.Members` keeps the members.
+"""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+import attrs
+
+if TYPE_CHECKING:
+    from collections.abc import Iterable
+
+    from limeshelf.membership.member import Member
+
+#: Relays of a data centre: one may fail and the other knows all. Commit 48b990a, which
+#: measured that there are relays at all; the number was chosen, not measured.
+RELAYS = 2
+#: A relay without a message for this long is replaced by the next by rank; five
+#: digests long. Commit 48b990a; chosen, not measured.
+RELAY_SILENT_S = 1.2
+
+
+@attrs.frozen
+class RelayChoice:
+    """The gateways of a data centre by their part in relaying, each by rank.
+
+    :ivar relays: those that pass messages on now.
+    :ivar silent: those that rank as relays and are passed over.
+    :ivar standby: those that are not needed.
+    """
+
+    relays: list[Member] = attrs.field(factory=list)
+    silent: list[Member] = attrs.field(factory=list)
+    standby: list[Member] = attrs.field(factory=list)
+
+
+def choose_relays(members: Iterable[Member], own: Member, now_s: float) -> RelayChoice:
+    """Choose the relays among the gateways of one data centre.
+
+    :param own: this gateway, which is never silent to itself.
+    :param now_s: the time on the clock of the members.
+    """
+    choice = RelayChoice()
+    for member in sorted(members, key=lambda one: one.rank_key):
+        if len(choice.relays) == RELAYS:
+            choice.standby.append(member)
+        elif member is not own and _is_passed_over(member, now_s):
+            choice.silent.append(member)
+        else:
+            choice.relays.append(member)
+    return choice
+
+
+def _is_passed_over(member: Member, now_s: float) -> bool:
+    # A gateway that has just come to rank as a relay gets its moment first.
+    return bool(member.relay_since_s) and member.silent_s(now_s) > RELAY_SILENT_S
--- a/limeshelf/membership/sharing.py
+++ b/limeshelf/membership/sharing.py
@@ -9,6 +9,7 @@
 import attrs
 
 from limeshelf.feeds.rows import Row
+from limeshelf.membership import audience
 from limeshelf.membership.messages import RowsQuery, TableRow, TableWord, TableWords
 from limeshelf.util.backoff import jittered_s
 
@@ -55,7 +56,7 @@
 
     def patience_s(self) -> float:
         """Return how long the words of others may fail before we ask the store."""
-        return min(PATIENCE_LIMIT_S, PATIENCE_STEP_S * self.members.place())
+        return min(PATIENCE_LIMIT_S, PATIENCE_STEP_S * self.members.own_rank())
 
     def tell_page(self, mirror: TableMirror, after: int) -> None:
         """Tell the gateways of this data centre what a page of the store brought."""
@@ -63,7 +64,7 @@
             self._tell_mates([_word(mirror, after)])
 
     def _tell_mates(self, words: list[TableWord]) -> None:
-        mates = self.members.reachable(self.members.centre_mates())
+        mates = audience.own_centre(self.members)
         self.node.send_all(mates, TableWords(words))
 
     async def run(self) -> None:
@@ -77,7 +78,7 @@
 
     def _ask_somebody(self) -> None:
         # At a start nobody was heard yet; the seeds may know.
-        peers = self.members.heard() or self.members.others()
+        peers = self.members.active() or self.members.others()
         if peers:
             versions = {name: mirror.version for name, mirror in self.mirrors.items()}
             self.node.send(random.choice(peers).address, RowsQuery(versions))
@@ -94,7 +95,7 @@
             self.node.send(envelope.sender, TableWords(words))
 
     def _take_words(self, envelope: Envelope) -> None:
-        self.members.hear(envelope.sender, envelope.data_centre)
+        self.members.note_message(envelope.sender, envelope.data_centre)
         missing: dict[str, int] = {}
         for word in envelope.message.words:
             mirror = self.mirrors.get(word.table)
--- /dev/null
+++ b/limeshelf/membership/state_exchange.py
@@ -0,0 +1,117 @@
+"""Tells the other gateways, while this one leads, what replicas hold and what is loading.
+
+Owns which leader's states are believed. Relies on the directory of replicas, where
+states go, and on :mod:`~limeshelf.membership.audience` for who is sent them.
+"""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+import attrs
+
+from limeshelf.membership import audience
+from limeshelf.membership.messages import AwaitedLoad, ReplicaStates
+from limeshelf.membership.states import report_of, state_of
+from limeshelf.util.clock import boottime_s
+
+if TYPE_CHECKING:
+    from limeshelf.demand.meter import DemandMeter
+    from limeshelf.lease.leadership import Leadership
+    from limeshelf.membership.leader import LeaderView
+    from limeshelf.membership.members import Members
+    from limeshelf.membership.state_changes import StateChanges
+    from limeshelf.peers.codec import Envelope
+    from limeshelf.peers.node import PeerNode
+    from limeshelf.placement.service import FleetService
+    from limeshelf.replicas.directory import ReplicaDirectory
+
+#: Loads under way are told at least this often. Commit a904fff; chosen, not measured.
+STATES_INTERVAL_S = 0.25
+#: States of all replicas, changed or not, are told this often. Commit a904fff; chosen,
+#: not measured.
+ALL_STATES_INTERVAL_S = 1.0
+#: Changes of replicas that come closer together than this are told together. Commit
+#: 48b990a; chosen, not measured.
+CHANGES_GAP_S = 0.05
+
+
+def is_believed(*, fence: int, newest_fence: int, own_leads: bool) -> bool:
+    """Return whether states of replicas from another gateway are newer than what we know.
+
+    A leader asks the replicas itself. States of a predecessor that a cut held up are older
+    than what is known (tests/membership/test_state_exchange.py::
+    test_late_word_of_a_predecessor).
+
+    :param fence: of the lease under which the states were sent.
+    :param newest_fence: the highest under which states were believed so far.
+    :param own_leads: whether this gateway leads.
+    """
+    return not own_leads and fence >= newest_fence
+
+
+@attrs.define
+class StateExchange:
+    """Sends the states of replicas as the leader, and takes those of another leader."""
+
+    node: PeerNode
+    members: Members
+    leader: LeaderView
+    leadership: Leadership
+    directory: ReplicaDirectory
+    meter: DemandMeter
+    fleet: FleetService
+    changes: StateChanges
+    _newest_fence: int = 0
+    _all_due_s: float = 0.0
+
+    def start(self) -> None:
+        """Take messages."""
+        self.node.add_handler(ReplicaStates, self._take_states)
+
+    async def run(self) -> None:
+        """While this gateway leads, tell what the replicas report."""
+        while True:
+            await self.changes.wait(STATES_INTERVAL_S, CHANGES_GAP_S)
+            changed = self.changes.take()
+            if not self.leader.is_self:
+                continue
+            whole = boottime_s() >= self._all_due_s
+            if whole:
+                self._all_due_s = boottime_s() + ALL_STATES_INTERVAL_S
+            self._send_states(changed, whole)
+
+    def _send_states(self, changed: set[str], whole: bool) -> None:
+        states = [
+            state_of(replica)
+            for replica in self.directory.all()
+            if replica.report is not None and (whole or replica.replica_id in changed)
+        ]
+        self.meter.expected = self.fleet.awaited()
+        now_s = boottime_s()
+        awaited = [
+            AwaitedLoad(key, int((ready_s - now_s) * 1000))
+            for key, ready_s in self.meter.expected.items()
+        ]
+        message = ReplicaStates(self.leadership.fence, states, awaited, whole)
+        self.node.send_all(audience.of_states(self.members), message)
+
+    def _take_states(self, envelope: Envelope) -> None:
+        message: ReplicaStates = envelope.message
+        self.leadership.note_fence(message.fence)
+        if not is_believed(
+            fence=message.fence,
+            newest_fence=self._newest_fence,
+            own_leads=self.leader.is_self,
+        ):
+            return
+        self._newest_fence = message.fence
+        self.leader.note_claim(envelope.sender, message.fence)
+        receivers = audience.of_forwarded_states(self.members, envelope.data_centre)
+        self.node.forward_all(receivers, envelope)
+        for state in message.states:
+            self.directory.take_report(state.replica_id, report_of(state))
+        now_s = boottime_s()
+        self.meter.expected = {
+            awaited.key: now_s + awaited.left_ms / 1000 for awaited in message.awaited
+        }
--- /dev/null
+++ b/limeshelf/membership/want_exchange.py
@@ -0,0 +1,44 @@
+"""Tells the leader that a call waits because no replica holds what it needs.
+
+Owns nothing; relies on the view of the leader and, where this gateway leads, on the
+placement.
+"""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+import attrs
+
+from limeshelf.membership.messages import ModelWanted
+
+if TYPE_CHECKING:
+    from limeshelf.demand.keys import ModelKey
+    from limeshelf.membership.leader import LeaderView
+    from limeshelf.peers.codec import Envelope
+    from limeshelf.peers.node import PeerNode
+    from limeshelf.placement.service import FleetService
+
+
+@attrs.define
+class WantExchange:
+    """Brings wanted models to the placement of the gateway that leads."""
+
+    node: PeerNode
+    leader: LeaderView
+    fleet: FleetService
+
+    def start(self) -> None:
+        """Take messages."""
+        self.node.add_handler(ModelWanted, self._take_wanted)
+
+    def report(self, key: ModelKey) -> None:
+        """Tell the leader that a call waits for *key*; nothing if none is known."""
+        if self.leader.is_self:
+            self.fleet.want(key)
+        elif self.leader.is_active:
+            self.node.send(self.leader.address, ModelWanted(key))
+
+    def _take_wanted(self, envelope: Envelope) -> None:
+        wanted: ModelWanted = envelope.message
+        self.fleet.want(wanted.key)
--- a/limeshelf/programs/gateway.py
+++ b/limeshelf/programs/gateway.py
@@ -23,9 +23,15 @@
 from limeshelf.gateway.edge import Edge, Phase
 from limeshelf.gateway.pipeline import Pipeline
 from limeshelf.lease.leadership import Leadership
-from limeshelf.membership.members import MEMBER_TABLE, Member, Members
-from limeshelf.membership.neighbours import Neighbours
+from limeshelf.membership.digest_exchange import DigestExchange
+from limeshelf.membership.leader import LeaderView
+from limeshelf.membership.member import MEMBER_TABLE, Member
+from limeshelf.membership.members import Members
+from limeshelf.membership.registration import Registration
 from limeshelf.membership.sharing import RowSharing
+from limeshelf.membership.state_changes import StateChanges
+from limeshelf.membership.state_exchange import StateExchange
+from limeshelf.membership.want_exchange import WantExchange
 from limeshelf.metrics.event_log import event_log, log_change
 from limeshelf.metrics.prometheus import GatewayMetrics, MetricsServer
 from limeshelf.orders.desk import OrderDesk
@@ -84,7 +90,10 @@
         self._make_fleet()
         self._make_path()
         self._add_seeds()
-        self.neighbours.start()
+        self.registration.start()
+        self.digests.start()
+        self.states.start()
+        self.wants.start()
         self.sharing.start()
         self.dispatch.start()
         await self.edge.start(settings.calls_address, settings.readiness_address)
@@ -95,7 +104,6 @@
 
     def _make_fleet(self) -> None:
         settings = self.settings
-        self.meter = DemandMeter(self.directory, lambda key: self.neighbours.want(key))
         self.leadership = Leadership(self.store, settings.instance_id, settings.placement.lease_s)
         self.engines = ReplicaOrderClient()
         self.desk = OrderDesk(
@@ -110,17 +118,7 @@
             settings.placement.window_s,
             lambda model, tokens: self.dispatch.dispatcher.speed.read_ms(model, tokens),
         )
-        self.neighbours = Neighbours(
-            settings.instance_id,
-            self.node,
-            self.members,
-            self.directory,
-            self.meter,
-            self.fleet,
-            self.leadership,
-        )
-        self.directory.on_change = self.neighbours.note_change
-        self.fleet.on_move = self.neighbours.note_move
+        self._make_membership()
         self.mirrors = {
             name: TableMirror(
                 name,
@@ -134,11 +132,41 @@
             for name, listener, rule in (
                 (CONFIG_TABLE, self._take_config, CONFIG_RULE),
                 (REPLICA_TABLE, self.directory.take_row, REPLICA_RULE),
-                (MEMBER_TABLE, self.neighbours.take_member, MEMBER_RULE),
+                (MEMBER_TABLE, self.registration.take_row, MEMBER_RULE),
             )
         }
         self.sharing.mirrors.update(self.mirrors)
 
+    def _make_membership(self) -> None:
+        instance_id = self.settings.instance_id
+        self.leader = LeaderView(self.members, self.leadership)
+        self.wants = WantExchange(self.node, self.leader, self.fleet)
+        self.meter = DemandMeter(self.directory, self.wants.report)
+        self.registration = Registration(instance_id, self.node, self.members, self.leader)
+        self.digests = DigestExchange(
+            instance_id,
+            self.node,
+            self.members,
+            self.leader,
+            self.leadership,
+            self.directory,
+            self.meter,
+            self.fleet.totals,
+        )
+        changes = StateChanges()
+        self.directory.on_change = changes.note_replica
+        self.fleet.on_move = changes.note_load
+        self.states = StateExchange(
+            self.node,
+            self.members,
+            self.leader,
+            self.leadership,
+            self.directory,
+            self.meter,
+            self.fleet,
+            changes,
+        )
+
     def _make_path(self) -> None:
         settings = self.settings
         wire = PlatformWire()
@@ -149,7 +177,7 @@
             self.node,
             self.directory,
             lambda: self.pipeline.config,
-            self.neighbours.dispatcher,
+            self.leader.dispatcher,
             settings.data_centre,
         )
         self.pipeline = Pipeline(
@@ -166,10 +194,10 @@
     def _start_tasks(self) -> None:
         for name, mirror in self.mirrors.items():
             self.tasks.keep(mirror.run, f'mirror-{name}')
-        self.tasks.keep(self.neighbours.run, 'neighbours')
-        self.tasks.keep(self.neighbours.tell_states, 'states')
+        self.tasks.keep(self.digests.run, 'digests')
+        self.tasks.keep(self.states.run, 'states')
         self.tasks.keep(self.sharing.run, 'sharing')
-        self.tasks.keep(self.neighbours.register, 'register', self.store)
+        self.tasks.keep(self.registration.write_row, 'register', self.store)
         self.tasks.keep(self.dispatch.run, 'dispatch')
         self.tasks.keep(self._lead, 'lead')
         self.tasks.keep(self.fleet.run, 'fleet')
@@ -204,7 +232,7 @@
         if known is not None and config.version <= known.version:
             return
         self.pipeline.config = config
-        self.neighbours.config_version = config.version
+        self.digests.config_version = config.version
         log_change(
             'config', version=config.version, routes=len(config.routes), row_version=row.version
         )
@@ -218,8 +246,8 @@
     async def _lead(self) -> None:
         while True:
             await asyncio.sleep(jittered_s(LEAD_STEP_S))
-            self.pipeline.sharers = self.pool.sharers = self.neighbours.count
-            if self.leadership.term is None and not self.neighbours.may_contend():
+            self.pipeline.sharers = self.pool.sharers = self.digests.gateway_count
+            if self.leadership.term is None and not self.leader.may_contend():
                 continue
             await self.leadership.step()
 
@@ -228,7 +256,7 @@
         began_s = boottime_s()
         self.edge.enter(Phase.NOTICE)
         await self.leadership.release()
-        self.neighbours.say_leaving()
+        self.registration.announce_leaving()
         await asyncio.sleep(NOTICE_S)
         self.edge.enter(Phase.DRAINING)
         self.pipeline.stop_placing()
--- a/tests/forms/test_rows.py
+++ b/tests/forms/test_rows.py
@@ -29,8 +29,9 @@
 from limeshelf.errors import InvalidDocument
 from limeshelf.feeds.rows import Page, Row
 from limeshelf.lease.leadership import Leadership
-from limeshelf.membership.members import Member, Members
-from limeshelf.membership.neighbours import Neighbours
+from limeshelf.membership.member import Member
+from limeshelf.membership.members import Members
+from limeshelf.membership.registration import Registration
 from limeshelf.platform.configuration import CONFIG_KEY, CONFIG_TABLE, read_config
 from limeshelf.platform.replicas import REPLICA_TABLE, read_record
 from limeshelf.replicas.record import Holding, ReplicaRecord
@@ -293,11 +294,10 @@
         return 41
 
 
-def neighbours(own: Member) -> Neighbours:
+def registration(own: Member) -> Registration:
     """Return what writes and reads rows of members; all else is absent."""
-    absent = dict.fromkeys(('node', 'directory', 'meter', 'fleet', 'leadership'))
-    known: dict[str, Any] = {'instance_id': 'g-1', 'members': Members(own), **absent}
-    return Neighbours(**known)
+    absent: Any = None
+    return Registration('g-1', absent, Members(own), absent)
 
 
 MEMBER = b'{"address":"10.0.0.1:7001","data_centre":"z1","weight":2.5}'
@@ -305,7 +305,7 @@
 
 def test_member_row_as_written() -> None:
     store = RecordingStore()
-    asyncio.run(neighbours(Member('10.0.0.1:7001', 'z1', 2.5)).register(store))
+    asyncio.run(registration(Member('10.0.0.1:7001', 'z1', 2.5)).write_row(store))
     assert store.written == [('members', 'g-1', MEMBER, None)]
 
 
@@ -318,8 +318,8 @@
     ids=['full', 'bare'],
 )
 def test_member_row_as_read(value: bytes, member: Member) -> None:
-    reader = neighbours(Member('10.0.0.9:7001', 'z1', 1.0))
-    reader.take_member(Row('g-1', value, 41))
+    reader = registration(Member('10.0.0.9:7001', 'z1', 1.0))
+    reader.take_row(Row('g-1', value, 41))
     assert reader.members.others() == [member]
 
 
--- /dev/null
+++ b/tests/membership/test_leader.py
@@ -0,0 +1,95 @@
+"""Whom a gateway takes for the leader, and so for the dispatcher."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import attrs
+
+from limeshelf.membership.contention import CONTEND_AFTER_S
+from limeshelf.membership.leader import LeaderView
+from limeshelf.membership.member import Member
+from limeshelf.membership.members import Members
+from limeshelf.membership.silence import SILENT_S
+from limeshelf.util.clock import virtual_clock
+
+
+@attrs.define
+class Leadership:
+    fence: int = 0
+
+
+def view(fence: int = 0, *heavier: str) -> LeaderView:
+    """Return the view of gateway ``own``, which holds the lease under *fence*."""
+    members = Members(Member('own', 'c1', 1.0))
+    for address in heavier:
+        members.add(address, 'c1', 2.0)
+    leadership: Any = Leadership(fence)
+    return LeaderView(members, leadership)
+
+
+def test_leader_dispatches_while_it_is_not_silent() -> None:
+    with virtual_clock() as clock:
+        one = view()
+        assert one.dispatcher() is None
+        one.note_claim('g1', 4)
+        assert one.dispatcher() == 'g1'
+        clock.advance(SILENT_S)
+        assert one.dispatcher() is None
+
+
+def test_gateway_that_leads_dispatches_itself() -> None:
+    with virtual_clock():
+        one = view(5)
+        one.note_claim('g1', 4)
+        assert one.dispatcher() == ''
+
+
+def test_claim_under_a_lower_fence_is_late() -> None:
+    with virtual_clock():
+        one = view()
+        one.note_claim('g2', 5)
+        one.note_claim('g1', 4)
+        assert one.dispatcher() == 'g2'
+
+
+def test_own_claim_that_comes_back_names_no_other_leader() -> None:
+    with virtual_clock():
+        one = view()
+        one.note_claim('own', 5)
+        assert one.dispatcher() is None
+
+
+def test_leader_that_stops_no_longer_dispatches() -> None:
+    with virtual_clock():
+        one = view()
+        one.note_claim('g1', 4)
+        one.note_leaving('g2')
+        assert one.dispatcher() == 'g1'
+        one.note_leaving('g1')
+        assert one.dispatcher() is None
+
+
+def test_relay_contends_as_soon_as_the_leader_is_silent() -> None:
+    with virtual_clock() as clock:
+        one = view()
+        one.note_claim('g1', 4)
+        assert not one.may_contend()
+        clock.advance(SILENT_S)
+        assert one.may_contend()
+
+
+def test_others_contend_some_time_later() -> None:
+    """Asked three times a second, as a gateway asks; the relays stay in touch."""
+    with virtual_clock() as clock:
+        one = view(0, 'g1', 'g2')
+        one.note_claim('g1', 4)
+        waited_s = 0.0
+        for address in ('g1', 'g2'):
+            one.members.note_message(address, 'c1')
+        while not one.may_contend():
+            clock.advance(0.3)
+            waited_s += 0.3
+            for address in ('g1', 'g2'):
+                one.members.note_message(address, 'c1')
+        assert SILENT_S - 0.3 + CONTEND_AFTER_S < waited_s < SILENT_S + CONTEND_AFTER_S + 0.3
--- a/tests/membership/test_members.py
+++ b/tests/membership/test_members.py
@@ -1,8 +1,10 @@
-"""Which gateways pass words on, as others come and go."""
+"""Which gateways are relays and are sent messages, as others come and go."""
 
 from __future__ import annotations
 
-from limeshelf.membership.members import RELAY_SILENT_S, Member, Members
+from limeshelf.membership.member import Member
+from limeshelf.membership.members import Members
+from limeshelf.membership.relays import RELAY_SILENT_S
 from limeshelf.util.clock import VirtualClock, virtual_clock
 
 
@@ -27,25 +29,25 @@
             assert relays(known) == ['g9', 'g1']
 
 
-def test_silent_relay_gives_way_to_the_next() -> None:
+def test_silent_relay_is_replaced_by_the_next() -> None:
     with virtual_clock() as clock:
         known = members('g3', ('g1', 1.0), ('g2', 1.0))
         assert relays(known) == ['g1', 'g2']
         clock.advance(RELAY_SILENT_S / 2)
-        known.hear('g2', 'c1')
+        known.note_message('g2', 'c1')
         clock.advance(RELAY_SILENT_S * 0.7)
         assert relays(known) == ['g2', 'g3']
         assert known.is_relay
         assert not known.is_first_relay
 
 
-def test_relay_that_is_heard_again_takes_its_place() -> None:
+def test_relay_that_is_back_is_a_relay_again() -> None:
     with virtual_clock() as clock:
         known = members('g3', ('g1', 1.0), ('g2', 1.0))
         relays(known)
         clock.advance(10 * RELAY_SILENT_S)
         assert relays(known) == ['g3']
-        known.hear('g1', 'c1')
+        known.note_message('g1', 'c1')
         assert relays(known) == ['g1', 'g3']
 
 
@@ -62,12 +64,12 @@
 def test_gateway_that_stops_is_no_relay() -> None:
     with virtual_clock() as clock:
         known = members('g3', ('g1', 1.0), ('g2', 1.0))
-        known.hear('g1', 'c1')
-        known.hear('g2', 'c1')
-        known.forget('g1')
+        known.note_message('g1', 'c1')
+        known.note_message('g2', 'c1')
+        known.note_leaving('g1')
         clock.advance(RELAY_SILENT_S * 0.9)
-        known.hear('g2', 'c1')
-        assert not any(member.address == 'g1' and member.is_heard for member in known.heard())
+        known.note_message('g2', 'c1')
+        assert not any(member.address == 'g1' and member.is_active for member in known.active())
 
 
 class Fleet:
@@ -83,15 +85,15 @@
         self.dead: set[str] = set()
 
     def step(self) -> None:
-        """Let each living relay be heard by all, and each gateway by its relays."""
+        """Let each living relay reach all, and each gateway reach its relays."""
         living = {name: view for name, view in self.views.items() if name not in self.dead}
         for name, view in living.items():
             if view.is_relay:
                 for other in living.values():
-                    other.hear(name, 'c1')
+                    other.note_message(name, 'c1')
             for relay in view.own_relays():
                 if relay.address in living:
-                    living[relay.address].hear(name, 'c1')
+                    living[relay.address].note_message(name, 'c1')
         self.clock.advance(0.25)
 
     def relays_seen(self) -> set[tuple[str, ...]]:
--- a/tests/membership/test_sharing.py
+++ b/tests/membership/test_sharing.py
@@ -7,7 +7,8 @@
 
 from limeshelf.feeds.mirror import FollowRule, TableMirror
 from limeshelf.feeds.rows import Page, Row
-from limeshelf.membership.members import Member, Members
+from limeshelf.membership.member import Member
+from limeshelf.membership.members import Members
 from limeshelf.membership.messages import RowsQuery, TableRow, TableWord, TableWords
 from limeshelf.membership.sharing import RowSharing
 from limeshelf.peers.codec import Envelope
