--- a/limeshelf/dispatch/dispatcher.py
+++ b/limeshelf/dispatch/dispatcher.py
@@ -28,7 +28,8 @@
 
     from limeshelf.calls.routes import ServingConfig
     from limeshelf.demand.keys import ModelKey
-    from limeshelf.replicas.directory import Replica, ReplicaDirectory
+    from limeshelf.replicas.directory import ReplicaDirectory
+    from limeshelf.replicas.replica import Replica
 
 #: Between two prompts at a replica, in milliseconds: a step, and the way there.
 STEP_MS = 20.0
--- a/limeshelf/dispatch/room.py
+++ b/limeshelf/dispatch/room.py
@@ -13,7 +13,8 @@
     from limeshelf.demand.keys import ModelKey
     from limeshelf.dispatch.messages import DispatchQuery
     from limeshelf.dispatch.speed import ReadSpeed
-    from limeshelf.replicas.directory import Replica, ReplicaDirectory
+    from limeshelf.replicas.directory import ReplicaDirectory
+    from limeshelf.replicas.replica import Replica
 
 #: Part of the bearable pause, less the steps of an event, that reading may take.
 READ_SHARE = 0.84
--- a/limeshelf/dispatch/tickets.py
+++ b/limeshelf/dispatch/tickets.py
@@ -11,7 +11,7 @@
 
 if TYPE_CHECKING:
     from limeshelf.dispatch.messages import DispatchQuery
-    from limeshelf.replicas.directory import Replica
+    from limeshelf.replicas.replica import Replica
 
 #: What was granted is remembered this much longer than anybody asks for.
 RECENT_KEPT_S = 2.0
--- a/limeshelf/gateway/pipeline.py
+++ b/limeshelf/gateway/pipeline.py
@@ -26,8 +26,9 @@
     from limeshelf.dispatch.client import DispatchClient
     from limeshelf.gateway.answer import Answer
     from limeshelf.gateway.exchange import Result
-    from limeshelf.replicas.directory import Replica, ReplicaDirectory
+    from limeshelf.replicas.directory import ReplicaDirectory
     from limeshelf.replicas.pool import ConnectionPool
+    from limeshelf.replicas.replica import Replica
     from limeshelf.routing.chooser import Chooser
 
 #: The final answer goes out this long before the caller's time is over.
@@ -395,7 +396,7 @@
             )
             return False
         self._demand.report_missing(state.call, state.service)
-        await self._directory.changed(min(LOOK_S, state.left_s))
+        await self._directory.wait_for_change(min(LOOK_S, state.left_s))
         return True
 
     async def _give_up(
--- a/limeshelf/gateway/state.py
+++ b/limeshelf/gateway/state.py
@@ -14,7 +14,7 @@
     from limeshelf.calls.routes import Route, ServiceSpec
     from limeshelf.dispatch.grants import Grant
     from limeshelf.gateway.exchange import Result
-    from limeshelf.replicas.directory import Replica
+    from limeshelf.replicas.replica import Replica
 
 #: A caller that has less than this share of the usual time was here before.
 RETURNED_SHARE = 0.97
--- a/limeshelf/membership/states.py
+++ b/limeshelf/membership/states.py
@@ -8,7 +8,7 @@
 from limeshelf.replicas.record import Holding, ReplicaReport
 
 if TYPE_CHECKING:
-    from limeshelf.replicas.directory import Replica
+    from limeshelf.replicas.replica import Replica
 
 
 def state_of(replica: Replica) -> ReplicaState:
--- a/limeshelf/orders/desk.py
+++ b/limeshelf/orders/desk.py
@@ -18,7 +18,8 @@
     from limeshelf.lease.leadership import Leadership
     from limeshelf.metrics.prometheus import GatewayMetrics
     from limeshelf.orders.order import OrderWire
-    from limeshelf.replicas.directory import Replica, ReplicaDirectory
+    from limeshelf.replicas.directory import ReplicaDirectory
+    from limeshelf.replicas.replica import Replica
 
 #: Looks at a replica while something is on its way there.
 ADAPTER_LOOK_S = 0.03
@@ -343,4 +344,4 @@
     async def _wait_for_load(self, replica: Replica, task: Task) -> None:
         end_s = boottime_s() + 0.8 * task.load_s
         while boottime_s() < end_s and replica.takes_calls and not self._is_done(replica, task):
-            await self._directory.changed(MODEL_LOOK_S)
+            await self._directory.wait_for_change(MODEL_LOOK_S)
--- a/limeshelf/placement/adapters.py
+++ b/limeshelf/placement/adapters.py
@@ -13,7 +13,8 @@
 if TYPE_CHECKING:
     from limeshelf.calls.routes import EngineSpec
     from limeshelf.orders.desk import Lane
-    from limeshelf.replicas.directory import Replica, ReplicaDirectory
+    from limeshelf.replicas.directory import ReplicaDirectory
+    from limeshelf.replicas.replica import Replica
 
 #: Adapters that may be on their way to one replica together.
 MAX_COMING = 4
--- a/limeshelf/placement/service.py
+++ b/limeshelf/placement/service.py
@@ -24,7 +24,8 @@
     from limeshelf.calls.routes import EngineSpec, ServingConfig
     from limeshelf.lease.leadership import Leadership
     from limeshelf.placement.planner import CopyMove
-    from limeshelf.replicas.directory import Replica, ReplicaDirectory
+    from limeshelf.replicas.directory import ReplicaDirectory
+    from limeshelf.replicas.replica import Replica
     from limeshelf.util.tasks import TaskSet
 
 STEP_S = 0.2
--- a/limeshelf/programs/gateway.py
+++ b/limeshelf/programs/gateway.py
@@ -236,11 +236,11 @@
         log_change(
             'config', version=config.version, routes=len(config.routes), row_version=row.version
         )
-        self.directory.wake()
+        self.directory.notify_change()
 
     async def _become_ready(self) -> None:
         while self.pipeline.config is None or not self.directory.all():
-            await self.directory.changed(HEAR_S)
+            await self.directory.wait_for_change(HEAR_S)
         self.edge.enter(Phase.SERVING)
 
     async def _lead(self) -> None:
--- a/limeshelf/replicas/directory.py
+++ b/limeshelf/replicas/directory.py
@@ -1,90 +1,39 @@
-"""All replicas by service: their records, what they hold and what is under way there."""
+"""All replicas that this gateway knows: their rows, reports and what they hold.
+
+Owns the :class:`~limeshelf.replicas.replica.Replica` of each incarnation, and wakes
+who waits for one to change. Relies on the adapter to read rows, on
+:mod:`limeshelf.replicas.freshness` for which statement counts, and on
+:mod:`limeshelf.replicas.loads` for what other gateways have under way.
+"""
 
 from __future__ import annotations
 
 import asyncio
-from typing import TYPE_CHECKING, Protocol
+from typing import TYPE_CHECKING
 
 import attrs
 
 from limeshelf.errors import InvalidDocument
 from limeshelf.metrics.event_log import log_change
-from limeshelf.replicas.health import ReplicaHealth
-from limeshelf.replicas.record import Holding, ReplicaRecord, ReplicaReport
+from limeshelf.replicas.freshness import (
+    heartbeat_tells_holdings,
+    is_late_heartbeat,
+    is_late_report,
+)
+from limeshelf.replicas.loads import PeerLoads
+from limeshelf.replicas.replica import Load, Replica, by_model
 from limeshelf.util.clock import boottime_s
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
 
     from limeshelf.feeds.rows import Row
-
-#: What a peer told of its running calls counts for this long.
-PEER_LOAD_LIFE_S = 2.0
-#: A report goes before heartbeats for this long.
-REPORT_LIFE_S = 2.5
-#: Stands for all peers together.
-ALL_OTHERS = '*'
-
-
-@attrs.define
-class Load:
-    """Calls and tokens under way at a replica."""
-
-    calls: int = 0
-    tokens: int = 0
-
-
-class LoadAt(Protocol):
-    """Calls and tokens under way at a named replica."""
-
-    replica_id: str
-    calls: int
-    tokens: int
-
-
-@attrs.define(eq=False)
-class Replica:
-    """One incarnation of a replica as this process knows it.
-
-    :ivar holdings: model to its ready adapters.
-    :ivar order_number: orders that it has taken; ``None`` until it was asked.
-    :ivar gone: it answered as another incarnation, or its record was dropped.
-    :ivar retiring: models that are about to be unloaded; they take no new calls.
-    :ivar own: calls of this process under way there.
-    :ivar report: the latest report, with the time of its arrival.
-    """
-
-    record: ReplicaRecord
-    holdings: dict[str, frozenset[str]]
-    order_number: int | None = None
-    gone: bool = False
-    own: Load = attrs.field(factory=Load)
-    health: ReplicaHealth = attrs.field(factory=ReplicaHealth)
-    report: ReplicaReport | None = None
-    reported_s: float = 0.0
-    leaving: bool = False
-    retiring: set[str] = attrs.field(factory=set)
-
-    @property
-    def replica_id(self) -> str:
-        """Return the id of the incarnation."""
-        return self.record.replica_id
-
-    @property
-    def takes_calls(self) -> bool:
-        """Return whether it is there and does not leave."""
-        return not self.gone and not self.leaving
-
-    def holds(self, model: str, adapter: str = '') -> bool:
-        """Return whether a model, or an adapter of it, is ready there."""
-        adapters = self.holdings.get(model)
-        if adapters is None or model in self.retiring:
-            return False
-        return not adapter or adapter in adapters
+    from limeshelf.replicas.loads import LoadAt
+    from limeshelf.replicas.record import ReplicaRecord, ReplicaReport
 
 
 class ReplicaDirectory:
-    """Every replica that the store or a peer told of.
+    """Every replica that has a row in the store, or had one.
 
     :param read_record: reads a row into a record; raises :exc:`InvalidDocument`.
     """
@@ -92,9 +41,9 @@
     def __init__(self, read_record: Callable[[str, bytes], ReplicaRecord]) -> None:
         self._read_record = read_record
         self._replicas: dict[str, Replica] = {}
-        self._peer_loads: dict[str, tuple[float, dict[str, Load]]] = {}
+        self._peer_loads = PeerLoads()
         self._changed = asyncio.Event()
-        #: Told when what a replica holds has changed.
+        #: Called with the id of a replica when what it holds has changed.
         self.on_change: Callable[[str], None] = lambda replica_id: None
 
     def all(self) -> list[Replica]:
@@ -114,7 +63,10 @@
         return self._replicas.get(replica_id)
 
     def take_row(self, row: Row) -> None:
-        """Take a newer row of a replica."""
+        """Take a newer row of a replica.
+
+        A row that cannot be read is logged and left out; the last one stays in force.
+        """
         if row.gone:
             self._drop(row.key)
             return
@@ -124,13 +76,13 @@
             log_change('replica_row_invalid', replica=row.key, problem=str(error))
             return
         self._take_record(record)
-        self.wake()
+        self.notify_change()
 
     def _take_record(self, record: ReplicaRecord) -> None:
         replica = self._replicas.get(record.replica_id)
         if replica is None or replica.gone:
             self._supersede(record)
-            holdings = _as_dict(record.holdings)
+            holdings = by_model(record.holdings)
             self._replicas[record.replica_id] = Replica(record, holdings, leaving=record.leaving)
             log_change(
                 'replica_found',
@@ -140,18 +92,17 @@
                 models=sorted(holdings),
             )
             return
-        if record.beat_number < replica.record.beat_number:
+        if is_late_heartbeat(record.beat_number, replica.record.beat_number):
             return
         replica.record = record
         if record.leaving and not replica.leaving:
             replica.leaving = True
             log_change('replica_leaving', replica=record.replica_id, left_s=record.leaves_in_s)
-        # A heartbeat may tell of a time before the latest report.
-        if boottime_s() - replica.reported_s > REPORT_LIFE_S:
-            replica.holdings = _as_dict(record.holdings)
+        if heartbeat_tells_holdings(boottime_s() - replica.reported_s):
+            replica.holdings = by_model(record.holdings)
 
     def _supersede(self, record: ReplicaRecord) -> None:
-        """An address belongs to the newest incarnation that was told of there."""
+        """Give an address to the newest incarnation; who had it takes no new calls."""
         for other in self._replicas.values():
             if other.record.address == record.address and not other.gone:
                 other.leaving = True
@@ -161,10 +112,13 @@
         if replica is not None and not replica.gone:
             replica.gone = True
             log_change('replica_gone', replica=replica_id, cause='record_dropped')
-            self.wake()
+            self.notify_change()
 
     def mark_gone(self, replica: Replica, cause: str) -> None:
-        """Note that the incarnation is no longer there."""
+        """Note that the incarnation is no longer there.
+
+        :param cause: how this was learned, for the log.
+        """
         if not replica.gone:
             replica.gone = True
             log_change('replica_gone', replica=replica.replica_id, cause=cause)
@@ -172,13 +126,12 @@
     def take_report(self, replica_id: str, report: ReplicaReport, settled: bool = False) -> None:
         """Take what a replica reported, to this process or to a peer.
 
-        :param settled: nothing was ordered there for longer than reports lag, so
-            a lower number than the known one is right, not old.
+        :param settled: see :func:`~limeshelf.replicas.freshness.is_late_report`.
         """
         replica = self._replicas.get(replica_id)
         if replica is None:
             return
-        if report.order_number < (replica.order_number or 0) and not settled:
+        if is_late_report(report.order_number, replica.order_number, settled):
             return
         replica.report = report
         replica.reported_s = boottime_s()
@@ -186,10 +139,10 @@
         if report.leaving and not replica.leaving:
             replica.leaving = True
             log_change('replica_leaving', replica=replica_id, cause='report')
-        holdings = _as_dict(report.holdings)
+        holdings = by_model(report.holdings)
         if holdings != replica.holdings:
             replica.holdings = holdings
-            self.wake()
+            self.notify_change()
             self.on_change(replica_id)
 
     def drop_adapter(self, replica: Replica, model: str, adapter: str) -> None:
@@ -206,9 +159,13 @@
             replica.report = attrs.evolve(report, holdings=holdings)
 
     def forget_holding(self, replica: Replica, model: str, adapter: str) -> None:
-        """Note the replica's word that something is not there; calls go elsewhere.
+        """Note that a replica refused a call for lack of a model or an adapter.
+
+        Calls go elsewhere from now on. The report stays as it is: a refusal is no
+        proof that the replica has room for another load
+        (tests/placement/test_service.py).
 
-        The report stays as it is: such a word frees no room for a load.
+        :param adapter: empty where the model itself is not there.
         """
         adapters = replica.holdings.get(model)
         if adapters is None:
@@ -220,44 +177,30 @@
 
     def take_peer_loads(self, peer: str, loads: Iterable[LoadAt]) -> None:
         """Take what a peer has under way at each replica."""
-        by_replica = {load.replica_id: Load(load.calls, load.tokens) for load in loads}
-        self._peer_loads[peer] = (boottime_s(), by_replica)
+        self._peer_loads.take(peer, loads)
 
     def take_total_loads(self, loads: Iterable[LoadAt]) -> None:
-        """Take what all entry instances have under way, this one among them."""
-        others = {}
-        for load in loads:
-            replica = self._replicas.get(load.replica_id)
-            own = replica.own if replica is not None else Load()
-            others[load.replica_id] = Load(
-                max(0, load.calls - own.calls), max(0, load.tokens - own.tokens)
-            )
-        self._peer_loads = {ALL_OTHERS: (boottime_s(), others)}
+        """Take what all gateways have under way, this one among them."""
+        self._peer_loads.take_totals(loads, self._own_at)
+
+    def _own_at(self, replica_id: str) -> Load:
+        replica = self._replicas.get(replica_id)
+        return replica.own if replica is not None else Load()
 
     def load_of(self, replica: Replica) -> Load:
-        """Return what all entry instances together have under way at a replica."""
-        total = Load(replica.own.calls, replica.own.tokens)
-        oldest_s = boottime_s() - PEER_LOAD_LIFE_S
-        for told_s, loads in self._peer_loads.values():
-            load = loads.get(replica.replica_id)
-            if load is not None and told_s >= oldest_s:
-                total.calls += load.calls
-                total.tokens += load.tokens
-        return total
-
-    def wake(self) -> None:
-        """Let the waiting calls look again."""
+        """Return what all gateways together have under way at a replica."""
+        others = self._peer_loads.at(replica.replica_id)
+        return Load(replica.own.calls + others.calls, replica.own.tokens + others.tokens)
+
+    def notify_change(self) -> None:
+        """Wake everyone in :meth:`wait_for_change`."""
         self._changed.set()
         self._changed = asyncio.Event()
 
-    async def changed(self, limit_s: float) -> None:
+    async def wait_for_change(self, limit_s: float) -> None:
         """Return when something changed, or after *limit_s* seconds."""
         try:
             async with asyncio.timeout(max(0.0, limit_s)):
                 await self._changed.wait()
         except TimeoutError:
             return
-
-
-def _as_dict(holdings: tuple[Holding, ...]) -> dict[str, frozenset[str]]:
-    return {holding.model: holding.adapters for holding in holdings}
--- a/limeshelf/replicas/penalties.py
+++ b/limeshelf/replicas/penalties.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from limeshelf.replicas.directory import Replica
+    from limeshelf.replicas.replica import Replica
 
 #: Cost of a hop to another data centre, in whole replicas. Chosen, not measured (a904fff).
 OTHER_CENTRE_COST = 0.03
--- a/limeshelf/replicas/pool.py
+++ b/limeshelf/replicas/pool.py
@@ -11,7 +11,8 @@
 if TYPE_CHECKING:
     from limeshelf.calls.routes import ServiceSpec
     from limeshelf.calls.wire import CallWire
-    from limeshelf.replicas.directory import Replica, ReplicaDirectory
+    from limeshelf.replicas.directory import ReplicaDirectory
+    from limeshelf.replicas.replica import Replica
 
 #: Part of a replica's connections that all entry instances together use.
 USED_SHARE = 0.9
--- /dev/null
+++ b/limeshelf/replicas/replica.py
@@ -0,0 +1,79 @@
+"""One incarnation of a replica as this process knows it.
+
+Several packages write to it, each its own fields; the class names the owner of each.
+"""
+
+from __future__ import annotations
+
+import attrs
+
+from limeshelf.replicas.health import ReplicaHealth
+from limeshelf.replicas.record import Holding, ReplicaRecord, ReplicaReport
+
+
+@attrs.define
+class Load:
+    """Calls under way at a replica, and the tokens of memory that they likely fill."""
+
+    calls: int = 0
+    tokens: int = 0
+
+
+@attrs.define(eq=False)
+class Replica:
+    """One incarnation of a replica; its restart begins another.
+
+    Written by :class:`~limeshelf.replicas.directory.ReplicaDirectory`:
+
+    :ivar record: its newest row in the store.
+    :ivar report: its newest report, its own or a peer's copy; ``None`` before the first.
+    :ivar reported_s: arrival of that report here, on the steady clock.
+    :ivar holdings: model to its ready adapters.
+    :ivar leaving: it said so, or a newer incarnation has its address; never taken back.
+    :ivar gone: its row was deleted, or another incarnation answered at its
+        address; a later row begins a new object.
+
+    Written by others:
+
+    :ivar order_number: orders that it has taken, ``None`` until the first report;
+        raised by :mod:`limeshelf.orders` when it takes an order.
+    :ivar retiring: models that :mod:`limeshelf.orders` is about to unload; they
+        take no new calls.
+    :ivar own: calls of this process under way there, counted by
+        :mod:`limeshelf.gateway.pipeline`.
+    :ivar health: told of each outcome by :mod:`limeshelf.gateway.pipeline`, and of
+        probes by :mod:`limeshelf.replicas.pool`.
+    """
+
+    record: ReplicaRecord
+    holdings: dict[str, frozenset[str]]
+    order_number: int | None = None
+    gone: bool = False
+    own: Load = attrs.field(factory=Load)
+    health: ReplicaHealth = attrs.field(factory=ReplicaHealth)
+    report: ReplicaReport | None = None
+    reported_s: float = 0.0
+    leaving: bool = False
+    retiring: set[str] = attrs.field(factory=set)
+
+    @property
+    def replica_id(self) -> str:
+        """Return the id of the incarnation."""
+        return self.record.replica_id
+
+    @property
+    def takes_calls(self) -> bool:
+        """Return whether it is there and does not leave."""
+        return not self.gone and not self.leaving
+
+    def holds(self, model: str, adapter: str = '') -> bool:
+        """Return whether a model, or an adapter of it, is ready there."""
+        adapters = self.holdings.get(model)
+        if adapters is None or model in self.retiring:
+            return False
+        return not adapter or adapter in adapters
+
+
+def by_model(holdings: tuple[Holding, ...]) -> dict[str, frozenset[str]]:
+    """Return models with their ready adapters."""
+    return {holding.model: holding.adapters for holding in holdings}
--- a/limeshelf/routing/chooser.py
+++ b/limeshelf/routing/chooser.py
@@ -19,7 +19,8 @@
 
 if TYPE_CHECKING:
     from limeshelf.calls.routes import ServiceSpec
-    from limeshelf.replicas.directory import Replica, ReplicaDirectory
+    from limeshelf.replicas.directory import ReplicaDirectory
+    from limeshelf.replicas.replica import Replica
 
 #: Cost of a suspended replica, in whole replicas: above what any load costs, so that
 #: one is tried only where all are suspended. Chosen, not measured (a904fff).
--- a/tests/placement/test_service.py
+++ b/tests/placement/test_service.py
@@ -11,8 +11,9 @@
 from limeshelf.orders.order import OrderKind
 from limeshelf.placement.service import FleetService
 from limeshelf.platform.replicas import read_record
-from limeshelf.replicas.directory import Replica, ReplicaDirectory
+from limeshelf.replicas.directory import ReplicaDirectory
 from limeshelf.replicas.record import Holding, ReplicaRecord, ReplicaReport
+from limeshelf.replicas.replica import Replica
 from limeshelf.util.tasks import TaskSet
 
 MODELS = {
--- /dev/null
+++ b/tests/replicas/test_freshness.py
@@ -0,0 +1,44 @@
+"""Which statement about a replica counts."""
+
+from __future__ import annotations
+
+import pytest
+
+from limeshelf.replicas.freshness import (
+    PEER_LOAD_LIFE_S,
+    REPORT_LIFE_S,
+    heartbeat_tells_holdings,
+    is_late_heartbeat,
+    is_late_report,
+    peer_load_counts,
+)
+
+
+def test_heartbeat_sent_before_the_newest_is_late() -> None:
+    assert is_late_heartbeat(beat_number=4, newest_beat_number=5)
+    assert not is_late_heartbeat(beat_number=5, newest_beat_number=5)
+
+
+@pytest.mark.parametrize(
+    ('reported', 'known', 'settled', 'late'),
+    [
+        (0, None, False, False),
+        (3, 3, False, False),
+        (2, 3, False, True),
+        (2, 3, True, False),
+    ],
+)
+def test_report_from_before_the_last_order_is_late(
+    reported: int, known: int | None, settled: bool, late: bool
+) -> None:
+    assert is_late_report(reported, known, settled) is late
+
+
+def test_heartbeat_counts_when_the_report_is_old() -> None:
+    assert not heartbeat_tells_holdings(REPORT_LIFE_S)
+    assert heartbeat_tells_holdings(REPORT_LIFE_S + 0.01)
+
+
+def test_silent_peer_has_nothing_under_way() -> None:
+    assert peer_load_counts(PEER_LOAD_LIFE_S)
+    assert not peer_load_counts(PEER_LOAD_LIFE_S + 0.01)
--- a/tests/replicas/test_penalties.py
+++ b/tests/replicas/test_penalties.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from limeshelf.replicas.directory import Replica
 from limeshelf.replicas.health import Failure
 from limeshelf.replicas.penalties import with_penalties
 from limeshelf.replicas.record import ReplicaRecord
+from limeshelf.replicas.replica import Replica
 
 
 @pytest.fixture
--- a/tests/routing/test_chooser.py
+++ b/tests/routing/test_chooser.py
@@ -8,9 +8,10 @@
 
 from limeshelf.calls.routes import EngineSpec, ServiceSpec
 from limeshelf.platform.replicas import read_record
-from limeshelf.replicas.directory import Replica, ReplicaDirectory
+from limeshelf.replicas.directory import ReplicaDirectory
 from limeshelf.replicas.health import Failure
 from limeshelf.replicas.record import ReplicaRecord, ReplicaReport
+from limeshelf.replicas.replica import Replica
 from limeshelf.routing.chooser import REPORT_LIFE_S, Chooser, PlainLoad
 from limeshelf.util.clock import VirtualClock, virtual_clock
 
