--- a/limeshelf/standalone/placement/anchors.py
+++ b/limeshelf/standalone/placement/anchors.py
@@ -49,7 +49,6 @@
         self._lease = lease
         self._data_centre = data_centre
         self._anchors: dict[str, Anchor] = {}
-        self._absent_versions: dict[str, int] = {}
         #: Own upstreams that a write of unknown outcome may have made anchors,
         #: by model, with the row version that would rule it out.
         self._doubtful: dict[str, dict[str, int]] = {}
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -23,7 +23,7 @@
     OrderAnswer,
     OrderRefusal,
 )
-from standins.faults import add_faults, drop
+from standins.faults import add_faults, drop, refuse, set_switches
 
 KEPT_RUNS = 50_000
 
@@ -94,7 +94,6 @@
         self.order_faults = OrderFaults()
         self.stream_faults = StreamFaults()
         self.overcommits: list[dict] = []
-        self.max_used_bytes = 0
         self.orders: list[dict] = []
         self.runs: list[dict] = []
         self.leaving = False
@@ -196,7 +195,6 @@
 
     def _check_memory(self, order: Order) -> None:
         used_bytes = self.used_bytes()
-        self.max_used_bytes = max(self.max_used_bytes, used_bytes)
         if used_bytes > self.model.capacity_bytes:
             self.overcommits.append(
                 {'at_s': time.monotonic(), 'used_bytes': used_bytes, 'item': order.item_id}
@@ -251,10 +249,10 @@
         """Generate tokens, each in a line of its own."""
         order = msgspec.json.decode(await request.read(), type=GenerateRequest)
         if self.leaving:
-            return _refuse(leaving=True)
+            return refuse(leaving=True)
         held = self.items.get(order.item_id)
         if held is None or held.state is not ItemState.READY:
-            return _refuse(leaving=False)
+            return refuse(leaving=False)
         self.in_use[order.item_id] = self.in_use.get(order.item_id, 0) + 1
         self._record(order)
         try:
@@ -366,47 +364,28 @@
 
     async def handle_order_faults(self, request: web.Request) -> web.Response:
         """Set faults of orders."""
-        for name, value in msgspec.json.decode(await request.read()).items():
-            setattr(self.order_faults, name, value)
-        return web.Response()
+        return await set_switches(request, self.order_faults)
 
     async def handle_stream_faults(self, request: web.Request) -> web.Response:
         """Set faults of answers."""
-        for name, value in msgspec.json.decode(await request.read()).items():
-            setattr(self.stream_faults, name, value)
-        return web.Response()
+        return await set_switches(request, self.stream_faults)
 
     async def handle_model(self, request: web.Request) -> web.Response:
         """Change speeds and sizes."""
-        for name, value in msgspec.json.decode(await request.read()).items():
-            setattr(self.model, name, value)
-        return web.Response()
+        return await set_switches(request, self.model)
 
     async def handle_record(self, request: web.Request) -> web.Response:
         """Return what tests check."""
         record = {
-            'now_s': time.monotonic(),
-            'boot_id': self.boot_id,
-            'capacity_bytes': self.model.capacity_bytes,
-            'used_bytes': self.used_bytes(),
-            'max_used_bytes': self.max_used_bytes,
             'overcommits': self.overcommits,
             'items': [msgspec.to_builtins(item) for item in self.items.values()],
             'orders': self.orders,
             'runs': self.runs,
             'left_at_s': self.left_at_s,
-            'last_epoch': self.last_epoch,
         }
         return web.Response(body=msgspec.json.encode(record))
 
 
-def _refuse(leaving: bool) -> web.Response:
-    headers = {'X-Not-Run': '1', 'Retry-After': '1'}
-    if leaving:
-        headers['X-Leaving'] = '1'
-    return web.Response(status=503, headers=headers)
-
-
 def engine_app(engine: Engine) -> web.Application:
     """Return the app of one engine."""
     app = web.Application(client_max_size=64 << 20)
--- a/standins/faults.py
+++ b/standins/faults.py
@@ -2,8 +2,6 @@
 
 from __future__ import annotations
 
-import asyncio
-
 import attrs
 import msgspec
 from aiohttp import web
@@ -17,20 +15,14 @@
     """What goes wrong at present.
 
     :param down: connections are dropped before anything happens.
-    :param delay_s: answers come later.
     :param lose_answers: this many next requests take effect, and then their
         connection is dropped without an answer.
-    :param drop_requests: this many next requests are dropped without effect.
-    :param refuse: requests get status 503 without effect.
     :param path_prefix: only paths that start with it are hit.
     :param cut_centres: data centres whose requests do not get through.
     """
 
     down: bool = False
-    delay_s: float = 0.0
     lose_answers: int = 0
-    drop_requests: int = 0
-    refuse: bool = False
     path_prefix: str = '/'
     cut_centres: list[str] = attrs.field(factory=list)
 
@@ -40,9 +32,7 @@
     faults = Faults()
 
     async def switch(request: web.Request) -> web.Response:
-        for name, value in msgspec.json.decode(await request.read()).items():
-            setattr(faults, name, value)
-        return web.json_response(attrs.asdict(faults))
+        return await set_switches(request, faults)
 
     @web.middleware
     async def strike(request: web.Request, handler):
@@ -52,14 +42,10 @@
             return drop(request)
         if not path_of(request).startswith(faults.path_prefix):
             return await handler(request)
-        if faults.down or _strikes(faults, 'drop_requests'):
+        if faults.down:
             return drop(request)
-        if faults.refuse:
-            return web.Response(status=503)
-        lose = _strikes(faults, 'lose_answers')
+        lose = strikes(faults, 'lose_answers')
         answer = await handler(request)
-        if faults.delay_s:
-            await asyncio.sleep(faults.delay_s)
         return drop(request) if lose else answer
 
     app.middlewares.append(strike)
@@ -67,12 +53,28 @@
     return faults
 
 
-def _strikes(faults: Faults, name: str) -> bool:
+def strikes(faults: object, name: str) -> bool:
+    """Return whether the fault called *name* hits this request; count it down if so."""
     left: int = getattr(faults, name)
     setattr(faults, name, max(0, left - 1))
     return left > 0
 
 
+async def set_switches(request: web.Request, switches: object) -> web.Response:
+    """Set the attributes of *switches* that the JSON body of *request* names."""
+    for name, value in msgspec.json.decode(await request.read()).items():
+        setattr(switches, name, value)
+    return web.Response()
+
+
+def refuse(leaving: bool) -> web.Response:
+    """Refuse a request that was not run; say whether the upstream is leaving."""
+    headers = {'X-Not-Run': '1', 'Retry-After': '1'}
+    if leaving:
+        headers['X-Leaving'] = '1'
+    return web.Response(status=503, headers=headers)
+
+
 def path_of(request: web.Request) -> str:
     """Return the path without the data centre that the request came from."""
     centre = request.match_info.get('centre')
--- a/standins/plain.py
+++ b/standins/plain.py
@@ -10,7 +10,7 @@
 import msgspec
 from aiohttp import web
 
-from standins.faults import add_faults, drop
+from standins.faults import add_faults, drop, refuse, set_switches, strikes
 
 
 @attrs.define
@@ -21,12 +21,14 @@
     :param die_after: the call runs, and then the connection is dropped.
     :param cut: half of the answer's body is sent.
     :param busy: refused as not run.
+    :param call_s: time that each call takes.
     """
 
     die_before: int = 0
     die_after: int = 0
     cut: int = 0
     busy: int = 0
+    call_s: float = 0.001
 
 
 class PlainService:
@@ -34,8 +36,7 @@
 
     def __init__(self, name: str, call_s: float) -> None:
         self.name = name
-        self.call_s = call_s
-        self.faults = CallFaults()
+        self.faults = CallFaults(call_s=call_s)
         self.runs: list[dict] = []
         self.leaving = False
         self.left_at_s = 0.0
@@ -58,20 +59,17 @@
     async def handle_call(self, request: web.Request) -> web.StreamResponse:
         """Run a call and echo it."""
         body = await request.read()
-        if self.leaving or self._strikes('busy'):
-            headers = {'X-Not-Run': '1', 'Retry-After': '1'}
-            if self.leaving:
-                headers['X-Leaving'] = '1'
-            return web.Response(status=503, headers=headers)
-        if self._strikes('die_before'):
+        if self.leaving or strikes(self.faults, 'busy'):
+            return refuse(self.leaving)
+        if strikes(self.faults, 'die_before'):
             return drop(request)
         self.running += 1
         try:
             self._record(request, body)
-            await asyncio.sleep(self.call_s)
+            await asyncio.sleep(self.faults.call_s)
         finally:
             self.running -= 1
-        if self._strikes('die_after'):
+        if strikes(self.faults, 'die_after'):
             return drop(request)
         answer = {
             'service': self.name,
@@ -81,16 +79,10 @@
             'caller': request.headers.get('X-Caller', ''),
             'echo': body.decode(errors='replace'),
         }
-        if self._strikes('cut'):
+        if strikes(self.faults, 'cut'):
             return await self._cut(request, msgspec.json.encode(answer))
         return web.json_response(answer)
 
-    def _strikes(self, name: str) -> bool:
-        left = getattr(self.faults, name)
-        if left > 0:
-            setattr(self.faults, name, left - 1)
-        return left > 0
-
     def _record(self, request: web.Request, body: bytes) -> None:
         self.runs.append(
             {
@@ -126,16 +118,11 @@
 
     async def handle_faults(self, request: web.Request) -> web.Response:
         """Set faults of calls."""
-        for name, value in msgspec.json.decode(await request.read()).items():
-            if name == 'call_s':
-                self.call_s = value
-            else:
-                setattr(self.faults, name, value)
-        return web.Response()
+        return await set_switches(request, self.faults)
 
     async def handle_record(self, request: web.Request) -> web.Response:
         """Return what tests check."""
-        record = {'now_s': time.monotonic(), 'runs': self.runs, 'left_at_s': self.left_at_s}
+        record = {'runs': self.runs, 'left_at_s': self.left_at_s}
         return web.Response(body=msgspec.json.encode(record))
 
 
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -26,14 +26,12 @@
 
     def __init__(self) -> None:
         self.rows: dict[str, TableRow] = {}
-        self.commits: list[dict] = []
 
     def add_routes(self, app: CentreRouter) -> None:
         """Add the service's paths."""
         app.router.add_get('/rows', self.scan)
         app.router.add_get('/rows/{key}', self.read)
         app.router.add_post('/transact', self.transact)
-        app.router.add_get('/_commits', self.list_commits)
 
     def _row(self, key: str) -> dict:
         row = self.rows.get(key, TableRow())
@@ -66,15 +64,8 @@
             row.version += 1
             row.value = write['value']
             versions[write['key']] = row.version
-        at_s = asyncio.get_running_loop().time()
-        self.commits.append({'at_s': at_s, 'writes': body['writes']})
-        del self.commits[:-2000]
         return web.json_response({'versions': versions})
 
-    async def list_commits(self, request: web.Request) -> web.Response:
-        """Return the latest commits with their times."""
-        return web.json_response(self.commits)
-
 
 class Objects:
     """Whole values under keys."""
--- a/standins/users_platform/store.py
+++ b/standins/users_platform/store.py
@@ -9,9 +9,6 @@
 import attrs
 from aiohttp import web
 
-#: Most changes that are kept; a feed that asks for older ones gets 410.
-HISTORY = 1000
-
 
 @attrs.define
 class StoreFaults:
--- a/tests/standalone/entry/test_plain.py
+++ b/tests/standalone/entry/test_plain.py
@@ -124,7 +124,7 @@
     async def case() -> None:
         async with bench() as made:
             for service in made.services.values():
-                service.call_s = 0.05
+                service.faults.call_s = 0.05
             headers = {'Idempotency-Key': 'k'}
             answers = await asyncio.gather(
                 *(made.send('POST', '/book/s', data=b'x', headers=headers) for _ in range(10))
@@ -177,7 +177,7 @@
     async def case() -> None:
         async with bench() as made:
             for service in made.services.values():
-                service.call_s = 0.1
+                service.faults.call_s = 0.1
             headers = {'Idempotency-Key': 'k'}
             first = asyncio.ensure_future(made.send('POST', '/book/s', data=b'x', headers=headers))
             while made.service_runs == 0:
