--- /dev/null
+++ b/tests/demand/test_model_demand.py
@@ -0,0 +1,69 @@
+"""What all calls to a model keep busy at the replicas of a service."""
+
+from __future__ import annotations
+
+import pytest
+
+from limeshelf.calls.routes import EngineSpec, ModelSpec
+from limeshelf.demand.keys import ModelKey
+from limeshelf.demand.model_demand import demand_by_model, rise_factor
+from limeshelf.demand.totals import KeyTotals
+from limeshelf.util.clock import boottime_s
+
+ENGINE = EngineSpec(
+    8, 10000, 160.0, 4, 2.0, {'hot': ModelSpec('hot', 70.0, 5.0, 1.0, frozenset(), 1.0)}
+)
+
+
+def read_ms(model: str, tokens: float) -> float:
+    return 0.055 * tokens
+
+
+def test_demand_adds_up_the_keys_of_a_model() -> None:
+    now_s = boottime_s()
+    totals = {
+        ModelKey('lm', 'hot'): KeyTotals(
+            calls_per_s=2.0,
+            lasting_calls_per_s=2.0,
+            tokens_per_s=2000.0,
+            running=3.0,
+            seen_s=now_s,
+            objective_s=6.0,
+        ),
+        ModelKey('lm', 'hot', 'a1'): KeyTotals(
+            calls_per_s=1.0,
+            lasting_calls_per_s=1.0,
+            tokens_per_s=1000.0,
+            running=1.0,
+            seen_s=now_s,
+            objective_s=1.0,
+        ),
+        ModelKey('lm', 'hot', 'a2'): KeyTotals(seen_s=now_s - 60.0),
+        ModelKey('lm2', 'hot'): KeyTotals(calls_per_s=50.0),
+    }
+    hot = demand_by_model('lm', ENGINE, totals, read_ms)['hot']
+    assert (hot.calls_per_s, hot.running, hot.objective_s) == (3.0, 4.0, 1.0)
+    assert hot.adapters == 1
+    assert hot.busy_replicas == pytest.approx(max(3000 * 0.055 / 1000 / 0.5, 4 / 6.4))
+
+
+def test_rising_demand_counts_as_what_it_will_be() -> None:
+    def replicas(lasting_rate: float) -> float:
+        hot = KeyTotals(calls_per_s=10.0, lasting_calls_per_s=lasting_rate, tokens_per_s=10000.0)
+        demands = demand_by_model('lm', ENGINE, {ModelKey('lm', 'hot'): hot}, read_ms)
+        return demands['hot'].busy_replicas
+
+    assert replicas(10.0) == pytest.approx(1.1)
+    assert replicas(12.0) == pytest.approx(1.1)
+    assert replicas(5.0) == pytest.approx(1.1 * 1.3)
+    assert replicas(0.0) == pytest.approx(1.1 * 1.5)
+
+
+@pytest.mark.parametrize(
+    ('calls_per_s', 'lasting_calls_per_s', 'factor'),
+    [(0.0, 5.0, 1.0), (10.0, 12.0, 1.0), (10.0, 5.0, 1.3), (10.0, 0.0, 1.5)],
+)
+def test_rise_counts_in_part_and_up_to_half_more(
+    calls_per_s: float, lasting_calls_per_s: float, factor: float
+) -> None:
+    assert rise_factor(calls_per_s, lasting_calls_per_s) == pytest.approx(factor)
--- /dev/null
+++ b/tests/placement/test_eviction.py
@@ -0,0 +1,48 @@
+"""Which copies are evicted to make room for a model."""
+
+from __future__ import annotations
+
+from limeshelf.demand.model_demand import ModelDemand
+from limeshelf.placement.eviction import Eviction, eviction_for
+from limeshelf.placement.survey import CopySurvey, ReplicaCopies
+from limeshelf.placement.worth import CopyWorth
+from tests.placement.builders import busy, engine, replica, seldom
+
+# A replica has 156 MB for models beside 4 MB for adapters (tests/placement/builders.py).
+
+
+def evicted(model: str, here: ReplicaCopies, **demands: ModelDemand) -> Eviction | None:
+    demands.setdefault('hot', busy(20))
+    survey = CopySurvey.take(engine(), demands, [here, replica('r9', 'hot')])
+    return eviction_for(model, here, survey, CopyWorth(survey, {}, {}))
+
+
+def test_nothing_goes_where_there_is_room() -> None:
+    assert evicted('small', replica('r1', 'big', 'rare')) == Eviction()
+
+
+def test_copy_of_least_worth_goes() -> None:
+    here = replica('r1', 'big', 'small', 'rare')
+    eviction = evicted('other', here, big=busy(1), small=seldom(0.1), rare=seldom(0.2))
+    assert eviction is not None
+    assert eviction.models == ('small', 'rare')
+
+
+def test_copies_of_equal_worth_go_by_name() -> None:
+    here = replica('r1', 'small', 'rare', 'other')
+    eviction = evicted('big', here, other=busy(1))
+    assert eviction is not None
+    assert eviction.models == ('rare', 'small')
+
+
+def test_cheap_copy_stays_if_a_larger_one_has_to_go_anyway() -> None:
+    here = replica('r1', 'big', 'small', 'rare')
+    rare = ModelDemand(objective_s=6.0)
+    eviction = evicted('hot', here, rare=rare, big=seldom(0.1), small=busy(5))
+    assert eviction is not None
+    assert eviction.models == ('big',)
+
+
+def test_no_room_is_found_beside_a_load_on_its_way() -> None:
+    here = ReplicaCopies('r1', {'small'}, {'big', 'other'}, True)
+    assert evicted('hot', here) is None
--- /dev/null
+++ b/tests/placement/test_worth.py
@@ -0,0 +1,73 @@
+"""What a copy of a model gains, and what is lost with one."""
+
+from __future__ import annotations
+
+import pytest
+
+from limeshelf.demand.model_demand import ModelDemand
+from limeshelf.placement.survey import CopySurvey, ReplicaCopies
+from limeshelf.placement.worth import CopyWorth
+from tests.placement.builders import busy, engine, replica, seldom
+
+
+def worth_of(
+    demands: dict[str, ModelDemand],
+    replicas: list[ReplicaCopies],
+    first_copies: dict[str, int] | None = None,
+    starved_s: dict[str, float] | None = None,
+) -> CopyWorth:
+    survey = CopySurvey.take(engine(), demands, replicas)
+    return CopyWorth(survey, first_copies or {}, starved_s or {})
+
+
+def test_first_copy_gains_its_calls_and_what_waits_and_starves() -> None:
+    demands = {'hot': busy(20), 'rare': seldom(0.3)}
+    replicas = [replica('r1', 'hot')]
+    assert worth_of(demands, replicas).gain_limit('rare') == pytest.approx(0.6 + 2 * 0.3)
+    demands['rare'] = seldom(0.3, waits=True)
+    worth = worth_of(demands, replicas, starved_s={'rare': 10.0})
+    assert worth.gain_limit('rare') == pytest.approx(0.6 + 2 * 0.3 + 1.0 + 1.5)
+    longer = worth_of(demands, replicas, starved_s={'rare': 100.0})
+    assert longer.gain_limit('rare') == pytest.approx(0.6 + 2 * 0.3 + 1.0 + 3.0)
+
+
+def test_further_copy_gains_the_calls_that_are_served_by_it() -> None:
+    replicas = [replica('r1', 'hot'), replica('r2'), replica('r3', data_centre='c2')]
+    worth = worth_of({'hot': busy(20, replicas=1.5)}, replicas)
+    more_per_s = 20 * 0.5 / 1.5
+    assert worth.gain('hot', replicas[1]) == pytest.approx(more_per_s)
+    assert worth.gain('hot', replicas[2]) == pytest.approx(1.2 * more_per_s)
+
+
+def test_busy_replica_gives_a_first_copy_half_its_worth_at_the_least() -> None:
+    demands = {'hot': busy(20, replicas=2.0), 'rare': seldom(0.3)}
+    replicas = [replica('r1', 'hot'), replica('r2', 'big')]
+    worth = worth_of(demands, replicas)
+    idle_gain = worth.gain('rare', replicas[1])
+    assert worth.gain('rare', replicas[0]) == pytest.approx((0.5 + 0.5 * 0.15) * idle_gain)
+
+
+def test_only_copy_is_lost_at_twice_its_worth_if_callers_cannot_wait() -> None:
+    replicas = [replica('r1', 'hot', 'small', 'rare')]
+    demands = {
+        'hot': busy(20),
+        'small': ModelDemand(objective_s=2.5),
+        'rare': ModelDemand(objective_s=2.4),
+    }
+    worth = worth_of(demands, replicas)
+    assert worth.loss('small', replicas[0]) == pytest.approx(0.6)
+    assert worth.loss('rare', replicas[0]) == pytest.approx(2 * 0.6)
+
+
+def test_copies_found_are_worth_less_by_the_square_of_their_number() -> None:
+    replicas = [replica(f'r{n}', 'hot') for n in range(3)]
+    worth = worth_of({}, replicas, first_copies={'hot': 4})
+    assert worth.is_quiet
+    assert worth.loss('hot', replicas[0]) == pytest.approx(0.4 * 4 / 9)
+    assert worth.gain_limit('hot') == pytest.approx(0.4 * 4 / 16)
+    assert worth_of({}, replicas, first_copies={'hot': 3}).gain_limit('hot') == 0.0
+
+
+def test_model_that_left_the_configuration_is_lost_at_no_cost() -> None:
+    here = replica('r1', 'gone')
+    assert worth_of({}, [here]).loss('gone', here) == 0.0
