--- a/limeshelf/gateway/pipeline.py
+++ b/limeshelf/gateway/pipeline.py
@@ -201,12 +201,12 @@
         health = replica.health
         suspended = False
         if isinstance(result, Delivered):
-            health.succeeded(result.first_s)
+            health.succeeded()
         elif isinstance(result, WholeAnswer):
             if result.facts.status >= STATUS_SERVER_ERROR:
                 health.failed(Failure.ERROR_STATUS)
             else:
-                health.succeeded(result.first_s)
+                health.succeeded()
         elif isinstance(result, NeverRan):
             suspended = self._learn_refusal(state, replica, result)
         elif result.doubt is not Doubt.TIME_OVER:
--- a/limeshelf/replicas/health.py
+++ b/limeshelf/replicas/health.py
@@ -1,4 +1,19 @@
-"""How a replica does, from the answers that it gave or did not give."""
+"""The rule for when a replica is suspended, and when it is tried again.
+
+Owns the outcomes of the latest exchanges with one replica. A suspended replica is
+chosen only where there is no other (:mod:`limeshelf.routing.chooser`,
+:mod:`limeshelf.dispatch`).
+
+* Nothing was reached there (:data:`UNREACHABLE`): suspended at the first failure,
+  until a connection can be made again. A real call is not used to find that out:
+  behind a cut it would be lost.
+* An exchange broke, or another replica's answer came: suspended after
+  :data:`SUSPEND_AFTER` such failures in a row, for a pause that doubles.
+* The replica answered with an error or refused: not suspended, because it is
+  there; its share of failures adds to its cost (:mod:`limeshelf.replicas.penalties`).
+
+An answer ends any suspension.
+"""
 
 from __future__ import annotations
 
@@ -8,48 +23,60 @@
 
 from limeshelf.util.clock import boottime_s
 
-#: A replica that failed is left alone this long; doubled with each failure in a row.
+#: First pause of a suspended replica; doubled each time that it fails again.
+#: Chosen, not measured (a904fff).
 SUSPEND_BASE_S = 0.5
+#: Longest pause. Chosen, not measured: 4 s before a pause ended with a probe
+#: in place of a call (2c71b20).
 SUSPEND_LIMIT_S = 1.5
-#: Weight of the newest answer in the averages.
+#: Weight of the newest exchange in the share of failures. Chosen, not measured (a904fff).
 NEWEST_SHARE = 0.15
-#: Failures in a row of these kinds that suspend.
+#: Failures in a row after which a replica that can be reached is suspended.
+#: Chosen, not measured (a904fff).
 SUSPEND_AFTER = 2
 
 
 class Failure(enum.StrEnum):
     """What went wrong with an exchange."""
 
+    #: No connection was made, so no byte was sent.
     NO_CONNECTION = 'no_connection'
+    #: The connection ended before the whole answer was there.
     BROKEN = 'broken'
+    #: No head of an answer came in time.
     SILENT = 'silent'
+    #: The answer belongs to another call, or lacks the signature.
     FOREIGN = 'foreign'
+    #: A whole answer with a status of 500 or above.
     ERROR_STATUS = 'error_status'
+    #: The replica said that it did not run the call.
     REFUSED = 'refused'
 
 
-#: Failures that suspend at the first time: nothing can be reached there.
-_AT_ONCE = frozenset({Failure.NO_CONNECTION, Failure.SILENT})
+#: Nothing can be reached there.
+UNREACHABLE = frozenset({Failure.NO_CONNECTION, Failure.SILENT})
+#: The replica itself answered.
+ANSWERED = frozenset({Failure.ERROR_STATUS, Failure.REFUSED})
 
 
 @attrs.define
 class ReplicaHealth:
-    """Failure and latency averages, and the suspension that follows from them.
+    """Failures of one replica, and the suspension that follows from them.
 
-    :ivar failing: share of failures among the latest exchanges, 0 to 1.
-    :ivar awaits_probe: left alone until a connection could be made again.
-    :ivar first_s: average time to the first byte, in seconds; 0 if unknown.
+    :ivar failing_share: share of failures among the latest exchanges, 0 to 1, an
+        average in which older ones fade.
+    :ivar suspended_until_s: end of the pause, on the steady clock; 0 if there is none.
+    :ivar awaits_probe: suspended until a connection can be made again.
     """
 
-    failing: float = 0.0
-    first_s: float = 0.0
+    failing_share: float = 0.0
     suspended_until_s: float = 0.0
     awaits_probe: bool = False
-    _in_a_row: int = 0
-    _suspensions: int = 0
+    _failures_in_a_row: int = 0
+    _pauses: int = 0
 
     def is_suspended(self) -> bool:
-        """Return whether the replica is left alone at this moment."""
+        """Return whether the replica gets no call at this moment if there is another."""
         return self.awaits_probe or boottime_s() < self.suspended_until_s
 
     @property
@@ -62,33 +89,32 @@
         if reached:
             self.awaits_probe = False
         else:
-            self._extend()
-
-    def succeeded(self, first_s: float) -> None:
-        """Note an answer whose first byte came after *first_s* seconds."""
-        self.failing += NEWEST_SHARE * (0.0 - self.failing)
-        self.first_s += (NEWEST_SHARE if self.first_s else 1.0) * (first_s - self.first_s)
-        self._in_a_row = 0
-        self._suspensions = 0
+            self._pause()
+
+    def succeeded(self) -> None:
+        """Note an answer that is no failure."""
+        self.failing_share += NEWEST_SHARE * (0.0 - self.failing_share)
+        self._failures_in_a_row = 0
+        self._pauses = 0
         self.suspended_until_s = 0.0
         self.awaits_probe = False
 
     def failed(self, failure: Failure) -> bool:
-        """Note a failure; return whether it suspends the replica."""
-        self.failing += NEWEST_SHARE * (1.0 - self.failing)
-        if failure in (Failure.ERROR_STATUS, Failure.REFUSED):
+        """Note a failure; return whether it suspends the replica, which was not before."""
+        self.failing_share += NEWEST_SHARE * (1.0 - self.failing_share)
+        if failure in ANSWERED:
             return False
-        self._in_a_row += 1
-        if failure not in _AT_ONCE and self._in_a_row < SUSPEND_AFTER:
+        self._failures_in_a_row += 1
+        if failure not in UNREACHABLE and self._failures_in_a_row < SUSPEND_AFTER:
             return False
-        was = self.is_suspended()
-        if failure in _AT_ONCE:
+        was_suspended = self.is_suspended()
+        if failure in UNREACHABLE:
             self.awaits_probe = True
-        if not was:
-            self._extend()
-        return not was
+        if not was_suspended:
+            self._pause()
+        return not was_suspended
 
-    def _extend(self) -> None:
-        pause_s = min(SUSPEND_LIMIT_S, SUSPEND_BASE_S * 2**self._suspensions)
-        self._suspensions += 1
+    def _pause(self) -> None:
+        pause_s = min(SUSPEND_LIMIT_S, SUSPEND_BASE_S * 2**self._pauses)
+        self._pauses += 1
         self.suspended_until_s = boottime_s() + pause_s
--- a/limeshelf/replicas/penalties.py
+++ b/limeshelf/replicas/penalties.py
@@ -32,4 +32,4 @@
     cost = load_cost
     if replica.record.data_centre != data_centre:
         cost += OTHER_CENTRE_COST
-    return cost + FAILING_COST * max(0.0, replica.health.failing - TOLERATED_FAILING_SHARE)
+    return cost + FAILING_COST * max(0.0, replica.health.failing_share - TOLERATED_FAILING_SHARE)
