--- a/limeshelf/orders/order.py
+++ b/limeshelf/orders/order.py
@@ -33,7 +33,7 @@
 
 
 @attrs.frozen
-class Order:
+class ReplicaOrder:
     """One order of a holder under its fence.
 
     :param adapter: empty where the model itself is meant.
@@ -50,7 +50,7 @@
 
 
 @attrs.frozen
-class OrderAnswer:
+class ReplicaOrderAnswer:
     """The outcome of an order with the status that told it."""
 
     outcome: OrderOutcome
@@ -70,5 +70,7 @@
     async def report(self, address: str, replica_id: str) -> ReplicaReport:
         """Return a replica's report; raises :exc:`ReplicaSilent`."""
 
-    async def order(self, address: str, replica_id: str, order: Order) -> OrderAnswer:
+    async def order(
+        self, address: str, replica_id: str, order: ReplicaOrder
+    ) -> ReplicaOrderAnswer:
         """Send an order; raises :exc:`ReplicaSilent` where it may have been taken."""
--- /dev/null
+++ b/limeshelf/orders/pending.py
@@ -0,0 +1,152 @@
+"""What is under way at one replica: the only owner of that state.
+
+Holds which loads are planned, sent or unconfirmed, which adapters are about to be
+unloaded, whether the replica answers polls and which fence it was shown. Others ask;
+they tell it what happened by the ``note_`` methods and by ``expect``.
+Relies on the boot clock only.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from typing import TYPE_CHECKING
+
+from limeshelf.util.clock import boottime_s
+
+if TYPE_CHECKING:
+    from collections.abc import Iterable, Mapping
+
+    from limeshelf.orders.task import Loadable
+    from limeshelf.replicas.record import ReplicaReport
+
+#: A poll answered this long after the replica was claimed shows what came before the
+#: claim. Reports are some 100 ms old; the rest is chosen, not measured (commit 850fb59).
+REPORT_SETTLE_S = 0.2
+#: For this long a poll of our own counts as fresh. Orders by what a predecessor told
+#: overcommitted memory (commit 66026a6); the figure is chosen, not measured.
+FRESH_S = 1.5
+#: A replica that left this many polls in a row unanswered counts as lost. Chosen, not
+#: measured (commit 92894f5).
+LOST_AFTER_POLLS = 2
+
+
+class PendingOrders:
+    """Orders to one replica that may not have shown their effect yet."""
+
+    def __init__(self) -> None:
+        #: Held while orders go out: one replica has one order under way at a time.
+        self.lock = asyncio.Lock()
+        self._ready_at_s: dict[Loadable, float] = {}
+        self._unloading: set[Loadable] = set()
+        self._sent: set[Loadable] = set()
+        #: Loads without an answer, with the number of orders that each expected.
+        self._unanswered: dict[Loadable, int] = {}
+        self._missed_polls = 0
+        self._polled_s = 0.0
+        self._claimed_fence = 0
+        self._claimed_s = 0.0
+
+    # Planned loads and unloads.
+
+    def expect(self, item: Loadable, ready_s: float) -> None:
+        """Count *item* as on its way; it is likely there at *ready_s* on the boot clock."""
+        self._ready_at_s[item] = ready_s
+
+    def expect_if_new(self, item: Loadable, ready_s: float) -> None:
+        """Count *item* as on its way, unless a time for it is known already."""
+        self._ready_at_s.setdefault(item, ready_s)
+
+    def note_ended(self, item: Loadable) -> None:
+        """Note that a load has come or was given up."""
+        self._ready_at_s.pop(item, None)
+        self._sent.discard(item)
+
+    def note_unloading(self, item: Loadable) -> None:
+        """Note that *item* is about to be unloaded."""
+        self._unloading.add(item)
+
+    def note_unload_ended(self, items: Iterable[Loadable]) -> None:
+        """Note that unloads are done or were given up."""
+        self._unloading.difference_update(items)
+
+    def expects(self, item: Loadable) -> bool:
+        """Return whether *item* is on its way."""
+        return item in self._ready_at_s
+
+    def ready_times_s(self) -> Mapping[Loadable, float]:
+        """Return what is on its way, with the boot clock's time when it is likely there."""
+        return self._ready_at_s
+
+    def models_expected(self) -> set[str]:
+        """Return the whole models that are on their way."""
+        return {item.model for item in self._ready_at_s if not item.adapter}
+
+    def is_unloading(self, item: Loadable) -> bool:
+        """Return whether *item* is about to be unloaded."""
+        return item in self._unloading
+
+    # Loads that may take memory before a report shows them.
+
+    def note_sent(self, item: Loadable) -> None:
+        """Note that the order to load *item* goes out."""
+        self._sent.add(item)
+
+    def note_unanswered(self, item: Loadable, expected_number: int) -> None:
+        """Note that an order to load *item* got no answer and may take effect late.
+
+        :param expected_number: orders that the replica must have taken for that.
+        """
+        self._unanswered[item] = expected_number
+
+    def unconfirmed_loads(self) -> frozenset[Loadable]:
+        """Return the loads that may be in memory, or arrive, before a report shows them."""
+        return frozenset(self._sent) | frozenset(self._unanswered)
+
+    # Polls, and the fence that the replica was shown.
+
+    def note_report(self, report: ReplicaReport) -> None:
+        """Note the answer to a poll of this process.
+
+        Once the replica has taken a later order, an unanswered load can no longer
+        take effect: it expects a lower number.
+        """
+        self._missed_polls = 0
+        self._polled_s = boottime_s()
+        if not report.busy:
+            self._unanswered = {
+                item: expected
+                for item, expected in self._unanswered.items()
+                if expected >= report.order_number
+            }
+
+    def note_missed_poll(self) -> None:
+        """Note a poll without an answer.
+
+        Orders that a cut held up may arrive when it heals, so the replica has to be
+        claimed anew (tests/orders/test_sender.py::test_replica_back_in_reach).
+        """
+        self._missed_polls += 1
+        self._claimed_fence = 0
+
+    def note_claimed(self, fence: int) -> None:
+        """Note that the replica was shown *fence*."""
+        self._claimed_fence = fence
+        self._claimed_s = boottime_s()
+
+    def is_claimed_under(self, fence: int) -> bool:
+        """Return whether *fence* was shown to the replica, and it answered since."""
+        return self._claimed_fence == fence
+
+    @property
+    def is_lost(self) -> bool:
+        """Return whether the replica has not answered for so long that it counts as lost."""
+        return self._missed_polls >= LOST_AFTER_POLLS
+
+    @property
+    def is_fresh(self) -> bool:
+        """Return whether this process itself saw lately what the replica does.
+
+        What a predecessor told may lack a load that is still under way.
+        """
+        settled_s = self._claimed_s + REPORT_SETTLE_S
+        return boottime_s() - self._polled_s < FRESH_S and self._polled_s > settled_s
--- /dev/null
+++ b/limeshelf/orders/sender.py
@@ -0,0 +1,272 @@
+"""The leader's orders: sends them under the term in force and waits for their effect.
+
+Owns one :class:`PendingOrders` for each replica. Relies on the directory for what
+replicas hold, on the leadership for the term, and on the rules of
+:mod:`limeshelf.orders.attempts` and :mod:`limeshelf.orders.capacity`.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from typing import TYPE_CHECKING
+
+import attrs
+
+from limeshelf.metrics.event_log import log_change
+from limeshelf.orders.attempts import (
+    MAX_ATTEMPTS,
+    MODEL_POLL_S,
+    UNPOLLED_LOAD_SHARE,
+    NextStep,
+    next_step,
+    poll_interval_s,
+    settle_interval_s,
+    time_limit_s,
+)
+from limeshelf.orders.capacity import PossibleContents, RoomCheck, check_room
+from limeshelf.orders.order import OrderKind, OrderOutcome, ReplicaOrder, ReplicaSilent
+from limeshelf.orders.pending import PendingOrders
+from limeshelf.orders.task import OrderTask, harmless_task
+from limeshelf.util.clock import boottime_s
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from limeshelf.calls.routes import EngineSpec, ServingConfig
+    from limeshelf.lease.leadership import Leadership
+    from limeshelf.metrics.prometheus import GatewayMetrics
+    from limeshelf.orders.order import OrderWire
+    from limeshelf.replicas.directory import ReplicaDirectory
+    from limeshelf.replicas.replica import Replica
+
+
+class OrderSender:
+    """Sends orders to replicas and polls them until the orders are done.
+
+    :param holder: names this process's machine in orders.
+    :param config: returns the configuration in force, which tells what an engine bears.
+    """
+
+    def __init__(
+        self,
+        wire: OrderWire,
+        directory: ReplicaDirectory,
+        leadership: Leadership,
+        holder: str,
+        metrics: GatewayMetrics,
+        config: Callable[[], ServingConfig | None],
+    ) -> None:
+        self._wire = wire
+        self._directory = directory
+        self._leadership = leadership
+        self._holder = holder
+        self._metrics = metrics
+        self._config = config
+        self._pending: dict[str, PendingOrders] = {}
+
+    def pending(self, replica: Replica) -> PendingOrders:
+        """Return what is under way at a replica."""
+        return self._pending.setdefault(replica.replica_id, PendingOrders())
+
+    async def poll(self, replica: Replica, settled: bool = False) -> bool:
+        """Ask a replica for its report; return whether it answered.
+
+        :param settled: nothing was ordered there for longer than reports lag.
+        """
+        try:
+            report = await self._wire.report(replica.record.address, replica.replica_id)
+        except ReplicaSilent:
+            # No line for each poll: the caller sees it, and the replica counts as lost
+            # after some.
+            self.pending(replica).note_missed_poll()
+            return False
+        self.pending(replica).note_report(report)
+        self._directory.take_report(replica.replica_id, report, settled)
+        return True
+
+    async def claim(self, replica: Replica, engine: EngineSpec) -> None:
+        """Make a replica note the term's fence, by an order that changes nothing.
+
+        From then on the replica refuses what a predecessor ordered
+        (tests/orders/test_sender.py::test_claim_shuts_a_predecessor_out).
+        """
+        term = self._leadership.term
+        if term is None or not await self.poll(replica):
+            return
+        task = harmless_task(replica, engine)
+        order = self._order_for(replica, task, term.fence)
+        try:
+            answer = await self._wire.order(replica.record.address, replica.replica_id, order)
+        except ReplicaSilent:
+            # Not claimed, so nothing is planned for it; the next poll claims it again.
+            return
+        if answer.outcome is OrderOutcome.FENCED_OFF:
+            self._leadership.end('fenced_off')
+            return
+        self.pending(replica).note_claimed(term.fence)
+
+    async def run(self, replica: Replica, tasks: list[OrderTask]) -> bool:
+        """Carry out *tasks* one after the other; return whether all were done."""
+        pending = self.pending(replica)
+        loads = [task for task in tasks if task.kind is OrderKind.LOAD]
+        for task in loads:
+            pending.expect_if_new(task.item, boottime_s() + task.load_s)
+        retired = {task.model for task in tasks if task not in loads and not task.adapter}
+        replica.retiring |= retired
+        try:
+            async with pending.lock:
+                for task in tasks:
+                    if not await self._carry_out(replica, task):
+                        return False
+            # Adapters may be on their way together, so the next orders may go out
+            # while these arrive.
+            return await self._until_adapters_came(replica, loads)
+        finally:
+            replica.retiring -= retired
+            for task in loads:
+                pending.note_ended(task.item)
+
+    async def _until_adapters_came(self, replica: Replica, loads: list[OrderTask]) -> bool:
+        for task in loads:
+            if task.adapter and not await self._until_done(replica, task):
+                return False
+        return True
+
+    async def _carry_out(self, replica: Replica, task: OrderTask) -> bool:
+        for _ in range(MAX_ATTEMPTS):
+            step = next_step(task, await self._attempt(replica, task))
+            if step is NextStep.GO_ON:
+                return True
+            if step is NextStep.AWAIT_EFFECT:
+                return await self._until_done(replica, task)
+            if step is NextStep.GIVE_UP or not await self._settle(replica, task):
+                return False
+            if task.is_done(replica):
+                return True
+        return False
+
+    async def _settle(self, replica: Replica, task: OrderTask) -> bool:
+        """Learn how many orders the replica has taken, after one whose effect is open.
+
+        Reports lag, so the number counts only when it stands still.
+        """
+        limit_s = boottime_s() + time_limit_s(task)
+        while boottime_s() < limit_s and replica.takes_calls:
+            await asyncio.sleep(settle_interval_s(task))
+            # A number that was counted wrongly would otherwise stay wrong for good
+            # (tests/orders/test_sender.py::test_wrong_number_is_settled).
+            answered = await self.poll(replica, settled=True)
+            if answered and replica.report and not replica.report.busy:
+                return True
+        return False
+
+    async def _obstacle(self, replica: Replica, task: OrderTask) -> OrderOutcome | None:
+        """Return why an order cannot go out now, or ``None`` if it can."""
+        known = replica.order_number is not None and self.pending(replica).is_fresh
+        if not known and not await self.poll(replica):
+            return OrderOutcome.BUSY_OR_STALE
+        if replica.report is not None and replica.report.busy:
+            return OrderOutcome.BUSY_OR_STALE
+        if task.kind is OrderKind.LOAD and not self._has_room(replica, task):
+            return OrderOutcome.REJECTED
+        return None
+
+    def _has_room(self, replica: Replica, task: OrderTask) -> bool:
+        config = self._config()
+        service = config.services.get(replica.record.service) if config else None
+        engine = service.engine if service else None
+        contents = PossibleContents.of_replica(replica, self.pending(replica))
+        room = check_room(task.item, contents, engine)
+        if room.fits:
+            return True
+        inputs = attrs.asdict(room) if isinstance(room, RoomCheck) else {'model_known': False}
+        log_change(
+            'order_withheld',
+            replica=replica.replica_id,
+            model=task.model,
+            adapter=task.adapter,
+            cause='no_room',
+            **inputs,
+        )
+        return False
+
+    def _order_for(self, replica: Replica, task: OrderTask, fence: int) -> ReplicaOrder:
+        expected = replica.order_number or 0
+        return ReplicaOrder(task.kind, task.model, task.adapter, expected, self._holder, fence)
+
+    async def _attempt(self, replica: Replica, task: OrderTask) -> OrderOutcome:
+        obstacle = await self._obstacle(replica, task)
+        if obstacle is not None:
+            return obstacle
+        term = self._leadership.term
+        if term is None or not replica.takes_calls:
+            return OrderOutcome.FENCED_OFF
+        order = self._order_for(replica, task, term.fence)
+        pending = self.pending(replica)
+        if task.kind is OrderKind.LOAD:
+            pending.note_sent(task.item)
+        status = 0
+        try:
+            answer = await self._wire.order(replica.record.address, replica.replica_id, order)
+            outcome, status = answer.outcome, answer.status
+        except ReplicaSilent:
+            outcome = OrderOutcome.BUSY_OR_STALE
+            if task.kind is OrderKind.LOAD:
+                pending.note_unanswered(task.item, order.expected_number)
+        self._log_order(replica, order, status, outcome)
+        self._note_outcome(replica, task, order.expected_number, outcome)
+        return outcome
+
+    def _log_order(
+        self, replica: Replica, order: ReplicaOrder, status: int, outcome: OrderOutcome
+    ) -> None:
+        self._metrics.observe_order(outcome)
+        log_change(
+            'order',
+            replica=replica.replica_id,
+            kind=order.kind,
+            model=order.model,
+            adapter=order.adapter,
+            expected=order.expected_number,
+            fence=order.fence,
+            status=status,
+            outcome=outcome,
+        )
+
+    def _note_outcome(
+        self, replica: Replica, task: OrderTask, expected: int, outcome: OrderOutcome
+    ) -> None:
+        at_once = _unloaded_at_once(replica, task, outcome)
+        if outcome is OrderOutcome.TAKEN or at_once:
+            replica.order_number = max(replica.order_number or 0, expected + 1)
+        if at_once:
+            self._directory.drop_adapter(replica, task.model, task.adapter)
+        if outcome is OrderOutcome.FENCED_OFF:
+            self._leadership.end('fenced_off')
+
+    async def _until_done(self, replica: Replica, task: OrderTask) -> bool:
+        limit_s = boottime_s() + time_limit_s(task)
+        if task.loads_model:
+            await self._wait_for_model(replica, task)
+        while boottime_s() < limit_s and replica.takes_calls:
+            if task.is_done(replica):
+                return True
+            await asyncio.sleep(poll_interval_s(task))
+            await self.poll(replica)
+        return task.is_done(replica)
+
+    async def _wait_for_model(self, replica: Replica, task: OrderTask) -> None:
+        end_s = boottime_s() + UNPOLLED_LOAD_SHARE * task.load_s
+        while boottime_s() < end_s and replica.takes_calls and not task.is_done(replica):
+            await self._directory.wait_for_change(MODEL_POLL_S)
+
+
+def _unloaded_at_once(replica: Replica, task: OrderTask, outcome: OrderOutcome) -> bool:
+    """Return whether an idle adapter went without delay, which counts as an order.
+
+    The same answer to the unload of what is not there counts as none.
+    """
+    if task.kind is not OrderKind.UNLOAD or not task.adapter:
+        return False
+    held = task.adapter in replica.holdings.get(task.model, frozenset())
+    return held and outcome is OrderOutcome.HOLDS_ALREADY
--- a/limeshelf/placement/adapters.py
+++ b/limeshelf/placement/adapters.py
@@ -8,11 +8,12 @@
 
 from limeshelf.demand.keys import ModelKey
 from limeshelf.demand.totals import KeyTotals
+from limeshelf.orders.task import Loadable
 from limeshelf.util.clock import boottime_s
 
 if TYPE_CHECKING:
     from limeshelf.calls.routes import EngineSpec
-    from limeshelf.orders.desk import Lane
+    from limeshelf.orders.pending import PendingOrders
     from limeshelf.replicas.directory import ReplicaDirectory
     from limeshelf.replicas.replica import Replica
 
@@ -40,25 +41,28 @@
     directory: ReplicaDirectory
     loads: dict[ModelKey, KeyTotals]
 
-    def plan(self, key: ModelKey, lanes: dict[str, Lane]) -> AdapterMove | None:
+    def plan(self, key: ModelKey, pending_orders: dict[str, PendingOrders]) -> AdapterMove | None:
         """Return the move that brings *key*, if it is not there or coming."""
+        wanted = Loadable(key.model, key.adapter)
         holders = [
             replica
             for replica in self.directory.of_service(self.service)
             if replica.holds(key.model)
         ]
         for replica in holders:
-            coming = lanes[replica.replica_id].coming
-            if replica.holds(key.model, key.adapter) or (key.model, key.adapter) in coming:
+            pending = pending_orders[replica.replica_id]
+            if replica.holds(key.model, key.adapter) or pending.expects(wanted):
                 return None
         options = []
         for replica in holders:
-            lane = lanes[replica.replica_id]
+            pending = pending_orders[replica.replica_id]
             loading = set(replica.report.loading) if replica.report else set()
-            adapters_coming = sum(1 for _, adapter in loading | set(lane.coming) if adapter)
-            if not lane.is_fresh or lane.busy_with_model or adapters_coming >= MAX_COMING:
+            adapters_coming = sum(
+                1 for _, adapter in loading | set(pending.ready_times_s()) if adapter
+            )
+            if not pending.is_fresh or pending.models_expected() or adapters_coming >= MAX_COMING:
                 continue
-            found, evicted = self._make_room(replica, lane, adapters_coming)
+            found, evicted = self._make_room(replica, pending, adapters_coming)
             if not found:
                 continue
             cost = (
@@ -75,13 +79,14 @@
         return AdapterMove(replica, key, evicted)
 
     def _make_room(
-        self, replica: Replica, lane: Lane, coming: int
+        self, replica: Replica, pending: PendingOrders, coming: int
     ) -> tuple[bool, ModelKey | None]:
         held = [
             ModelKey(self.service, model, adapter)
             for model, adapters in replica.holdings.items()
             for adapter in adapters
-            if (model, adapter) not in lane.going and (model, adapter) not in lane.coming
+            if not pending.is_unloading(Loadable(model, adapter))
+            and not pending.expects(Loadable(model, adapter))
         ]
         if len(held) + coming < self.engine.adapter_places:
             return True, None
--- a/limeshelf/placement/service.py
+++ b/limeshelf/placement/service.py
@@ -9,8 +9,9 @@
 from limeshelf.demand.model_demand import demand_by_model
 from limeshelf.demand.totals import DemandTotals
 from limeshelf.metrics.event_log import log_change
-from limeshelf.orders.desk import OrderDesk, Task
 from limeshelf.orders.order import OrderKind
+from limeshelf.orders.sender import OrderSender
+from limeshelf.orders.task import Loadable, OrderTask
 from limeshelf.placement.adapters import AdapterPlanner
 from limeshelf.placement.pace import LoadPace
 from limeshelf.placement.planner import CopyPlanner
@@ -37,10 +38,6 @@
 UNLOAD_S = 0.6
 #: Every replica is asked for its report this often.
 LOOK_S = 0.5
-#: A replica that left this many looks in a row unanswered counts as lost.
-LOST_AFTER_LOOKS = 2
-#: Adapters load in about this time.
-ADAPTER_LOAD_S = 0.05
 
 
 class FleetService:
@@ -55,7 +52,7 @@
         self,
         directory: ReplicaDirectory,
         leadership: Leadership,
-        desk: OrderDesk,
+        sender: OrderSender,
         tasks: TaskSet,
         config: Callable[[], ServingConfig | None],
         window_s: float,
@@ -64,7 +61,7 @@
         self.totals = DemandTotals()
         self._directory = directory
         self._leadership = leadership
-        self._desk = desk
+        self._sender = sender
         self._tasks = tasks
         self._config = config
         self._read_ms = read_ms
@@ -78,7 +75,6 @@
         self._wanted = asyncio.Event()
         #: Told when a load was ordered, so that waiting calls hear of it.
         self.on_move: Callable[[], None] = lambda: None
-        desk.fits = self._fits
 
     def leads(self) -> bool:
         """Return whether this process gives the orders now."""
@@ -127,7 +123,7 @@
                 continue
             self._pace.reset(service.engine.loads_per_s)
             replicas = self._directory.of_service(service.name)
-            claims = (self._desk.claim(replica, service.engine) for replica in replicas)
+            claims = (self._sender.claim(replica, service.engine) for replica in replicas)
             await asyncio.gather(*claims)
         # What a predecessor ordered late has come by now, or never will; reports
         # lag by some 100 ms.
@@ -151,12 +147,12 @@
                 self._tasks.spawn(self._look_at(replica, engine), 'look')
 
     async def _look_at(self, replica: Replica, engine: EngineSpec) -> None:
-        if not await self._desk.look(replica):
+        if not await self._sender.poll(replica):
             return
-        if self._desk.lane(replica).claimed_fence != self._leadership.fence:
+        if not self._sender.pending(replica).is_claimed_under(self._leadership.fence):
             # New in this term, or back in reach: what was ordered before may
-            # arrive just now (tests/orders/test_desk.py::test_replica_back_in_reach).
-            await self._desk.claim(replica, engine)
+            # arrive just now (tests/orders/test_sender.py::test_replica_back_in_reach).
+            await self._sender.claim(replica, engine)
 
     def _order_moves(
         self, engine: EngineSpec, planner: CopyPlanner, holders: list[ReplicaCopies]
@@ -177,20 +173,20 @@
     def _holders(self, service: str) -> list[ReplicaCopies]:
         holders = []
         for replica in self._directory.of_service(service):
-            lane = self._desk.lane(replica)
-            if lane.silent >= LOST_AFTER_LOOKS:
+            pending = self._sender.pending(replica)
+            if pending.is_lost:
                 # Nobody reaches it; its models have to come up elsewhere.
                 continue
             report = replica.report
             at_hand = (report.in_memory | report.on_disk) if report else frozenset()
-            claimed = lane.claimed_fence == self._leadership.fence
-            busy = lane.busy_with_model or bool(report and report.busy)
+            claimed = pending.is_claimed_under(self._leadership.fence)
+            busy = bool(pending.models_expected()) or bool(report and report.busy)
             holders.append(
                 ReplicaCopies(
                     replica.replica_id,
                     set(replica.holdings) - replica.retiring,
-                    {model for model, adapter in lane.coming if not adapter},
-                    is_idle=lane.is_fresh
+                    pending.models_expected(),
+                    is_idle=pending.is_fresh
                     and claimed
                     and not busy
                     and not replica.health.is_suspended(),
@@ -216,50 +212,18 @@
         )
         load_s = spec.load_s if move.from_store else spec.warm_load_s
         ready_s = boottime_s() + load_s + (UNLOAD_S if move.evicted else 0.0)
-        tasks = [Task(OrderKind.UNLOAD, name) for name in move.evicted]
-        tasks.append(Task(OrderKind.LOAD, move.model, '', load_s))
+        tasks = [OrderTask(OrderKind.UNLOAD, name) for name in move.evicted]
+        tasks.append(OrderTask(OrderKind.LOAD, move.model, '', load_s))
         # Marked here already, so that the next plan counts it.
-        self._desk.lane(replica).coming[move.model, ''] = ready_s
+        self._sender.pending(replica).expect(Loadable(move.model), ready_s)
         self.on_move()
         self._tasks.spawn(self._run(replica, tasks), 'move')
 
-    def _fits(self, replica: Replica, task: Task) -> bool:
-        """Return whether a load fits beside all that may be at the replica."""
-        config = self._config()
-        service = config.services.get(replica.record.service) if config else None
-        engine = service.engine if service else None
-        if engine is None or task.model not in engine.models:
-            return False
-        lane = self._desk.lane(replica)
-        held = dict(replica.holdings)
-        if replica.report is not None:
-            # What an answer said to be missing may be there all the same
-            # (tests/placement/test_service.py::test_answer_of_a_replica_frees_no_room).
-            for one in replica.report.holdings:
-                held[one.model] = held.get(one.model, frozenset()) | one.adapters
-        adapters = {(model, adapter) for model, names in held.items() for adapter in names}
-        possible = lane.sent | set(lane.doubts)
-        if replica.report is not None:
-            # An adapter that was given up may still be on its way
-            # (tests/placement/test_service.py::test_adapter_on_its_way_takes_a_place).
-            possible |= set(replica.report.loading)
-        adapters |= {(model, adapter) for model, adapter in possible if adapter}
-        models = set(held) | {model for model, adapter in possible if not adapter}
-        if task.adapter:
-            adapters.add((task.model, task.adapter))
-        else:
-            models.add(task.model)
-        known = engine.models
-        used_mb = sum(known[name].size_mb for name in models if name in known)
-        used_mb += sum(known[model].adapter_mb for model, _ in adapters if model in known)
-        return used_mb <= engine.capacity_mb and len(adapters) <= engine.adapter_places
-
-    async def _run(self, replica: Replica, tasks: list[Task]) -> None:
+    async def _run(self, replica: Replica, tasks: list[OrderTask]) -> None:
         try:
-            done = await self._desk.run(replica, tasks)
+            done = await self._sender.run(replica, tasks)
         finally:
-            lane = self._desk.lane(replica)
-            lane.going -= {(task.model, task.adapter) for task in tasks}
+            self._sender.pending(replica).note_unload_ended(task.item for task in tasks)
         if not done:
             last = tasks[-1]
             log_change(
@@ -282,35 +246,35 @@
             return
         if key.model not in service.engine.models:
             return
-        lanes = {
-            replica.replica_id: self._desk.lane(replica)
+        pending_orders = {
+            replica.replica_id: self._sender.pending(replica)
             for replica in self._directory.of_service(key.service)
         }
         planner = AdapterPlanner(key.service, service.engine, self._directory, self.totals.step())
-        move = planner.plan(key, lanes)
+        move = planner.plan(key, pending_orders)
         if move is None:
             return
         tasks = []
         if move.evicted is not None:
-            tasks.append(Task(OrderKind.UNLOAD, move.evicted.model, move.evicted.adapter))
-        tasks.append(Task(OrderKind.LOAD, key.model, key.adapter, ADAPTER_LOAD_S))
-        lane = lanes[move.replica.replica_id]
-        lane.coming[key.model, key.adapter] = boottime_s()
+            tasks.append(OrderTask(OrderKind.UNLOAD, move.evicted.model, move.evicted.adapter))
+        tasks.append(OrderTask(OrderKind.LOAD, key.model, key.adapter))
+        pending = pending_orders[move.replica.replica_id]
+        pending.expect(Loadable(key.model, key.adapter), boottime_s())
         if move.evicted is not None:
-            lane.going.add((move.evicted.model, move.evicted.adapter))
+            pending.note_unloading(Loadable(move.evicted.model, move.evicted.adapter))
         self._tasks.spawn(self._run(move.replica, tasks), 'adapter')
 
     def _is_there(self, key: ModelKey) -> bool:
         replicas = self._directory.of_service(key.service)
-        lanes = [self._desk.lane(replica) for replica in replicas]
-        coming = any((key.model, '') in lane.coming for lane in lanes)
+        model = Loadable(key.model)
+        coming = any(self._sender.pending(replica).expects(model) for replica in replicas)
         return coming or any(replica.holds(key.model) for replica in replicas)
 
     def awaited(self) -> dict[ModelKey, float]:
         """Return the models on their way, with the time when each is likely there."""
         awaited: dict[ModelKey, float] = {}
         for replica in self._directory.all():
-            for (model, adapter), ready_s in self._desk.lane(replica).coming.items():
+            for (model, adapter), ready_s in self._sender.pending(replica).ready_times_s().items():
                 if not adapter:
                     key = ModelKey(replica.record.service, model)
                     awaited[key] = min(ready_s, awaited.get(key, ready_s))
--- a/limeshelf/platform/orders.py
+++ b/limeshelf/platform/orders.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from limeshelf.errors import InvalidDocument
-from limeshelf.orders.order import Order, OrderAnswer, OrderOutcome, ReplicaSilent
+from limeshelf.orders.order import OrderOutcome, ReplicaOrder, ReplicaOrderAnswer, ReplicaSilent
 from limeshelf.platform.headers import EXPECT_INSTANCE
 from limeshelf.platform.replicas import read_report
 from limeshelf.platform.sessions import open_session
@@ -61,7 +61,9 @@
         except InvalidDocument:
             raise ReplicaSilent(replica_id) from None
 
-    async def order(self, address: str, replica_id: str, order: Order) -> OrderAnswer:
+    async def order(
+        self, address: str, replica_id: str, order: ReplicaOrder
+    ) -> ReplicaOrderAnswer:
         """Send an order.
 
         :raises ReplicaSilent: no answer came in time; the order may have been taken.
@@ -77,7 +79,7 @@
         if order.adapter:
             body['Adapter'] = order.adapter
         status, _ = await self._call('POST', address, '/order', replica_id, body)
-        return OrderAnswer(_OUTCOMES.get(status, OrderOutcome.REJECTED), status)
+        return ReplicaOrderAnswer(_OUTCOMES.get(status, OrderOutcome.REJECTED), status)
 
     async def _call(
         self, method: str, address: str, path: str, replica_id: str, body: Any
--- a/limeshelf/programs/gateway.py
+++ b/limeshelf/programs/gateway.py
@@ -34,7 +34,7 @@
 from limeshelf.membership.want_exchange import WantExchange
 from limeshelf.metrics.event_log import event_log, log_change
 from limeshelf.metrics.prometheus import GatewayMetrics, MetricsServer
-from limeshelf.orders.desk import OrderDesk
+from limeshelf.orders.sender import OrderSender
 from limeshelf.peers.node import PeerNode
 from limeshelf.placement.service import FleetService
 from limeshelf.platform.configuration import CONFIG_KEY, CONFIG_TABLE, read_config
@@ -106,13 +106,18 @@
         settings = self.settings
         self.leadership = Leadership(self.store, settings.instance_id, settings.placement.lease_s)
         self.engines = ReplicaOrderClient()
-        self.desk = OrderDesk(
-            self.engines, self.directory, self.leadership, settings.instance_id, self.figures
+        sender = OrderSender(
+            self.engines,
+            self.directory,
+            self.leadership,
+            settings.instance_id,
+            self.figures,
+            lambda: self.pipeline.config,
         )
         self.fleet = FleetService(
             self.directory,
             self.leadership,
-            self.desk,
+            sender,
             self.tasks,
             lambda: self.pipeline.config,
             settings.placement.window_s,
--- a/tests/forms/test_platform_wire.py
+++ b/tests/forms/test_platform_wire.py
@@ -20,7 +20,13 @@
 from limeshelf.calls.wire import AnswerFacts, SendFacts
 from limeshelf.errors import InvalidRequest, PlatformUnavailable, PlatformUnknown
 from limeshelf.feeds.rows import ConditionFailed, HistoryGone, Page, Row
-from limeshelf.orders.order import Order, OrderAnswer, OrderKind, OrderOutcome, ReplicaSilent
+from limeshelf.orders.order import (
+    OrderKind,
+    OrderOutcome,
+    ReplicaOrder,
+    ReplicaOrderAnswer,
+    ReplicaSilent,
+)
 from limeshelf.platform.orders import ReplicaOrderClient
 from limeshelf.platform.store import StoreClient
 from limeshelf.platform.wire import PlatformWire
@@ -222,7 +228,7 @@
     return play(peer, scenario)
 
 
-def order_call(order: Order) -> Any:
+def order_call(order: ReplicaOrder) -> Any:
     return lambda client, address: client.order(address, 'r-1', order)
 
 
@@ -230,7 +236,7 @@
     return client.report(address, 'r-1')
 
 
-LOAD = Order(
+LOAD = ReplicaOrder(
     kind=OrderKind.LOAD, model='m1', adapter='a2', expected_number=11, holder='g-1', fence=7
 )
 UNLOAD = attrs.evolve(LOAD, kind=OrderKind.UNLOAD, adapter='')
@@ -244,7 +250,7 @@
         (UNLOAD, {'Op': 'unload', 'Model': 'm1', **FENCED}),
     ],
 )
-def test_order_as_sent(order: Order, body: dict[str, Any]) -> None:
+def test_order_as_sent(order: ReplicaOrder, body: dict[str, Any]) -> None:
     peer = Peer([(202, '{}')])
     ask_replica(peer, order_call(order))
     assert peer.sent == [Sent('POST', '/order', {}, 'application/json', 'r-1', body)]
@@ -264,7 +270,7 @@
 )
 def test_status_of_an_order_as_read(status: int, outcome: OrderOutcome) -> None:
     answer = ask_replica(Peer([(status, '{}')]), order_call(LOAD))
-    assert answer == OrderAnswer(outcome, status)
+    assert answer == ReplicaOrderAnswer(outcome, status)
 
 
 FULL_REPORT = """{"Models": [{"Name": "m1", "Version": 4, "Adapters": ["a1@3", {"Name": "a2"}]},
--- /dev/null
+++ b/tests/orders/test_pending.py
@@ -0,0 +1,66 @@
+"""What is under way at one replica, and how much is known of it."""
+
+from __future__ import annotations
+
+from limeshelf.orders.pending import LOST_AFTER_POLLS, PendingOrders
+from limeshelf.orders.task import Loadable
+from limeshelf.replicas.record import ReplicaReport
+
+M1 = Loadable('m1')
+A1 = Loadable('m1', 'a1')
+
+
+def report(order_number: int, busy: bool = False) -> ReplicaReport:
+    return ReplicaReport((), busy, order_number)
+
+
+def test_planned_loads_keep_their_first_time_until_they_end() -> None:
+    pending = PendingOrders()
+    pending.expect(M1, 7.0)
+    pending.expect_if_new(M1, 9.0)
+    pending.expect_if_new(A1, 3.0)
+    assert dict(pending.ready_times_s()) == {M1: 7.0, A1: 3.0}
+    assert pending.models_expected() == {'m1'}
+    pending.note_ended(M1)
+    assert (pending.expects(M1), pending.expects(A1)) == (False, True)
+    assert pending.models_expected() == set()
+
+
+def test_unloads_are_marked_until_they_end() -> None:
+    pending = PendingOrders()
+    pending.note_unloading(A1)
+    assert pending.is_unloading(A1)
+    pending.note_unload_ended([A1, M1])
+    assert not pending.is_unloading(A1)
+
+
+def test_unanswered_load_outlives_its_task_until_a_later_order_was_taken() -> None:
+    pending = PendingOrders()
+    pending.note_sent(M1)
+    pending.note_unanswered(M1, 4)
+    pending.note_ended(M1)
+    assert pending.unconfirmed_loads() == {M1}
+    pending.note_report(report(4))
+    pending.note_report(report(5, busy=True))
+    assert pending.unconfirmed_loads() == {M1}
+    pending.note_report(report(5))
+    assert pending.unconfirmed_loads() == frozenset()
+
+
+def test_replica_is_lost_after_missed_polls_in_a_row() -> None:
+    pending = PendingOrders()
+    for _ in range(LOST_AFTER_POLLS - 1):
+        pending.note_missed_poll()
+    assert not pending.is_lost
+    pending.note_report(report(0))
+    for _ in range(LOST_AFTER_POLLS):
+        pending.note_missed_poll()
+    assert pending.is_lost
+
+
+def test_missed_poll_takes_the_claim_back() -> None:
+    pending = PendingOrders()
+    pending.note_claimed(5)
+    assert pending.is_claimed_under(5)
+    pending.note_missed_poll()
+    assert not pending.is_claimed_under(5)
--- a/tests/orders/test_desk.py
+++ b/tests/orders/test_sender.py
@@ -8,11 +8,12 @@
 import attrs
 import pytest
 
-from limeshelf.calls.routes import EngineSpec, ModelSpec
+from limeshelf.calls.routes import EngineSpec, ModelSpec, ServiceSpec
 from limeshelf.lease.leadership import Term
 from limeshelf.metrics.prometheus import GatewayMetrics
-from limeshelf.orders.desk import OrderDesk, Task
 from limeshelf.orders.order import OrderKind
+from limeshelf.orders.sender import OrderSender
+from limeshelf.orders.task import Loadable, OrderTask
 from limeshelf.platform.orders import ReplicaOrderClient
 from limeshelf.platform.replicas import read_record
 from limeshelf.replicas.directory import ReplicaDirectory
@@ -23,10 +24,24 @@
     name: ModelSpec(name, 70.0, 5.0, 1.0, frozenset({'a1', 'a2'}), 1.0) for name in ('m1', 'm2')
 }
 ENGINE = EngineSpec(8, 1000, 150.0, 2, 1.0, MODELS)
+#: Has room for every load of these tests.
+ROOMY = attrs.evolve(
+    ENGINE,
+    capacity_mb=1000.0,
+    adapter_places=8,
+    models=MODELS | {'m3': ModelSpec('m3', 70.0, 5.0, 1.0, frozenset(), 1.0)},
+)
 LOAD = OrderKind.LOAD
 UNLOAD = OrderKind.UNLOAD
 
 
+@attrs.frozen
+class Config:
+    """The part of a configuration that the sender reads."""
+
+    services: dict[str, ServiceSpec]
+
+
 @attrs.define
 class FixedTerm:
     """A leadership whose term does not change by itself."""
@@ -38,7 +53,7 @@
 
 
 class World:
-    """A desk before one replica."""
+    """A sender of orders before one replica."""
 
     def __init__(self, replica: ReplicaStandIn) -> None:
         self.stand_in = replica
@@ -46,7 +61,13 @@
         self.leadership = FixedTerm(Term(5, 1e12, 1))
         self.client = ReplicaOrderClient()
         leadership: Any = self.leadership
-        self.desk = OrderDesk(self.client, self.directory, leadership, 'g-1', GatewayMetrics())
+        self.engine = ROOMY
+        self.sender = OrderSender(
+            self.client, self.directory, leadership, 'g-1', GatewayMetrics(), self.config
+        )
+
+    def config(self) -> Any:
+        return Config({'lm': ServiceSpec('lm', 50, self.engine)})
 
     async def __aenter__(self) -> World:
         address = await self.stand_in.start()
@@ -83,7 +104,9 @@
     replica.order_number = 7
 
     async def scenario(world: World) -> None:
-        assert await world.desk.run(world.replica, [Task(UNLOAD, 'm1'), Task(LOAD, 'm2')])
+        assert await world.sender.run(
+            world.replica, [OrderTask(UNLOAD, 'm1'), OrderTask(LOAD, 'm2')]
+        )
         assert [(o.op, o.expected, o.status) for o in replica.orders] == [
             ('unload', 7, 202),
             ('load', 8, 202),
@@ -97,7 +120,7 @@
 
     async def scenario(world: World) -> None:
         world.replica.order_number = 3
-        assert await world.desk.run(world.replica, [Task(LOAD, 'm1', 'a1')])
+        assert await world.sender.run(world.replica, [OrderTask(LOAD, 'm1', 'a1')])
         assert [o.status for o in replica.orders] == [409, 202]
 
     play(scenario, replica)
@@ -111,9 +134,14 @@
     there_at_load: list[bool] = []
 
     async def scenario(world: World) -> None:
-        world.desk.fits = lambda one, task: there_at_load.append('m1' in one.holdings) or True
+        config = world.config()
+        world.sender._config = lambda: (
+            there_at_load.append('m1' in world.replica.holdings) or config
+        )
         task = asyncio.create_task(
-            world.desk.run(world.replica, [Task(UNLOAD, 'm1'), Task(LOAD, 'm2', '', 0.1)])
+            world.sender.run(
+                world.replica, [OrderTask(UNLOAD, 'm1'), OrderTask(LOAD, 'm2', '', 0.1)]
+            )
         )
         await asyncio.sleep(1.0)
         replica.order_fault = Fault.NONE
@@ -129,8 +157,8 @@
     replica = ReplicaStandIn('e-1', ['m1'])
 
     async def scenario(world: World) -> None:
-        world.desk.fits = lambda one, task: False
-        assert not await world.desk.run(world.replica, [Task(LOAD, 'm2')])
+        world.engine = attrs.evolve(ROOMY, capacity_mb=139.0)
+        assert not await world.sender.run(world.replica, [OrderTask(LOAD, 'm2')])
         assert replica.orders == []
 
     play(scenario, replica)
@@ -141,9 +169,9 @@
     replica.highest_fence = 6
 
     async def scenario(world: World) -> None:
-        assert not await world.desk.run(world.replica, [Task(LOAD, 'm2')])
+        assert not await world.sender.run(world.replica, [OrderTask(LOAD, 'm2')])
         assert world.leadership.term is None
-        assert not await world.desk.run(world.replica, [Task(LOAD, 'm3')])
+        assert not await world.sender.run(world.replica, [OrderTask(LOAD, 'm3')])
         assert len(replica.orders) == 1
 
     play(scenario, replica)
@@ -154,10 +182,10 @@
     replica.models['m1'] = ['a1']
 
     async def scenario(world: World) -> None:
-        tasks = [Task(UNLOAD, 'm1', 'a1'), Task(LOAD, 'm1', 'a2')]
-        assert await world.desk.run(world.replica, tasks)
-        assert await world.desk.run(
-            world.replica, [Task(UNLOAD, 'm1', 'a1'), Task(LOAD, 'm1', 'a3')]
+        tasks = [OrderTask(UNLOAD, 'm1', 'a1'), OrderTask(LOAD, 'm1', 'a2')]
+        assert await world.sender.run(world.replica, tasks)
+        assert await world.sender.run(
+            world.replica, [OrderTask(UNLOAD, 'm1', 'a1'), OrderTask(LOAD, 'm1', 'a3')]
         )
         # What is not there any more is no order, and the next number still fits.
         assert [(o.op, o.status) for o in replica.orders] == [
@@ -177,7 +205,9 @@
     replica.order_late_s = late_s
 
     async def scenario(world: World) -> None:
-        task = asyncio.create_task(world.desk.run(world.replica, [Task(LOAD, 'm2', '', 0.1)]))
+        task = asyncio.create_task(
+            world.sender.run(world.replica, [OrderTask(LOAD, 'm2', '', 0.1)])
+        )
         await asyncio.sleep(0.9)
         replica.order_fault = Fault.NONE
         assert await task
@@ -192,7 +222,7 @@
     replica = ReplicaStandIn('e-1', ['m1'])
 
     async def scenario(world: World) -> None:
-        await world.desk.claim(world.replica, ENGINE)
+        await world.sender.claim(world.replica, ENGINE)
         assert replica.highest_fence == 5
         assert (replica.order_number, replica.models) == (0, {'m1': []})
         late = {'Op': 'load', 'Model': 'm2', 'ExpectedRevision': 0, 'FencingToken': 4}
@@ -201,44 +231,47 @@
     play(scenario, replica)
 
 
-def test_load_in_doubt_keeps_its_room_until_another_order_was_taken() -> None:
+def test_unconfirmed_load_keeps_its_room_until_another_order_was_taken() -> None:
     replica = ReplicaStandIn('e-1', ['m1'])
     replica.order_fault = Fault.SILENT
     replica.order_late_s = 30.0
 
     async def scenario(world: World) -> None:
-        lane = world.desk.lane(world.replica)
-        task = asyncio.create_task(world.desk.run(world.replica, [Task(LOAD, 'm2', '', 0.1)]))
+        pending = world.sender.pending(world.replica)
+        task = asyncio.create_task(
+            world.sender.run(world.replica, [OrderTask(LOAD, 'm2', '', 0.1)])
+        )
         await asyncio.sleep(1.0)
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
-        assert lane.sent == set()
-        assert ('m2', '') in lane.doubts
+        # The task is over, so the load counts for want of an answer alone.
+        assert not pending.expects(Loadable('m2'))
+        assert pending.unconfirmed_loads() == {Loadable('m2')}
         replica.order_number += 1
-        await world.desk.look(world.replica)
-        assert lane.doubts == {}
+        await world.sender.poll(world.replica)
+        assert pending.unconfirmed_loads() == frozenset()
 
     play(scenario, replica)
 
 
 def test_replica_back_in_reach() -> None:
-    """What a cut held up arrives as it heals, so a look right then says little."""
+    """What a cut held up arrives as it heals, so a poll right then says little."""
     replica = ReplicaStandIn('e-1', ['m1'])
 
     async def scenario(world: World) -> None:
-        lane = world.desk.lane(world.replica)
-        await world.desk.claim(world.replica, ENGINE)
-        assert lane.claimed_fence == 5
-        assert not lane.is_fresh
+        pending = world.sender.pending(world.replica)
+        await world.sender.claim(world.replica, ENGINE)
+        assert pending.is_claimed_under(5)
+        assert not pending.is_fresh
         await asyncio.sleep(0.25)
-        await world.desk.look(world.replica)
-        assert lane.is_fresh
+        await world.sender.poll(world.replica)
+        assert pending.is_fresh
         address, world.replica.record = (
             world.replica.record,
             attrs.evolve(world.replica.record, address='127.0.0.1:9'),
         )
-        assert not await world.desk.look(world.replica)
-        assert lane.claimed_fence == 0
+        assert not await world.sender.poll(world.replica)
+        assert not pending.is_claimed_under(5)
         world.replica.record = address
 
     play(scenario, replica)
