--- a/limeshelf/programs/gateway.py
+++ b/limeshelf/programs/gateway.py
@@ -251,7 +251,7 @@
     async def _lead(self) -> None:
         while True:
             await asyncio.sleep(jittered_s(LEAD_STEP_S))
-            self.pipeline.sharers = self.pool.sharers = self.digests.gateway_count
+            self.pipeline.sharers = self.pool.gateways = self.digests.gateway_count
             if self.leadership.term is None and not self.leader.may_contend():
                 continue
             await self.leadership.step()
--- a/limeshelf/replicas/connections.py
+++ b/limeshelf/replicas/connections.py
@@ -1,4 +1,9 @@
-"""Connections to one replica: pooled, bounded, and strict about how an answer ends."""
+"""Connections to one replica: pooled, bounded, and strict about how an answer ends.
+
+Owns the open connections. Relies on the wire port for the headers of a call, and
+on two private attributes of aiohttp: the factory of a connector's protocol, and
+its idle time, which the library lets nobody change later.
+"""
 
 from __future__ import annotations
 
@@ -19,12 +24,18 @@
     from limeshelf.calls.call import Call
     from limeshelf.calls.wire import AnswerFacts, CallWire, SendFacts
 
-#: A connection that a replica in reach takes longer than this for is given up.
+#: Longest time for a new connection. Chosen, not measured (a904fff).
 CONNECT_S = 0.35
 #: Idle connections are closed after this time, unless the replica closes earlier.
+#: Chosen, not measured (a904fff).
 IDLE_S = 4.0
-#: Distance kept from the replica's own idle limit.
+#: How long before the replica an idle connection is closed, so that no call is
+#: sent on one that the replica is closing. Chosen, not measured (a904fff).
 IDLE_MARGIN_S = 1.0
+#: Shortest idle time, for a replica that states less than the margin. Chosen, not
+#: measured (a904fff).
+LEAST_IDLE_S = 0.1
+#: Headers that the library would add; a call goes on with the caller's alone.
 SKIPPED_HEADERS = frozenset({'User-Agent', 'Accept', 'Accept-Encoding', 'Content-Type'})
 
 
@@ -61,18 +72,26 @@
         return super().is_connected() and not self._buffer and not self._tail
 
 
+def idle_limit_s(keep_alive_s: float) -> float:
+    """Return how long an idle connection is kept.
+
+    :param keep_alive_s: how long the replica keeps one.
+    """
+    return min(IDLE_S, max(LEAST_IDLE_S, keep_alive_s - IDLE_MARGIN_S))
+
+
 class ReplicaConnections:
     """The client side of the connections to one replica.
 
+    :param address: of the replica, as ``IP:PORT``.
     :param limit: the most connections that this process opens to it.
     """
 
     def __init__(self, address: str, limit: int, wire: CallWire) -> None:
         self.address = address
-        self.opened = 0
         self._wire = wire
         self._connector = aiohttp.TCPConnector(
-            limit=limit, keepalive_timeout=IDLE_S, socket_factory=self._make_socket
+            limit=limit, keepalive_timeout=IDLE_S, socket_factory=lasting_socket
         )
         make: Any = functools.partial(StrictResponseHandler, loop=asyncio.get_running_loop())
         self._connector._factory = make
@@ -85,13 +104,11 @@
         )
         self._session = without_silent_retry(session)
 
-    def _make_socket(self, address_info: Any) -> socket.socket:
-        self.opened += 1
-        return lasting_socket(address_info)
-
     async def send(self, call: Call, facts: SendFacts) -> aiohttp.ClientResponse:
         """Send *call* and return the answer as soon as its head is there.
 
+        The caller sets the time limit.
+
         :raises aiohttp.ClientConnectorError: no byte left this process.
         :raises aiohttp.ClientError: the replica may have received it.
         """
@@ -103,11 +120,10 @@
             allow_redirects=False,
         )
 
-    def heed(self, facts: AnswerFacts) -> None:
+    def note_keep_alive(self, facts: AnswerFacts) -> None:
         """Keep idle connections for less time than the replica does."""
         if facts.keep_alive_s is not None:
-            limit_s = max(0.1, facts.keep_alive_s - IDLE_MARGIN_S)
-            self._connector._keepalive_timeout = min(IDLE_S, limit_s)
+            self._connector._keepalive_timeout = idle_limit_s(facts.keep_alive_s)
 
     async def close(self) -> None:
         """Close all connections."""
--- a/limeshelf/replicas/pool.py
+++ b/limeshelf/replicas/pool.py
@@ -1,4 +1,9 @@
-"""The connections of this process to all replicas, by address."""
+"""The connections of this process to all replicas, and probes of those out of reach.
+
+Owns the connections by incarnation, opened when a call first goes there and closed
+after the incarnation is gone. Relies on the directory for who is there, and on
+:mod:`limeshelf.replicas.health` for when a probe is due.
+"""
 
 from __future__ import annotations
 
@@ -14,19 +19,40 @@
     from limeshelf.replicas.directory import ReplicaDirectory
     from limeshelf.replicas.replica import Replica
 
-#: Part of a replica's connections that all entry instances together use.
+#: Share of the connections that a replica takes which all gateways together open;
+#: it resets any beyond its number. Chosen, not measured (a904fff).
 USED_SHARE = 0.9
+#: Connections that a gateway may open however many others there are. Chosen, not
+#: measured (a904fff).
 LEAST_CONNECTIONS = 4
+#: Time between two rounds that close connections to replicas that are gone.
+#: Chosen, not measured (a904fff).
 SWEEP_S = 2.0
-#: Replicas out of reach are looked at this often, when their pause is over.
-PROBE_LOOK_S = 0.1
+#: Time between two rounds that probe replicas whose pause is over. Chosen, not
+#: measured (2c71b20).
+PROBE_ROUND_S = 0.1
+
+
+def connection_limit(max_connections: int, gateways: int) -> int:
+    """Return the most connections that one gateway opens to one replica.
+
+    :param max_connections: connections that the replica takes from all callers.
+    :param gateways: gateways that share them, as known; less than 1 counts as 1.
+    """
+    share = int(max_connections * USED_SHARE / max(1, gateways))
+    return max(LEAST_CONNECTIONS, share)
 
 
 class ConnectionPool:
-    """Opens connections to a replica when a call first goes there."""
+    """Opens connections to a replica when a call first goes there.
+
+    :ivar gateways: how many gateways share a replica's connections, this one
+        included; kept up to date by the program. Connections that are already
+        open keep the limit with which they were made.
+    """
 
     def __init__(self, wire: CallWire) -> None:
-        self.sharers = 1
+        self.gateways = 1
         self._wire = wire
         self._by_replica: dict[str, ReplicaConnections] = {}
 
@@ -34,14 +60,16 @@
         """Return the connections to a replica."""
         found = self._by_replica.get(replica.replica_id)
         if found is None:
-            share = int(service.max_connections * USED_SHARE / max(1, self.sharers))
-            limit = max(LEAST_CONNECTIONS, share)
+            limit = connection_limit(service.max_connections, self.gateways)
             found = ReplicaConnections(replica.record.address, limit, self._wire)
             self._by_replica[replica.replica_id] = found
         return found
 
     async def sweep(self, directory: ReplicaDirectory) -> None:
-        """Close the connections to replicas that are gone, again and again."""
+        """Close the connections to replicas that are gone, again and again.
+
+        Calls under way at a replica that is believed gone may still end well.
+        """
         while True:
             await asyncio.sleep(SWEEP_S)
             for replica_id in list(self._by_replica):
@@ -50,9 +78,12 @@
                     await self._by_replica.pop(replica_id).close()
 
     async def probe(self, directory: ReplicaDirectory) -> None:
-        """See, again and again, whether replicas out of reach can be reached."""
+        """See, again and again, whether replicas out of reach can be reached.
+
+        A round lasts until each of its probes has ended.
+        """
         while True:
-            await asyncio.sleep(PROBE_LOOK_S)
+            await asyncio.sleep(PROBE_ROUND_S)
             due = [replica for replica in directory.all() if replica.health.probe_due]
             await asyncio.gather(*(_probe(replica) for replica in due))
 
@@ -69,6 +100,7 @@
         async with asyncio.timeout(CONNECT_S):
             _, writer = await asyncio.open_connection(host, int(port))
     except OSError:
+        # Also a time-out. Not logged: it is so again and again while a cut lasts.
         replica.health.probed(reached=False)
         return
     writer.close()
--- a/limeshelf/replicas/record.py
+++ b/limeshelf/replicas/record.py
@@ -1,4 +1,8 @@
-"""What a replica says of itself: its record in the store and its report."""
+"""What a replica says of itself: its record in the store and its report.
+
+Values only; :mod:`limeshelf.platform.replicas` reads them, and
+:mod:`limeshelf.membership` passes reports on between gateways.
+"""
 
 from __future__ import annotations
 
@@ -7,7 +11,7 @@
 
 @attrs.frozen
 class Holding:
-    """A model that a replica holds, with the adapters that are ready."""
+    """A model that is ready at a replica, with its ready adapters."""
 
     model: str
     adapters: frozenset[str] = frozenset()
@@ -15,12 +19,14 @@
 
 @attrs.frozen
 class ReplicaRecord:
-    """A replica as its row in the store tells it.
+    """A replica as its row in the store describes it.
 
-    :param replica_id: of this incarnation; stands nowhere else.
+    :param replica_id: of this incarnation; a restart has another.
+    :param address: as ``IP:PORT``; another incarnation, or another service, may
+        have it later.
     :param slots: calls that it works on at once.
     :param leaving: it takes no new calls.
-    :param leaves_in_s: time until it is gone, where it says so.
+    :param leaves_in_s: time until it is gone; ``None`` where it does not say so.
     :param beat_number: rises with each heartbeat; a lower one came late.
     """
 
@@ -37,14 +43,18 @@
 
 @attrs.frozen
 class ReplicaReport:
-    """What a replica answers when asked; some 100 ms old.
+    """What a replica answers when asked; some 100 ms old on arrival.
 
     :param busy: an order is under way.
-    :param order_number: orders that it has taken.
+    :param order_number: orders that it has taken since its start.
     :param loading: adapters on their way, as model and adapter.
-    :param queued: calls that wait.
-    :param in_memory: models whose weights lie in the machine's memory.
+    :param queued: calls that wait there.
+    :param running: calls in its batch.
+    :param memory_used: tokens of accelerator memory that cannot be evicted.
+    :param memory_total: tokens of accelerator memory in all.
+    :param in_memory: models whose weights lie in the memory of its machine.
     :param on_disk: models whose weights lie on its disk.
+    :param leaving: it takes no new calls.
     """
 
     holdings: tuple[Holding, ...]
