--- a/limeshelf/standalone/admission/retries.py
+++ b/limeshelf/standalone/admission/retries.py
@@ -1,29 +1,43 @@
-"""A budget that keeps retries a small share of the first tries."""
+"""Whether a request that failed at one upstream may be sent to another.
+
+Owns the retry budget of one model or route, and the limits of attempts. The caller
+of :func:`may_retry` has made sure that the failed attempt may be repeated at all.
+"""
 
 from __future__ import annotations
 
 import attrs
 
-#: Retries that may be saved up while all goes well.
-SAVED_LIMIT = 10.0
+#: Attempts of one model request, the first included. Chosen, not measured.
+MODEL_ATTEMPTS_LIMIT = 4
+#: Attempts of one plain call, the first included. Chosen, not measured.
+PLAIN_ATTEMPTS_LIMIT = 3
+#: Retries that may be saved up while all goes well. Chosen, not measured.
+SAVED_RETRIES_LIMIT = 10.0
+#: An upstream that could not be reached gets no new work for this long. Chosen, not
+#: measured.
+AVOID_S = 1.0
+#: What a caller is told when no replica is ready, or none may be tried any more.
+#: Chosen, not measured.
+NOT_READY_RETRY_S = 2.0
 
 
 @attrs.define
 class RouteRetryBudget:
-    """Allows retries of one model or route as a share of its first tries.
+    """Allows retries of one model or route as a share of its first attempts.
 
     Not :class:`limeshelf.admission.retry_budget.RetryBudget`: that one has an
     allowance that refills with time and is divided among all gateways.
 
-    :param ratio: retries for each first try.
+    :param ratio: retries for each first attempt, the setting ``entry.retry_ratio``.
     """
 
     ratio: float
-    _saved: float = SAVED_LIMIT
+    _saved: float = SAVED_RETRIES_LIMIT
 
-    def note_first_try(self) -> None:
-        """Count a first try, which earns a part of a retry."""
-        self._saved = min(SAVED_LIMIT, self._saved + self.ratio)
+    def note_first_attempt(self) -> None:
+        """Count a first attempt, which earns a part of a retry."""
+        self._saved = min(SAVED_RETRIES_LIMIT, self._saved + self.ratio)
 
     def try_retry(self) -> bool:
         """Take one retry from the budget if it holds one."""
@@ -31,3 +45,26 @@
             return False
         self._saved -= 1.0
         return True
+
+
+@attrs.frozen
+class RetryQuestion:
+    """What is known of a request when an attempt has failed.
+
+    :param attempts: attempts made, the failed one included.
+    :param attempts_limit: most attempts of a request of its kind.
+    :param remaining_s: time to the request's deadline.
+    """
+
+    attempts: int
+    attempts_limit: int
+    remaining_s: float
+
+
+def may_retry(question: RetryQuestion, budget: RouteRetryBudget) -> bool:
+    """Return whether another attempt may be made; if so, take it from *budget*."""
+    return (
+        question.attempts < question.attempts_limit
+        and question.remaining_s > 0
+        and budget.try_retry()
+    )
--- a/limeshelf/standalone/entry/claimed.py
+++ b/limeshelf/standalone/entry/claimed.py
@@ -4,19 +4,17 @@
 
 from typing import TYPE_CHECKING
 
+import attrs
 from aiohttp import web
 
 from limeshelf.errors import (
     DoubtReason,
-    ExchangeBroken,
     MayHaveRun,
     NotRun,
     OutcomeKind,
     RefusalReason,
     RequestInDoubt,
     RequestNotRun,
-    UpstreamRefused,
-    UpstreamUnreachable,
 )
 from limeshelf.standalone.claims.keeper import (
     MAX_KEPT_BYTES,
@@ -28,14 +26,15 @@
 )
 from limeshelf.standalone.entry.answers import tag
 from limeshelf.standalone.entry.headers import OUTCOME_HEADER, REPLAYED_HEADER
-from limeshelf.standalone.entry.tries import PlainTries
+from limeshelf.standalone.entry.plain_attempts import PlainAttempts
 from limeshelf.standalone.upstreams.plain import passable_headers
 
 if TYPE_CHECKING:
     import aiohttp
+    from multidict import CIMultiDict
 
     from limeshelf.standalone.entry.context import EntryContext
-    from limeshelf.standalone.entry.tries import PreparedCall
+    from limeshelf.standalone.entry.plain_attempts import PreparedCall
 
 #: What a caller is told when keys cannot be claimed.
 CLAIMS_RETRY_S = 5.0
@@ -68,46 +67,56 @@
                 )
             )
         try:
-            answer, kept = await self._whole_answer(prepared)
+            whole = await self._send(prepared)
         except RequestNotRun:
             await self._context.claims.give_back(claim)
             raise
-        await self._context.claims.keep_answer(claim, kept, fingerprint)
+        answer = _answered(whole, prepared)
+        await self._context.claims.keep_answer(claim, whole.to_keep(), fingerprint)
         return answer
 
-    async def _whole_answer(self, prepared: PreparedCall) -> tuple[web.Response, KeptAnswer]:
-        upstream_answer, body = await self._send_once(prepared)
-        content_type = upstream_answer.headers.get('Content-Type', 'application/octet-stream')
-        kept_body = _kept_text(body)
-        answer = web.Response(
-            status=upstream_answer.status,
-            body=body,
-            headers=passable_headers(upstream_answer.headers.copy()),
-        )
-        answer.headers[OUTCOME_HEADER] = OutcomeKind.COMPLETED.value
-        tag(answer, prepared.request_id, prepared.catalog.revision)
-        return answer, KeptAnswer(upstream_answer.status, content_type, kept_body)
-
-    async def _send_once(self, prepared: PreparedCall) -> tuple[aiohttp.ClientResponse, bytes]:
+    async def _send(self, prepared: PreparedCall) -> WholeAnswer:
         """Send until one replica takes the call; read its whole answer.
 
         A claimed call is treated as not repeatable, whatever its route says:
         only refusals and failed connections lead to another replica.
         """
-        tries = PlainTries(self._context, prepared)
-        while True:
-            candidate = tries.choose()
-            client = self._context.pool.plain(candidate.upstream)
-            self._context.loads.started(candidate.upstream_id)
-            try:
-                async with client.send(prepared.call, repeatable=False) as answer:
-                    return answer, await answer.read()
-            except (UpstreamRefused, UpstreamUnreachable) as error:
-                tries.note_failure(candidate, error)
-            except ExchangeBroken as broken:
-                raise RequestInDoubt(MayHaveRun(broken.reason)) from None
-            finally:
-                self._context.loads.ended(candidate.upstream_id)
+        once = attrs.evolve(prepared, repeatable=False)
+        attempts: PlainAttempts[WholeAnswer] = PlainAttempts(self._context, once)
+        return await attempts.send(WholeAnswerReceiver())
+
+
+@attrs.frozen
+class WholeAnswer:
+    """An upstream's answer, read to its end."""
+
+    status: int
+    headers: CIMultiDict[str]
+    body: bytes
+
+    def to_keep(self) -> KeptAnswer:
+        """Return what of the answer is kept for a repeat of the call."""
+        content_type = self.headers.get('Content-Type', 'application/octet-stream')
+        return KeptAnswer(self.status, content_type, _kept_text(self.body))
+
+
+class WholeAnswerReceiver:
+    """Reads an answer to its end; the caller gets nothing before."""
+
+    async def receive(self, answer: aiohttp.ClientResponse) -> WholeAnswer:
+        """Return the whole answer."""
+        return WholeAnswer(answer.status, answer.headers.copy(), await answer.read())
+
+    def cut(self) -> None:
+        """Cut nothing: the caller has no part of an answer that broke."""
+
+
+def _answered(whole: WholeAnswer, prepared: PreparedCall) -> web.Response:
+    answer = web.Response(
+        status=whole.status, body=whole.body, headers=passable_headers(whole.headers)
+    )
+    answer.headers[OUTCOME_HEADER] = OutcomeKind.COMPLETED.value
+    return tag(answer, prepared.request_id, prepared.catalog.revision)
 
 
 def _repeated(claim: ClaimedBefore, prepared: PreparedCall) -> web.Response:
--- a/limeshelf/standalone/entry/context.py
+++ b/limeshelf/standalone/entry/context.py
@@ -10,9 +10,9 @@
 from limeshelf.standalone.admission.retries import RouteRetryBudget
 from limeshelf.standalone.claims.keeper import ClaimKeeper
 from limeshelf.standalone.config.holder import ConfigHolder
-from limeshelf.standalone.entry.bound import PolicyShelf
 from limeshelf.standalone.entry.demand import DemandCounter
 from limeshelf.standalone.entry.lifecycle import Lifecycle
+from limeshelf.standalone.entry.request_policies import PolicyCache
 from limeshelf.standalone.entry.samples import SampleBook
 from limeshelf.standalone.membership.upstreams import UpstreamDirectory
 from limeshelf.standalone.routing.loads import LoadBook
@@ -35,7 +35,7 @@
     lifecycle: Lifecycle
     loads: LoadBook = attrs.field(factory=LoadBook)
     samples: SampleBook = attrs.field(factory=SampleBook)
-    policies: PolicyShelf = attrs.field(factory=PolicyShelf)
+    policies: PolicyCache = attrs.field(factory=PolicyCache)
     budgets: dict[str, RouteRetryBudget] = attrs.field(factory=dict)
 
     def budget(self, route: str) -> RouteRetryBudget:
--- a/limeshelf/standalone/entry/exchange.py
+++ b/limeshelf/standalone/entry/model_attempts.py
@@ -1,10 +1,14 @@
-"""One model request on its way: admit, choose, generate, retry, resume."""
+"""The attempts of one model request: admit, choose, generate, retry, resume.
+
+Owns the tokens that have arrived and the replicas that failed the request. Relies on
+the policies of the request for admission, routing and rank, on ``admission.retries``
+for the limit of attempts, and on the engine client for checked lines.
+"""
 
 from __future__ import annotations
 
-import zlib
 from contextlib import aclosing
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, NoReturn
 
 from limeshelf.errors import (
     DoubtReason,
@@ -17,8 +21,17 @@
     UpstreamRefused,
     UpstreamUnreachable,
 )
+from limeshelf.standalone.admission.decision import decide_admission
 from limeshelf.standalone.admission.policies import AdmissionQuestion
-from limeshelf.standalone.config.document import PolicyKind
+from limeshelf.standalone.admission.retries import (
+    AVOID_S,
+    MODEL_ATTEMPTS_LIMIT,
+    NOT_READY_RETRY_S,
+    RetryQuestion,
+    may_retry,
+)
+from limeshelf.standalone.entry.model_recorder import ModelRecorder
+from limeshelf.standalone.entry.request_policies import RequestPolicies
 from limeshelf.standalone.routing.candidates import Candidate, engine_candidates
 from limeshelf.standalone.routing.policies import RouteQuestion
 from limeshelf.standalone.upstreams.messages import GenerateRequest
@@ -29,21 +42,12 @@
     from collections.abc import AsyncGenerator
 
     from limeshelf.standalone.config.catalog import Catalog, Target
-    from limeshelf.standalone.config.document import Policy
     from limeshelf.standalone.entry.context import EntryContext
     from limeshelf.standalone.entry.parse import ModelRequest
     from limeshelf.standalone.upstreams.messages import TokenLine
 
-#: Tries of one request, the first one included.
-MAX_TRIES = 4
-#: An upstream that could not be reached gets no new work for this long.
-AVOID_S = 1.0
-#: What a caller is told when no replica is ready.
-NOT_READY_RETRY_S = 2.0
-HASH_SPAN = 1 << 32
 
-
-class ModelExchange:
+class ModelAttempts:
     """Brings one model request to its whole answer or its final outcome."""
 
     def __init__(
@@ -54,21 +58,15 @@
         self._request = request
         self._target = target
         self._started_s = boottime_s()
-        self._refused: set[str] = set()
-        self._broken: set[str] = set()
+        #: Replicas that refused the request or were out of reach.
+        self._not_run_ids: set[str] = set()
+        #: Replicas whose answer broke; the request may be resumed there.
+        self._broken_ids: set[str] = set()
         self._text: list[str] = []
-        self._tries = 0
-        self._may_have_run = False
+        self._attempts = 0
         self._first_token_s: float | None = None
-        position = zlib.crc32(request.request_id.encode()) / HASH_SPAN
-        deployment = target.deployment
-        self._admission = catalog.policy_for(PolicyKind.ADMISSION, deployment, position)
-        self._routing = catalog.policy_for(PolicyKind.ROUTING, deployment, position)
-        self._priority = catalog.policy_for(PolicyKind.PRIORITY, deployment, position)
-
-    @property
-    def _policies(self) -> list[Policy]:
-        return [self._admission, self._routing, self._priority]
+        self._policies = RequestPolicies.choose(catalog, target.deployment, request.request_id)
+        self._recorder = ModelRecorder(context, request, target, self._policies)
 
     @property
     def _remaining_s(self) -> float:
@@ -80,10 +78,10 @@
         :raises RequestNotRun: no upstream ran it.
         :raises RequestInDoubt: it may have run, and its answer is not whole.
         """
-        self._context.budget(self._target.deployment.name).note_first_try()
+        self._context.budget(self._target.deployment.name).note_first_attempt()
         while True:
             candidate = self._choose()
-            self._tries += 1
+            self._attempts += 1
             try:
                 async with aclosing(self._generate(candidate)) as batches:
                     async for batch in batches:
@@ -94,7 +92,7 @@
                 self._note_refusal(candidate, refused)
             except UpstreamUnreachable:
                 self._context.upstreams.avoid(candidate.upstream_id, AVOID_S)
-                self._refused.add(candidate.upstream_id)
+                self._not_run_ids.add(candidate.upstream_id)
                 self._check_retry(RefusalReason.UPSTREAM_UNREACHABLE)
             except ExchangeBroken as broken:
                 self._note_break(candidate, broken)
@@ -105,7 +103,7 @@
         Most models have one replica, so a broken answer is mostly resumed where
         it broke.
         """
-        for excluded in (self._refused | self._broken, self._refused):
+        for excluded in (self._not_run_ids | self._broken_ids, self._not_run_ids):
             found = engine_candidates(
                 self._target.item.item_id,
                 self._target.deployment.priority_class,
@@ -124,32 +122,24 @@
         candidates = self._candidates()
         if not candidates:
             self._give_up(RefusalReason.NO_READY_REPLICA, NOT_READY_RETRY_S)
-        if self._tries == 0:
+        if self._attempts == 0:
             self._admit(candidates)
-        policy = context.policies.routing(self._routing)
+        policy = context.policies.routing(self._policies.routing)
         question = RouteQuestion(self._target.item.item_id, self._request.prefix_key)
         chosen = policy.choose(question, candidates)
-        context.decisions.add(
-            self._request.request_id,
-            'route',
-            model=self._request.model,
-            caller=self._request.caller,
-            upstream=chosen.upstream_id,
-            item=chosen.item_id,
-            policy=self._routing.name,
-            estimate_ms=chosen.estimate_s * 1000.0,
-            running=chosen.running,
+        self._recorder.note_route(
+            chosen,
             candidates=len(candidates),
-            attempt=self._tries + 1,
+            attempt=self._attempts + 1,
             resume_at=len(self._text),
             revision=self._catalog.revision,
         )
         return chosen
 
     def _admit(self, candidates: list[Candidate]) -> None:
+        """Return if the request is sent, else raise the final outcome."""
         context = self._context
         best = min(candidates, key=lambda c: c.estimate_s)
-        limit = context.settings.max_streams_per_upstream
         deployment = self._target.deployment
         question = AdmissionQuestion(
             priority_class=deployment.priority_class,
@@ -157,37 +147,20 @@
             target_s=deployment.first_token_target_s,
             remaining_s=self._remaining_s,
             running=best.running,
-            limit=limit,
+            limit=context.settings.max_streams_per_upstream,
         )
-        outcome = context.policies.admission(self._admission).decide(question)
-        if not isinstance(outcome, NotRun) and all(
-            context.loads.own(c.upstream_id) >= limit for c in candidates
-        ):
-            outcome = NotRun(RefusalReason.OVERLOADED, best.estimate_s, 'too many in flight')
+        policy = context.policies.admission(self._policies.admission)
+        own_streams = [context.loads.own(c.upstream_id) for c in candidates]
+        outcome = decide_admission(policy, question, own_streams)
         if isinstance(outcome, NotRun):
-            context.samples.note_refused(self._policies, deployment.priority_class)
-            context.demand.refused(self._target.item.item_id)
-            context.metrics.count(f'entry.refused.{deployment.priority_class}')
-            self._note_refused_line(outcome, best)
+            self._recorder.note_not_admitted(outcome, question)
             raise RequestNotRun(outcome)
 
-    def _note_refused_line(self, outcome: NotRun, best: Candidate) -> None:
-        self._context.decisions.add(
-            self._request.request_id,
-            'refuse',
-            model=self._request.model,
-            caller=self._request.caller,
-            policy=self._admission.name,
-            reason=outcome.reason,
-            estimate_ms=best.estimate_s * 1000.0,
-            running=best.running,
-        )
-
     async def _generate(self, candidate: Candidate) -> AsyncGenerator[list[TokenLine], None]:
         context = self._context
         request = self._request
         deployment = self._target.deployment
-        priority = context.policies.priority(self._priority)
+        priority = context.policies.priority(self._policies.priority)
         order = GenerateRequest(
             exchange_id=new_id('x'),
             item_id=candidate.item_id,
@@ -210,26 +183,12 @@
     def _note_batch(self, batch: list[TokenLine], candidate: Candidate) -> None:
         self._text += [line.text for line in batch if not line.finish]
         self._context.metrics.count('entry.tokens', len(batch))
-        if self._first_token_s is not None:
-            return
-        self._first_token_s = boottime_s() - self._started_s
-        deployment = self._target.deployment
-        met = self._first_token_s <= deployment.first_token_target_s
-        context = self._context
-        context.loads.learn(
-            candidate.upstream_id,
-            deployment.priority_class,
-            self._first_token_s,
-            candidate.running,
-        )
-        context.policies.admission(self._admission).note_result(deployment.priority_class, met)
-        context.samples.note_first_token(
-            self._policies, deployment.priority_class, self._first_token_s, met
-        )
-        context.metrics.time_s('entry.first_token', self._first_token_s)
+        if self._first_token_s is None:
+            self._first_token_s = boottime_s() - self._started_s
+            self._recorder.note_first_token(self._first_token_s, candidate)
 
     def _note_refusal(self, candidate: Candidate, refused: UpstreamRefused) -> None:
-        self._refused.add(candidate.upstream_id)
+        self._not_run_ids.add(candidate.upstream_id)
         if refused.leaving:
             self._context.upstreams.mark_leaving(candidate.upstream_id, '')
         self._context.metrics.count('entry.upstream_refused')
@@ -237,21 +196,25 @@
 
     def _note_break(self, candidate: Candidate, broken: ExchangeBroken) -> None:
         self._context.metrics.count('entry.exchange_broken')
-        self._broken.add(candidate.upstream_id)
-        self._may_have_run = True
+        self._broken_ids.add(candidate.upstream_id)
         if not self._target.deployment.repeatable:
             raise RequestInDoubt(MayHaveRun(broken.reason))
         self._check_retry(RefusalReason.UPSTREAM_UNREACHABLE)
 
     def _check_retry(self, reason: RefusalReason, retry_after_s: float | None = None) -> None:
-        """Return if another try is allowed, else raise the final outcome."""
-        budget = self._context.budget(self._target.deployment.name)
-        if self._tries >= MAX_TRIES or self._remaining_s <= 0 or not budget.try_retry():
+        """Return if another attempt is allowed, else raise the final outcome."""
+        question = RetryQuestion(
+            attempts=self._attempts,
+            attempts_limit=MODEL_ATTEMPTS_LIMIT,
+            remaining_s=self._remaining_s,
+        )
+        if not may_retry(question, self._context.budget(self._target.deployment.name)):
             self._give_up(reason, retry_after_s or NOT_READY_RETRY_S)
         self._context.metrics.count('entry.retries')
 
-    def _give_up(self, reason: RefusalReason, retry_after_s: float) -> None:
+    def _give_up(self, reason: RefusalReason, retry_after_s: float) -> NoReturn:
+        """Raise the final outcome: in doubt if the answer of any replica broke."""
         self._context.demand.refused(self._target.item.item_id)
-        if self._may_have_run:
+        if self._broken_ids:
             raise RequestInDoubt(MayHaveRun(DoubtReason.ANSWER_CUT))
         raise RequestNotRun(NotRun(reason, retry_after_s))
--- a/limeshelf/standalone/entry/models.py
+++ b/limeshelf/standalone/entry/models.py
@@ -21,9 +21,9 @@
 )
 from limeshelf.standalone.entry.answers import invalid_answer, outcome_answer, tag
 from limeshelf.standalone.entry.body import read_body
-from limeshelf.standalone.entry.exchange import ModelExchange
 from limeshelf.standalone.entry.formats import EventWriter, whole_body
 from limeshelf.standalone.entry.headers import OUTCOME_HEADER, REVISION_HEADER
+from limeshelf.standalone.entry.model_attempts import ModelAttempts
 from limeshelf.standalone.entry.parse import ModelRequest, parse_model_request
 from limeshelf.util.identifiers import new_id
 
@@ -99,11 +99,11 @@
         item_id = target.item.item_id
         context.metrics.count('entry.requests')
         context.demand.arrived(item_id)
-        exchange = ModelExchange(context, catalog, request, target)
+        attempts = ModelAttempts(context, catalog, request, target)
         try:
             if request.stream:
-                return await self._stream(http, request, catalog, exchange)
-            return await self._whole(request, catalog, exchange)
+                return await self._stream(http, request, catalog, attempts)
+            return await self._whole(request, catalog, attempts)
         except (RequestNotRun, RequestInDoubt) as error:
             answer = outcome_answer(error.outcome, request.request_id)
             return tag(answer, request.request_id, catalog.revision)
@@ -111,14 +111,14 @@
             context.demand.ended(item_id)
 
     async def _whole(
-        self, request: ModelRequest, catalog: Catalog, exchange: ModelExchange
+        self, request: ModelRequest, catalog: Catalog, attempts: ModelAttempts
     ) -> web.Response:
         texts: list[str] = []
         finish = ''
         try:
             async with (
                 asyncio.timeout(request.deadline_s),
-                aclosing(exchange.batches()) as batches,
+                aclosing(attempts.batches()) as batches,
             ):
                 async for batch in batches:
                     texts += [line.text for line in batch if not line.finish]
@@ -135,7 +135,7 @@
         http: web.Request,
         request: ModelRequest,
         catalog: Catalog,
-        exchange: ModelExchange,
+        attempts: ModelAttempts,
     ) -> web.StreamResponse:
         writer = EventWriter(request)
         answer = web.StreamResponse()
@@ -145,7 +145,7 @@
         try:
             async with (
                 asyncio.timeout(request.deadline_s),
-                aclosing(exchange.batches()) as batches,
+                aclosing(attempts.batches()) as batches,
             ):
                 async for batch in batches:
                     if not answer.prepared:
--- a/limeshelf/standalone/entry/plain.py
+++ b/limeshelf/standalone/entry/plain.py
@@ -1,4 +1,8 @@
-"""HTTP handler of plain-service calls, some of which may not be repeated."""
+"""HTTP handler of plain-service calls, some of which may not be repeated.
+
+Owns no state. Relies on the catalog for the route of a call, on ``plain_attempts``
+for sending it and on ``claimed`` for calls that carry an idempotency key.
+"""
 
 from __future__ import annotations
 
@@ -8,16 +12,12 @@
 from aiohttp import web
 
 from limeshelf.errors import (
-    ExchangeBroken,
     InvalidRequest,
-    MayHaveRun,
     NotRun,
     OutcomeKind,
     RefusalReason,
     RequestInDoubt,
     RequestNotRun,
-    UpstreamRefused,
-    UpstreamUnreachable,
 )
 from limeshelf.standalone.entry.answers import invalid_answer, outcome_answer, tag
 from limeshelf.standalone.entry.body import CHUNK_BYTES, read_body
@@ -29,7 +29,7 @@
     header_deadline_s,
     idempotency_key_of,
 )
-from limeshelf.standalone.entry.tries import NOT_READY_RETRY_S, PlainTries, PreparedCall
+from limeshelf.standalone.entry.plain_attempts import PlainAttempts, PreparedCall
 from limeshelf.standalone.upstreams.plain import PlainCall, passable_headers
 from limeshelf.util.clock import boottime_s
 from limeshelf.util.identifiers import new_id
@@ -77,23 +77,25 @@
         repeatable = route.repeatable or http.method in SAFE_METHODS
         body = await self._body(http, whole=key is not None or repeatable)
         timeout_s = header_deadline_s(http, route.timeout_s)
+        call = PlainCall(
+            http.method,
+            _passed_path(http, route),
+            passable_headers(http.headers.copy()),
+            body,
+            timeout_s,
+        )
         prepared = PreparedCall(
-            request_id,
-            catalog,
-            route,
-            PlainCall(
-                http.method,
-                _passed_path(http, route),
-                passable_headers(http.headers.copy()),
-                body,
-                timeout_s,
-            ),
-            repeatable,
-            caller_of(http) or ANONYMOUS,
-            boottime_s(),
+            request_id=request_id,
+            catalog=catalog,
+            route=route,
+            call=call,
+            repeatable=repeatable,
+            caller=caller_of(http) or ANONYMOUS,
+            started_s=boottime_s(),
         )
         if key is None or http.method in SAFE_METHODS:
-            return await self._relay(http, prepared)
+            attempts: PlainAttempts[web.StreamResponse] = PlainAttempts(self._context, prepared)
+            return await attempts.send(StreamedAnswer(http, prepared))
         assert isinstance(body, bytes)
         # The claimed call goes on when the caller goes away, so that its
         # answer is kept for the caller's repeat.
@@ -108,37 +110,6 @@
         settings = self._context.settings
         return await read_body(http, settings.max_body_bytes, settings.body_timeout_s)
 
-    async def _relay(self, http: web.Request, prepared: PreparedCall) -> web.StreamResponse:
-        """Send the call and stream its answer to the caller."""
-        tries = PlainTries(self._context, prepared)
-        while True:
-            candidate = tries.choose()
-            client = self._context.pool.plain(candidate.upstream)
-            self._context.loads.started(candidate.upstream_id)
-            relayed = web.StreamResponse()
-            try:
-                async with client.send(prepared.call, prepared.repeatable) as answer:
-                    return await _stream_back(http, relayed, answer, prepared)
-            except (UpstreamRefused, UpstreamUnreachable) as error:
-                self._check_resend(prepared)
-                tries.note_failure(candidate, error)
-            except ExchangeBroken as broken:
-                if relayed.prepared:
-                    _cut(http)
-                    return relayed
-                if not prepared.repeatable:
-                    raise RequestInDoubt(MayHaveRun(broken.reason)) from None
-                tries.note_failure(candidate, broken)
-            finally:
-                self._context.loads.ended(candidate.upstream_id)
-
-    def _check_resend(self, prepared: PreparedCall) -> None:
-        """Refuse a second try of a body that was streamed and may be used up."""
-        if not isinstance(prepared.call.body, bytes | None):
-            raise RequestNotRun(
-                NotRun(RefusalReason.UPSTREAM_REFUSED, NOT_READY_RETRY_S, 'send it again')
-            )
-
 
 def _passed_path(http: web.Request, route: Route) -> str:
     """Return path and query as the service sees them, encoded as they came."""
@@ -149,31 +120,42 @@
     return raw if raw.startswith('/') else f'/{raw}'
 
 
-async def _stream_back(
-    http: web.Request,
-    relayed: web.StreamResponse,
-    answer: aiohttp.ClientResponse,
-    prepared: PreparedCall,
-) -> web.StreamResponse:
-    relayed.set_status(answer.status)
-    relayed.headers.update(passable_headers(answer.headers.copy()))
-    relayed.headers[OUTCOME_HEADER] = OutcomeKind.COMPLETED.value
-    tag(relayed, prepared.request_id, prepared.catalog.revision)
-    if answer.content_length is not None and http.method != 'HEAD':
-        relayed.content_length = answer.content_length
-    # The first bytes are waited for before the head is sent, so that an early
-    # break still gets a typed answer.
-    first = await answer.content.readany()
-    await relayed.prepare(http)
-    if first:
-        await relayed.write(first)
-    async for chunk in answer.content.iter_any():
-        await relayed.write(chunk)
-    await relayed.write_eof()
-    return relayed
-
-
-def _cut(http: web.Request) -> None:
-    """Close the connection, so that a cut answer can never look whole."""
-    if http.transport is not None:
-        http.transport.abort()
+class StreamedAnswer:
+    """Passes an answer on to the caller as it arrives."""
+
+    def __init__(self, http: web.Request, prepared: PreparedCall) -> None:
+        self._http = http
+        self._prepared = prepared
+        self._relayed = web.StreamResponse()
+
+    async def receive(self, answer: aiohttp.ClientResponse) -> web.StreamResponse:
+        """Send head and body of *answer* to the caller."""
+        relayed = self._relayed = self._head(answer)
+        # The first bytes are waited for before the head is sent, so that an early
+        # break still gets a typed answer.
+        first = await answer.content.readany()
+        await relayed.prepare(self._http)
+        if first:
+            await relayed.write(first)
+        async for chunk in answer.content.iter_any():
+            await relayed.write(chunk)
+        await relayed.write_eof()
+        return relayed
+
+    def _head(self, answer: aiohttp.ClientResponse) -> web.StreamResponse:
+        relayed = web.StreamResponse()
+        relayed.set_status(answer.status)
+        relayed.headers.update(passable_headers(answer.headers.copy()))
+        relayed.headers[OUTCOME_HEADER] = OutcomeKind.COMPLETED.value
+        tag(relayed, self._prepared.request_id, self._prepared.catalog.revision)
+        if answer.content_length is not None and self._http.method != 'HEAD':
+            relayed.content_length = answer.content_length
+        return relayed
+
+    def cut(self) -> web.StreamResponse | None:
+        """Close the connection if the head was sent: a cut answer must not look whole."""
+        if not self._relayed.prepared:
+            return None
+        if self._http.transport is not None:
+            self._http.transport.abort()
+        return self._relayed
--- a/limeshelf/standalone/experiment/simulation.py
+++ b/limeshelf/standalone/experiment/simulation.py
@@ -13,7 +13,7 @@
 from limeshelf.standalone.admission.policies import AdmissionQuestion
 from limeshelf.standalone.config.document import PolicyKind
 from limeshelf.standalone.config.holder import ConfigHolder
-from limeshelf.standalone.entry.bound import PolicyShelf
+from limeshelf.standalone.entry.request_policies import PolicyCache
 from limeshelf.standalone.experiment.centres import Centre
 from limeshelf.standalone.experiment.engine import EngineSpeed, SimulatedEngine, Work
 from limeshelf.standalone.experiment.measures import RunResult, met_targets
@@ -60,7 +60,7 @@
         self._events: list[tuple[float, int, Any, tuple[Any, ...]]] = []
         self._numbers = itertools.count()
         self._config = ConfigHolder()
-        self._policies = PolicyShelf()
+        self._policies = PolicyCache()
         self._stepping: set[str] = set()
         self._seed = seed
         self._duration_s = duration_s
--- a/tests/mutate.py
+++ b/tests/mutate.py
@@ -109,7 +109,7 @@
     ),
     Mutation(
         'a refusal of a leaving upstream is forgotten',
-        'standalone/entry/exchange.py',
+        'standalone/entry/model_attempts.py',
         "            self._context.upstreams.mark_leaving(candidate.upstream_id, '')",
         '            pass',
         'tests/standalone/entry/test_models.py',
