--- a/limeshelf/settings/gateway.py
+++ b/limeshelf/settings/gateway.py
@@ -1,25 +1,33 @@
-"""Settings of a gateway process, checked before anything starts."""
+"""Settings of a gateway process, checked before anything starts.
+
+The deploy file's template (``deploy/settings.json.in``) has a value for each; names
+and types are recorded in tests/forms/test_settings.py.
+"""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
 import attrs
-import msgspec
 
 from limeshelf.errors import InvalidDocument, Problem
-from limeshelf.settings.structure import structure
+from limeshelf.settings.structure import structure_file
 
 if TYPE_CHECKING:
     from pathlib import Path
 
 
+#: Leases of this length or less are a fault of the file. Chosen, not measured (a904fff).
+LEAST_LEASE_S = 1.0
+
+
 @attrs.frozen
 class RetrySettings:
-    """What all gateways together may repeat at one service.
+    """What all gateways together may send again at one service.
 
-    :param ratio: retries for each call.
-    :param slack: retries beyond that in a window of *window_s* seconds.
+    :param ratio: retries for each call, 0 to 1.
+    :param slack: number of retries beyond that in a window of *window_s*.
+    :param window_s: length of the window, in seconds.
     """
 
     ratio: float
@@ -31,8 +39,9 @@
 class PlacementSettings:
     """Bounds of the leader's work.
 
-    :param lease_s: life of the lease without renewal.
-    :param window_s: window in which loads from the weight store are counted.
+    :param lease_s: life of the lease without renewal, in seconds.
+    :param window_s: window in which loads from the weight store are counted, in
+        seconds.
     """
 
     lease_s: float
@@ -41,19 +50,23 @@
 
 @attrs.frozen
 class GatewaySettings:
-    """Everything that a gateway process is told at its start.
-
-    :param instance_id: name of the machine.
-    :param ip: its address; peers, figures and calls are listened for there.
-    :param calls_address: where callers connect.
-    :param readiness_address: where the balancer asks.
-    :param store_address: of the platform's store.
-    :param peer_ports: first and last port for traffic between gateways; alike
-        on all machines.
-    :param seeds: addresses of other machines, which may be stale.
-    :param weight: how much the machine can carry; the heaviest pass words on.
-    :param grace_s: time between the signal to stop and the end by force.
-    :param figures_port: where the figures are served.
+    """Everything that a gateway process reads at its start.
+
+    :param instance_id: name of this instance, unique everywhere.
+    :param ip: its IP number; peers and scrapers of metrics connect there.
+    :param data_centre: where it stands; replicas there are preferred.
+    :param calls_address: where callers connect, as ``IP:PORT``.
+    :param readiness_address: where the balancer asks for readiness, as ``IP:PORT``.
+    :param store_address: of the platform's store, as ``IP:PORT``.
+    :param peer_ports: first and last port for traffic between gateways, alike on
+        all instances; the first is used.
+    :param seeds: peer addresses of other gateways, as ``IP:PORT``; may be stale.
+    :param grace_s: time between the signal to stop and the end by force, in seconds.
+    :param figures_port: port at which metrics are served.
+    :param retries: what may be sent again.
+    :param placement: bounds of the leader.
+    :param weight: how much traffic the instance can carry, in proportion to the
+        others (the deploy file gives its link's Mbit/s); the heaviest are relays.
     """
 
     instance_id: str
@@ -81,13 +94,7 @@
 
     :raises InvalidDocument: with one problem for each fault.
     """
-    try:
-        document = msgspec.json.decode(path.read_bytes())
-    except OSError as error:
-        raise InvalidDocument([Problem('.', f'cannot be read: {error.strerror}')]) from None
-    except msgspec.DecodeError as error:
-        raise InvalidDocument([Problem('.', f'no JSON: {error}')]) from None
-    settings = structure(document, GatewaySettings)
+    settings = structure_file(path, GatewaySettings)
     problems = list(_problems(settings))
     if problems:
         raise InvalidDocument(problems)
@@ -104,6 +111,6 @@
         problems.append(Problem('peer_ports', 'expected one port at least'))
     if settings.grace_s <= 0:
         problems.append(Problem('grace_s', 'expected more than 0 seconds'))
-    if settings.placement.lease_s <= 1.0:
+    if settings.placement.lease_s <= LEAST_LEASE_S:
         problems.append(Problem('placement.lease_s', 'expected more than 1 second'))
     return problems
--- a/limeshelf/settings/load.py
+++ b/limeshelf/settings/load.py
@@ -1,4 +1,8 @@
-"""Reads and checks a settings file."""
+"""Reads and checks a settings file of the own wire's programs.
+
+Beyond types it checks ranges by the suffix of a name, addresses, and that files can
+be read. Owns no state.
+"""
 
 from __future__ import annotations
 
@@ -7,11 +11,10 @@
 from typing import TYPE_CHECKING, Any
 
 import attrs
-import msgspec
 
 from limeshelf.errors import InvalidDocument, Problem
 from limeshelf.settings.model import Settings
-from limeshelf.settings.structure import structure
+from limeshelf.settings.structure import structure_file
 
 if TYPE_CHECKING:
     from pathlib import Path
@@ -24,13 +27,7 @@
 
     :raises InvalidDocument: listing every fault of the file.
     """
-    try:
-        document = msgspec.json.decode(path.read_bytes())
-    except OSError as error:
-        raise InvalidDocument([Problem('.', f'cannot be read: {error.strerror}')]) from None
-    except msgspec.DecodeError as error:
-        raise InvalidDocument([Problem('.', f'is not JSON: {error}')]) from None
-    settings = structure(document, Settings)
+    settings = structure_file(path, Settings)
     problems = check_settings(settings)
     if problems:
         raise InvalidDocument(problems)
@@ -38,7 +35,7 @@
 
 
 def check_settings(settings: Settings) -> list[Problem]:
-    """Return the faults that types alone do not show."""
+    """Return the faults that types alone do not show, each with its place."""
     problems = _range_problems(settings, '')
     problems += _host_problems(settings)
     problems += _file_problems(settings)
--- a/limeshelf/settings/model.py
+++ b/limeshelf/settings/model.py
@@ -1,4 +1,8 @@
-"""The settings that a process reads at its start."""
+"""The settings that the own wire's programs read at their start.
+
+Each carries its unit in its name and its purpose in ``doc``, from which the
+reference page is written. The defaults are chosen, not measured.
+"""
 
 from __future__ import annotations
 
--- a/limeshelf/settings/reference.py
+++ b/limeshelf/settings/reference.py
@@ -1,4 +1,4 @@
-"""Writes the settings reference page from the settings classes."""
+"""Writes the reference page of the own wire's settings from their classes."""
 
 from __future__ import annotations
 
--- a/limeshelf/settings/structure.py
+++ b/limeshelf/settings/structure.py
@@ -1,11 +1,16 @@
-"""Turns JSON documents into attrs classes and lists every fault at once."""
+"""Turns JSON documents into attrs classes and lists every fault at once.
+
+Stricter than the library: no value is converted to another type, and unknown keys
+are faults. Owns no state.
+"""
 
 from __future__ import annotations
 
 import enum
-from typing import Any, TypeVar
+from typing import TYPE_CHECKING, Any, TypeVar
 
 import cattrs
+import msgspec
 from cattrs.errors import (
     ClassValidationError,
     ForbiddenExtraKeysError,
@@ -14,6 +19,9 @@
 
 from limeshelf.errors import InvalidDocument, Problem
 
+if TYPE_CHECKING:
+    from pathlib import Path
+
 T = TypeVar('T')
 
 #: Unit suffixes of field names and what they mean, for error messages.
@@ -67,9 +75,26 @@
 _converter = _make_converter()
 
 
+def structure_file(path: Path, kind: type[T]) -> T:
+    """Build a *kind* from the JSON file at *path*.
+
+    :raises InvalidDocument: with one :class:`Problem` for each fault.
+    """
+    try:
+        document = msgspec.json.decode(path.read_bytes())
+    except OSError as error:
+        raise InvalidDocument([Problem('.', f'cannot be read: {error.strerror}')]) from None
+    except msgspec.DecodeError as error:
+        raise InvalidDocument([Problem('.', f'is not JSON: {error}')]) from None
+    return structure(document, kind)
+
+
 def structure(document: Any, kind: type[T]) -> T:
     """Build a *kind* from parsed JSON.
 
+    Any error of the library is turned into problems; one that names none is a
+    fault of ours and is raised as it is.
+
     :raises InvalidDocument: with one :class:`Problem` for each fault.
     """
     try:
--- a/limeshelf/settings/tls.py
+++ b/limeshelf/settings/tls.py
@@ -1,4 +1,8 @@
-"""TLS contexts from certificate files, reloaded when the files change."""
+"""TLS contexts from certificate files, reloaded when the files change.
+
+Serves the listeners of the own wire's programs. Relies on the settings for the
+paths and for how often they are looked at.
+"""
 
 from __future__ import annotations
 
@@ -57,4 +61,6 @@
             os.stat(name).st_mtime for name in (settings.certificate_file, settings.key_file)
         )
     except OSError:
+        # A file is missing, for example while it is replaced. That counts as a
+        # change; the load that follows fails and is logged.
         return ()
--- /dev/null
+++ b/tests/settings/test_gateway.py
@@ -0,0 +1,63 @@
+"""Settings files of a gateway: faults that types alone do not show."""
+
+from __future__ import annotations
+
+import json
+from pathlib import Path
+from typing import Any
+
+import pytest
+
+from limeshelf.errors import InvalidDocument
+from limeshelf.settings.gateway import LEAST_LEASE_S, load_gateway_settings
+
+GOOD: dict[str, Any] = {
+    'instance_id': 'g-1',
+    'ip': '10.0.0.1',
+    'data_centre': 'z1',
+    'calls_address': '10.0.0.1:80',
+    'readiness_address': '10.0.0.1:81',
+    'store_address': '10.0.0.9:70',
+    'peer_ports': [7000],
+    'seeds': [],
+    'grace_s': 30.0,
+    'figures_port': 9464,
+    'retries': {'ratio': 0.2, 'slack': 50.0, 'window_s': 10.0},
+    'placement': {'lease_s': 2.4, 'window_s': 5.0},
+}
+
+
+def problems(tmp_path: Path, text: str) -> list[str]:
+    path = tmp_path / 'settings.json'
+    path.write_text(text)
+    try:
+        load_gateway_settings(path)
+    except InvalidDocument as error:
+        return [problem.path for problem in error.problems]
+    return []
+
+
+def test_least_file_is_good(tmp_path: Path) -> None:
+    assert problems(tmp_path, json.dumps(GOOD)) == []
+
+
+@pytest.mark.parametrize(
+    ('name', 'value', 'place'),
+    [
+        ('calls_address', 'here', 'calls_address'),
+        ('store_address', '10.0.0.9:', 'store_address'),
+        ('peer_ports', [], 'peer_ports'),
+        ('grace_s', 0.0, 'grace_s'),
+        ('placement', {'lease_s': LEAST_LEASE_S, 'window_s': 5.0}, 'placement.lease_s'),
+        ('retries', {'ratio': 0.2, 'slack': 50.0}, 'retries.window_s'),
+        ('speed', 3, 'speed'),
+    ],
+)
+def test_fault_is_named(tmp_path: Path, name: str, value: Any, place: str) -> None:
+    assert problems(tmp_path, json.dumps({**GOOD, name: value})) == [place]
+
+
+def test_no_json_and_no_file(tmp_path: Path) -> None:
+    assert problems(tmp_path, '{') == ['.']
+    with pytest.raises(InvalidDocument):
+        load_gateway_settings(tmp_path / 'nothing.json')
