--- a/limeshelf/membership/state_exchange.py
+++ b/limeshelf/membership/state_exchange.py
@@ -23,7 +23,7 @@
     from limeshelf.membership.state_changes import StateChanges
     from limeshelf.peers.codec import Envelope
     from limeshelf.peers.node import PeerNode
-    from limeshelf.placement.service import FleetService
+    from limeshelf.placement.service import PlacementService
     from limeshelf.replicas.directory import ReplicaDirectory
 
 #: Loads under way are told at least this often. Commit a904fff; chosen, not measured.
@@ -60,7 +60,7 @@
     leadership: Leadership
     directory: ReplicaDirectory
     meter: DemandMeter
-    fleet: FleetService
+    fleet: PlacementService
     changes: StateChanges
     _newest_fence: int = 0
     _all_due_s: float = 0.0
--- a/limeshelf/membership/want_exchange.py
+++ b/limeshelf/membership/want_exchange.py
@@ -17,7 +17,7 @@
     from limeshelf.membership.leader import LeaderView
     from limeshelf.peers.codec import Envelope
     from limeshelf.peers.node import PeerNode
-    from limeshelf.placement.service import FleetService
+    from limeshelf.placement.service import PlacementService
 
 
 @attrs.define
@@ -26,7 +26,7 @@
 
     node: PeerNode
     leader: LeaderView
-    fleet: FleetService
+    fleet: PlacementService
 
     def start(self) -> None:
         """Take messages."""
--- /dev/null
+++ b/limeshelf/placement/move_runner.py
@@ -0,0 +1,98 @@
+"""Turns the planner's moves into orders and sees them through.
+
+Marks at once what a move brings and takes away, so that the next plan counts it.
+Relies on the order sender, which checks the room before each load.
+"""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from limeshelf.metrics.event_log import log_change
+from limeshelf.orders.order import OrderKind
+from limeshelf.orders.task import Loadable, OrderTask
+from limeshelf.util.clock import boottime_s
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from limeshelf.calls.routes import EngineSpec
+    from limeshelf.orders.sender import OrderSender
+    from limeshelf.placement.adapters import AdapterMove
+    from limeshelf.placement.planner import CopyMove
+    from limeshelf.replicas.directory import ReplicaDirectory
+    from limeshelf.replicas.replica import Replica
+    from limeshelf.util.tasks import TaskSet
+
+#: An unload before a load takes about this long; it moves only the time that waiting
+#: callers are told. Chosen, not measured (commit 2c71b20).
+UNLOAD_S = 0.6
+
+
+class MoveRunner:
+    """Carries out moves, each in a task of its own.
+
+    :param on_load: called when the load of a model begins, so that waiting calls
+        learn when it is likely there.
+    """
+
+    def __init__(
+        self,
+        directory: ReplicaDirectory,
+        sender: OrderSender,
+        tasks: TaskSet,
+        on_load: Callable[[], None],
+    ) -> None:
+        self._directory = directory
+        self._sender = sender
+        self._tasks = tasks
+        self._on_load = on_load
+
+    def begin(self, move: CopyMove, engine: EngineSpec) -> None:
+        """Load a model at a replica, after the evicted ones are unloaded there."""
+        replica = self._directory.get(move.replica_id)
+        assert replica is not None
+        spec = engine.models[move.model]
+        log_change(
+            'move',
+            replica=move.replica_id,
+            model=move.model,
+            evicted=move.evicted,
+            reason=move.reason,
+            from_store=move.from_store,
+            gain=move.gain,
+            loss=move.loss,
+        )
+        load_s = spec.load_s if move.from_store else spec.warm_load_s
+        ready_s = boottime_s() + load_s + (UNLOAD_S if move.evicted else 0.0)
+        tasks = [OrderTask(OrderKind.UNLOAD, name) for name in move.evicted]
+        tasks.append(OrderTask(OrderKind.LOAD, move.model, '', load_s))
+        self._sender.pending(replica).expect(Loadable(move.model), ready_s)
+        self._on_load()
+        self._tasks.spawn(self._run(replica, tasks), 'move')
+
+    def begin_adapter(self, move: AdapterMove) -> None:
+        """Load an adapter at a replica, after the evicted one is unloaded there."""
+        pending = self._sender.pending(move.replica)
+        load = OrderTask(OrderKind.LOAD, move.key.model, move.key.adapter)
+        tasks = [load]
+        pending.expect(load.item, boottime_s())
+        if move.evicted is not None:
+            unload = OrderTask(OrderKind.UNLOAD, move.evicted.model, move.evicted.adapter)
+            tasks = [unload, load]
+            pending.note_unloading(unload.item)
+        self._tasks.spawn(self._run(move.replica, tasks), 'adapter')
+
+    async def _run(self, replica: Replica, tasks: list[OrderTask]) -> None:
+        try:
+            done = await self._sender.run(replica, tasks)
+        finally:
+            self._sender.pending(replica).note_unload_ended(task.item for task in tasks)
+        if not done:
+            last = tasks[-1]
+            log_change(
+                'move_failed',
+                replica=replica.replica_id,
+                model=last.model,
+                adapter=last.adapter,
+            )
--- /dev/null
+++ b/limeshelf/placement/replica_watch.py
@@ -0,0 +1,129 @@
+"""What the leader knows of the replicas that it plans for.
+
+Polls them, claims those that have not noted the term's fence, remembers what each
+held when it was first seen, and describes them to the planner. Owns the times of the
+polls; relies on the directory and on what is pending at each replica.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from typing import TYPE_CHECKING
+
+from limeshelf.demand.keys import ModelKey
+from limeshelf.orders.task import Loadable
+from limeshelf.placement.survey import ReplicaCopies
+from limeshelf.util.clock import boottime_s
+
+if TYPE_CHECKING:
+    from limeshelf.calls.routes import EngineSpec
+    from limeshelf.lease.leadership import Leadership
+    from limeshelf.orders.pending import PendingOrders
+    from limeshelf.orders.sender import OrderSender
+    from limeshelf.replicas.directory import ReplicaDirectory
+    from limeshelf.replicas.replica import Replica
+    from limeshelf.util.tasks import TaskSet
+
+#: The leader polls every replica this often. Chosen, not measured (commit 92894f5).
+POLL_INTERVAL_S = 0.5
+
+
+class ReplicaWatch:
+    """Polls the replicas of a leader and tells what the planner needs to know."""
+
+    def __init__(
+        self,
+        directory: ReplicaDirectory,
+        leadership: Leadership,
+        sender: OrderSender,
+        tasks: TaskSet,
+    ) -> None:
+        self._directory = directory
+        self._leadership = leadership
+        self._sender = sender
+        self._tasks = tasks
+        self._polled_s: dict[str, float] = {}
+        self._first_copies: dict[str, dict[str, int]] = {}
+        self._first_seen: set[str] = set()
+
+    async def claim_all(self, service: str, engine: EngineSpec) -> None:
+        """Make every replica of a service note the fence of the term."""
+        replicas = self._directory.of_service(service)
+        claims = (self._sender.claim(replica, engine) for replica in replicas)
+        await asyncio.gather(*claims)
+
+    def note_first_copies(self, service: str) -> None:
+        """Count what replicas hold when they are first seen; it tells what is busy."""
+        copies = self._first_copies.setdefault(service, {})
+        for replica in self._directory.of_service(service):
+            if replica.replica_id in self._first_seen:
+                continue
+            self._first_seen.add(replica.replica_id)
+            for model in replica.holdings:
+                copies[model] = copies.get(model, 0) + 1
+
+    def first_copies(self, service: str) -> dict[str, int]:
+        """Return the copies of each model that were found at the start."""
+        return self._first_copies.get(service, {})
+
+    def poll_due(self, service: str, engine: EngineSpec) -> None:
+        """Start the polls whose time has come."""
+        now_s = boottime_s()
+        for replica in self._directory.of_service(service):
+            if now_s - self._polled_s.get(replica.replica_id, 0.0) >= POLL_INTERVAL_S:
+                self._polled_s[replica.replica_id] = now_s
+                self._tasks.spawn(self._poll(replica, engine), 'poll')
+
+    async def _poll(self, replica: Replica, engine: EngineSpec) -> None:
+        if not await self._sender.poll(replica):
+            return
+        if not self._sender.pending(replica).is_claimed_under(self._leadership.fence):
+            # New in this term, or back in reach: what was ordered before may
+            # arrive just now (tests/orders/test_sender.py::test_replica_back_in_reach).
+            await self._sender.claim(replica, engine)
+
+    def copies(self, service: str) -> list[ReplicaCopies]:
+        """Return the replicas to plan for; the models of lost ones come up elsewhere."""
+        return [
+            self._copies_at(replica, pending)
+            for replica in self._directory.of_service(service)
+            if not (pending := self._sender.pending(replica)).is_lost
+        ]
+
+    def _copies_at(self, replica: Replica, pending: PendingOrders) -> ReplicaCopies:
+        report = replica.report
+        return ReplicaCopies(
+            replica.replica_id,
+            set(replica.holdings) - replica.retiring,
+            pending.models_expected(),
+            is_idle=self._may_take_orders(replica, pending),
+            data_centre=replica.record.data_centre,
+            cached=(report.in_memory | report.on_disk) if report else frozenset(),
+        )
+
+    def _may_take_orders(self, replica: Replica, pending: PendingOrders) -> bool:
+        busy = bool(replica.report and replica.report.busy)
+        return (
+            pending.is_fresh
+            and pending.is_claimed_under(self._leadership.fence)
+            and not pending.models_expected()
+            and not busy
+            and not replica.health.is_suspended()
+        )
+
+    def is_coming_or_held(self, key: ModelKey) -> bool:
+        """Return whether a model is at some replica or on its way to one."""
+        model = Loadable(key.model)
+        replicas = self._directory.of_service(key.service)
+        coming = any(self._sender.pending(replica).expects(model) for replica in replicas)
+        return coming or any(replica.holds(key.model) for replica in replicas)
+
+    def awaited(self) -> dict[ModelKey, float]:
+        """Return the models on their way, with the boot clock's time when each is likely there."""
+        awaited: dict[ModelKey, float] = {}
+        for replica in self._directory.all():
+            for (model, adapter), ready_s in self._sender.pending(replica).ready_times_s().items():
+                if not adapter:
+                    key = ModelKey(replica.record.service, model)
+                    awaited[key] = min(ready_s, awaited.get(key, ready_s))
+        return awaited
--- a/limeshelf/programs/gateway.py
+++ b/limeshelf/programs/gateway.py
@@ -36,7 +36,7 @@
 from limeshelf.metrics.prometheus import GatewayMetrics, MetricsServer
 from limeshelf.orders.sender import OrderSender
 from limeshelf.peers.node import PeerNode
-from limeshelf.placement.service import FleetService
+from limeshelf.placement.service import PlacementService
 from limeshelf.platform.configuration import CONFIG_KEY, CONFIG_TABLE, read_config
 from limeshelf.platform.orders import ReplicaOrderClient
 from limeshelf.platform.replicas import REPLICA_TABLE, read_record
@@ -114,7 +114,9 @@
             self.figures,
             lambda: self.pipeline.config,
         )
-        self.fleet = FleetService(
+        self.changes = StateChanges()
+        self.directory.on_change = self.changes.note_replica
+        self.fleet = PlacementService(
             self.directory,
             self.leadership,
             sender,
@@ -122,6 +124,7 @@
             lambda: self.pipeline.config,
             settings.placement.window_s,
             lambda model, tokens: self.dispatch.dispatcher.speed.read_ms(model, tokens),
+            self.changes.note_load,
         )
         self._make_membership()
         self.mirrors = {
@@ -158,9 +161,6 @@
             self.meter,
             self.fleet.totals,
         )
-        changes = StateChanges()
-        self.directory.on_change = changes.note_replica
-        self.fleet.on_move = changes.note_load
         self.states = StateExchange(
             self.node,
             self.members,
@@ -169,7 +169,7 @@
             self.directory,
             self.meter,
             self.fleet,
-            changes,
+            self.changes,
         )
 
     def _make_path(self) -> None:
--- /dev/null
+++ b/tests/placement/test_replica_watch.py
@@ -0,0 +1,135 @@
+"""What the leader knows of the replicas that it plans for."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import attrs
+import pytest
+
+from limeshelf.demand.keys import ModelKey
+from limeshelf.lease.leadership import Term
+from limeshelf.metrics.prometheus import GatewayMetrics
+from limeshelf.orders.pending import LOST_AFTER_POLLS, REPORT_SETTLE_S
+from limeshelf.orders.sender import OrderSender
+from limeshelf.orders.task import Loadable
+from limeshelf.placement.replica_watch import ReplicaWatch
+from limeshelf.platform.replicas import read_record
+from limeshelf.replicas.directory import ReplicaDirectory
+from limeshelf.replicas.record import Holding, ReplicaRecord, ReplicaReport
+from limeshelf.util.tasks import TaskSet
+
+FENCE = 5
+
+
+@attrs.define
+class FixedTerm:
+    """A leadership whose term does not change by itself."""
+
+    term: Term = attrs.field(factory=lambda: Term(FENCE, 1e12, 1))
+    fence: int = FENCE
+
+
+class World:
+    """Two replicas of one service, neither asked for anything yet."""
+
+    def __init__(self) -> None:
+        self.directory = ReplicaDirectory(read_record)
+        unused: Any = None
+        leadership: Any = FixedTerm()
+        self.sender = OrderSender(
+            unused, self.directory, leadership, 'g-1', GatewayMetrics(), lambda: None
+        )
+        self.watch = ReplicaWatch(self.directory, leadership, self.sender, TaskSet())
+        self.add('r1', 'm1', 'm2')
+        self.add('r2', 'm1')
+
+    def add(self, replica_id: str, *models: str) -> None:
+        holdings = tuple(Holding(model) for model in models)
+        address = f'{replica_id}:1'
+        self.directory._take_record(
+            ReplicaRecord(replica_id, 'lm', address, 'z1', 8, False, None, holdings, 1)
+        )
+
+    def pending(self, replica_id: str) -> Any:
+        replica = self.directory.get(replica_id)
+        assert replica is not None
+        return self.sender.pending(replica)
+
+    def idle(self) -> list[str]:
+        return [copies.replica_id for copies in self.watch.copies('lm') if copies.is_idle]
+
+
+@pytest.fixture
+def clock(monkeypatch: pytest.MonkeyPatch) -> list[float]:
+    now_s = [100.0]
+    monkeypatch.setattr('limeshelf.orders.pending.boottime_s', lambda: now_s[0])
+    return now_s
+
+
+def claim_and_poll(world: World, clock: list[float], report: ReplicaReport) -> None:
+    pending = world.pending('r1')
+    pending.note_claimed(FENCE)
+    clock[0] += REPORT_SETTLE_S + 0.01
+    pending.note_report(report)
+    world.directory.take_report('r1', report)
+
+
+def test_only_a_claimed_replica_that_was_polled_since_takes_orders(clock: list[float]) -> None:
+    world = World()
+    assert world.idle() == []
+    claim_and_poll(world, clock, ReplicaReport((Holding('m1'),), False, 0))
+    assert world.idle() == ['r1']
+    world.pending('r1').note_claimed(FENCE - 1)
+    assert world.idle() == []
+
+
+def test_busy_replica_takes_no_order(clock: list[float]) -> None:
+    world = World()
+    claim_and_poll(world, clock, ReplicaReport((Holding('m1'),), True, 0))
+    assert world.idle() == []
+
+
+def test_replica_with_a_model_on_its_way_takes_no_order(clock: list[float]) -> None:
+    world = World()
+    claim_and_poll(world, clock, ReplicaReport((Holding('m1'),), False, 0))
+    world.pending('r1').expect(Loadable('m1', 'a1'), 0.0)
+    assert world.idle() == ['r1']
+    world.pending('r1').expect(Loadable('m2'), 0.0)
+    assert world.idle() == []
+    assert [copies.loading for copies in world.watch.copies('lm')] == [{'m2'}, set()]
+
+
+def test_lost_replica_is_not_planned_for() -> None:
+    world = World()
+    for _ in range(LOST_AFTER_POLLS):
+        world.pending('r1').note_missed_poll()
+    assert [copies.replica_id for copies in world.watch.copies('lm')] == ['r2']
+
+
+def test_model_that_retires_is_no_copy() -> None:
+    world = World()
+    replica = world.directory.get('r1')
+    assert replica is not None
+    replica.retiring.add('m2')
+    assert [copies.ready for copies in world.watch.copies('lm')] == [{'m1'}, {'m1'}]
+
+
+def test_first_copies_count_each_replica_once() -> None:
+    world = World()
+    world.watch.note_first_copies('lm')
+    world.add('r3', 'm1')
+    world.watch.note_first_copies('lm')
+    assert world.watch.first_copies('lm') == {'m1': 3, 'm2': 1}
+    assert world.watch.first_copies('other') == {}
+
+
+def test_awaited_model_comes_with_its_earliest_load() -> None:
+    world = World()
+    world.pending('r1').expect(Loadable('m3'), 9.0)
+    world.pending('r2').expect(Loadable('m3'), 7.0)
+    world.pending('r2').expect(Loadable('m1', 'a1'), 1.0)
+    assert world.watch.awaited() == {ModelKey('lm', 'm3'): 7.0}
+    assert world.watch.is_coming_or_held(ModelKey('lm', 'm3'))
+    assert world.watch.is_coming_or_held(ModelKey('lm', 'm1', 'a9'))
+    assert not world.watch.is_coming_or_held(ModelKey('lm', 'm4'))
