--- a/limeshelf/admission/__init__.py
+++ b/limeshelf/admission/__init__.py
@@ -1,1 +1,1 @@
-"""What is admitted, held, refused and repeated."""
+"""What is held, refused and repeated, and when a caller is told to come back."""
--- /dev/null
+++ b/limeshelf/admission/patience.py
@@ -0,0 +1,40 @@
+"""How long a call may wait for its first byte.
+
+Two times bound a wait: the route's objective, within which an answer is in time, and
+the caller's patience, after which nobody listens. Relies on the route alone.
+"""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from limeshelf.calls.routes import Route
+
+#: Share of the objective that a call may wait for a model which no replica holds; the
+#: rest is left for the answer itself. Chosen in a904fff, not measured.
+HOLD_SHARE = 0.6
+#: Share of the caller's patience after which a waiting call is refused, so that the
+#: refusal still finds it. Chosen in 07266d4, not measured.
+PATIENCE_SHARE = 0.85
+#: A caller that allows less than this share of the route's time-out has spent the rest
+#: on an earlier attempt. Chosen in 07266d4, not measured.
+RETURNED_SHARE = 0.97
+
+
+def hold_left_s(route: Route, waited_s: float) -> float:
+    """Return how much longer a call may wait and still be in time, in seconds."""
+    return route.objective_s * HOLD_SHARE - waited_s
+
+
+def patience_left_s(route: Route, waited_s: float) -> float:
+    """Return how much longer the caller waits for the first byte, in seconds."""
+    return route.patience_s * PATIENCE_SHARE - waited_s
+
+
+def has_returned(route: Route, budget_s: float | None) -> bool:
+    """Return whether the caller was likely refused before and has come back.
+
+    :param budget_s: how long the caller said it waits, in seconds; ``None`` if untold.
+    """
+    return budget_s is not None and budget_s < RETURNED_SHARE * route.timeout_s
--- a/limeshelf/admission/retry_budget.py
+++ b/limeshelf/admission/retry_budget.py
@@ -1,4 +1,8 @@
-"""Retries of one service: a share of the calls and a part of a common allowance."""
+"""How many retries of a service this gateway may make, of those allowed to all gateways.
+
+Owns one budget a service. A call earns a share of a retry; beside that, all gateways
+together have an allowance a window, of which each takes an equal part.
+"""
 
 from __future__ import annotations
 
@@ -6,16 +10,18 @@
 
 from limeshelf.util.clock import boottime_s
 
-#: Part of the allowance that is used; the rest covers clocks and late peers.
+#: Share of the allowance that is used; the rest covers clocks and gateways that count
+#: one another late. Chosen in a904fff, not measured.
 USED_SHARE = 0.7
 
 
 @attrs.frozen
 class RetryRule:
-    """What all entry instances together may repeat.
+    """What all gateways together may repeat, from the settings.
 
     :param ratio: retries for each call.
     :param slack: retries beyond that in a window.
+    :param window_s: length of the window, in seconds.
     """
 
     ratio: float
@@ -25,22 +31,19 @@
 
 @attrs.define
 class RetryBudget:
-    """Allows this process's part of the retries of one service.
+    """This gateway's part of the retries of one service.
 
-    :param sharers: entry instances that share the allowance.
+    :param gateways: gateways that share the allowance, this one among them.
     """
 
     rule: RetryRule
-    sharers: int = 1
+    gateways: int = 1
     _saved: float = 0.0
     _updated_s: float = attrs.field(factory=boottime_s)
 
     def __attrs_post_init__(self) -> None:
         self._saved = self._limit()
 
-    def _limit(self) -> float:
-        return max(1.0, USED_SHARE * self.rule.slack / max(1, self.sharers) / 2)
-
     def note_call(self) -> None:
         """Count a call, which earns a part of a retry."""
         self._refill()
@@ -54,8 +57,45 @@
         self._saved -= 1.0
         return True
 
+    def _half_part(self) -> float:
+        """Return half of this gateway's part of a window's allowance.
+
+        One half may be saved up and the other flows in during a window, so no window
+        sees more than the whole part.
+        """
+        return USED_SHARE * self.rule.slack / max(1, self.gateways) / 2
+
+    def _limit(self) -> float:
+        return max(1.0, self._half_part())
+
     def _refill(self) -> None:
         now_s = boottime_s()
-        per_s = USED_SHARE * self.rule.slack / max(1, self.sharers) / 2 / self.rule.window_s
+        per_s = self._half_part() / self.rule.window_s
         self._saved = min(self._limit(), self._saved + (now_s - self._updated_s) * per_s)
         self._updated_s = now_s
+
+
+class RetryBudgets:
+    """The budgets of all services, under the rule in force.
+
+    :ivar gateways: gateways that share each allowance, this one among them.
+    """
+
+    def __init__(self, rule: RetryRule) -> None:
+        self.gateways = 1
+        self._rule = rule
+        self._by_service: dict[str, RetryBudget] = {}
+
+    def of(self, service: str) -> RetryBudget:
+        """Return the budget of a service."""
+        budget = self._by_service.get(service)
+        if budget is None:
+            budget = self._by_service[service] = RetryBudget(self._rule, self.gateways)
+        budget.gateways = self.gateways
+        return budget
+
+    def change_rule(self, rule: RetryRule) -> None:
+        """Let another rule bound the retries from now on; budgets begin anew."""
+        if rule != self._rule:
+            self._rule = rule
+            self._by_service.clear()
--- a/limeshelf/gateway/exchange.py
+++ b/limeshelf/gateway/exchange.py
@@ -10,7 +10,6 @@
 import aiohttp
 
 from limeshelf.gateway.events import EventSplitter
-from limeshelf.replicas.health import Failure
 from limeshelf.util.clock import boottime_s
 
 if TYPE_CHECKING:
@@ -25,8 +24,8 @@
 EVENT_STREAM = 'text/event-stream'
 
 
-class Doubt(enum.StrEnum):
-    """Why it is open whether the replica ran the call."""
+class BrokenBy(enum.StrEnum):
+    """Why an answer is not whole, so that it is open whether the replica ran the call."""
 
     CONNECTION_BROKEN = 'connection_broken'
     SILENT = 'silent'
@@ -71,13 +70,9 @@
 
 @dataclass(frozen=True)
 class Broken:
-    """The replica may have run the call, and its answer is not whole.
+    """The replica may have run the call, and its answer is not whole."""
 
-    :param failure: how the replica's health takes it.
-    """
-
-    doubt: Doubt
-    failure: Failure
+    by: BrokenBy
 
 
 Result = Delivered | WholeAnswer | NeverRan | Broken
@@ -123,12 +118,12 @@
             return NeverRan(reached=False)
         except TimeoutError:
             if response is None:
-                return Broken(Doubt.SILENT, Failure.SILENT)
-            return Broken(Doubt.CUT_SHORT, Failure.BROKEN)
+                return Broken(BrokenBy.SILENT)
+            return Broken(BrokenBy.CUT_SHORT)
         except aiohttp.ClientPayloadError:
-            return Broken(Doubt.CUT_SHORT, Failure.BROKEN)
+            return Broken(BrokenBy.CUT_SHORT)
         except (aiohttp.ClientError, OSError, ValueError):
-            return Broken(Doubt.CONNECTION_BROKEN, Failure.BROKEN)
+            return Broken(BrokenBy.CONNECTION_BROKEN)
         finally:
             if response is not None:
                 response.close()
@@ -137,12 +132,12 @@
         facts = self._wire.read_answer(response.status, response.headers)
         first_s = boottime_s() - started_s
         if facts.call_id != self._call.call_id and not facts.misdirected:
-            return Broken(Doubt.FOREIGN_ANSWER, Failure.FOREIGN)
+            return Broken(BrokenBy.FOREIGN_ANSWER)
         if facts.not_run:
             await self._finish(response, facts)
             return NeverRan(True, facts.misdirected, facts.status)
         if not facts.stamped or facts.encoded:
-            return Broken(Doubt.FOREIGN_ANSWER, Failure.FOREIGN)
+            return Broken(BrokenBy.FOREIGN_ANSWER)
         if response.status == 200 and response.content_type == EVENT_STREAM:
             return await self._relay(response, facts, first_s)
         body = await self._read_whole(response)
@@ -187,7 +182,7 @@
                 await self._answer.start(facts.status, facts.headers)
             await self._answer.write(whole)
         if splitter.unfinished:
-            return Broken(Doubt.CUT_SHORT, Failure.BROKEN)
+            return Broken(BrokenBy.CUT_SHORT)
         if not self._answer.started:
             await self._answer.start(facts.status, facts.headers)
         await self._answer.finish()
--- /dev/null
+++ b/limeshelf/gateway/learning.py
@@ -0,0 +1,107 @@
+"""What the result of one attempt teaches about its replica.
+
+The rule (:func:`lesson_of`) is separate from its application (:func:`apply`) to the
+replica's health and to what the directory believes of it.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import TYPE_CHECKING
+
+from limeshelf.gateway.exchange import Broken, BrokenBy, NeverRan, WholeAnswer
+from limeshelf.replicas.health import Failure
+
+if TYPE_CHECKING:
+    from limeshelf.calls.call import ModelNeed
+    from limeshelf.gateway.exchange import Result
+    from limeshelf.replicas.directory import ReplicaDirectory
+    from limeshelf.replicas.replica import Replica
+
+#: Statuses from here on are the replica's own failures (RFC 9110, section 15.6).
+STATUS_SERVER_ERROR = 500
+
+_FAILURES = {
+    BrokenBy.CONNECTION_BROKEN: Failure.BROKEN,
+    BrokenBy.SILENT: Failure.SILENT,
+    BrokenBy.FOREIGN_ANSWER: Failure.FOREIGN,
+    BrokenBy.CUT_SHORT: Failure.BROKEN,
+}
+
+
+@dataclass(frozen=True)
+class Served:
+    """The replica answered."""
+
+
+@dataclass(frozen=True)
+class Failed:
+    """The replica failed; its health says whether it is left alone for a while.
+
+    :param excluded: this call is not sent there again.
+    """
+
+    failure: Failure
+    excluded: bool
+
+
+@dataclass(frozen=True)
+class LacksModel:
+    """The replica is there, but no longer holds the model or adapter."""
+
+
+@dataclass(frozen=True)
+class Replaced:
+    """Another incarnation answered at the replica's address."""
+
+
+@dataclass(frozen=True)
+class Nothing:
+    """The call's own time was over; that says nothing about the replica."""
+
+
+Lesson = Served | Failed | LacksModel | Replaced | Nothing
+
+
+def lesson_of(result: Result, to_engine: bool) -> Lesson:
+    """Return what *result* teaches.
+
+    :param to_engine: whether the call was for a model; a plain replica that does not
+        take a call for itself must be another incarnation.
+    """
+    if isinstance(result, NeverRan):
+        if not result.reached:
+            return Failed(Failure.NO_CONNECTION, excluded=True)
+        if result.misdirected:
+            return LacksModel() if to_engine else Replaced()
+        return Failed(Failure.REFUSED, excluded=True)
+    if isinstance(result, Broken):
+        if result.by is BrokenBy.TIME_OVER:
+            return Nothing()
+        return Failed(_FAILURES[result.by], excluded=True)
+    if isinstance(result, WholeAnswer) and result.facts.status >= STATUS_SERVER_ERROR:
+        # Not excluded: the answer may be the call's fault, and returns as it is.
+        return Failed(Failure.ERROR_STATUS, excluded=False)
+    return Served()
+
+
+def excludes(lesson: Lesson) -> bool:
+    """Return whether the call is not sent to that replica again."""
+    return isinstance(lesson, LacksModel | Replaced) or (
+        isinstance(lesson, Failed) and lesson.excluded
+    )
+
+
+def apply(
+    lesson: Lesson, replica: Replica, need: ModelNeed | None, directory: ReplicaDirectory
+) -> bool:
+    """Note a lesson; return whether the replica is left alone for a while from now on."""
+    if isinstance(lesson, Served):
+        replica.health.succeeded()
+    elif isinstance(lesson, Failed):
+        return replica.health.failed(lesson.failure)
+    elif isinstance(lesson, LacksModel) and need is not None:
+        directory.forget_holding(replica, need.model, need.adapter)
+    elif isinstance(lesson, Replaced):
+        directory.mark_gone(replica, 'misdirected')
+    return False
--- /dev/null
+++ b/limeshelf/gateway/lines.py
@@ -0,0 +1,102 @@
+"""The log lines of a call: each decision with the inputs that it rested on.
+
+``docs/OPERATIONS.md`` shows how to read them; an event is renamed there too.
+"""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from limeshelf.gateway.exchange import Broken, Delivered, NeverRan, WholeAnswer
+from limeshelf.metrics.event_log import log_request
+from limeshelf.util.clock import boottime_s
+
+if TYPE_CHECKING:
+    from limeshelf.calls.call import Call
+    from limeshelf.gateway.exchange import Result
+    from limeshelf.gateway.settling import Refuse
+    from limeshelf.gateway.state import CallState
+    from limeshelf.replicas.replica import Load, Replica
+
+
+def log_attempt(
+    state: CallState,
+    replica: Replica,
+    load: Load,
+    result: Result,
+    suspended: bool,
+    config_version: int | None,
+) -> None:
+    """Log how one attempt ended.
+
+    :param load: what all gateways together have under way at the replica.
+    :param suspended: the replica is left alone for a while because of it.
+    """
+    need = state.call.model_need
+    first_s = result.first_s if isinstance(result, Delivered | WholeAnswer) else 0.0
+    pause_s = result.longest_pause_s if isinstance(result, Delivered) else 0.0
+    log_request(
+        'attempt',
+        request=state.call.call_id,
+        route=state.route.name,
+        replica=replica.replica_id,
+        result=type(result).__name__,
+        detail=_detail(result),
+        left_ms=int(state.left_s * 1000),
+        waited_ms=int(state.waited_s * 1000),
+        first_ms=int(first_s * 1000),
+        pause_ms=int(pause_s * 1000),
+        model=need.model if need else '',
+        adapter=need.adapter if need else '',
+        tokens=need.prompt_tokens if need else 0,
+        calls_there=load.calls,
+        tokens_there=load.tokens,
+        report_age_ms=int((boottime_s() - replica.reported_s) * 1000),
+        config=config_version or 0,
+        suspended=suspended,
+    )
+
+
+def _detail(result: Result) -> str:
+    if isinstance(result, Broken):
+        return str(result.by)
+    return str(result.status) if isinstance(result, Delivered | NeverRan) else ''
+
+
+def log_overloaded(state: CallState, expected_wait_s: float, left_s: float) -> None:
+    """Log that replicas hold what the call needs, but have no room for it in time."""
+    log_request(
+        'refused_crowded',
+        request=state.call.call_id,
+        route=state.route.name,
+        expected_wait_ms=int(expected_wait_s * 1000),
+        left_ms=int(left_s * 1000),
+        returned=state.returned,
+    )
+
+
+def log_until_ready(state: CallState, expected_wait_s: float) -> None:
+    """Log that no replica holds what the call needs, nor will in time."""
+    need = state.call.model_need
+    log_request(
+        'refused_until_ready',
+        request=state.call.call_id,
+        route=state.route.name,
+        model=need.model if need else '',
+        adapter=need.adapter if need else '',
+        expected_wait_ms=int(expected_wait_s * 1000),
+        left_ms=int(state.left_s * 1000),
+    )
+
+
+def log_refused(call: Call, refusal: Refuse, config_version: int | None) -> None:
+    """Log the status and the promise with which a call ends."""
+    outcome = refusal.outcome
+    log_request(
+        'refused',
+        request=call.call_id,
+        status=refusal.status,
+        reason=outcome.reason,
+        retry_after_s=outcome.retry_after_s,
+        config=config_version,
+    )
--- a/limeshelf/gateway/pipeline.py
+++ b/limeshelf/gateway/pipeline.py
@@ -1,140 +1,207 @@
-"""The path of a call: route it, find a replica, send it, go on elsewhere, answer it."""
+"""The path of a call: route it, select a replica, send it, learn, settle, answer.
+
+Owns the configuration in force and the calls that wait for a replica. Each rule on the
+way has a module of its own: :mod:`~limeshelf.gateway.selection` (which replica),
+:mod:`~limeshelf.admission.absent_model` (held or refused),
+:mod:`~limeshelf.admission.repeats` and :mod:`~limeshelf.admission.retry_budget` (sent
+again), :mod:`~limeshelf.gateway.learning` (what a result says of its replica),
+:mod:`~limeshelf.gateway.settling` (how the call ends) and
+:mod:`~limeshelf.admission.come_back` (when a refused caller comes back).
+"""
 
 from __future__ import annotations
 
 import asyncio
 from typing import TYPE_CHECKING
 
-from limeshelf.admission.retry_budget import RetryBudget
-from limeshelf.calls.call import CallKind
+from limeshelf.admission import come_back
+from limeshelf.admission.absent_model import AbsentModel, Hold, RefuseUntilReady, decide_absent
+from limeshelf.admission.repeats import head_limit_s, reason_not_to_send
 from limeshelf.calls.wire import SendFacts
-from limeshelf.demand.keys import ModelKey
-from limeshelf.dispatch.grants import GrantRequest, NoHolder, NoRoom
+from limeshelf.dispatch.grants import NoRoom
 from limeshelf.errors import NotRun, RefusalReason
-from limeshelf.gateway.exchange import Broken, Delivered, Doubt, Exchange, NeverRan, WholeAnswer
-from limeshelf.gateway.state import CallState, Choice
-from limeshelf.metrics.event_log import log_request
-from limeshelf.replicas.health import Failure
-from limeshelf.util.clock import boottime_s
+from limeshelf.gateway.exchange import Broken, BrokenBy, Exchange
+from limeshelf.gateway.learning import apply, excludes, lesson_of
+from limeshelf.gateway.lines import log_attempt, log_overloaded, log_refused, log_until_ready
+from limeshelf.gateway.selection import Selected
+from limeshelf.gateway.settling import (
+    STATUS_UNAVAILABLE,
+    STATUS_UNKNOWN_ROUTE,
+    Answered,
+    BreakOff,
+    PassOn,
+    Progress,
+    Refuse,
+    SendAgain,
+    give_up,
+    settle,
+)
+from limeshelf.gateway.state import CallState
 
 if TYPE_CHECKING:
-    from limeshelf.admission.retry_budget import RetryRule
-    from limeshelf.calls.call import Call, ModelNeed
+    from limeshelf.admission.retry_budget import RetryBudgets
+    from limeshelf.calls.call import Call
     from limeshelf.calls.routes import ServingConfig
     from limeshelf.calls.wire import CallWire
     from limeshelf.demand.meter import DemandMeter
-    from limeshelf.dispatch.client import DispatchClient
     from limeshelf.gateway.answer import Answer
     from limeshelf.gateway.exchange import Result
+    from limeshelf.gateway.selection import ReplicaSelector
+    from limeshelf.gateway.settling import Ending
     from limeshelf.replicas.directory import ReplicaDirectory
     from limeshelf.replicas.pool import ConnectionPool
     from limeshelf.replicas.replica import Replica
-    from limeshelf.routing.chooser import Chooser
 
-#: The final answer goes out this long before the caller's time is over.
+#: The final answer goes out this long before the caller's time is over. Chosen in
+#: a904fff, not measured.
 ANSWER_MARGIN_S = 0.02
-#: A call with less time than this left is not sent any more.
-LEAST_SEND_S = 0.03
-#: Pause between two looks for a replica; changes wake earlier.
-LOOK_S = 0.05
-#: Sends of one call that the replicas refused, at the most.
-MAX_REFUSALS = 4
-#: Share of the time left within which the head of a repeatable call must come.
-FIRST_TRY_SHARE = 0.35
-LEAST_TRY_S = 0.25
-#: A call is held for a model on its way up to this share of its objective.
-HOLD_SHARE = 0.6
-#: Callers come back after a third of the time they have left, at the most.
-COME_BACK_SHARE = 0.33
-LEAST_COME_BACK_S = 0.2
-#: Time in which the leader tells when a missing model will be there, at the most
-#: this share of the objective, so that a refusal still comes early.
-NEWS_S = 0.5
-NEWS_SHARE = 0.2
-#: A model is told to be ready a little later than it is expected.
-READY_MARGIN = 1.1
-#: Share of a caller's patience after which a waiting call is refused.
-PATIENCE_SHARE = 0.85
+#: Time of a call whose caller does not say how long it waits. Chosen in a904fff, not
+#: measured.
 DEFAULT_BUDGET_S = 30.0
-STOPPING_RETRY_S = 0.05
-STATUS_SERVER_ERROR = 500
 
 
 class Pipeline:
     """Serves calls with the configuration in force.
 
-    :param rule: what may be repeated, over all entry instances.
+    :ivar config: ``None`` until the first configuration is known.
     """
 
     def __init__(
         self,
         wire: CallWire,
         directory: ReplicaDirectory,
-        chooser: Chooser,
+        selector: ReplicaSelector,
         pool: ConnectionPool,
         demand: DemandMeter,
-        dispatch: DispatchClient,
-        rule: RetryRule,
+        budgets: RetryBudgets,
     ) -> None:
         self.config: ServingConfig | None = None
-        self.sharers = 1
         self._wire = wire
         self._directory = directory
-        self._chooser = chooser
+        self._selector = selector
         self._pool = pool
         self._demand = demand
-        self._dispatch = dispatch
-        self._rule = rule
-        self._budgets: dict[str, RetryBudget] = {}
-        self._placing: set[asyncio.Task[object]] = set()
+        self._budgets = budgets
+        self._waiting: set[asyncio.Task[object]] = set()
         self._stopping = False
 
     async def serve(self, call: Call, answer: Answer) -> None:
         """Bring the call to a replica and its answer to the caller."""
+        state = self._route(call)
+        if isinstance(state, Refuse):
+            await self._answer(call, state, answer)
+            return
+        self._budgets.of(state.service.name).note_call()
+        with self._demand.track(call, state.service.name, state.route.objective_s):
+            ending = await self._run(state, answer)
+            await self._answer(call, ending, answer)
+
+    def _route(self, call: Call) -> CallState | Refuse:
         config = self.config
         if config is None:
-            await self._refuse(call, answer, 503, NotRun(RefusalReason.STARTING, 0.5))
-            return
+            return _not_ready(RefusalReason.STARTING)
         route = config.route_for(call.host, call.path)
         if route is None:
-            await self._refuse(call, answer, 404, NotRun(RefusalReason.UNKNOWN_ROUTE))
-            return
+            return Refuse(STATUS_UNKNOWN_ROUTE, NotRun(RefusalReason.UNKNOWN_ROUTE))
         service = config.services.get(route.draw_service())
         if service is None:
-            await self._refuse(call, answer, 503, NotRun(RefusalReason.NO_READY_REPLICA, 0.5))
-            return
+            return _not_ready(RefusalReason.NO_READY_REPLICA)
         allowed_s = min(call.budget_s or DEFAULT_BUDGET_S, route.timeout_s)
-        ends_s = call.arrived_s + allowed_s - ANSWER_MARGIN_S
-        state = CallState(call, route, service, ends_s)
-        self._budget(service.name).note_call()
-        with self._demand.track(call, service.name, route.objective_s):
-            await self._attempts(state, answer)
+        return CallState(call, route, service, call.arrived_s + allowed_s - ANSWER_MARGIN_S)
 
-    def _budget(self, service: str) -> RetryBudget:
-        budget = self._budgets.get(service)
-        if budget is None:
-            budget = self._budgets[service] = RetryBudget(self._rule, self.sharers)
-        budget.sharers = self.sharers
-        return budget
+    async def _run(self, state: CallState, answer: Answer) -> Ending:
+        while True:
+            selected = await self._select_unless_stopped(state, answer)
+            if not isinstance(selected, Selected):
+                return selected
+            result = await self._attempt(state, selected, answer)
+            state.note_result(result)
+            self._learn(state, selected.replica, result)
+            settled = settle(_progress(state, answer))
+            if not isinstance(settled, SendAgain):
+                return settled
+
+    async def _select_unless_stopped(self, state: CallState, answer: Answer) -> Selected | Ending:
+        """Return the replica to try next; a planned stop ends the wait for one."""
+        task = asyncio.current_task()
+        assert task is not None
+        self._waiting.add(task)
+        try:
+            if not self._stopping:
+                return await self._select(state, answer)
+        except asyncio.CancelledError:
+            if not self._stopping:
+                raise
+            task.uncancel()
+        finally:
+            self._waiting.discard(task)
+        return give_up(
+            _progress(state, answer), RefusalReason.STOPPING, come_back.STOPPING_COME_BACK_S
+        )
 
-    async def _attempts(self, state: CallState, answer: Answer) -> None:
+    def refuse_waiting(self) -> None:
+        """Refuse the calls that still wait for a replica; other gateways take them."""
+        self._stopping = True
+        for task in list(self._waiting):
+            task.cancel()
+
+    async def _select(self, state: CallState, answer: Answer) -> Selected | Ending:
+        """Return the replica to try next, or how the call ends without one."""
         while True:
-            choice = await self._place_or_stop(state, answer)
-            if choice is None:
-                return
-            result = await self._attempt(state, choice, answer)
-            state.last = result
-            self._learn(state, choice.replica, result)
-            if await self._settled(state, result, answer):
-                return
+            reason = reason_not_to_send(state.refusals, state.left_s)
+            if reason is not None:
+                return give_up(_progress(state, answer), reason)
+            selection = await self._selector.select(state)
+            if isinstance(selection, NoRoom):
+                return self._refuse_overloaded(state, answer, selection.wait_s)
+            if isinstance(selection, Selected):
+                if state.sends and not self._budgets.of(state.service.name).try_retry():
+                    selection.note_end()
+                    return give_up(_progress(state, answer), RefusalReason.UPSTREAM_REFUSED)
+                return selection
+            decided = decide_absent(self._absent(state, answer))
+            if isinstance(decided, RefuseUntilReady):
+                return self._refuse_until_ready(state, answer, decided)
+            await self._hold(state, decided)
+
+    def _refuse_overloaded(self, state: CallState, answer: Answer, wait_s: float) -> Ending:
+        """Refuse a call that would be served too late, and say when to come back."""
+        left_s = state.left_s
+        log_overloaded(state, wait_s, left_s)
+        retry_after_s = come_back.after_wait_s(wait_s, left_s)
+        return give_up(_progress(state, answer), RefusalReason.OVERLOADED, retry_after_s)
+
+    def _refuse_until_ready(
+        self, state: CallState, answer: Answer, refusal: RefuseUntilReady
+    ) -> Ending:
+        log_until_ready(state, refusal.expected_wait_s)
+        reason = RefusalReason.NO_READY_REPLICA
+        return give_up(_progress(state, answer), reason, refusal.retry_after_s)
+
+    async def _hold(self, state: CallState, hold: Hold) -> None:
+        """Wait for a replica that can run the call."""
+        if hold.retry_excluded:
+            state.excluded.clear()
+        self._demand.report_missing(state.call, state.service)
+        await self._directory.wait_for_change(hold.wait_s)
 
-    async def _attempt(self, state: CallState, choice: Choice, answer: Answer) -> Result:
+    def _absent(self, state: CallState, answer: Answer) -> AbsentModel:
+        return AbsentModel(
+            route=state.route,
+            expected_wait_s=self._demand.expected_wait_s(state.call, state.service),
+            waited_s=state.since_arrival_s,
+            left_s=state.left_s,
+            returned=state.returned,
+            announced=self._demand.is_announced(state.call, state.service),
+            excluded=bool(state.excluded),
+            answer_started=answer.started,
+        )
+
+    async def _attempt(self, state: CallState, selected: Selected, answer: Answer) -> Result:
         call = state.call
-        replica = choice.replica
-        need = call.model_need
-        tokens = need.memory_tokens if need else 0
-        state.sends += 1
-        state.waited_s = boottime_s() - call.arrived_s
+        replica = selected.replica
+        tokens = call.model_need.memory_tokens if call.model_need else 0
+        state.note_send()
         facts = SendFacts(
             left_s=state.left_s,
             replica_id=replica.replica_id,
@@ -143,293 +210,59 @@
         )
         connections = self._pool.connections(replica, state.service)
         exchange = Exchange(
-            call, connections, self._wire, answer, state.splitter, choice.note_first
+            call, connections, self._wire, answer, state.splitter, selected.note_first
         )
         replica.own.calls += 1
         replica.own.tokens += tokens
         try:
             async with asyncio.timeout(max(0.0, state.left_s)):
-                return await exchange.run(facts, self._head_limit_s(state))
+                limit_s = head_limit_s(state.route, state.runs, state.left_s)
+                return await exchange.run(facts, limit_s)
         except TimeoutError:
-            return Broken(Doubt.TIME_OVER, Failure.BROKEN)
+            return Broken(BrokenBy.TIME_OVER)
         finally:
             replica.own.calls -= 1
             replica.own.tokens -= tokens
-            choice.note_end()
-
-    def _head_limit_s(self, state: CallState) -> float:
-        left_s = state.left_s
-        if not state.route.repeatable or state.runs + 1 >= state.route.max_attempts:
-            return left_s
-        if state.route.kind is CallKind.STREAM:
-            return max(LEAST_TRY_S, min(left_s, 2 * state.route.objective_s))
-        return max(LEAST_TRY_S, left_s * FIRST_TRY_SHARE)
-
-    async def _settled(self, state: CallState, result: Result, answer: Answer) -> bool:
-        """Answer the caller, or return false if another replica is to be tried."""
-        if isinstance(result, Delivered):
-            return True
-        if isinstance(result, NeverRan):
-            state.refusals += 1
-            return False
-        state.runs += 1
-        if isinstance(result, WholeAnswer):
-            if result.facts.status >= STATUS_SERVER_ERROR and self._may_repeat(state):
-                return False
-            await answer.whole(result.facts.status, result.facts.headers, result.body)
-            return True
-        if self._may_repeat(state):
-            return False
-        await self._end_broken(state, result, answer)
-        return True
-
-    def _may_repeat(self, state: CallState) -> bool:
-        return (
-            state.route.repeatable
-            and state.runs < state.route.max_attempts
-            and state.left_s > LEAST_SEND_S
-        )
-
-    async def _end_broken(self, state: CallState, result: Result, answer: Answer) -> None:
-        if answer.started:
-            answer.abort()
-            return
-        status = 504 if state.left_s <= LEAST_SEND_S else 502
-        await answer.whole(status, self._wire.refusal_headers(state.call.call_id, None), b'')
+            selected.note_end()
 
     def _learn(self, state: CallState, replica: Replica, result: Result) -> None:
-        health = replica.health
-        suspended = False
-        if isinstance(result, Delivered):
-            health.succeeded()
-        elif isinstance(result, WholeAnswer):
-            if result.facts.status >= STATUS_SERVER_ERROR:
-                health.failed(Failure.ERROR_STATUS)
-            else:
-                health.succeeded()
-        elif isinstance(result, NeverRan):
-            suspended = self._learn_refusal(state, replica, result)
-        elif result.doubt is not Doubt.TIME_OVER:
-            state.excluded.add(replica.replica_id)
-            suspended = health.failed(result.failure)
-        log_request(
-            'attempt',
-            request=state.call.call_id,
-            route=state.route.name,
-            replica=replica.replica_id,
-            result=type(result).__name__,
-            detail=str(getattr(result, 'doubt', getattr(result, 'status', ''))),
-            left_ms=int(state.left_s * 1000),
-            waited_ms=int(state.waited_s * 1000),
-            first_ms=int(getattr(result, 'first_s', 0.0) * 1000),
-            pause_ms=int(getattr(result, 'longest_pause_s', 0.0) * 1000),
-            **self._inputs(state, replica),
-            suspended=suspended,
-        )
-
-    def _inputs(self, state: CallState, replica: Replica) -> dict[str, object]:
-        """Return what the choice of *replica* rested on, for its line."""
         need = state.call.model_need
+        to_engine = need is not None and state.service.engine is not None
+        lesson = lesson_of(result, to_engine)
+        if excludes(lesson):
+            state.excluded.add(replica.replica_id)
+        suspended = apply(lesson, replica, need, self._directory)
         load = self._directory.load_of(replica)
-        return {
-            'model': need.model if need else '',
-            'adapter': need.adapter if need else '',
-            'tokens': need.prompt_tokens if need else 0,
-            'calls_there': load.calls,
-            'tokens_there': load.tokens,
-            'report_age_ms': int((boottime_s() - replica.reported_s) * 1000),
-            'config': self.config.version if self.config else 0,
-        }
+        log_attempt(state, replica, load, result, suspended, self._version)
 
-    def _learn_refusal(self, state: CallState, replica: Replica, result: NeverRan) -> bool:
-        state.excluded.add(replica.replica_id)
-        if not result.reached:
-            return replica.health.failed(Failure.NO_CONNECTION)
-        need = state.call.model_need
-        if result.misdirected and need is not None and state.service.engine is not None:
-            self._directory.forget_holding(replica, need.model, need.adapter)
-        elif result.misdirected:
-            self._directory.mark_gone(replica, 'misdirected')
-        else:
-            replica.health.failed(Failure.REFUSED)
-        return False
+    @property
+    def _version(self) -> int | None:
+        return self.config.version if self.config else None
 
-    async def _place_or_stop(self, state: CallState, answer: Answer) -> Choice | None:
-        """Return the replica to try next; a planned stop ends the wait for one."""
-        task = asyncio.current_task()
-        assert task is not None
-        self._placing.add(task)
-        try:
-            if self._stopping:
-                raise asyncio.CancelledError
-            return await self._place(state, answer)
-        except asyncio.CancelledError:
-            if not self._stopping:
-                raise
-            task.uncancel()
-            await self._give_up(state, answer, RefusalReason.STOPPING, STOPPING_RETRY_S)
-            return None
-        finally:
-            self._placing.discard(task)
-
-    def change_rule(self, rule: RetryRule) -> None:
-        """Let another rule bound what is repeated from now on."""
-        if rule != self._rule:
-            self._rule = rule
-            self._budgets.clear()
-
-    def stop_placing(self) -> None:
-        """Refuse the calls that still wait for a replica; other gateways take them."""
-        self._stopping = True
-        for task in list(self._placing):
-            task.cancel()
-
-    async def _place(self, state: CallState, answer: Answer) -> Choice | None:
-        """Return the replica to try next, or answer the caller and return ``None``."""
-        while True:
-            if state.left_s <= LEAST_SEND_S:
-                await self._give_up(state, answer, RefusalReason.DEADLINE_TOO_SHORT)
-                return None
-            if state.sends and not self._may_send_again(state):
-                await self._give_up(state, answer, RefusalReason.UPSTREAM_REFUSED)
-                return None
-            choice = await self._choose(state)
-            if isinstance(choice, NoRoom):
-                await self._refuse_for_now(state, answer, choice.wait_s)
-                return None
-            if choice is not None:
-                if state.sends and not self._budget(state.service.name).try_retry():
-                    choice.note_end()
-                    await self._give_up(state, answer, RefusalReason.UPSTREAM_REFUSED)
-                    return None
-                return choice
-            if not await self._hold(state, answer):
-                return None
-
-    async def _refuse_for_now(self, state: CallState, answer: Answer, wait_s: float) -> None:
-        """Refuse a call that would be served too late, and say when to come back."""
-        come_back_s = state.left_s * COME_BACK_SHARE
-        log_request(
-            'refused_crowded',
-            request=state.call.call_id,
-            route=state.route.name,
-            expected_wait_ms=int(wait_s * 1000),
-            left_ms=int(state.left_s * 1000),
-            returned=state.returned,
-        )
-        retry_after_s = min(max(LEAST_COME_BACK_S, wait_s), come_back_s)
-        await self._give_up(state, answer, RefusalReason.OVERLOADED, retry_after_s)
-
-    async def _choose(self, state: CallState) -> Choice | NoRoom | None:
-        need = state.call.model_need
-        if need is not None and state.service.engine is not None:
-            answered = await self._dispatch.ask(self._request(state, need))
-            if isinstance(answered, NoHolder):
-                return None
-            if isinstance(answered, NoRoom):
-                return answered
-            replica = self._directory.get(answered.replica_id)
-            if replica is not None and replica.takes_calls:
-                return Choice(replica, answered)
-            answered.ended()
-            state.excluded.add(answered.replica_id)
-            return None
-        chosen = self._chooser.choose(state.service, frozenset(state.excluded))
-        return Choice(chosen, None) if chosen is not None else None
-
-    def _request(self, state: CallState, need: ModelNeed) -> GrantRequest:
-        held_s = boottime_s() - state.call.arrived_s
-        return GrantRequest(
-            key=ModelKey(state.service.name, need.model, need.adapter),
-            need=need,
-            priority=state.route.priority,
-            objective_s=state.route.objective_s - held_s,
-            left_s=min(state.left_s, state.route.patience_s * PATIENCE_SHARE - held_s),
-            pause_s=state.route.pause_s,
-            excluded=frozenset(state.excluded | self._out_of_reach(state)),
-            returned=state.returned,
-        )
+    async def _answer(self, call: Call, ending: Ending, answer: Answer) -> None:
+        """Give the caller its final answer, if it does not have it yet."""
+        if isinstance(ending, Answered):
+            return
+        if isinstance(ending, BreakOff):
+            answer.abort()
+        elif isinstance(ending, PassOn):
+            whole = ending.answer
+            await answer.whole(whole.facts.status, whole.facts.headers, whole.body)
+        elif isinstance(ending, Refuse):
+            await self._refuse(call, ending, answer)
+        else:
+            headers = self._wire.refusal_headers(call.call_id, None)
+            await answer.whole(ending.status, headers, b'')
 
-    def _out_of_reach(self, state: CallState) -> set[str]:
-        """Return the replicas that this process cannot use now, whoever else can."""
-        return {
-            replica.replica_id
-            for replica in self._directory.of_service(state.service.name)
-            if replica.health.is_suspended()
-        }
+    async def _refuse(self, call: Call, refusal: Refuse, answer: Answer) -> None:
+        log_refused(call, refusal, self._version)
+        headers = self._wire.refusal_headers(call.call_id, refusal.outcome.retry_after_s)
+        await answer.whole(refusal.status, headers, b'')
 
-    def _may_send_again(self, state: CallState) -> bool:
-        return state.refusals <= MAX_REFUSALS
 
-    async def _hold(self, state: CallState, answer: Answer) -> bool:
-        """Wait for a replica that can run the call; return false if it was refused."""
-        wait_s = self._demand.expected_wait_s(state.call, state.service)
-        held_s = boottime_s() - state.call.arrived_s
-        bearable_s = state.route.objective_s * HOLD_SHARE - held_s
-        if state.returned:
-            # Who was refused before is served late rather than refused again.
-            bearable_s = state.route.patience_s * PATIENCE_SHARE - held_s
-        come_back_s = state.left_s * COME_BACK_SHARE
-        if state.excluded and wait_s <= 0:
-            # All that could run it refused; they may take it a little later.
-            state.excluded.clear()
-            wait_s = LOOK_S
-        news_due = not self._demand.is_announced(state.call, state.service)
-        if news_due and held_s < min(NEWS_S, NEWS_SHARE * state.route.objective_s):
-            # The leader hears of the need now; its answer tells how long it takes.
-            wait_s = min(wait_s, bearable_s)
-        if wait_s > bearable_s and not answer.started:
-            log_request(
-                'refused_until_ready',
-                request=state.call.call_id,
-                route=state.route.name,
-                model=state.call.model_need.model if state.call.model_need else '',
-                adapter=state.call.model_need.adapter if state.call.model_need else '',
-                expected_wait_ms=int(wait_s * 1000),
-                left_ms=int(state.left_s * 1000),
-            )
-            await self._give_up(
-                state,
-                answer,
-                RefusalReason.NO_READY_REPLICA,
-                min(max(LEAST_COME_BACK_S, wait_s * READY_MARGIN), come_back_s),
-            )
-            return False
-        self._demand.report_missing(state.call, state.service)
-        await self._directory.wait_for_change(min(LOOK_S, state.left_s))
-        return True
+def _progress(state: CallState, answer: Answer) -> Progress:
+    return Progress(state.route, state.runs, state.last, state.left_s, answer.started)
 
-    async def _give_up(
-        self,
-        state: CallState,
-        answer: Answer,
-        reason: RefusalReason,
-        retry_after_s: float | None = None,
-    ) -> None:
-        """Give the caller its final answer at once."""
-        if answer.started:
-            answer.abort()
-            return
-        last = state.last
-        if isinstance(last, WholeAnswer):
-            await answer.whole(last.facts.status, last.facts.headers, last.body)
-            return
-        if state.runs:
-            status = 504 if reason is RefusalReason.DEADLINE_TOO_SHORT else 502
-            await answer.whole(status, self._wire.refusal_headers(state.call.call_id, None), b'')
-            return
-        if retry_after_s is None:
-            retry_after_s = state.route.objective_s * HOLD_SHARE / 2
-        await self._refuse(state.call, answer, 503, NotRun(reason, retry_after_s))
 
-    async def _refuse(self, call: Call, answer: Answer, status: int, outcome: NotRun) -> None:
-        log_request(
-            'refused',
-            request=call.call_id,
-            status=status,
-            reason=outcome.reason,
-            retry_after_s=outcome.retry_after_s,
-            config=self.config.version if self.config else None,
-        )
-        headers = self._wire.refusal_headers(call.call_id, outcome.retry_after_s)
-        await answer.whole(status, headers, b'')
+def _not_ready(reason: RefusalReason) -> Refuse:
+    return Refuse(STATUS_UNAVAILABLE, NotRun(reason, come_back.NOT_READY_COME_BACK_S))
--- a/limeshelf/gateway/state.py
+++ b/limeshelf/gateway/state.py
@@ -1,4 +1,4 @@
-"""How far a call has come, and the replica chosen for its next attempt."""
+"""How far one call has come: its attempts, what they gave, the time that is left."""
 
 from __future__ import annotations
 
@@ -6,27 +6,29 @@
 
 import attrs
 
+from limeshelf.admission.patience import has_returned
 from limeshelf.gateway.events import EventSplitter
+from limeshelf.gateway.exchange import Delivered, NeverRan
 from limeshelf.util.clock import boottime_s
 
 if TYPE_CHECKING:
     from limeshelf.calls.call import Call
     from limeshelf.calls.routes import Route, ServiceSpec
-    from limeshelf.dispatch.grants import Grant
     from limeshelf.gateway.exchange import Result
-    from limeshelf.replicas.replica import Replica
-
-#: A caller that has less than this share of the usual time was here before.
-RETURNED_SHARE = 0.97
 
 
 @attrs.define
 class CallState:
     """How far a call has come.
 
-    :ivar runs: replicas that run it or may have run it.
+    :ivar ends_s: when its final answer must go out, on the steady clock.
+    :ivar splitter: keeps the place in a stream across attempts.
+    :ivar runs: replicas that ran it or may have run it.
+    :ivar sends: attempts so far.
     :ivar refusals: replicas that said they did not run it.
-    :ivar waited_s: time from its arrival to the latest send.
+    :ivar excluded: ids of replicas that it is not sent to again.
+    :ivar last: what the latest attempt gave.
+    :ivar waited_s: time from its arrival to the latest send, in seconds.
     """
 
     call: Call
@@ -41,31 +43,30 @@
     last: Result | None = None
     waited_s: float = 0.0
 
+    def note_send(self) -> None:
+        """Count an attempt that begins now."""
+        self.sends += 1
+        self.waited_s = self.since_arrival_s
+
+    def note_result(self, result: Result) -> None:
+        """Count what an attempt gave."""
+        self.last = result
+        if isinstance(result, NeverRan):
+            self.refusals += 1
+        elif not isinstance(result, Delivered):
+            self.runs += 1
+
     @property
     def returned(self) -> bool:
-        """Return whether the caller has likely been refused before."""
-        budget_s = self.call.budget_s
-        return budget_s is not None and budget_s < RETURNED_SHARE * self.route.timeout_s
+        """Return whether the caller was likely refused before and has come back."""
+        return has_returned(self.route, self.call.budget_s)
+
+    @property
+    def since_arrival_s(self) -> float:
+        """Return the time since the call arrived, in seconds."""
+        return boottime_s() - self.call.arrived_s
 
     @property
     def left_s(self) -> float:
         """Return the time that is left for the call, in seconds."""
         return self.ends_s - boottime_s()
-
-
-@attrs.frozen
-class Choice:
-    """The replica for an attempt, with the dispatcher's grant if it gave one."""
-
-    replica: Replica
-    place: Grant | None
-
-    def note_first(self) -> None:
-        """Say that the first event is there."""
-        if self.place is not None:
-            self.place.read()
-
-    def note_end(self) -> None:
-        """Say that the attempt is over."""
-        if self.place is not None:
-            self.place.ended()
--- a/limeshelf/programs/gateway.py
+++ b/limeshelf/programs/gateway.py
@@ -14,7 +14,7 @@
 import uvloop
 from aiomisc import Service, entrypoint
 
-from limeshelf.admission.retry_budget import RetryRule
+from limeshelf.admission.retry_budget import RetryBudgets, RetryRule
 from limeshelf.demand.meter import DemandMeter
 from limeshelf.dispatch.client import DispatchClient
 from limeshelf.errors import InvalidDocument
@@ -22,6 +22,7 @@
 from limeshelf.feeds.rows import Row
 from limeshelf.gateway.edge import Edge, Phase
 from limeshelf.gateway.pipeline import Pipeline
+from limeshelf.gateway.selection import ReplicaSelector
 from limeshelf.lease.leadership import Leadership
 from limeshelf.membership.digest_exchange import DigestExchange
 from limeshelf.membership.leader import LeaderView
@@ -175,7 +176,7 @@
     def _make_path(self) -> None:
         settings = self.settings
         wire = PlatformWire()
-        rule = _retry_rule(settings)
+        self.budgets = RetryBudgets(_retry_rule(settings))
         self.pool = ConnectionPool(wire)
         chooser = Chooser(self.directory, settings.data_centre)
         self.dispatch = DispatchClient(
@@ -185,8 +186,9 @@
             self.leader.dispatcher,
             settings.data_centre,
         )
+        selector = ReplicaSelector(self.directory, chooser, self.dispatch)
         self.pipeline = Pipeline(
-            wire, self.directory, chooser, self.pool, self.meter, self.dispatch, rule
+            wire, self.directory, selector, self.pool, self.meter, self.budgets
         )
         self.edge = Edge(self.pipeline, wire, self.figures)
 
@@ -215,7 +217,7 @@
 
     def _take_settings(self, settings: GatewaySettings) -> None:
         self.settings = settings
-        self.pipeline.change_rule(_retry_rule(settings))
+        self.budgets.change_rule(_retry_rule(settings))
         self.store.change_address(settings.store_address)
         self.members.own.weight = settings.weight
         self._add_seeds()
@@ -251,7 +253,7 @@
     async def _lead(self) -> None:
         while True:
             await asyncio.sleep(jittered_s(LEAD_STEP_S))
-            self.pipeline.sharers = self.pool.gateways = self.digests.gateway_count
+            self.budgets.gateways = self.pool.gateways = self.digests.gateway_count
             if self.leadership.term is None and not self.leader.may_contend():
                 continue
             await self.leadership.step()
@@ -264,7 +266,7 @@
         self.registration.announce_leaving()
         await asyncio.sleep(NOTICE_S)
         self.edge.enter(Phase.DRAINING)
-        self.pipeline.stop_placing()
+        self.pipeline.refuse_waiting()
         end_s = began_s + self.settings.grace_s * LAST_SHARE
         while self.edge.running and boottime_s() < end_s:
             self.edge.end_idle_connections()
--- a/tests/gateway/test_edge.py
+++ b/tests/gateway/test_edge.py
@@ -65,8 +65,8 @@
         world.configure(configuration(2, route('long', 'unsafe', 'app', LatencySloMs=60000)))
         await world.until(lambda: world.gateway.pipeline.config.version == 2)
         task = asyncio.create_task(world.call('/long/x'))
-        await world.until(lambda: world.gateway.pipeline._placing)
-        world.gateway.pipeline.stop_placing()
+        await world.until(lambda: world.gateway.pipeline._waiting)
+        world.gateway.pipeline.refuse_waiting()
         answer = await task
         assert answer.status == 503
         assert 'Retry-After' in answer.headers
