--- a/limeshelf/feeds/__init__.py
+++ b/limeshelf/feeds/__init__.py
@@ -1,1 +1,1 @@
-"""Rows that the platform keeps: the port to its table, and mirrors that follow it."""
+"""Rows of the store: the port to its tables, copies of them, and what follows the store."""
--- /dev/null
+++ b/limeshelf/feeds/joining.py
@@ -0,0 +1,33 @@
+"""Decides whether an update from a peer continues what is known of a table.
+
+An update holds the changes after one version of the store up to another. Updates may be
+lost, late, or come from a peer that is behind: only one that leaves no gap confirms that
+the copy is complete up to its end. Decides only; applied by
+:class:`limeshelf.feeds.table_copy.TableCopy`.
+"""
+
+from __future__ import annotations
+
+import enum
+
+
+class Joint(enum.Enum):
+    """How an update joins the known version.
+
+    ``CONTINUES``: it leaves no gap, and its end is as new as what is known.
+    ``BEHIND``: the peer knows less; the update confirms nothing.
+    ``GAP``: changes before the update are missing and have to be asked for.
+    """
+
+    CONTINUES = 'continues'
+    BEHIND = 'behind'
+    GAP = 'gap'
+
+
+def joint_of(after: int, upto: int, known: int) -> Joint:
+    """Decide how the changes after one version up to another join the known version."""
+    if after > known:
+        # A newer row must not hide that an earlier one is missing
+        # (tests/membership/test_row_exchange.py::test_lost_update_is_asked_for).
+        return Joint.GAP
+    return Joint.CONTINUES if upto >= known else Joint.BEHIND
--- a/limeshelf/membership/messages.py
+++ b/limeshelf/membership/messages.py
@@ -1,4 +1,7 @@
-"""Messages between the gateways: loads, demand, reports of replicas, rows of the store."""
+"""The messages between gateways: loads, demand, states of replicas, rows of the store.
+
+Their fields are the form on the wire: names and order stay, also where the name is poor.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +13,12 @@
 
 
 class ReplicaLoad(msgspec.Struct, array_like=True):
-    """What a process has under way at a replica."""
+    """What a gateway, or all of them, have under way at a replica.
+
+    :ivar calls: calls under way.
+    :ivar tokens: tokens of memory that these calls likely fill there.
+    :ivar suspended: the gateway sends nothing there for a while; not filled in in sums.
+    """
 
     replica_id: str
     calls: int = 0
@@ -28,7 +36,11 @@
 class ReplicaState(msgspec.Struct, array_like=True):
     """What a replica reported to the leader.
 
-    :ivar age_ms: how long ago it did.
+    :ivar order_number: orders that it has taken.
+    :ivar held: models that it serves, but for those about to be unloaded.
+    :ivar queued: calls that wait there.
+    :ivar running: calls that run there.
+    :ivar memory_used: as the replica reports it.
     """
 
     replica_id: str
@@ -41,14 +53,20 @@
 
 
 class AwaitedLoad(msgspec.Struct, array_like=True):
-    """A load under way, and the time until it is likely done."""
+    """A load under way.
+
+    :ivar left_ms: time until it is likely done.
+    """
 
     key: ModelKey
     left_ms: int
 
 
 class TableRow(msgspec.Struct, array_like=True):
-    """A row of the store, as new as the sender knows it."""
+    """A row of the store, as new as the sender knows it.
+
+    :ivar gone: whether it was deleted at this version.
+    """
 
     key: str
     value: bytes
@@ -56,12 +74,12 @@
     gone: bool
 
 
-class TableWord(msgspec.Struct, array_like=True):
+class TableUpdate(msgspec.Struct, array_like=True):
     """What changed in a table between two versions, as the sender knows it.
 
-    :ivar after: the rows that changed after this version are told.
-    :ivar upto: the version up to which the sender has followed the table.
-    :ivar age_ms: how long ago the store confirmed that to somebody.
+    :ivar after: version of the store after which all changes are in the update.
+    :ivar upto: version of the store up to which they are.
+    :ivar age_ms: how long before the update was sent the store last confirmed it.
     """
 
     table: str
@@ -74,11 +92,13 @@
 @add_message('gateway-digest')
 @attrs.frozen
 class GatewayDigest:
-    """What a gateway tells the relays of its data centre some times a second.
+    """What a gateway does, as it tells the relays of its data centre.
 
     :param weight: how much the gateway can carry beside its calls.
     :param number: rises with each digest; a lower one came late.
+    :param config_version: of the configuration in force there.
     :param fence: of the lease that it holds; 0 if it holds none.
+    :param loads: at the replicas where it has calls under way or that it suspended.
     :param demands: of the models that were asked for lately.
     """
 
@@ -96,7 +116,7 @@
 @add_message('digest-bundle')
 @attrs.frozen
 class DigestBundle:
-    """The digests of a data centre, from its relay to the leader and other relays."""
+    """The digests of a data centre, from its first relay to the leader and other relays."""
 
     digests: list[GatewayDigest]
 
@@ -104,7 +124,7 @@
 @add_message('fleet-summary')
 @attrs.frozen
 class FleetSummary:
-    """What a relay tells the gateways of its data centre of the whole fleet.
+    """What all gateways do, as a relay tells the gateways of its data centre.
 
     :param gateways: how many there are, over all data centres.
     :param loads: what all of them have under way at each replica.
@@ -135,7 +155,9 @@
 class ReplicaStates:
     """Reports of replicas, and the loads under way, from the leader.
 
-    :param whole: whether all replicas are told, or just those that changed.
+    :param fence: of the lease of the leader.
+    :param awaited: all loads under way.
+    :param whole: whether all replicas are in it, or just those that changed.
     """
 
     fence: int
@@ -157,7 +179,10 @@
 
 @add_message('table-words')
 @attrs.frozen
-class TableWords:
-    """News of the store's tables, told unasked or as the answer to a query."""
+class TableUpdates:
+    """Updates of tables, sent unasked or as the answer to a query.
+
+    :param words: the updates; the name is the one on the wire.
+    """
 
-    words: list[TableWord]
+    words: list[TableUpdate]
--- a/limeshelf/membership/states.py
+++ b/limeshelf/membership/states.py
@@ -1,4 +1,7 @@
-"""A replica's report as the leader tells it to the other gateways."""
+"""Translates a replica's report into the message of the leader, and back.
+
+Owns nothing; relies on the types of :mod:`limeshelf.replicas` and of the messages.
+"""
 
 from __future__ import annotations
 
@@ -31,7 +34,7 @@
 
 
 def report_of(state: ReplicaState) -> ReplicaReport:
-    """Return the report in the leader's word of a replica."""
+    """Return the report that the leader's message holds."""
     return ReplicaReport(
         holdings=tuple(Holding(held.model, frozenset(held.adapters)) for held in state.held),
         busy=False,
--- a/limeshelf/programs/gateway.py
+++ b/limeshelf/programs/gateway.py
@@ -18,8 +18,9 @@
 from limeshelf.demand.meter import DemandMeter
 from limeshelf.dispatch.client import DispatchClient
 from limeshelf.errors import InvalidDocument
-from limeshelf.feeds.mirror import FollowRule, TableMirror
+from limeshelf.feeds.follower import TableFollower
 from limeshelf.feeds.rows import Row
+from limeshelf.feeds.table_copy import FollowRule, TableCopy
 from limeshelf.gateway.edge import Edge, Phase
 from limeshelf.gateway.pipeline import Pipeline
 from limeshelf.gateway.selection import ReplicaSelector
@@ -29,7 +30,7 @@
 from limeshelf.membership.member import MEMBER_TABLE, Member
 from limeshelf.membership.members import Members
 from limeshelf.membership.registration import Registration
-from limeshelf.membership.sharing import RowSharing
+from limeshelf.membership.row_exchange import RowExchange
 from limeshelf.membership.state_changes import StateChanges
 from limeshelf.membership.state_exchange import StateExchange
 from limeshelf.membership.want_exchange import WantExchange
@@ -87,7 +88,7 @@
         await self.node.start()
         own = Member(self.node.address, settings.data_centre, settings.weight)
         self.members = Members(own)
-        self.sharing = RowSharing(self.node, self.members)
+        self.row_exchange = RowExchange(self.node, self.members)
         self._make_fleet()
         self._make_path()
         self._add_seeds()
@@ -95,7 +96,7 @@
         self.digests.start()
         self.states.start()
         self.wants.start()
-        self.sharing.start()
+        self.row_exchange.start()
         self.dispatch.start()
         await self.edge.start(settings.calls_address, settings.readiness_address)
         self.figures_server = MetricsServer(self.figures)
@@ -128,23 +129,17 @@
             self.changes.note_load,
         )
         self._make_membership()
-        self.mirrors = {
-            name: TableMirror(
-                name,
-                self.store,
-                listener,
-                rule,
-                self.sharing.is_due,
-                self.sharing.patience_s,
-                self.sharing.tell_page,
-            )
-            for name, listener, rule in (
-                (CONFIG_TABLE, self._take_config, CONFIG_RULE),
-                (REPLICA_TABLE, self.directory.take_row, REPLICA_RULE),
-                (MEMBER_TABLE, self.registration.take_row, MEMBER_RULE),
-            )
-        }
-        self.sharing.mirrors.update(self.mirrors)
+        rows = self.row_exchange
+        for copy in (
+            TableCopy(CONFIG_TABLE, self._take_config, CONFIG_RULE),
+            TableCopy(REPLICA_TABLE, self.directory.take_row, REPLICA_RULE),
+            TableCopy(MEMBER_TABLE, self.registration.take_row, MEMBER_RULE),
+        ):
+            rows.copies[copy.table] = copy
+        self.followers = [
+            TableFollower(copy, self.store, rows.is_due, rows.patience_s, rows.announce_page)
+            for copy in rows.copies.values()
+        ]
 
     def _make_membership(self) -> None:
         instance_id = self.settings.instance_id
@@ -199,11 +194,11 @@
                 self.members.add(f'{host}:{self.settings.peer_port}')
 
     def _start_tasks(self) -> None:
-        for name, mirror in self.mirrors.items():
-            self.tasks.keep(mirror.run, f'mirror-{name}')
+        for follower in self.followers:
+            self.tasks.keep(follower.run, f'follow-{follower.copy.table}')
         self.tasks.keep(self.digests.run, 'digests')
         self.tasks.keep(self.states.run, 'states')
-        self.tasks.keep(self.sharing.run, 'sharing')
+        self.tasks.keep(self.row_exchange.run, 'rows')
         self.tasks.keep(self.registration.write_row, 'register', self.store)
         self.tasks.keep(self.dispatch.run, 'dispatch')
         self.tasks.keep(self._lead, 'lead')
--- a/tests/feeds/test_mirror.py
+++ b/tests/feeds/test_follower.py
@@ -11,8 +11,9 @@
 from hypothesis import strategies as st
 
 from limeshelf.errors import PlatformUnavailable, PlatformUnknown
-from limeshelf.feeds.mirror import TableMirror
+from limeshelf.feeds.follower import TableFollower
 from limeshelf.feeds.rows import ConditionFailed, HistoryGone, Page, Row
+from limeshelf.feeds.table_copy import TableCopy
 from limeshelf.platform.store import StoreClient
 from standins.users_platform.store import StoreStandIn
 
@@ -38,13 +39,13 @@
     async def scenario(store: StoreStandIn, client: StoreClient) -> None:
         store.put('t', 'a', text('1'))
         heard: list[Row] = []
-        mirror = TableMirror('t', client, heard.append)
-        task = asyncio.create_task(mirror.run())
+        copy = TableCopy('t', heard.append)
+        task = asyncio.create_task(TableFollower(copy, client).run())
         await _until(lambda: len(heard) == 1)
         store.put('t', 'a', text('2'))
         store.drop('t', 'a')
         await _until(lambda: heard[-1].gone)
-        assert mirror.rows() == []
+        assert copy.rows() == []
         task.cancel()
 
     with_store(scenario)
@@ -53,15 +54,16 @@
 def test_dropped_history_is_read_whole() -> None:
     async def scenario(store: StoreStandIn, client: StoreClient) -> None:
         store.put('t', 'a', text('1'))
-        mirror = TableMirror('t', client, lambda row: None)
-        task = asyncio.create_task(mirror.run())
-        await _until(lambda: mirror.reached)
+        copy = TableCopy('t', lambda row: None)
+        follower = TableFollower(copy, client)
+        task = asyncio.create_task(follower.run())
+        await _until(lambda: follower.reached)
         store.faults.status = 503
         store.put('t', 'b', text('2'))
         store.drop('t', 'a')
         store.forget_history()
         store.faults.status = 0
-        await _until(lambda: [row.key for row in mirror.rows()] == ['b'])
+        await _until(lambda: [row.key for row in copy.rows()] == ['b'])
         task.cancel()
 
     with_store(scenario)
@@ -117,21 +119,20 @@
 @settings(max_examples=200, derandomize=True, deadline=None)
 @given(pages=st.lists(st.tuples(st.lists(rows, max_size=4), st.integers(1, 30), st.booleans())))
 def test_rows_never_go_back(pages: list[tuple[list[Row], int, bool]]) -> None:
-    """Whole pages, feeds and peers' words come in any order and may be stale."""
-    store: Any = None
+    """Full pages, feeds and peers' updates come in any order and may be stale."""
     versions: dict[str, int] = {}
 
     def newer(row: Row) -> None:
         assert row.version > versions.get(row.key, 0)
         versions[row.key] = row.version
 
-    mirror = TableMirror('t', store, newer)
+    copy = TableCopy('t', newer)
     for found, version, whole in pages:
         if whole:
             there = tuple(row for row in found if not row.gone and row.version <= version)
-            mirror._take_whole(Page(there, version))
+            copy.take_full(Page(there, version))
         else:
-            mirror.take(found)
+            copy.take(found)
 
 
 async def _until(met: Any) -> None:
--- a/tests/membership/test_sharing.py
+++ b/tests/membership/test_row_exchange.py
@@ -1,16 +1,17 @@
-"""Gateways that go by the words of others know as much as the store, soon enough."""
+"""Gateways that go by the updates of others know as much as the store, soon enough."""
 
 from __future__ import annotations
 
 import asyncio
 from typing import Any
 
-from limeshelf.feeds.mirror import FollowRule, TableMirror
+from limeshelf.feeds.follower import TableFollower
 from limeshelf.feeds.rows import Page, Row
+from limeshelf.feeds.table_copy import FollowRule, TableCopy
 from limeshelf.membership.member import Member
 from limeshelf.membership.members import Members
-from limeshelf.membership.messages import RowsQuery, TableRow, TableWord, TableWords
-from limeshelf.membership.sharing import RowSharing
+from limeshelf.membership.messages import RowsQuery, TableRow, TableUpdate, TableUpdates
+from limeshelf.membership.row_exchange import RowExchange
 from limeshelf.peers.codec import Envelope
 
 
@@ -47,55 +48,54 @@
         return Page((), max(after, 7), 0)
 
 
-def sharing(own: str, *others: str) -> RowSharing:
+def exchange(own: str, *others: str) -> RowExchange:
     node: Any = Node()
     members = Members(Member(own, 'c1', 1.0))
     for other in others:
         members.add(other, 'c1', 1.0)
-    made = RowSharing(node, members)
-    unused: Any = None
-    made.mirrors['t'] = TableMirror('t', unused, lambda row: None)
+    made = RowExchange(node, members)
+    made.copies['t'] = TableCopy('t', lambda row: None)
     return made
 
 
-def word(after: int, upto: int, *rows: TableRow) -> Envelope:
-    return Envelope('g1', 'c1', TableWords([TableWord('t', after, upto, 0, list(rows))]))
+def update(after: int, upto: int, *rows: TableRow) -> Envelope:
+    return Envelope('g1', 'c1', TableUpdates([TableUpdate('t', after, upto, 0, list(rows))]))
 
 
-def test_words_bring_rows_up_to_a_version() -> None:
-    one = sharing('g2', 'g1')
-    one._take_words(word(0, 9, TableRow('a', b'1', 9, False)))
-    mirror = one.mirrors['t']
-    assert (mirror.version, [row.key for row in mirror.rows()]) == (9, ['a'])
-    assert mirror.age_s < 1.0
+def test_updates_bring_rows_up_to_a_version() -> None:
+    one = exchange('g2', 'g1')
+    one._take_updates(update(0, 9, TableRow('a', b'1', 9, False)))
+    copy = one.copies['t']
+    assert (copy.version, [row.key for row in copy.rows()]) == (9, ['a'])
+    assert copy.age_s < 1.0
 
 
-def test_lost_word_is_asked_for() -> None:
+def test_lost_update_is_asked_for() -> None:
     """A later row must not hide that an earlier one is missing."""
-    one = sharing('g2', 'g1')
-    one._take_words(word(0, 5, TableRow('a', b'1', 5, False)))
-    one._take_words(word(8, 9, TableRow('c', b'1', 9, False)))
-    assert one.mirrors['t'].version == 5
+    one = exchange('g2', 'g1')
+    one._take_updates(update(0, 5, TableRow('a', b'1', 5, False)))
+    one._take_updates(update(8, 9, TableRow('c', b'1', 9, False)))
+    assert one.copies['t'].version == 5
     node: Any = one.node
     assert node.sent == [('g1', RowsQuery({'t': 5}))]
-    one._take_words(word(5, 9, TableRow('b', b'1', 7, False), TableRow('c', b'1', 9, False)))
-    assert one.mirrors['t'].version == 9
-    assert len(one.mirrors['t'].rows()) == 3
+    one._take_updates(update(5, 9, TableRow('b', b'1', 7, False), TableRow('c', b'1', 9, False)))
+    assert one.copies['t'].version == 9
+    assert len(one.copies['t'].rows()) == 3
 
 
-def test_word_of_somebody_who_is_behind_confirms_nothing() -> None:
-    one = sharing('g2', 'g1')
-    one._take_words(word(0, 9))
-    mirror = one.mirrors['t']
-    mirror.confirmed_s = 0.0
-    one._take_words(word(3, 6, TableRow('a', b'old', 4, False)))
-    assert mirror.version == 9
-    assert mirror.is_stale
+def test_update_of_somebody_who_is_behind_confirms_nothing() -> None:
+    one = exchange('g2', 'g1')
+    one._take_updates(update(0, 9))
+    copy = one.copies['t']
+    copy.confirmed_s = 0.0
+    one._take_updates(update(3, 6, TableRow('a', b'old', 4, False)))
+    assert copy.version == 9
+    assert copy.is_stale
 
 
 def test_answer_holds_what_the_asker_lacks() -> None:
-    one = sharing('g1', 'g2')
-    one._take_words(word(0, 9, TableRow('a', b'1', 3, False), TableRow('b', b'', 8, True)))
+    one = exchange('g1', 'g2')
+    one._take_updates(update(0, 9, TableRow('a', b'1', 3, False), TableRow('b', b'', 8, True)))
     one._answer_query(Envelope('g2', 'c1', RowsQuery({'t': 5})))
     node: Any = one.node
     address, answer = node.sent[-1]
@@ -105,35 +105,34 @@
 
 
 def test_first_relay_follows_and_the_others_wait_in_turn() -> None:
-    assert sharing('g1', 'g2', 'g3').is_due()
-    second = sharing('g2', 'g1', 'g3')
-    third = sharing('g3', 'g1', 'g2')
+    assert exchange('g1', 'g2', 'g3').is_due()
+    second = exchange('g2', 'g1', 'g3')
+    third = exchange('g3', 'g1', 'g2')
     assert 0.0 < second.patience_s() < third.patience_s()
-    second._take_words(word(0, 9))
+    second._take_updates(update(0, 9))
     assert not second.is_due()
 
 
 def test_one_old_table_makes_all_due() -> None:
     """A relay that lost the store tells of no changes of any table."""
-    one = sharing('g2', 'g1')
-    unused: Any = None
-    one.mirrors['u'] = TableMirror('u', unused, lambda row: None)
-    one._take_words(word(0, 9))
+    one = exchange('g2', 'g1')
+    one.copies['u'] = TableCopy('u', lambda row: None)
+    one._take_updates(update(0, 9))
     assert one.is_due()
-    one.mirrors['u'].take_word([], 0, 9, 0.0)
+    one.copies['u'].take_update([], 0, 9, 0.0)
     assert not one.is_due()
 
 
-def test_mirror_asks_the_store_only_while_words_fail() -> None:
+def test_follower_asks_the_store_only_while_updates_fail() -> None:
     async def play() -> None:
         store: Any = Store()
         rule = FollowRule(wait_s=0.01, stale_s=0.3)
-        mirror = TableMirror('t', store, lambda row: None, rule, lambda: mirror.is_stale)
-        task = asyncio.create_task(mirror.run())
+        copy = TableCopy('t', lambda row: None, rule)
+        task = asyncio.create_task(TableFollower(copy, store, lambda: copy.is_stale).run())
         await asyncio.sleep(0.05)
         assert store.calls == 1
         for _ in range(8):
-            mirror.take_word([], 7, 7, 0.0)
+            copy.take_update([], 7, 7, 0.0)
             await asyncio.sleep(0.05)
         assert store.calls == 1
         await asyncio.sleep(0.6)
--- a/tests/membership/test_rules.py
+++ b/tests/membership/test_rules.py
@@ -1,4 +1,4 @@
-"""The rules of membership by themselves: silence, relays, digests, contention, audience."""
+"""The rules of membership by themselves, from silence to who is sent what."""
 
 from __future__ import annotations
 
@@ -11,6 +11,12 @@
 from limeshelf.membership.members import Members
 from limeshelf.membership.relays import RELAY_SILENT_S, choose_relays
 from limeshelf.membership.silence import RETRY_SILENT_S, SILENT_S, Contact, contact_of, is_active
+from limeshelf.membership.store_polling import (
+    PATIENCE_LIMIT_S,
+    PATIENCE_STEP_S,
+    patience_s,
+    polls_store,
+)
 from limeshelf.util.clock import virtual_clock
 
 
@@ -80,6 +86,28 @@
     assert contends is expected
 
 
+@pytest.mark.parametrize(
+    ('is_first_relay', 'overdue_s', 'expected'),
+    [
+        (True, -1.0, True),
+        (False, -1.0, False),
+        (False, 2 * PATIENCE_STEP_S, False),
+        (False, 2 * PATIENCE_STEP_S + 0.01, True),
+    ],
+)
+def test_store_is_asked_by_the_first_relay_or_when_copies_are_old(
+    is_first_relay: bool, overdue_s: float, expected: bool
+) -> None:
+    polls = polls_store(is_first_relay=is_first_relay, rank=2, overdue_s=overdue_s)
+    assert polls is expected
+
+
+def test_patience_rises_with_the_rank_up_to_a_limit() -> None:
+    assert patience_s(0) == 0.0
+    assert patience_s(1) < patience_s(2)
+    assert patience_s(1000) == PATIENCE_LIMIT_S
+
+
 def two_centres(own: str) -> Members:
     """Return three gateways in each of two data centres, as one of the first knows them."""
     members = Members(Member(own, 'c1', 1.0))
