--- /dev/null
+++ b/tests/placement/test_adapters.py
@@ -0,0 +1,132 @@
+"""At which replica an adapter is loaded, and which adapter is evicted there."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+import attrs
+import pytest
+
+from limeshelf.calls.routes import EngineSpec, ModelSpec
+from limeshelf.demand.keys import ModelKey
+from limeshelf.demand.totals import KeyTotals
+from limeshelf.orders.pending import PendingOrders
+from limeshelf.orders.task import Loadable
+from limeshelf.placement.adapters import AdapterPlanner
+from limeshelf.platform.replicas import read_record
+from limeshelf.replicas.directory import ReplicaDirectory
+from limeshelf.replicas.record import Holding, ReplicaRecord, ReplicaReport
+from limeshelf.util.clock import boottime_s, virtual_clock
+
+if TYPE_CHECKING:
+    from collections.abc import Iterator
+
+ADAPTERS = frozenset({'a1', 'a2', 'a3', 'a4', 'a5', 'a6'})
+#: Three places for adapters at each replica.
+ENGINE = EngineSpec(8, 1000, 150.0, 3, 1.0, {'m1': ModelSpec('m1', 70.0, 5.0, 1.0, ADAPTERS, 1.0)})
+WANTED = ModelKey('lm', 'm1', 'a6')
+
+
+@attrs.define
+class Fleet:
+    """Replicas that hold a model with some adapters, freshly polled."""
+
+    directory: ReplicaDirectory = attrs.field(factory=lambda: ReplicaDirectory(read_record))
+    pending: dict[str, PendingOrders] = attrs.field(factory=dict)
+    totals: dict[ModelKey, KeyTotals] = attrs.field(factory=dict)
+
+    def add(self, name: str, *adapters: str, loading: tuple[str, ...] = ()) -> None:
+        record = ReplicaRecord(name, 'lm', f'ip:{name}', 'z1', 8, False, None, (), 1)
+        self.directory._take_record(record)
+        on_their_way = tuple(('m1', adapter) for adapter in loading)
+        held = (Holding('m1', frozenset(adapters)),)
+        report = ReplicaReport(held, False, 1, loading=on_their_way)
+        self.directory.take_report(name, report)
+        self.pending[name] = PendingOrders()
+        self.pending[name].note_report(report)
+
+    def seen(self, adapter: str, ago_s: float, running: float = 0.0) -> None:
+        self.totals[ModelKey('lm', 'm1', adapter)] = KeyTotals(
+            seen_s=boottime_s() - ago_s, running=running
+        )
+
+    def plan(self) -> tuple[str, str | None] | None:
+        """Return the replica, and the adapter that goes there, of the next move."""
+        move = AdapterPlanner('lm', ENGINE, self.directory, self.totals).plan(WANTED, self.pending)
+        if move is None:
+            return None
+        assert move.key == WANTED
+        return move.replica.replica_id, move.evicted.adapter if move.evicted else None
+
+
+@pytest.fixture
+def fleet() -> Iterator[Fleet]:
+    with virtual_clock():
+        yield Fleet()
+
+
+def test_least_busy_replica_with_a_free_place_takes_it(fleet: Fleet) -> None:
+    fleet.add('r1', 'a1')
+    fleet.add('r2', 'a1')
+    busy = fleet.directory.get('r1')
+    assert busy is not None
+    busy.own.calls = 4
+    assert fleet.plan() == ('r2', None)
+
+
+def test_of_equal_replicas_the_first_takes_it(fleet: Fleet) -> None:
+    fleet.add('r1')
+    fleet.add('r2')
+    assert fleet.plan() == ('r1', None)
+
+
+def test_adapter_that_is_there_or_on_its_way_is_not_loaded_again(fleet: Fleet) -> None:
+    fleet.add('r1')
+    fleet.pending['r1'].expect(Loadable('m1', 'a6'), boottime_s())
+    fleet.add('r2')
+    assert fleet.plan() is None
+    fleet.pending['r1'].note_ended(Loadable('m1', 'a6'))
+    assert fleet.plan() == ('r1', None)
+    fleet.add('r3', 'a6')
+    assert fleet.plan() is None
+
+
+def test_idle_adapter_that_was_asked_for_longest_ago_is_evicted(fleet: Fleet) -> None:
+    fleet.add('r1', 'a1', 'a2', 'a3')
+    fleet.seen('a1', ago_s=9.0, running=1.0)
+    fleet.seen('a2', ago_s=2.0)
+    fleet.seen('a3', ago_s=5.0)
+    assert fleet.plan() == ('r1', 'a3')
+
+
+def test_adapters_in_use_are_not_evicted(fleet: Fleet) -> None:
+    fleet.add('r1', 'a1', 'a2', 'a3')
+    fleet.seen('a1', ago_s=9.0, running=1.0)
+    fleet.seen('a2', ago_s=0.5)
+    fleet.seen('a3', ago_s=0.1)
+    assert fleet.plan() is None
+
+
+def test_adapters_that_the_report_lists_as_loading_take_places(fleet: Fleet) -> None:
+    fleet.add('r1', 'a1', loading=('a2', 'a3'))
+    fleet.seen('a1', ago_s=0.1)
+    assert fleet.plan() is None
+
+
+def test_few_adapters_load_at_once_at_one_replica(fleet: Fleet) -> None:
+    fleet.add('r1', 'a5', loading=('a1', 'a2', 'a3'))
+    assert fleet.plan() == ('r1', 'a5')
+    fleet.pending['r1'].expect(Loadable('m1', 'a4'), boottime_s())
+    assert fleet.plan() is None
+
+
+def test_replica_that_loads_a_whole_model_takes_no_adapter(fleet: Fleet) -> None:
+    fleet.add('r1')
+    fleet.pending['r1'].expect(Loadable('m2'), boottime_s())
+    assert fleet.plan() is None
+
+
+def test_replica_without_a_fresh_poll_takes_no_adapter(fleet: Fleet) -> None:
+    fleet.add('r1')
+    fleet.pending['r1'].note_claimed(1)
+    assert fleet.plan() is None
