--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -30,7 +30,7 @@
 from limeshelf.standalone.placement.policies import placement_policies
 from limeshelf.standalone.placement.view import AnchorView, PlacementView, RoomView, UnitView
 from limeshelf.standalone.routing.candidates import engine_candidates
-from limeshelf.standalone.routing.loads import LoadBook
+from limeshelf.standalone.routing.loads import UpstreamLoads
 from limeshelf.standalone.services.instances import Listed, ListedKind
 from standins.launcher import System, wait_until
 
@@ -65,7 +65,7 @@
     """Time to find the candidates of a request, against replicas known."""
     points = []
     for replicas in REPLICAS:
-        upstreams, loads = directory(replicas), LoadBook()
+        upstreams, loads = directory(replicas), UpstreamLoads()
 
         def ask(upstreams=upstreams, loads=loads) -> None:
             for _ in range(20):
--- a/limeshelf/standalone/admission/policies.py
+++ b/limeshelf/standalone/admission/policies.py
@@ -1,4 +1,8 @@
-"""Admission policies: which requests are refused at once."""
+"""Admission policies: which requests are refused at once.
+
+Owns the registry of admission policies, and what each has learned. Relies on the
+estimates of the best candidate; ``admission.decision`` applies a policy.
+"""
 
 from __future__ import annotations
 
@@ -15,13 +19,24 @@
 if TYPE_CHECKING:
     from limeshelf.standalone.config.document import Policy
 
-#: Shortest pause a refused caller is told, in seconds.
+#: Shortest time to come back that a policy names. Chosen, not measured.
 MIN_RETRY_AFTER_S = 1.0
+#: Estimates allowed where the configuration names none, in first token targets: low
+#: work goes first, high work last. Chosen, not measured.
+DEFAULT_LOW_SLACK_TARGETS = 0.6
+DEFAULT_NORMAL_SLACK_TARGETS = 1.0
+DEFAULT_HIGH_SLACK_TARGETS = 4.0
+#: Share of the streams that work below the high class may take after a high miss, where
+#: the configuration names none. Chosen, not measured.
+DEFAULT_LEAST_SHARE = 0.75
+#: Growth of that share, where the configuration names none: from the least to all in 10
+#: seconds. Chosen, not measured.
+DEFAULT_RAISE_SHARE_PER_S = 0.025
 
 
 @attrs.frozen
 class AdmissionQuestion:
-    """What an admission policy is told of a request.
+    """What an admission policy knows of a request.
 
     :param estimate_s: estimated time to the first token.
     :param target_s: time to the first token that the deployment promises.
@@ -100,19 +115,19 @@
     A class is refused once the estimate exceeds its slack times the target.
     Early dropping by remaining time follows Strait, section 3.3.
 
-    :param slacks: estimate allowed, in targets, by class.
+    :param slack_targets: estimate allowed, in first token targets, by class.
     """
 
-    slacks: dict[PriorityClass, float]
+    slack_targets: dict[PriorityClass, float]
 
     @classmethod
     def from_config(cls, policy: Policy) -> AdmitByEstimate:
         """Build the policy; numbers ``low_slack``, ``normal_slack``, ``high_slack``."""
         return cls(
             {
-                PriorityClass.LOW: policy.number('low_slack', 0.6),
-                PriorityClass.NORMAL: policy.number('normal_slack', 1.0),
-                PriorityClass.HIGH: policy.number('high_slack', 4.0),
+                PriorityClass.LOW: policy.number('low_slack', DEFAULT_LOW_SLACK_TARGETS),
+                PriorityClass.NORMAL: policy.number('normal_slack', DEFAULT_NORMAL_SLACK_TARGETS),
+                PriorityClass.HIGH: policy.number('high_slack', DEFAULT_HIGH_SLACK_TARGETS),
             }
         )
 
@@ -124,7 +139,7 @@
                 None,
                 'the deadline is shorter than the estimated wait',
             )
-        allowed_s = self.slacks[question.priority_class] * question.target_s
+        allowed_s = self.slack_targets[question.priority_class] * question.target_s
         if question.estimate_s > allowed_s:
             return _overloaded(question.estimate_s - allowed_s)
         return Admitted()
@@ -139,28 +154,29 @@
     """Cap what is not high class; raise the cap slowly, cut it on a high miss.
 
     Additive increase and multiplicative decrease after Strait, appendix A.1:
-    the share starts at *least_ratio*, grows by *raise_ratio* a second up to 1,
-    and falls back when a high-class request misses its target.
+    the share of the streams starts at *least_share*, grows by *raise_share_per_s*
+    up to 1, and falls back when a high-class request misses its target.
     """
 
-    least_ratio: float
-    raise_ratio: float
-    _share_ratio: float = 0.0
+    least_share: float
+    raise_share_per_s: float
+    _share: float = 0.0
     _raised_s: float = attrs.field(factory=boottime_s)
 
     @classmethod
     def from_config(cls, policy: Policy) -> CapLowClass:
         """Build the policy; numbers ``least_ratio`` and ``raise_ratio``."""
-        least_ratio = policy.number('least_ratio', 0.75)
-        return cls(least_ratio, policy.number('raise_ratio', 0.025), least_ratio)
+        least_share = policy.number('least_ratio', DEFAULT_LEAST_SHARE)
+        raise_share_per_s = policy.number('raise_ratio', DEFAULT_RAISE_SHARE_PER_S)
+        return cls(least_share, raise_share_per_s, least_share)
 
     def decide(self, question: AdmissionQuestion) -> AdmissionOutcome:
         """Compare the load with the class's share of the limit."""
         now_s = boottime_s()
-        self._share_ratio += (now_s - self._raised_s) * self.raise_ratio
-        self._share_ratio = min(1.0, self._share_ratio)
+        self._share += (now_s - self._raised_s) * self.raise_share_per_s
+        self._share = min(1.0, self._share)
         self._raised_s = now_s
-        share = 1.0 if question.priority_class is PriorityClass.HIGH else self._share_ratio
+        share = 1.0 if question.priority_class is PriorityClass.HIGH else self._share
         if question.running >= question.limit * share:
             return _overloaded(question.estimate_s)
         return Admitted()
@@ -168,4 +184,4 @@
     def note_result(self, priority_class: PriorityClass, met: bool) -> None:
         """Cut the share after a high-class miss."""
         if priority_class is PriorityClass.HIGH and not met:
-            self._share_ratio = self.least_ratio
+            self._share = self.least_share
--- a/limeshelf/standalone/admission/priorities.py
+++ b/limeshelf/standalone/admission/priorities.py
@@ -1,4 +1,8 @@
-"""Priority policies: the rank that an engine is told; the lower rank runs first."""
+"""Priority policies: the rank that goes to the engine; the lower rank runs first.
+
+Owns the registry of priority policies. Relies on the order of the classes in
+``config.document``.
+"""
 
 from __future__ import annotations
 
@@ -12,8 +16,9 @@
 if TYPE_CHECKING:
     from limeshelf.standalone.config.document import Policy
 
-#: Ranks between two classes, so that a class never overtakes a higher one.
-CLASS_STEP = 1000
+#: Ranks of one class: a class never overtakes a higher one, and seconds of remaining
+#: time up to 999 are told apart. Chosen, not measured.
+RANKS_PER_CLASS = 1000
 
 
 class PriorityPolicy(Protocol):
@@ -25,7 +30,10 @@
         ...
 
     def rank(self, priority_class: PriorityClass, remaining_s: float) -> int:
-        """Return the rank."""
+        """Return the rank.
+
+        :param remaining_s: time to the request's deadline.
+        """
         ...
 
 
@@ -59,7 +67,7 @@
 
     def rank(self, priority_class: PriorityClass, remaining_s: float) -> int:
         """Return the rank of the class."""
-        return PRIORITY_RANK[priority_class] * CLASS_STEP
+        return PRIORITY_RANK[priority_class] * RANKS_PER_CLASS
 
 
 @priority_policies.register('deadline-first')
@@ -74,5 +82,5 @@
 
     def rank(self, priority_class: PriorityClass, remaining_s: float) -> int:
         """Return the class's rank plus the remaining seconds."""
-        seconds = min(max(int(remaining_s), 0), CLASS_STEP - 1)
-        return PRIORITY_RANK[priority_class] * CLASS_STEP + seconds
+        seconds = min(max(int(remaining_s), 0), RANKS_PER_CLASS - 1)
+        return PRIORITY_RANK[priority_class] * RANKS_PER_CLASS + seconds
--- a/limeshelf/standalone/claims/keeper.py
+++ b/limeshelf/standalone/claims/keeper.py
@@ -9,7 +9,7 @@
 import attrs
 
 from limeshelf.errors import PlatformUnavailable, PlatformUnknown
-from limeshelf.standalone.services.table import Committed, Condition, Row, Write
+from limeshelf.standalone.services.table import Committed, Condition, VersionedRow, Write
 from limeshelf.util.clock import wall_s
 from limeshelf.util.identifiers import new_id
 
@@ -142,7 +142,7 @@
     return _digest(f'{method} {path_and_query} ' + hashlib.sha256(body).hexdigest())
 
 
-def _before(row: Row, fingerprint: str) -> ClaimOutcome:
+def _before(row: VersionedRow, fingerprint: str) -> ClaimOutcome:
     value = row.value or {}
     if value.get('fingerprint') != fingerprint:
         return ClaimMismatch()
--- a/limeshelf/standalone/entry/context.py
+++ b/limeshelf/standalone/entry/context.py
@@ -15,7 +15,7 @@
 from limeshelf.standalone.entry.request_policies import PolicyCache
 from limeshelf.standalone.entry.samples import SampleBook
 from limeshelf.standalone.membership.upstreams import UpstreamDirectory
-from limeshelf.standalone.routing.loads import LoadBook
+from limeshelf.standalone.routing.loads import UpstreamLoads
 from limeshelf.standalone.upstreams.pool import UpstreamPool
 
 
@@ -33,7 +33,7 @@
     decisions: DecisionLog
     demand: DemandCounter
     lifecycle: Lifecycle
-    loads: LoadBook = attrs.field(factory=LoadBook)
+    loads: UpstreamLoads = attrs.field(factory=UpstreamLoads)
     samples: SampleBook = attrs.field(factory=SampleBook)
     policies: PolicyCache = attrs.field(factory=PolicyCache)
     budgets: dict[str, RouteRetryBudget] = attrs.field(factory=dict)
--- a/limeshelf/standalone/experiment/centres.py
+++ b/limeshelf/standalone/experiment/centres.py
@@ -15,7 +15,7 @@
 from limeshelf.standalone.messages import Demand, ItemDemand
 from limeshelf.standalone.placement.anchors import AnchorBook
 from limeshelf.standalone.placement.placer import Placer
-from limeshelf.standalone.routing.loads import LoadBook
+from limeshelf.standalone.routing.loads import UpstreamLoads
 
 if TYPE_CHECKING:
     from limeshelf.standalone.config.holder import ConfigHolder
@@ -49,7 +49,7 @@
 
     name: str
     upstreams: UpstreamDirectory
-    loads: LoadBook
+    loads: UpstreamLoads
     placer: Placer
     lease: LeaseKeeper
     arrived: dict[str, int] = attrs.field(factory=dict)
@@ -84,7 +84,7 @@
             Metrics(MetricsSettings(), 'experiment'),
             DecisionLog(False),
         )
-        return cls(name, upstreams, LoadBook(), placer, lease)
+        return cls(name, upstreams, UpstreamLoads(), placer, lease)
 
     async def place(self) -> None:
         """Keep the lease, plan, order and read reports once."""
--- a/limeshelf/standalone/experiment/table.py
+++ b/limeshelf/standalone/experiment/table.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING, Any
 
-from limeshelf.standalone.services.table import Committed, Conflicted, Row
+from limeshelf.standalone.services.table import Committed, Conflicted, VersionedRow
 
 if TYPE_CHECKING:
     from limeshelf.standalone.services.table import Condition, TransactOutcome, Write
@@ -14,13 +14,13 @@
     """Rows with versions; answers at once and never fails."""
 
     def __init__(self) -> None:
-        self._rows: dict[str, Row] = {}
+        self._rows: dict[str, VersionedRow] = {}
 
-    async def read(self, key: str) -> Row:
+    async def read(self, key: str) -> VersionedRow:
         """Return one row."""
-        return self._rows.get(key, Row(key, 0, None))
+        return self._rows.get(key, VersionedRow(key, 0, None))
 
-    async def scan(self, prefix: str) -> list[Row]:
+    async def scan(self, prefix: str) -> list[VersionedRow]:
         """Return the rows whose key starts with a prefix."""
         return [row for key, row in sorted(self._rows.items()) if key.startswith(prefix)]
 
@@ -34,7 +34,7 @@
         for write in writes:
             version = (await self.read(write.key)).version + 1
             value: dict[str, Any] | None = write.value
-            self._rows[write.key] = Row(write.key, version, value)
+            self._rows[write.key] = VersionedRow(write.key, version, value)
             versions[write.key] = version
         return Committed(versions)
 
--- a/limeshelf/standalone/lease/keeper.py
+++ b/limeshelf/standalone/lease/keeper.py
@@ -8,7 +8,7 @@
 from absl import logging
 
 from limeshelf.errors import PlatformUnavailable, PlatformUnknown
-from limeshelf.standalone.services.table import Committed, Condition, Row, Write
+from limeshelf.standalone.services.table import Committed, Condition, VersionedRow, Write
 from limeshelf.util.clock import boottime_s
 
 if TYPE_CHECKING:
@@ -174,7 +174,7 @@
         self.epoch_version = epoch_version
         logging.info('lease=%s state=held epoch=%d', self.lease_key, epoch)
 
-    def _is_free(self, row: Row) -> bool:
+    def _is_free(self, row: VersionedRow) -> bool:
         if row.value is None or not row.value['holder']:
             return True
         now_s = self._clock()
@@ -184,6 +184,6 @@
         return now_s - self._seen.first_seen_s > TAKE_OVER_LIVES * self._lease_s
 
 
-def _is(row: Row, holder_id: str, epoch: int) -> bool:
+def _is(row: VersionedRow, holder_id: str, epoch: int) -> bool:
     value = row.value or {}
     return value.get('holder') == holder_id and value.get('epoch') == epoch
--- a/limeshelf/standalone/placement/anchors.py
+++ b/limeshelf/standalone/placement/anchors.py
@@ -8,7 +8,7 @@
 from absl import logging
 
 from limeshelf.errors import PlatformUnavailable, PlatformUnknown
-from limeshelf.standalone.services.table import Committed, Condition, Row, Write
+from limeshelf.standalone.services.table import Committed, Condition, VersionedRow, Write
 
 if TYPE_CHECKING:
     from limeshelf.standalone.lease.keeper import LeaseKeeper
@@ -163,7 +163,7 @@
         return False
 
 
-def _anchor_of(row: Row) -> Anchor:
+def _anchor_of(row: VersionedRow) -> Anchor:
     value = row.value or {}
     return Anchor(
         row.key.removeprefix(ANCHOR_PREFIX),
--- a/limeshelf/standalone/routing/loads.py
+++ b/limeshelf/standalone/routing/loads.py
@@ -1,4 +1,8 @@
-"""How busy each upstream is, from own requests and from lagged reports."""
+"""How busy each upstream is, and how soon it would give a first token.
+
+Owns the counts of this process's own requests in flight and the first token times that
+it has learned. Relies on the upstreams' reports, which are some time old.
+"""
 
 from __future__ import annotations
 
@@ -13,28 +17,34 @@
     from limeshelf.standalone.config.document import PriorityClass
     from limeshelf.standalone.membership.upstreams import Upstream
 
-#: What others have in work, as reported, is believed less as it gets older.
-REPORT_TRUST_S = 2.0
-#: Weight of a new measurement in the mean first token time.
-LEARN_RATIO = 0.1
-#: First token time of an idle engine before any was measured.
-FIRST_GUESS_S = 0.05
+#: Age at which the reported requests of others count for 1/e of their number: they may
+#: have ended since. Chosen, not measured.
+REPORT_DECAY_S = 2.0
+#: Share of a new measurement in the mean first token time. Chosen, not measured.
+LEARN_SHARE = 0.1
+#: First token time of an idle engine before any was measured. Chosen, not measured.
+FIRST_TOKEN_GUESS_S = 0.05
+
+
+@attrs.frozen
+class _OwnAtReport:
+    """Own requests in flight when a report arrived: the report counts them too."""
 
+    heard_s: float
+    own: int
 
-@attrs.define
-class _Learned:
-    """Mean first token time for each request in work."""
 
-    seconds: float = FIRST_GUESS_S
+_NEVER_HEARD = _OwnAtReport(float('-inf'), 0)
 
 
-class LoadBook:
+class UpstreamLoads:
     """Own requests in flight and learned first token times, by upstream."""
 
     def __init__(self) -> None:
         self._own: dict[str, int] = {}
-        self._own_at_report: dict[str, tuple[float, int]] = {}
-        self._learned: dict[tuple[str, PriorityClass], _Learned] = {}
+        self._own_at_report: dict[str, _OwnAtReport] = {}
+        #: Mean first token time for each request in work, in seconds.
+        self._first_token_each_s: dict[tuple[str, PriorityClass], float] = {}
 
     def started(self, upstream_id: str) -> None:
         """Count a request that goes to the upstream."""
@@ -54,28 +64,38 @@
         Own requests are known exactly. Those of others are the reported ones
         less the own at the time, discounted by the report's age.
         """
-        upstream_id = upstream.upstream_id
-        own = self.own(upstream_id)
-        heard_s, own_then = self._own_at_report.get(upstream_id, (float('-inf'), 0))
-        if heard_s != upstream.heard_s:
-            own_then = own
-            self._own_at_report[upstream_id] = (upstream.heard_s, own)
-        others = max(0, upstream.running - own_then)
+        own = self.own(upstream.upstream_id)
+        others = max(0, upstream.running - self._own_when_reported(upstream, own))
         age_s = max(0.0, boottime_s() - upstream.heard_s)
-        return own + others * math.exp(-age_s / REPORT_TRUST_S)
+        return own + others * math.exp(-age_s / REPORT_DECAY_S)
+
+    def _own_when_reported(self, upstream: Upstream, own: int) -> int:
+        """Return the own requests that the newest report counts.
+
+        Reports do not say, so the count at its first use stands for that at its
+        arrival.
+        """
+        upstream_id = upstream.upstream_id
+        known = self._own_at_report.get(upstream_id, _NEVER_HEARD)
+        if known.heard_s != upstream.heard_s:
+            known = self._own_at_report[upstream_id] = _OwnAtReport(upstream.heard_s, own)
+        return known.own
 
     def learn(
-        self, upstream_id: str, priority_class: PriorityClass, seconds: float, running: float
+        self, upstream_id: str, priority_class: PriorityClass, first_token_s: float, running: float
     ) -> None:
-        """Take in a measured first token time at a known load."""
-        learned = self._learned.setdefault((upstream_id, priority_class), _Learned())
-        sample = seconds / (1.0 + running)
-        learned.seconds += LEARN_RATIO * (sample - learned.seconds)
+        """Take in a measured first token time.
+
+        :param running: requests in work when the request was sent.
+        """
+        key = (upstream_id, priority_class)
+        mean_s = self._first_token_each_s.get(key, FIRST_TOKEN_GUESS_S)
+        sample_s = first_token_s / (1.0 + running)
+        self._first_token_each_s[key] = mean_s + LEARN_SHARE * (sample_s - mean_s)
 
     def first_token_s(
         self, upstream: Upstream, priority_class: PriorityClass, running: float
     ) -> float:
         """Return the estimated time to the first token of one more request."""
-        learned = self._learned.get((upstream.upstream_id, priority_class))
-        each_s = learned.seconds if learned else FIRST_GUESS_S
-        return each_s * (1.0 + running)
+        key = (upstream.upstream_id, priority_class)
+        return self._first_token_each_s.get(key, FIRST_TOKEN_GUESS_S) * (1.0 + running)
--- a/limeshelf/standalone/routing/policies.py
+++ b/limeshelf/standalone/routing/policies.py
@@ -1,4 +1,8 @@
-"""Routing policies: which of several ready replicas serves a request."""
+"""Routing policies: which of several ready replicas serves a request.
+
+Owns the registry of routing policies. Relies on the candidates' estimates; a policy
+never sees a replica that may not serve the request.
+"""
 
 from __future__ import annotations
 
@@ -15,9 +19,14 @@
     from limeshelf.standalone.routing.candidates import Candidate
 
 
+#: Load that a replica may carry above the mean for its prefixes, where the
+#: configuration names none. Chosen, not measured.
+DEFAULT_BOUND_RATIO = 0.25
+
+
 @attrs.frozen
 class RouteQuestion:
-    """What a routing policy is told of a request.
+    """What a routing policy knows of a request.
 
     :param prefix_key: digest of the prompt's beginning; equal prompts share a
         prefix cache entry.
@@ -72,7 +81,7 @@
         return cls()
 
     def choose(self, question: RouteQuestion, candidates: list[Candidate]) -> Candidate:
-        """Return the least busy replica; equals are drawn."""
+        """Return the least busy replica; ties are broken at random."""
         return min(candidates, key=lambda c: (c.running, random.random()))
 
 
@@ -87,7 +96,7 @@
         return cls()
 
     def choose(self, question: RouteQuestion, candidates: list[Candidate]) -> Candidate:
-        """Return the quickest replica; equals are drawn."""
+        """Return the quickest replica; ties are broken at random."""
         return min(candidates, key=lambda c: (c.estimate_s, c.running, random.random()))
 
 
@@ -105,7 +114,7 @@
     @classmethod
     def from_config(cls, policy: Policy) -> PrefixAffinity:
         """Build the policy; number ``bound_ratio``."""
-        return cls(policy.number('bound_ratio', 0.25))
+        return cls(policy.number('bound_ratio', DEFAULT_BOUND_RATIO))
 
     def choose(self, question: RouteQuestion, candidates: list[Candidate]) -> Candidate:
         """Return the first replica in the prefix's order that is below the bound."""
--- a/limeshelf/standalone/services/table.py
+++ b/limeshelf/standalone/services/table.py
@@ -16,7 +16,7 @@
 
 
 @attrs.frozen
-class Row:
+class VersionedRow:
     """One row as read.
 
     :param version: grows with each write; 0 stands for an absent row.
@@ -54,7 +54,7 @@
 class Conflicted:
     """No write took effect; the rows whose condition failed, as they are."""
 
-    rows: list[Row]
+    rows: list[VersionedRow]
 
 
 TransactOutcome = Committed | Conflicted
@@ -73,15 +73,15 @@
             ServiceClient('table', settings.table_url, settings.timeout_s, settings.calls_per_s)
         )
 
-    async def read(self, key: str) -> Row:
+    async def read(self, key: str) -> VersionedRow:
         """Return the row called *key*; an absent one has version 0."""
         reply = await self._client.call('GET', f'/rows/{quote(key, safe="")}')
-        return msgspec.convert(reply.json(), Row)
+        return msgspec.convert(reply.json(), VersionedRow)
 
-    async def scan(self, prefix: str) -> list[Row]:
+    async def scan(self, prefix: str) -> list[VersionedRow]:
         """Return all rows whose key starts with *prefix*, sorted by key."""
         reply = await self._client.call('GET', f'/rows?prefix={quote(prefix, safe="")}')
-        return msgspec.convert(reply.json(), list[Row])
+        return msgspec.convert(reply.json(), list[VersionedRow])
 
     async def transact(self, conditions: list[Condition], writes: list[Write]) -> TransactOutcome:
         """Write all of *writes* if every condition holds, else nothing.
@@ -91,7 +91,7 @@
         body = {'conditions': conditions, 'writes': writes}
         reply = await self._client.call('POST', '/transact', body)
         if reply.status == 409:
-            return Conflicted(msgspec.convert(reply.json()['rows'], list[Row]))
+            return Conflicted(msgspec.convert(reply.json()['rows'], list[VersionedRow]))
         return Committed(msgspec.convert(reply.json()['versions'], dict[str, int]))
 
     async def close(self) -> None:
--- a/tests/forms/test_rows.py
+++ b/tests/forms/test_rows.py
@@ -62,7 +62,7 @@
     TableClient,
     Write,
 )
-from limeshelf.standalone.services.table import Row as TableRow
+from limeshelf.standalone.services.table import VersionedRow as TableRow
 from limeshelf.standalone.upstreams.messages import Order, OrderAction
 from limeshelf.util.clock import VIRTUAL_EPOCH_S, virtual_clock
 from tests.support.table import FakeTable
--- a/tests/support/table.py
+++ b/tests/support/table.py
@@ -6,7 +6,7 @@
 from collections import deque
 
 from limeshelf.errors import PlatformUnavailable, PlatformUnknown
-from limeshelf.standalone.services.table import Committed, Conflicted, Row
+from limeshelf.standalone.services.table import Committed, Conflicted, VersionedRow
 
 
 class TableFault(enum.Enum):
@@ -29,10 +29,10 @@
         self.late: list[tuple[list, list]] = []
         self.commits: list[list] = []
 
-    def row(self, key: str) -> Row:
+    def row(self, key: str) -> VersionedRow:
         if key not in self.values:
-            return Row(key, 0, None)
-        return Row(key, self.versions[key], self.values[key])
+            return VersionedRow(key, 0, None)
+        return VersionedRow(key, self.versions[key], self.values[key])
 
     def _fault(self) -> TableFault:
         if self.down:
@@ -45,11 +45,11 @@
         if fault is not TableFault.NONE:
             raise PlatformUnknown('table')
 
-    async def read(self, key: str) -> Row:
+    async def read(self, key: str) -> VersionedRow:
         self._strike(self._fault())
         return self.row(key)
 
-    async def scan(self, prefix: str) -> list[Row]:
+    async def scan(self, prefix: str) -> list[VersionedRow]:
         self._strike(self._fault())
         return [self.row(key) for key in sorted(self.values) if key.startswith(prefix)]
 
