--- a/limeshelf/dispatch/messages.py
+++ b/limeshelf/dispatch/messages.py
@@ -1,4 +1,8 @@
-"""Messages between a gateway that serves a call and the one that dispatches calls."""
+"""Messages between a gateway that serves a call and the one that dispatches calls.
+
+What they call a ticket is a request elsewhere, and their parts are blocks of the prompt;
+the names of encoded fields stay as they are.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +16,11 @@
 
 
 class VerdictKind(enum.StrEnum):
-    """What the dispatcher says of a call."""
+    """What the dispatcher decided on a request.
+
+    Granted, absent (no replica that is not excluded holds what it needs) and refused are
+    final; a queued one gets another verdict later.
+    """
 
     GRANTED = 'granted'
     QUEUED = 'queued'
@@ -21,14 +29,17 @@
 
 
 class Stage(enum.StrEnum):
-    """How far a granted call has come."""
+    """How far a request has come: its prompt was read, or it is over or withdrawn."""
 
     READ = 'read'
     ENDED = 'ended'
 
 
 class SharedPart(msgspec.Struct, array_like=True):
-    """A part of a prompt that other calls may share."""
+    """A block of a prompt that other calls may share.
+
+    :param part_id: names the block's content.
+    """
 
     part_id: str
     tokens: int
@@ -37,14 +48,20 @@
 @add_message('dispatch-query')
 @attrs.frozen
 class DispatchQuery:
-    """Asks for a replica for a call; asking again for the same ticket changes nothing.
+    """Asks for a replica for a call; asking again with the same id changes nothing.
 
-    :param prompt_tokens: of the whole prompt, shared parts included.
+    :param ticket_id: id of the request, given by the asking gateway.
+    :param prompt_tokens: of the whole prompt, shared blocks included.
+    :param likely_tokens: the caller's guess at the generated tokens.
+    :param priority: of the route; 0 is the most urgent.
     :param objective_ms: time left until the first event is late.
-    :param left_ms: time left for the call.
+    :param left_ms: time left until the caller gives up.
     :param pause_ms: longest pause between events that keeps an answer in time.
+    :param data_centre: of the asking gateway.
+    :param parts: blocks at the head of the prompt that other calls may share, in order.
+    :param excluded: ids of replicas that refused or failed this call, or that the asking
+        gateway cannot reach.
     :param returned: the caller was refused before and has come back.
-    :param excluded: replicas that refused or failed this call.
     """
 
     ticket_id: str
@@ -79,7 +96,7 @@
 @add_message('dispatch-progress')
 @attrs.frozen
 class DispatchProgress:
-    """Says that a granted call's prompt was read, or that the call has ended."""
+    """Reports that a granted request's prompt was read, or that a request is over."""
 
     ticket_id: str
     stage: Stage
--- /dev/null
+++ b/limeshelf/dispatch/selector.py
@@ -0,0 +1,112 @@
+"""Which replica a model call goes to.
+
+Among the replicas that hold what the call needs and are not suspended (or among all
+holders, where all are suspended), and that may read and hold it now
+(:mod:`limeshelf.dispatch.limits`), the one with the least to read, to run and to hold.
+Owns what granted requests take of each replica, and the holders of each model until the
+next :meth:`~ReplicaSelector.forget_holders`; relies on
+:mod:`limeshelf.replicas.directory` for records, holdings, health and reported loads.
+"""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from limeshelf.dispatch.granted_load import GrantedLoad
+from limeshelf.dispatch.limits import Occupancy, ReadingWindow
+from limeshelf.replicas.penalties import with_penalties
+from limeshelf.util.clock import boottime_s
+
+if TYPE_CHECKING:
+    from limeshelf.calls.routes import EngineSpec
+    from limeshelf.demand.keys import ModelKey
+    from limeshelf.dispatch.messages import DispatchQuery
+    from limeshelf.dispatch.reading_speed import ReadingSpeed
+    from limeshelf.replicas.directory import ReplicaDirectory
+    from limeshelf.replicas.replica import Replica
+
+
+class ReplicaSelector:
+    """Chooses replicas, by what granted requests take of them.
+
+    :ivar reading_share: part of a replica's reading, 0 to 1, that may be granted here.
+    :ivar loads: what granted requests take, by id of the replica.
+    """
+
+    def __init__(self, directory: ReplicaDirectory, speed: ReadingSpeed) -> None:
+        self.reading_share = 1.0
+        self.loads: dict[str, GrantedLoad] = {}
+        self._directory = directory
+        self._speed = speed
+        self._holders: dict[ModelKey, list[Replica]] = {}
+
+    def forget_holders(self) -> None:
+        """Look anew at who holds what; the holders found are kept until the next call."""
+        self._holders.clear()
+
+    def load(self, replica: Replica) -> GrantedLoad:
+        """Return what granted requests take of a replica."""
+        return self.loads.setdefault(replica.replica_id, GrantedLoad())
+
+    def holders(self, query: DispatchQuery) -> list[Replica]:
+        """Return the replicas that hold what a call needs, but for those it excludes."""
+        key = query.key
+        holders = self._holders.get(key)
+        if holders is None:
+            holders = self._holders[key] = [
+                replica
+                for replica in self._directory.of_service(key.service)
+                if replica.holds(key.model, key.adapter)
+            ]
+        return [one for one in holders if one.replica_id not in query.excluded]
+
+    def choose(self, query: DispatchQuery, engine: EngineSpec) -> Replica | None:
+        """Return the replica that takes a call best now, ``None`` if none has room."""
+        holders = self.holders(query)
+        healthy = [replica for replica in holders if not replica.health.is_suspended()]
+        window = ReadingWindow.from_pause(query.pause_ms, engine.event_tokens, self.reading_share)
+        best: Replica | None = None
+        best_cost = float('inf')
+        for replica in healthy or holders:
+            cost = self._cost_if_admitted(replica, query, engine, window)
+            if cost is not None and cost < best_cost:
+                best, best_cost = replica, cost
+        return best
+
+    def _cost_if_admitted(
+        self, replica: Replica, query: DispatchQuery, engine: EngineSpec, window: ReadingWindow
+    ) -> float | None:
+        """Return what the call costs at a replica, ``None`` if that has no room for it."""
+        load = self.load(replica)
+        now_s = boottime_s()
+        read_ms = self._speed.read_ms(query.key.model, load.blocks.unread_tokens(query, now_s))
+        if not window.admits(load.read_ms_since(now_s - window.span_s), read_ms):
+            return None
+        occupancy = self._occupancy(replica, load, engine)
+        if not occupancy.admits(query.prompt_tokens + query.likely_tokens):
+            return None
+        cost = call_cost(load.reading_ms + read_ms, query.pause_ms, occupancy)
+        return with_penalties(cost, replica, query.data_centre)
+
+    def _occupancy(self, replica: Replica, load: GrantedLoad, engine: EngineSpec) -> Occupancy:
+        # What the gateways report covers calls that another process granted: the
+        # dispatcher before this one, or a gateway that granted by itself.
+        reported = self._directory.load_of(replica)
+        return Occupancy(
+            max(load.calls, reported.calls),
+            max(load.tokens, reported.tokens),
+            replica.record.slots,
+            engine.memory_tokens,
+        )
+
+
+def call_cost(reading_ms: float, pause_ms: int, occupancy: Occupancy) -> float:
+    """Return what a call costs at a replica, each resource in units of all there is of it.
+
+    :param reading_ms: of all that is being read there, the call's own prompt included.
+    :param pause_ms: longest pause between events that keeps the call's answer in time.
+    :param occupancy: without the call.
+    """
+    cost = reading_ms / max(1, pause_ms)
+    cost += occupancy.calls / max(1, occupancy.slots)
+    return cost + occupancy.tokens / max(1, occupancy.memory_tokens)
--- a/tests/dispatch/test_dispatcher.py
+++ b/tests/dispatch/test_dispatcher.py
@@ -145,7 +145,7 @@
     world = World(clock, 1)
     for _ in range(5):
         assert world.ask('a') is VerdictKind.GRANTED
-    assert world.dispatcher._room.uses['r0'].calls == 1
+    assert world.dispatcher._selector.loads['r0'].calls == 1
 
 
 def test_ended_calls_leave_nothing_behind(clock: VirtualClock) -> None:
@@ -155,11 +155,11 @@
     for number in range(20):
         world.dispatcher.take_progress(DispatchProgress(f't{number}', Stage.READ))
         world.dispatcher.take_progress(DispatchProgress(f't{number}', Stage.ENDED))
-    for use in world.dispatcher._room.uses.values():
-        assert (use.calls, use.tokens, use.reading_ms) == (0, 0, 0.0)
+    for load in world.dispatcher._selector.loads.values():
+        assert (load.calls, load.tokens, load.reading_ms) == (0, 0, 0.0)
 
 
-def test_gateway_that_died_gives_its_places_back(clock: VirtualClock) -> None:
+def test_grants_of_a_gateway_that_died_run_out(clock: VirtualClock) -> None:
     world = World(clock, 1)
     for name in 'abcd':
         world.ask(name, 10, left_ms=1000)
@@ -185,7 +185,7 @@
     assert world.ask('y', 2000, returned=True) is VerdictKind.QUEUED
 
 
-def test_shared_parts_need_no_second_reading(clock: VirtualClock) -> None:
+def test_shared_blocks_need_no_second_reading(clock: VirtualClock) -> None:
     world = World(clock, 1)
     parts = [SharedPart('p', 1900)]
     world.ask('a', 4000, parts=parts)
@@ -204,7 +204,7 @@
     assert world.granted() == ['a', 'b']
 
 
-def test_calls_that_others_told_of_take_slots(clock: VirtualClock) -> None:
+def test_calls_that_other_gateways_report_take_slots(clock: VirtualClock) -> None:
     from limeshelf.membership.messages import ReplicaLoad
 
     world = World(clock, 1)
@@ -222,13 +222,13 @@
     assert world.granted() == ['a', 'b']
 
 
-def test_crowd_for_one_model_is_not_tried_call_by_call(clock: VirtualClock) -> None:
-    """Each word of progress once tried every waiting call at every replica."""
+def test_many_calls_for_one_model_are_not_tried_one_by_one(clock: VirtualClock) -> None:
+    """Each report of progress once tried every waiting call at every replica."""
     world = World(clock, 3)
-    room = world.dispatcher._room
+    selector = world.dispatcher._selector
     tried: list[str] = []
-    choose = room.choose
-    room.choose = lambda query, engine: tried.append(query.ticket_id) or choose(query, engine)  # type: ignore[method-assign]
+    choose = selector.choose
+    selector.choose = lambda query, engine: tried.append(query.ticket_id) or choose(query, engine)  # type: ignore[method-assign]
     for number in range(60):
         world.ask(f't{number}', 3000, objective_ms=90000, left_ms=90000)
     assert len(tried) <= 60
--- /dev/null
+++ b/tests/dispatch/test_reading_speed.py
@@ -0,0 +1,39 @@
+"""How fast the prompts of a model are read."""
+
+from __future__ import annotations
+
+import pytest
+
+from limeshelf.dispatch.reading_speed import FIRST_EVENT_OVERHEAD_MS, ReadingSpeed
+
+
+def test_guess_until_something_was_seen() -> None:
+    assert ReadingSpeed().read_ms('m', 1000) == pytest.approx(55.0)
+
+
+def test_speed_follows_the_samples_of_its_model() -> None:
+    speed = ReadingSpeed()
+    for _ in range(60):
+        speed.learn('m', 1000, 100.0 + FIRST_EVENT_OVERHEAD_MS)
+    assert speed.read_ms('m', 1000) == pytest.approx(100.0, rel=0.01)
+    assert speed.read_ms('other', 1000) == pytest.approx(55.0)
+
+
+def test_one_sample_moves_the_speed_by_its_share() -> None:
+    speed = ReadingSpeed()
+    speed.learn('m', 1000, 105.0 + FIRST_EVENT_OVERHEAD_MS)
+    assert speed.read_ms('m', 1000) == pytest.approx(55.0 + 0.2 * 50.0)
+
+
+def test_short_prompts_teach_nothing() -> None:
+    speed = ReadingSpeed()
+    speed.learn('m', 249, 1000.0)
+    assert speed.read_ms('m', 1000) == pytest.approx(55.0)
+
+
+@pytest.mark.parametrize(('first_event_ms', 'most_ms'), [(1e6, 400.0), (0.0, 2.0)])
+def test_a_stalled_event_or_an_early_one_is_bounded(first_event_ms: float, most_ms: float) -> None:
+    speed = ReadingSpeed()
+    for _ in range(100):
+        speed.learn('m', 1000, first_event_ms)
+    assert speed.read_ms('m', 1000) == pytest.approx(most_ms, rel=0.01)
--- /dev/null
+++ b/tests/dispatch/test_selector.py
@@ -0,0 +1,102 @@
+"""Which replica a model call goes to."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+from typing import Any
+
+import pytest
+
+from limeshelf.calls.routes import EngineSpec
+from limeshelf.demand.keys import ModelKey
+from limeshelf.dispatch.limits import Occupancy
+from limeshelf.dispatch.messages import DispatchQuery
+from limeshelf.dispatch.reading_speed import ReadingSpeed
+from limeshelf.dispatch.selector import ReplicaSelector, call_cost
+from limeshelf.platform.replicas import read_record
+from limeshelf.replicas.directory import ReplicaDirectory
+from limeshelf.replicas.health import Failure
+from limeshelf.replicas.record import Holding, ReplicaRecord
+from limeshelf.replicas.replica import Replica
+from limeshelf.util.clock import VirtualClock, virtual_clock
+
+ENGINE = EngineSpec(4, 20000, 100.0, 4, 1.0, {}, 2)
+
+
+@pytest.fixture(autouse=True)
+def clock() -> Iterator[VirtualClock]:
+    with virtual_clock() as made:
+        yield made
+
+
+def selector_of(*data_centres: str) -> ReplicaSelector:
+    directory = ReplicaDirectory(read_record)
+    for number, data_centre in enumerate(data_centres):
+        record = ReplicaRecord(
+            f'r{number}', 'lm', f'ip:{number}', data_centre, 4, False, None, (Holding('m'),), 1
+        )
+        directory._take_record(record)
+    return ReplicaSelector(directory, ReadingSpeed())
+
+
+def replica(selector: ReplicaSelector, replica_id: str) -> Replica:
+    found = selector._directory.get(replica_id)
+    assert found is not None
+    return found
+
+
+def chosen(selector: ReplicaSelector, **changes: Any) -> str | None:
+    fields: dict[str, Any] = {
+        'ticket_id': 'a',
+        'key': ModelKey('lm', 'm'),
+        'prompt_tokens': 1000,
+        'likely_tokens': 100,
+        'priority': 1,
+        'objective_ms': 1000,
+        'left_ms': 5000,
+        'pause_ms': 300,
+        'data_centre': 'z1',
+        'parts': [],
+        'excluded': [],
+        **changes,
+    }
+    made = selector.choose(DispatchQuery(**fields), ENGINE)
+    return made.replica_id if made is not None else None
+
+
+def test_cost_adds_reading_calls_and_memory() -> None:
+    occupancy = Occupancy(calls=1, tokens=500, slots=4, memory_tokens=1000)
+    assert call_cost(60.0, 300, occupancy) == pytest.approx(0.2 + 0.25 + 0.5)
+
+
+def test_own_data_centre_goes_first() -> None:
+    selector = selector_of('z2', 'z1')
+    assert chosen(selector) == 'r1'
+    assert chosen(selector, data_centre='z2') == 'r0'
+
+
+def test_least_loaded_replica_goes_first() -> None:
+    selector = selector_of('z1', 'z1')
+    replica(selector, 'r0').own.calls = 1
+    assert chosen(selector) == 'r1'
+
+
+def test_suspended_replica_is_taken_only_when_all_are() -> None:
+    selector = selector_of('z1', 'z1')
+    replica(selector, 'r1').own.calls = 3
+    replica(selector, 'r0').health.failed(Failure.NO_CONNECTION)
+    assert chosen(selector) == 'r1'
+    replica(selector, 'r1').health.failed(Failure.NO_CONNECTION)
+    assert chosen(selector) == 'r0'
+
+
+def test_full_replicas_take_nothing() -> None:
+    selector = selector_of('z1')
+    replica(selector, 'r0').own.calls = 4
+    assert chosen(selector) is None
+
+
+def test_only_holders_that_are_not_excluded_count() -> None:
+    selector = selector_of('z1', 'z1')
+    assert chosen(selector, excluded=['r0']) == 'r1'
+    assert chosen(selector, key=ModelKey('lm', 'other')) is None
