--- a/limeshelf/replicas/record.py
+++ b/limeshelf/replicas/record.py
@@ -1,7 +1,7 @@
 """What a replica says of itself: its record in the store and its report.
 
-Values only; :mod:`limeshelf.platform.replicas` reads them, and
-:mod:`limeshelf.membership` passes reports on between gateways.
+Values only; the adapter to the platform reads them, and :mod:`limeshelf.membership`
+passes reports on between gateways.
 """
 
 from __future__ import annotations
