--- a/limeshelf/metrics/__init__.py
+++ b/limeshelf/metrics/__init__.py
@@ -1,4 +1,4 @@
-"""What a process tells of itself: events, decisions, and metrics.
+"""What a process records of itself: events, decisions, and metrics.
 
 * ``event_log``: JSON lines on standard output, of the gateway.
 * ``decision_log``: one line a decision, kept for ``explain``, of the own wire.
--- a/limeshelf/platform/orders.py
+++ b/limeshelf/platform/orders.py
@@ -8,7 +8,6 @@
 from __future__ import annotations
 
 import asyncio
-from typing import Any
 
 import aiohttp
 import msgspec
@@ -42,6 +41,20 @@
 }
 
 
+class _Order(msgspec.Struct, rename='pascal', omit_defaults=True):
+    """The body of an order; its fields are encoded in this sequence."""
+
+    op: str
+    model: str
+    #: No revision: the number of orders that the replica must have taken so far.
+    expected_revision: int
+    #: Who orders: the instance that has the lease.
+    holder: str
+    #: Rises with each term of the lease.
+    fencing_token: int
+    adapter: str = ''
+
+
 class ReplicaOrderClient:
     """Implements :class:`limeshelf.orders.order.OrderWire`."""
 
@@ -68,21 +81,19 @@
 
         :raises ReplicaSilent: no answer came in time; the order may have been taken.
         """
-        body: dict[str, Any] = {
-            'Op': order.kind.value,
-            'Model': order.model,
-            # No revision: the number of orders that the replica has taken.
-            'ExpectedRevision': order.expected_number,
-            'Holder': order.holder,
-            'FencingToken': order.fence,
-        }
-        if order.adapter:
-            body['Adapter'] = order.adapter
+        body = _Order(
+            op=order.kind.value,
+            model=order.model,
+            expected_revision=order.expected_number,
+            holder=order.holder,
+            fencing_token=order.fence,
+            adapter=order.adapter,
+        )
         status, _ = await self._call('POST', address, '/order', replica_id, body)
         return ReplicaOrderAnswer(_OUTCOMES.get(status, OrderOutcome.REJECTED), status)
 
     async def _call(
-        self, method: str, address: str, path: str, replica_id: str, body: Any
+        self, method: str, address: str, path: str, replica_id: str, body: _Order | None
     ) -> tuple[int, bytes]:
         headers = {EXPECT_INSTANCE: replica_id}
         data = None
--- a/limeshelf/platform/replicas.py
+++ b/limeshelf/platform/replicas.py
@@ -43,8 +43,8 @@
     #: Calls that it works on at once; it queues a few more.
     slots: int = 1
     state: str = 'ready'
-    #: Time until the replica is gone, whatever it runs; told only by one that
-    #: goes at short notice.
+    #: Time until the replica is gone, whatever it runs; stated only by
+    #: one that goes at short notice.
     remaining_ms: float | None = None
     models: list[_Held] = []
     #: Heartbeats here, but orders taken in a report (commit 199f897: every order
@@ -67,7 +67,7 @@
     kv_total: int = 0
     #: Adapters on their way, as MODEL/NAME@VERSION; they count as held for room.
     loading: list[str] = []
-    #: As in its row; empty if not told.
+    #: As in its row; empty if not stated.
     state: str = ''
     available: _Copies | None = None
 
--- a/limeshelf/platform/store.py
+++ b/limeshelf/platform/store.py
@@ -9,7 +9,6 @@
 
 import asyncio
 import base64
-from typing import Any
 
 import aiohttp
 import msgspec
@@ -28,6 +27,8 @@
 CONNECT_S = 0.6
 #: An unused connection is closed after this time. Chosen, not measured.
 IDLE_S = 20.0
+#: The group of all rows of the product.
+NO_PART = ''
 STATUS_OK = 200
 #: A row of the condition has another version; nothing was written.
 STATUS_CONDITION = 412
@@ -57,6 +58,32 @@
     now_ms: float = 0
 
 
+class _RowKey(msgspec.Struct, rename={'key': 'Key'}):
+    table: str
+    #: Groups rows that are written together; the product uses one group, without a name.
+    part: str
+    key: str
+
+
+class _Condition(_RowKey):
+    #: Version that the row must have; 0 for none.
+    ver: int
+
+
+class _Put(_RowKey, rename={'value': 'Value'}):
+    #: Encoded in base64.
+    value: bytes
+
+
+class _Transaction(msgspec.Struct, rename={'conditions': 'ExpectedRevision', 'drop': 'Delete'}):
+    """All of it is done, or nothing; the fields are encoded in this sequence."""
+
+    #: Not one revision: the rows of the condition with their versions.
+    conditions: list[_Condition]
+    put: list[_Put]
+    drop: list[_RowKey]
+
+
 _answers = msgspec.json.Decoder(_Answer)
 
 
@@ -87,6 +114,10 @@
     return answer
 
 
+def _conditions(table: str, key: str, expected: int | None) -> list[_Condition]:
+    return [] if expected is None else [_Condition(table, NO_PART, key, expected)]
+
+
 class StoreClient:
     """Implements :class:`limeshelf.feeds.rows.RowTable`, whose errors it raises.
 
@@ -108,8 +139,7 @@
         version = 0
         start = ''
         while True:
-            # A part groups rows that are written together; the product uses none.
-            query = {'table': table, 'part': ''}
+            query = {'table': table, 'part': NO_PART}
             if start:
                 query['From'] = start
             answer = await self._call('GET', '/rows-get', query)
@@ -134,31 +164,26 @@
             writes whatever there is.
         :raises ConditionFailed: the row has another version.
         """
-        put = {'table': table, 'part': '', 'Key': key, 'Value': base64.b64encode(value).decode()}
-        answer = await self._transact(table, key, expected, put=[put], drop=[])
+        conditions = _conditions(table, key, expected)
+        put = _Put(table, NO_PART, key, value)
+        answer = await self._transact(_Transaction(conditions, put=[put], drop=[]))
         return answer.ver
 
     async def delete(self, table: str, key: str, expected: int | None) -> None:
         """Delete a row; arguments and errors as for :meth:`write`."""
-        drop = {'table': table, 'part': '', 'Key': key}
-        await self._transact(table, key, expected, put=[], drop=[drop])
+        conditions = _conditions(table, key, expected)
+        drop = _RowKey(table, NO_PART, key)
+        await self._transact(_Transaction(conditions, put=[], drop=[drop]))
 
-    async def _transact(
-        self, table: str, key: str, expected: int | None, put: list[Any], drop: list[Any]
-    ) -> _Answer:
-        conditions = []
-        if expected is not None:
-            conditions = [{'table': table, 'part': '', 'Key': key, 'ver': expected}]
-        # Not one revision: the rows of the condition with their versions.
-        body = {'ExpectedRevision': conditions, 'put': put, 'Delete': drop}
-        return await self._call('POST', '/rows-tx', body=body)
+    async def _transact(self, transaction: _Transaction) -> _Answer:
+        return await self._call('POST', '/rows-tx', body=transaction)
 
     async def _call(
         self,
         method: str,
         path: str,
         query: dict[str, str] | None = None,
-        body: Any = None,
+        body: _Transaction | None = None,
         wait_s: float = 0.0,
     ) -> _Answer:
         data = None if body is None else msgspec.json.encode(body)
--- a/limeshelf/replicas/directory.py
+++ b/limeshelf/replicas/directory.py
@@ -81,25 +81,21 @@
     def _take_record(self, record: ReplicaRecord) -> None:
         replica = self._replicas.get(record.replica_id)
         if replica is None or replica.gone:
-            self._supersede(record)
-            holdings = by_model(record.holdings)
-            self._replicas[record.replica_id] = Replica(record, holdings, leaving=record.leaving)
-            log_change(
-                'replica_found',
-                replica=record.replica_id,
-                service=record.service,
-                leaving=record.leaving,
-                models=sorted(holdings),
-            )
-            return
-        if is_late_heartbeat(record.beat_number, replica.record.beat_number):
-            return
-        replica.record = record
-        if record.leaving and not replica.leaving:
-            replica.leaving = True
-            log_change('replica_leaving', replica=record.replica_id, left_s=record.leaves_in_s)
-        if heartbeat_tells_holdings(boottime_s() - replica.reported_s):
-            replica.holdings = by_model(record.holdings)
+            self._add(record)
+        elif not is_late_heartbeat(record.beat_number, replica.record.beat_number):
+            _update(replica, record)
+
+    def _add(self, record: ReplicaRecord) -> None:
+        self._supersede(record)
+        holdings = by_model(record.holdings)
+        self._replicas[record.replica_id] = Replica(record, holdings, leaving=record.leaving)
+        log_change(
+            'replica_found',
+            replica=record.replica_id,
+            service=record.service,
+            leaving=record.leaving,
+            models=sorted(holdings),
+        )
 
     def _supersede(self, record: ReplicaRecord) -> None:
         """Give an address to the newest incarnation; who had it takes no new calls."""
@@ -204,3 +200,12 @@
                 await self._changed.wait()
         except TimeoutError:
             return
+
+
+def _update(replica: Replica, record: ReplicaRecord) -> None:
+    replica.record = record
+    if record.leaving and not replica.leaving:
+        replica.leaving = True
+        log_change('replica_leaving', replica=record.replica_id, left_s=record.leaves_in_s)
+    if heartbeat_tells_holdings(boottime_s() - replica.reported_s):
+        replica.holdings = by_model(record.holdings)
--- a/limeshelf/replicas/loads.py
+++ b/limeshelf/replicas/loads.py
@@ -37,7 +37,7 @@
 
 @attrs.define
 class PeerLoads:
-    """The calls of other gateways, told by each of them or summed up by a relay."""
+    """The calls of other gateways, as each of them reports them or a relay sums them up."""
 
     _by_peer: dict[str, _Statement] = attrs.field(factory=dict)
 
@@ -49,7 +49,7 @@
     def take_totals(self, loads: Iterable[LoadAt], own_at: Callable[[str], Load]) -> None:
         """Take what all gateways have under way, this one among them.
 
-        It replaces what single peers told.
+        It replaces what single peers reported.
 
         :param own_at: what this gateway has under way at a replica.
         """
--- a/limeshelf/replicas/replica.py
+++ b/limeshelf/replicas/replica.py
@@ -41,8 +41,8 @@
         take no new calls.
     :ivar own: calls of this process under way there, counted by
         :mod:`limeshelf.gateway.pipeline`.
-    :ivar health: told of each outcome by :mod:`limeshelf.gateway.pipeline`, and of
-        probes by :mod:`limeshelf.replicas.pool`.
+    :ivar health: updated with each outcome by :mod:`limeshelf.gateway.pipeline`, and
+        with probes by :mod:`limeshelf.replicas.pool`.
     """
 
     record: ReplicaRecord
