--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -28,7 +28,7 @@
 from limeshelf.standalone.messages import ConfigChanges, UpstreamState, UpstreamStates
 from limeshelf.standalone.placement.planner import Planner
 from limeshelf.standalone.placement.policies import placement_policies
-from limeshelf.standalone.placement.view import AnchorView, PlacementView, RoomView, UnitView
+from limeshelf.standalone.placement.view import AnchorView, EngineView, PlacementView, UnitView
 from limeshelf.standalone.routing.candidates import engine_candidates
 from limeshelf.standalone.routing.loads import UpstreamLoads
 from limeshelf.standalone.services.instances import Listed, ListedKind
@@ -132,11 +132,11 @@
             anchors[deployment.name] = AnchorView(upstream_id, 'x', False, False)
         else:
             anchors[deployment.name] = AnchorView('far', 'y', False, False)
-    rooms = {
-        name: RoomView(name, 'x', True, True, 1000, 500, frozenset(ids), frozenset(ids), 0.5)
+    engines = {
+        name: EngineView(name, 'x', True, True, 1000, 500, frozenset(ids), frozenset(ids), 0.5)
         for name, ids in held.items()
     }
-    return PlacementView(0.0, 'x', units, rooms, anchors, dict.fromkeys(units, 0))
+    return PlacementView(0.0, 'x', units, engines, anchors, dict.fromkeys(units, 0))
 
 
 def plan_ms(planner: Planner, models: int, own: int) -> float:
--- a/limeshelf/standalone/placement/anchors.py
+++ b/limeshelf/standalone/placement/anchors.py
@@ -25,7 +25,7 @@
     """Where a model's anchor replica is.
 
     :param row_version: version of its row in the table.
-    :param handoff: the owner has no room and asks another data centre to take
+    :param handoff: the owner has no memory free and asks another data centre to take
         the anchor over.
     """
 
--- a/limeshelf/standalone/placement/demand.py
+++ b/limeshelf/standalone/placement/demand.py
@@ -1,4 +1,7 @@
-"""Demand for each item, smoothed, from what the entry instances report."""
+"""Demand for each item, smoothed, from what the entry instances report.
+
+Owns the latest report of each entry instance and the mean of each model.
+"""
 
 from __future__ import annotations
 
@@ -12,11 +15,11 @@
 if TYPE_CHECKING:
     from limeshelf.standalone.messages import Demand
 
-#: Time constant of the mean of requests in flight.
+#: Time constant of the mean of requests in flight. Chosen, not measured.
 SMOOTHING_S = 10.0
-#: An adapter counts as used for this long after a request.
+#: An adapter counts as used for this long after a request. Chosen, not measured.
 ADAPTER_USE_S = 600.0
-#: Reports of an entry instance count for this long.
+#: Reports of an entry instance count for this long. Chosen, not measured.
 REPORT_LIFE_S = 5.0
 
 
--- a/limeshelf/standalone/placement/gate.py
+++ b/limeshelf/standalone/placement/gate.py
@@ -1,4 +1,8 @@
-"""The last check before an unload: every deployed model stays reachable."""
+"""The last check before an unload: every deployed model stays reachable.
+
+Owns the unloads that it let pass in this round. Relies on the view of the round and on
+the anchors, with writes of unknown outcome counted (docs/design/reachable.rst).
+"""
 
 from __future__ import annotations
 
@@ -12,7 +16,7 @@
 
 
 class UnloadGate:
-    """Judges unloads by what one round saw, whatever the policy wished.
+    """Judges unloads by what one round saw, whatever the policy asked for.
 
     An unload that it lets pass is taken out of its picture, so that two
     unloads of one round cannot count on each other's replica.
@@ -75,9 +79,9 @@
 
     def _holders(self, item_id: str) -> set[str]:
         return {
-            room.upstream_id
-            for room in self._view.rooms.values()
-            if room.open
-            and item_id in room.sure_ids
-            and (item_id, room.upstream_id) not in self._removed
+            engine.upstream_id
+            for engine in self._view.engines.values()
+            if engine.open
+            and item_id in engine.sure_ids
+            and (item_id, engine.upstream_id) not in self._removed
         }
--- a/limeshelf/standalone/placement/ledger.py
+++ b/limeshelf/standalone/placement/ledger.py
@@ -1,4 +1,8 @@
-"""Counts every byte of an engine's memory that may be in use."""
+"""Counts every byte of an engine's memory that may be in use.
+
+Owns the engine's last report and the orders that may still take effect; decides
+whether a load fits (docs/design/memory.rst). Relies on nothing else.
+"""
 
 from __future__ import annotations
 
@@ -97,13 +101,13 @@
         """Return the items that are ready and that no open order can remove."""
         if self.report is None:
             return set()
-        going = {
+        unloading = {
             entry.order.item_id
             for entry in self.open_orders
             if entry.order.action is OrderAction.UNLOAD
         }
         ready = {i.item_id for i in self.report.items if i.state is ItemState.READY}
-        return ready - going
+        return ready - unloading
 
     def held_bytes(self) -> dict[str, int]:
         """Return the bytes of each item in memory, as last reported."""
--- a/limeshelf/standalone/placement/placer.py
+++ b/limeshelf/standalone/placement/placer.py
@@ -1,4 +1,10 @@
-"""The placement loop of one data centre: look, plan, check, order."""
+"""The placement loop of one data centre: gather the view, plan, check, order.
+
+Owns the workers of the own engines, the planner with the policy in force, and the pace
+of loads. Relies on the lease (only its holder orders), the anchors, the configuration
+and the upstream directory. The rules themselves stand in ``planner``, ``policies``,
+``load_check``, ``gate`` and ``ledger``.
+"""
 
 from __future__ import annotations
 
@@ -13,11 +19,12 @@
 from limeshelf.standalone.placement.gate import UnloadGate
 from limeshelf.standalone.placement.intents import IntentLog
 from limeshelf.standalone.placement.ledger import Ledger
-from limeshelf.standalone.placement.look import PlacementLook
+from limeshelf.standalone.placement.load_check import LoadCheck, check_load
 from limeshelf.standalone.placement.planner import Planner
 from limeshelf.standalone.placement.policies import placement_policies
 from limeshelf.standalone.placement.view import Move, MoveKind
-from limeshelf.standalone.placement.worker import EngineWorker, Wish
+from limeshelf.standalone.placement.view_builder import PlacementViewBuilder
+from limeshelf.standalone.placement.worker import EngineWorker, UnnumberedOrder
 from limeshelf.standalone.services.instances import ListedKind
 from limeshelf.standalone.upstreams.messages import OrderAction
 from limeshelf.util.backoff import jittered_s
@@ -37,7 +44,8 @@
     from limeshelf.standalone.services.table import TableClient
     from limeshelf.standalone.upstreams.pool import UpstreamPool
 
-#: Anchors are read again after this time.
+#: Anchors are read again after this time: two rounds at the default of placer.round_s.
+#: Chosen, not measured.
 ANCHOR_READ_S = 1.0
 
 
@@ -75,7 +83,7 @@
         self._planner: Planner | None = None
         self._policy: Policy | None = None
         self._anchors_read_s = float('-inf')
-        self._look = PlacementLook(
+        self._view_builder = PlacementViewBuilder(
             data_centre, config, upstreams, anchors, self.demand, settings.lease_s
         )
 
@@ -101,7 +109,7 @@
             await asyncio.sleep(jittered_s(self._settings.round_s))
 
     async def round(self) -> None:
-        """Look, plan and order once, if this placer leads."""
+        """Gather the view, plan and order once, if this placer leads."""
         self._assign_workers()
         if self._lease.epoch is not None:
             await self._decide()
@@ -146,10 +154,10 @@
         if not self._anchors.is_read or self._config.revision == 0:
             return
         self.demand.advance(now_s)
-        view = self._look.view(now_s, self.workers)
+        view = self._view_builder.build(now_s, self.workers)
         gate = UnloadGate(view, self._anchors, self._data_centre)
         for move in self._current_planner().plan(view):
-            await self._make(move, gate)
+            await self._carry_out(move, gate)
         await self._drop_old_anchors()
         self._metrics.count('placement.rounds')
 
@@ -164,12 +172,12 @@
             logging.info('placement=policy name=%s', policy.name)
         return self._planner
 
-    async def _make(self, move: Move, gate: UnloadGate) -> None:
+    async def _carry_out(self, move: Move, gate: UnloadGate) -> None:
         if move.kind in (MoveKind.ANCHOR, MoveKind.HANDOFF):
             done = await self._anchors.put(
                 move.model, move.upstream_id, handoff=move.kind is MoveKind.HANDOFF
             )
-            self._note(move, 'made' if done else 'not_made')
+            self._record(move, 'made' if done else 'not_made')
             return
         worker = self.workers.get(move.upstream_id)
         if worker is None or not worker.is_ready:
@@ -183,19 +191,17 @@
 
     def _load(self, move: Move, worker: EngineWorker) -> None:
         item = move.item
-        ledger = worker.ledger
-        if item.item_id in ledger.possible_ids():
-            return
-        if not ledger.may_load(item.item_id, item.total_bytes):
-            return
-        if item.base_id and item.base_id not in ledger.sure_ids():
+        running = sum(other.ledger.loading_count() for other in self.workers.values())
+        check = check_load(item, worker.ledger, running, self._settings.max_loads)
+        if check is not LoadCheck.ALLOWED or not self._load_rate.try_take():
+            # The planner asks again in the next round, so no line for each round.
+            logging.debug('load=%s upstream=%s check=%s', item.item_id, move.upstream_id, check)
             return
-        loading = sum(other.ledger.loading_count() for other in self.workers.values())
-        if loading >= self._settings.max_loads or not self._load_rate.try_take():
-            return
-        worker.submit(Wish(OrderAction.LOAD, item.item_id, item.base_id, item.total_bytes))
+        worker.submit(
+            UnnumberedOrder(OrderAction.LOAD, item.item_id, item.base_id, item.total_bytes)
+        )
         self._metrics.count('placement.loads')
-        self._note(move, 'ordered', free_bytes=ledger.free_bytes)
+        self._record(move, 'ordered', free_bytes=worker.ledger.free_bytes)
 
     def _unload(self, move: Move, worker: EngineWorker, gate: UnloadGate) -> None:
         item = move.item
@@ -204,9 +210,9 @@
         if not gate.may_unload(item.item_id, move.upstream_id):
             self._metrics.count('placement.unloads_held_back')
             return
-        worker.submit(Wish(OrderAction.UNLOAD, item.item_id, item.base_id, 0))
+        worker.submit(UnnumberedOrder(OrderAction.UNLOAD, item.item_id, item.base_id, 0))
         self._metrics.count('placement.unloads')
-        self._note(move, 'ordered', free_bytes=worker.ledger.free_bytes)
+        self._record(move, 'ordered', free_bytes=worker.ledger.free_bytes)
 
     async def _drop_old_anchors(self) -> None:
         deployed = {d.name for d in self._config.catalog.document.deployments}
@@ -221,7 +227,7 @@
             if not held:
                 await self._anchors.drop(model)
 
-    def _note(self, move: Move, result: str, **fields: object) -> None:
+    def _record(self, move: Move, result: str, **fields: object) -> None:
         self._decisions.add(
             move.model,
             'place',
--- a/limeshelf/standalone/placement/planner.py
+++ b/limeshelf/standalone/placement/planner.py
@@ -1,4 +1,10 @@
-"""Turns a view into moves: the rules every placement keeps, then the policy's wishes."""
+"""Plans the moves of a round: the rules every placement keeps, then the policy's moves.
+
+Owns how long each model has been without an anchor. Relies on nothing but the view of
+the round. The rules, in their order: each model has an anchor that holds the whole
+model; each has its least number of replicas; replicas hold the adapters in use; items
+that no deployment names go.
+"""
 
 from __future__ import annotations
 
@@ -7,22 +13,24 @@
 import attrs
 
 from limeshelf.standalone.config.items import Item, model_of, unversioned
-from limeshelf.standalone.placement.rooms import (
-    eviction_moves,
+from limeshelf.standalone.placement.capacity import (
+    Reservations,
+    engine_with_most_free,
     load_somewhere,
     loads_on,
-    ready_room,
-    reserve,
-    roomiest,
+    missing_items,
+    ready_engine,
+    reserve_missing,
 )
+from limeshelf.standalone.placement.eviction import eviction_moves
 from limeshelf.standalone.placement.view import Move, MoveKind
 
 if TYPE_CHECKING:
     from limeshelf.standalone.placement.policies import PlacementPolicy
-    from limeshelf.standalone.placement.view import AnchorView, PlacementView, RoomView, UnitView
+    from limeshelf.standalone.placement.view import AnchorView, EngineView, PlacementView, UnitView
 
-#: A data centre waits this long for each one that ranks before it for a model
-#: that is placed nowhere.
+#: Pause for each data centre that ranks before the own one for a model that is placed
+#: nowhere. Four rounds at the default of placer.round_s; chosen, not measured.
 RANK_PAUSE_S = 2.0
 
 
@@ -39,142 +47,154 @@
     def plan(self, view: PlacementView) -> list[Move]:
         """Return the moves to make now, the most urgent first."""
         moves: list[Move] = []
-        reserved: dict[str, int] = {}
+        reservations = Reservations()
         units = sorted(view.units.values(), key=lambda u: (-u.total_bytes, u.model))
         for unit in units:
-            moves += self._anchor_moves(unit, view, reserved)
+            moves += self._anchor_moves(unit, view, reservations)
         for unit in units:
-            moves += _minimum_moves(unit, view, reserved)
+            moves += _minimum_moves(unit, view, reservations)
             moves += _completion_moves(unit, view)
         moves += _removal_moves(view)
         moves += self.policy.propose(view)
         return moves
 
     def _anchor_moves(
-        self, unit: UnitView, view: PlacementView, reserved: dict[str, int]
+        self, unit: UnitView, view: PlacementView, reservations: Reservations
     ) -> list[Move]:
         anchor = view.anchors.get(unit.model)
         if anchor is None:
-            return self._first_anchor(unit, view, reserved)
+            return self._first_anchor(unit, view, reservations)
         self._unplaced_since_s.pop(unit.model, None)
-        room = view.rooms.get(anchor.upstream_id)
+        engine = view.engines.get(anchor.upstream_id)
         if anchor.data_centre != view.data_centre:
-            return _take_over(unit, anchor, view, reserved)
-        if room is None or not room.open:
-            return _replace_anchor(unit, anchor, view, reserved)
-        return _anchor_loads(unit, room, view, reserved)
+            return _take_over(unit, anchor, view, reservations)
+        if engine is None or not engine.open:
+            return _replace_anchor(unit, anchor, view, reservations)
+        return _anchor_loads(unit, engine, view, reservations)
 
     def _first_anchor(
-        self, unit: UnitView, view: PlacementView, reserved: dict[str, int]
+        self, unit: UnitView, view: PlacementView, reservations: Reservations
     ) -> list[Move]:
         since_s = self._unplaced_since_s.setdefault(unit.model, view.now_s)
         if view.now_s - since_s < view.ranks.get(unit.model, 0) * RANK_PAUSE_S:
             return []
-        room = ready_room(unit, view) or roomiest(unit, view, reserved)
-        if room is None:
+        engine = ready_engine(unit, view) or engine_with_most_free(
+            unit, view.own_engines, reservations
+        )
+        if engine is None:
             return []
-        reserve(unit, room, reserved)
-        return [Move(MoveKind.ANCHOR, unit.model, room.upstream_id, unit.base, 'first')]
+        reserve_missing(unit, engine, reservations)
+        return [Move(MoveKind.ANCHOR, unit.model, engine.upstream_id, unit.base, 'first')]
 
 
 def _take_over(
-    unit: UnitView, anchor: AnchorView, view: PlacementView, reserved: dict[str, int]
+    unit: UnitView, anchor: AnchorView, view: PlacementView, reservations: Reservations
 ) -> list[Move]:
     """Take the anchor of another data centre that asks for it or is out of sight."""
     if not (anchor.handoff or anchor.lost):
         return []
-    ready = ready_room(unit, view)
+    ready = ready_engine(unit, view)
     if ready is not None:
         return [Move(MoveKind.ANCHOR, unit.model, ready.upstream_id, unit.base, 'take-over')]
     if view.possible_own(unit.base.item_id):
         return []
-    return load_somewhere(unit, view, reserved, 'take-over')
+    return load_somewhere(unit, view, reservations, 'take-over')
 
 
 def _replace_anchor(
-    unit: UnitView, anchor: AnchorView, view: PlacementView, reserved: dict[str, int]
+    unit: UnitView, anchor: AnchorView, view: PlacementView, reservations: Reservations
 ) -> list[Move]:
     """Move an anchor off an own engine that is gone, leaving or drained."""
-    ready = ready_room(unit, view)
+    ready = ready_engine(unit, view)
     if ready is not None:
         return [Move(MoveKind.ANCHOR, unit.model, ready.upstream_id, unit.base, 'replace')]
     if view.possible_own(unit.base.item_id):
         return []
-    loads = load_somewhere(unit, view, reserved, 'replace')
+    loads = load_somewhere(unit, view, reservations, 'replace')
     if loads or anchor.handoff:
         return loads
     return [Move(MoveKind.HANDOFF, unit.model, anchor.upstream_id, unit.base, 'no-room')]
 
 
 def _anchor_loads(
-    unit: UnitView, room: RoomView, view: PlacementView, reserved: dict[str, int]
+    unit: UnitView, engine: EngineView, view: PlacementView, reservations: Reservations
 ) -> list[Move]:
     """Load what the anchor engine lacks, or move the anchor where it fits."""
-    missing = [item for item in unit.items if item.item_id not in room.possible_ids]
+    missing = missing_items(unit, engine)
     if not missing:
         return []
     missing_bytes = sum(item.total_bytes for item in missing)
-    if missing_bytes > room.free_bytes - reserved.get(room.upstream_id, 0):
-        unloads = eviction_moves(unit, room, view, missing_bytes, reserved)
+    short_bytes = missing_bytes - reservations.free_bytes(engine)
+    if short_bytes > 0:
+        unloads = eviction_moves(unit, engine, view, short_bytes)
         if unloads:
             return unloads
-        ready = ready_room(unit, view)
+        ready = ready_engine(unit, view)
         if ready is not None:
             return [Move(MoveKind.ANCHOR, unit.model, ready.upstream_id, unit.base, 'fit')]
         if not view.possible_own(unit.base.item_id):
-            return load_somewhere(unit, view, reserved, 'fit')
+            return load_somewhere(unit, view, reservations, 'fit')
         return []
-    reserved[room.upstream_id] = reserved.get(room.upstream_id, 0) + missing_bytes
-    return loads_on(unit, room, missing, 'anchor')
+    reservations.add(engine, missing_bytes)
+    return loads_on(unit, engine, missing, 'anchor')
 
 
-def _minimum_moves(unit: UnitView, view: PlacementView, reserved: dict[str, int]) -> list[Move]:
+def _minimum_moves(unit: UnitView, view: PlacementView, reservations: Reservations) -> list[Move]:
     """Ask for the replicas that a deployment must have beside its anchor."""
     anchor = view.anchors.get(unit.model)
     if unit.min_replicas < 2 or anchor is None or view.ranks.get(unit.model, 0) != 0:
         return []
-    holders = [r for r in view.rooms.values() if unit.base.item_id in r.possible_ids]
+    holders = [r for r in view.engines.values() if unit.base.item_id in r.possible_ids]
     if len(holders) >= unit.min_replicas:
         return []
-    return load_somewhere(unit, view, reserved, 'minimum')
+    return load_somewhere(unit, view, reservations, 'minimum')
 
 
 def _completion_moves(unit: UnitView, view: PlacementView) -> list[Move]:
-    """Load adapters in use onto further replicas that lack them."""
+    """Load adapters onto further own replicas that lack them and have memory free."""
     anchor = view.anchors.get(unit.model)
+    wanted_ids = _wanted_adapter_ids(unit, anchor, view)
     moves: list[Move] = []
-    for room in view.replicas(unit.base.item_id):
-        if not room.own:
-            continue
-        if anchor is not None and anchor.upstream_id == room.upstream_id:
+    for engine in view.replicas(unit.base.item_id):
+        if not engine.own or (anchor is not None and anchor.upstream_id == engine.upstream_id):
             continue
-        wanted = unit.used_adapter_ids
-        if anchor is not None and (anchor.handoff or anchor.lost):
-            # This replica is to become the anchor, so it needs every adapter.
-            wanted = frozenset(item.item_id for item in unit.items)
-        if anchor is not None and anchor.data_centre == view.data_centre:
-            anchor_room = view.rooms.get(anchor.upstream_id)
-            if anchor_room is None or not anchor_room.open:
-                wanted = frozenset(item.item_id for item in unit.items)
-        missing = [
-            item
-            for item in unit.items[1:]
-            if item.item_id in wanted and item.item_id not in room.possible_ids
-        ]
         moves += [
-            Move(MoveKind.LOAD, unit.model, room.upstream_id, item, 'adapter')
-            for item in missing
-            if item.total_bytes <= room.free_bytes
+            Move(MoveKind.LOAD, unit.model, engine.upstream_id, item, 'adapter')
+            for item in missing_items(unit, engine)
+            if item.item_id in wanted_ids and item.total_bytes <= engine.free_bytes
         ]
     return moves
 
 
+def _wanted_adapter_ids(
+    unit: UnitView, anchor: AnchorView | None, view: PlacementView
+) -> frozenset[str]:
+    """Return the adapters that further replicas of *unit* must hold.
+
+    A replica that may become the anchor needs every adapter, any other those in use.
+    """
+    adapter_ids = frozenset(item.item_id for item in unit.items[1:])
+    if anchor is not None and _has_to_move(anchor, view):
+        return adapter_ids
+    return adapter_ids & unit.used_adapter_ids
+
+
+def _has_to_move(anchor: AnchorView, view: PlacementView) -> bool:
+    """Return whether another engine is to become the anchor."""
+    if anchor.handoff or anchor.lost:
+        return True
+    if anchor.data_centre != view.data_centre:
+        return False
+    engine = view.engines.get(anchor.upstream_id)
+    return engine is None or not engine.open
+
+
 def _removal_moves(view: PlacementView) -> list[Move]:
     """Unload what no deployment names, once the new version stands."""
     deployed = {item.item_id: item for unit in view.units.values() for item in unit.items}
     moves: list[Move] = []
-    for room in view.own_rooms:
-        for item_id in sorted(room.sure_ids - deployed.keys(), reverse=True):
+    for engine in view.own_engines:
+        for item_id in sorted(engine.sure_ids - deployed.keys(), reverse=True):
             unit = view.units.get(model_of(item_id))
             if unit is not None and not _is_replaced(item_id, unit, view):
                 continue
@@ -182,7 +202,7 @@
                 Move(
                     MoveKind.UNLOAD,
                     model_of(item_id),
-                    room.upstream_id,
+                    engine.upstream_id,
                     Item(item_id, '', 0, 0),
                     'not-deployed',
                 )
--- a/limeshelf/standalone/placement/policies.py
+++ b/limeshelf/standalone/placement/policies.py
@@ -1,7 +1,9 @@
 """Placement policies: which models get more replicas than they must have.
 
-A policy only adds wishes to the rules that every placement keeps
-(:mod:`limeshelf.standalone.placement.planner`); it cannot unload an anchor or overcommit.
+Owns the registry of policies and what each remembers between rounds. A policy only
+adds moves to the rules that every placement keeps
+(:mod:`limeshelf.standalone.placement.planner`); the ledger and the unload gate judge
+them, so it cannot unload an anchor or overcommit.
 """
 
 from __future__ import annotations
@@ -11,12 +13,12 @@
 import attrs
 
 from limeshelf.registry import Registry
-from limeshelf.standalone.placement.rooms import eviction_moves
+from limeshelf.standalone.placement.eviction import eviction_moves
 from limeshelf.standalone.placement.view import Move, MoveKind
 
 if TYPE_CHECKING:
     from limeshelf.standalone.config.document import Policy
-    from limeshelf.standalone.placement.view import PlacementView, RoomView, UnitView
+    from limeshelf.standalone.placement.view import EngineView, PlacementView, UnitView
 
 
 class PlacementPolicy(Protocol):
@@ -28,7 +30,7 @@
         ...
 
     def propose(self, view: PlacementView) -> list[Move]:
-        """Return wished moves, the most useful first."""
+        """Return the moves that it asks for, the most useful first."""
         ...
 
 
@@ -53,7 +55,7 @@
 @placement_policies.register('least-recently-used')
 @attrs.define
 class SwapOnDemand:
-    """Load a busy model wherever it is missing; throw out the longest idle one.
+    """Load a busy model wherever it is missing; evict the longest idle one.
 
     The naive baseline of the measurements.
 
@@ -74,11 +76,11 @@
             replicas = len(view.replicas(unit.base.item_id))
             if unit.load <= self.busy_load * max(1, replicas):
                 continue
-            room = _emptiest(unit, view)
-            if room is None:
+            engine = _least_loaded(unit, view)
+            if engine is None:
                 continue
-            moves += eviction_moves(unit, room, view, unit.base.total_bytes, {})
-            moves.append(_load(unit, room, 'busy'))
+            moves += eviction_moves(unit, engine, view, unit.base.total_bytes - engine.free_bytes)
+            moves.append(_load(unit, engine, 'busy'))
         return moves
 
 
@@ -93,11 +95,11 @@
 
     :param gap_load: least difference of load, in requests in work.
     :param settle_s: pause after an addition of the same model.
-    :param idle_s: replicas idle for less are not thrown out for others.
+    :param idle_s: replicas idle for less are not evicted for others.
     """
 
-    #: Of seven settings tried, the one with the most attainment
-    #: (docs/design/decisions.rst).
+    #: Of seven settings tried on three variants, two seeds, these attained most
+    #: (commit 63f6844; figures in docs/design/experiments.rst).
     GAP_LOAD: ClassVar[float] = 8.0
     SETTLE_S: ClassVar[float] = 8.0
     IDLE_S: ClassVar[float] = 30.0
@@ -118,7 +120,7 @@
 
     def propose(self, view: PlacementView) -> list[Move]:
         """Return at most one addition, with the unloads it needs."""
-        least_load = min((room.load for room in view.own_rooms), default=0.0)
+        least_load = min((engine.load for engine in view.own_engines), default=0.0)
         for unit in sorted(view.units.values(), key=_gain, reverse=True):
             if unit.load <= 0 or self._is_settling(unit, view.now_s):
                 continue
@@ -126,15 +128,15 @@
             lightest_load = min((holder.load for holder in holders), default=0.0)
             if lightest_load - least_load < self.gap_load:
                 continue
-            room = _emptiest(unit, view)
-            if room is None or lightest_load - room.load < self.gap_load:
+            engine = _least_loaded(unit, view)
+            if engine is None or lightest_load - engine.load < self.gap_load:
                 continue
-            needed_bytes = unit.base.total_bytes
-            moves = eviction_moves(unit, room, view, needed_bytes, {}, self.idle_s)
-            if not moves and needed_bytes > room.free_bytes:
+            short_bytes = unit.base.total_bytes - engine.free_bytes
+            moves = eviction_moves(unit, engine, view, short_bytes, self.idle_s)
+            if not moves and short_bytes > 0:
                 continue
             self._added_s[unit.model] = view.now_s
-            return [*moves, _load(unit, room, 'spread')]
+            return [*moves, _load(unit, engine, 'spread')]
         return []
 
     def _is_settling(self, unit: UnitView, now_s: float) -> bool:
@@ -144,7 +146,12 @@
 @placement_policies.register('spread-few-moves')
 @attrs.define
 class SpreadFewMoves(Spread):
-    """Spread with a larger gap and longer pauses, for those who pay for moves."""
+    """Spread with a larger gap and longer pauses, for those who pay for moves.
+
+    A preset that operators name in a configuration (docs/operators/policies.rst).
+    """
+
+    #: Of the same seven settings these moved least (commit 63f6844).
 
     GAP_LOAD: ClassVar[float] = 24.0
     SETTLE_S: ClassVar[float] = 120.0
@@ -155,11 +162,11 @@
     return unit.load / max(1, unit.total_bytes)
 
 
-def _emptiest(unit: UnitView, view: PlacementView) -> RoomView | None:
+def _least_loaded(unit: UnitView, view: PlacementView) -> EngineView | None:
     """Return the own engine with the least load that lacks the unit."""
-    lacking = [r for r in view.own_rooms if unit.base.item_id not in r.possible_ids]
+    lacking = [r for r in view.own_engines if unit.base.item_id not in r.possible_ids]
     return min(lacking, key=lambda r: (r.load, -r.free_bytes), default=None)
 
 
-def _load(unit: UnitView, room: RoomView, reason: str) -> Move:
-    return Move(MoveKind.LOAD, unit.model, room.upstream_id, unit.base, reason)
+def _load(unit: UnitView, engine: EngineView, reason: str) -> Move:
+    return Move(MoveKind.LOAD, unit.model, engine.upstream_id, unit.base, reason)
--- a/limeshelf/standalone/placement/view.py
+++ b/limeshelf/standalone/placement/view.py
@@ -1,4 +1,7 @@
-"""What a placement decision sees, and what it may ask for."""
+"""What a placement decision sees, and what it may ask for.
+
+Immutable inputs and outcomes of the rules; relies on nothing.
+"""
 
 from __future__ import annotations
 
@@ -39,7 +42,7 @@
 
 
 @attrs.frozen
-class RoomView:
+class EngineView:
     """One engine.
 
     :param own: whether the deciding placer orders this engine.
@@ -78,7 +81,7 @@
 
 @attrs.frozen
 class PlacementView:
-    """Everything that one placement round looks at.
+    """Everything that the rules of one placement round read.
 
     :param now_s: time of the round, on any clock that only advances.
     :param ranks: by model, the place of the own data centre in the order in
@@ -88,39 +91,39 @@
     now_s: float
     data_centre: str
     units: dict[str, UnitView]
-    rooms: dict[str, RoomView]
+    engines: dict[str, EngineView]
     anchors: dict[str, AnchorView]
     ranks: dict[str, int]
 
     @functools.cached_property
-    def own_rooms(self) -> list[RoomView]:
+    def own_engines(self) -> list[EngineView]:
         """Return the engines that this placer orders and that are open."""
-        return [room for room in self.rooms.values() if room.own and room.open]
+        return [engine for engine in self.engines.values() if engine.own and engine.open]
 
     @functools.cached_property
-    def _holders(self) -> dict[str, list[RoomView]]:
+    def _holders(self) -> dict[str, list[EngineView]]:
         """Return the open engines by item that is surely ready there."""
-        holders: dict[str, list[RoomView]] = {}
-        for room in self.rooms.values():
-            if room.open:
-                for item_id in room.sure_ids:
-                    holders.setdefault(item_id, []).append(room)
+        holders: dict[str, list[EngineView]] = {}
+        for engine in self.engines.values():
+            if engine.open:
+                for item_id in engine.sure_ids:
+                    holders.setdefault(item_id, []).append(engine)
         return holders
 
     @functools.cached_property
-    def _possible_own(self) -> dict[str, list[RoomView]]:
+    def _possible_own(self) -> dict[str, list[EngineView]]:
         """Return the own open engines by item that may be in their memory."""
-        holders: dict[str, list[RoomView]] = {}
-        for room in self.own_rooms:
-            for item_id in room.possible_ids:
-                holders.setdefault(item_id, []).append(room)
+        holders: dict[str, list[EngineView]] = {}
+        for engine in self.own_engines:
+            for item_id in engine.possible_ids:
+                holders.setdefault(item_id, []).append(engine)
         return holders
 
-    def replicas(self, item_id: str) -> list[RoomView]:
+    def replicas(self, item_id: str) -> list[EngineView]:
         """Return the open engines on which the item is surely ready."""
         return self._holders.get(item_id, [])
 
-    def possible_own(self, item_id: str) -> list[RoomView]:
+    def possible_own(self, item_id: str) -> list[EngineView]:
         """Return the own open engines that may hold the item."""
         return self._possible_own.get(item_id, [])
 
@@ -136,7 +139,7 @@
 
 @attrs.frozen
 class Move:
-    """One wish of the planner; the placer checks it before it acts.
+    """One request of the planner or a policy; the placer checks it before it acts.
 
     :param reason: short code for the decision line.
     """
--- a/limeshelf/standalone/placement/look.py
+++ b/limeshelf/standalone/placement/view_builder.py
@@ -1,4 +1,8 @@
-"""Gathers what a placement round looks at from the directories and the ledgers."""
+"""Gathers the view of a placement round from the directories and the ledgers.
+
+Owns when each engine with an anchor was last seen open. Relies on the configuration,
+the upstream directory, the anchors, the demand and the workers' ledgers.
+"""
 
 from __future__ import annotations
 
@@ -6,7 +10,7 @@
 
 from limeshelf.standalone.config.items import items_of
 from limeshelf.standalone.membership.rendezvous import rank
-from limeshelf.standalone.placement.view import AnchorView, PlacementView, RoomView, UnitView
+from limeshelf.standalone.placement.view import AnchorView, EngineView, PlacementView, UnitView
 from limeshelf.util.clock import boottime_s
 
 if TYPE_CHECKING:
@@ -18,11 +22,12 @@
     from limeshelf.standalone.placement.demand import DemandBook
     from limeshelf.standalone.placement.worker import EngineWorker
 
-#: An anchor's engine out of sight for this long counts as lost.
+#: An anchor's engine that was not seen open for this long counts as lost
+#: (docs/design/reachable.rst). Chosen, not measured.
 LOST_S = 15.0
 
 
-class PlacementLook:
+class PlacementViewBuilder:
     """Makes the view of each round.
 
     :param fresh_s: a report of an own engine older than this is not relied on.
@@ -45,11 +50,13 @@
         self._fresh_s = fresh_s
         self._seen_s: dict[str, float] = {}
 
-    def view(self, now_s: float, workers: Mapping[str, EngineWorker]) -> PlacementView:
-        """Return everything that one round looks at."""
+    def build(self, now_s: float, workers: Mapping[str, EngineWorker]) -> PlacementView:
+        """Return the view of the round at *now_s* (boot clock)."""
         catalog = self._config.catalog
-        engines = self._upstreams.engines()
-        rooms = {u.upstream_id: self._room(u, workers.get(u.upstream_id)) for u in engines}
+        engines = {
+            upstream.upstream_id: self._engine(upstream, workers.get(upstream.upstream_id))
+            for upstream in self._upstreams.engines()
+        }
         used = self._demand.used_items(now_s)
         units = {}
         for deployment in catalog.document.deployments:
@@ -62,24 +69,24 @@
                 frozenset(item.item_id for item in items if item.item_id in used),
                 self._demand.idle_s(deployment.name, now_s),
             )
-        centres = {room.data_centre for room in rooms.values()} | {self._data_centre}
+        centres = {engine.data_centre for engine in engines.values()} | {self._data_centre}
         ranks = {model: rank(model, centres).index(self._data_centre) for model in units}
         anchors = {
             model: AnchorView(
                 anchor.upstream_id,
                 anchor.data_centre,
                 anchor.handoff,
-                self._is_lost(anchor.upstream_id, rooms, now_s),
+                self._is_lost(anchor.upstream_id, engines, now_s),
             )
             for model, anchor in self._anchors.all().items()
         }
-        return PlacementView(now_s, self._data_centre, units, rooms, anchors, ranks)
+        return PlacementView(now_s, self._data_centre, units, engines, anchors, ranks)
 
-    def _room(self, upstream: Upstream, worker: EngineWorker | None) -> RoomView:
+    def _engine(self, upstream: Upstream, worker: EngineWorker | None) -> EngineView:
         is_open = self._upstreams.takes_work(upstream, self._config.catalog.drained)
         if worker is not None:
             recent = boottime_s() - worker.reported_s < self._fresh_s
-            return RoomView(
+            return EngineView(
                 upstream.upstream_id,
                 upstream.listed.data_centre,
                 True,
@@ -91,7 +98,7 @@
                 float(upstream.running),
                 worker.ledger.held_bytes(),
             )
-        return RoomView(
+        return EngineView(
             upstream.upstream_id,
             upstream.listed.data_centre,
             False,
@@ -103,8 +110,8 @@
             float(upstream.running),
         )
 
-    def _is_lost(self, upstream_id: str, rooms: dict[str, RoomView], now_s: float) -> bool:
-        room = rooms.get(upstream_id)
-        if room is not None and room.open:
+    def _is_lost(self, upstream_id: str, engines: dict[str, EngineView], now_s: float) -> bool:
+        engine = engines.get(upstream_id)
+        if engine is not None and engine.open:
             self._seen_s[upstream_id] = now_s
         return now_s - self._seen_s.setdefault(upstream_id, now_s) > LOST_S
--- a/limeshelf/standalone/placement/worker.py
+++ b/limeshelf/standalone/placement/worker.py
@@ -1,4 +1,8 @@
-"""Sends the orders of the leading placer to one engine and reads its reports."""
+"""Sends the orders of the leading placer to one engine and reads its reports.
+
+Owns the queue of orders, their numbers and the epoch for which the engine is fenced.
+Relies on the lease, the ledger, the intent log and the client of the engine.
+"""
 
 from __future__ import annotations
 
@@ -23,11 +27,13 @@
     from limeshelf.standalone.placement.ledger import Ledger
     from limeshelf.standalone.upstreams.pool import UpstreamPool
 
+#: Limit of one order or report: two rounds at the default of placer.round_s. Chosen,
+#: not measured.
 EXCHANGE_TIMEOUT_S = 1.0
 
 
 @attrs.frozen
-class Wish:
+class UnnumberedOrder:
     """An order before it has a number."""
 
     action: OrderAction
@@ -75,9 +81,9 @@
         # A restarted engine has forgotten the fence, so it must be raised anew.
         return self._ready_for == (self._lease.epoch, self.ledger.report.boot_id)
 
-    def submit(self, wish: Wish) -> None:
-        """Number *wish*, count it in the ledger and queue it for sending."""
-        order = self._numbered(wish)
+    def submit(self, draft: UnnumberedOrder) -> None:
+        """Number *draft*, count it in the ledger and queue it for sending."""
+        order = self._numbered(draft)
         settle_s = self._settings.order_life_s + self._settings.clock_margin_s
         self.ledger.add_order(order, boottime_s() + settle_s)
         self._queue.append(order)
@@ -129,7 +135,7 @@
         if not self.ledger.checks_fence:
             await self._count_intents(epoch)
             return
-        fence = self._numbered(Wish(OrderAction.FENCE, '', '', 0), epoch)
+        fence = self._numbered(UnnumberedOrder(OrderAction.FENCE, '', '', 0), epoch)
         answer = await self._pool.engine(self.upstream).order(fence, EXCHANGE_TIMEOUT_S)
         self._note_report(answer.report)
         if answer.refusal is OrderRefusal.NONE:
@@ -148,17 +154,17 @@
             self.ledger.add_order(order, boottime_s() + settle_s)
         self._ready_for = (epoch, self.ledger.report.boot_id if self.ledger.report else '')
 
-    def _numbered(self, wish: Wish, epoch: int | None = None) -> Order:
+    def _numbered(self, draft: UnnumberedOrder, epoch: int | None = None) -> Order:
         self._number += 1
         report = self.ledger.report
         return Order(
             epoch=epoch if epoch is not None else self._lease.epoch or 0,
             number=self._number,
             boot_id=report.boot_id if report else '',
-            action=wish.action,
-            item_id=wish.item_id,
-            base_id=wish.base_id,
-            total_bytes=wish.total_bytes,
+            action=draft.action,
+            item_id=draft.item_id,
+            base_id=draft.base_id,
+            total_bytes=draft.total_bytes,
             expires_unix_s=wall_s() + self._settings.order_life_s,
         )
 
@@ -203,7 +209,7 @@
         stuck = [o for o in self.ledger.open_orders if o.dead_after_s - settle_s < limit_s]
         if stuck and not self._queue:
             self._metrics.count('placement.orders_lost')
-            self.submit(Wish(OrderAction.FENCE, '', '', 0))
+            self.submit(UnnumberedOrder(OrderAction.FENCE, '', '', 0))
 
     def _note_report(self, report: EngineReport) -> None:
 
--- a/tests/standalone/placement/test_gate.py
+++ b/tests/standalone/placement/test_gate.py
@@ -8,21 +8,21 @@
 from limeshelf.standalone.lease.keeper import LeaseKeeper
 from limeshelf.standalone.placement.anchors import AnchorBook
 from limeshelf.standalone.placement.gate import UnloadGate
-from limeshelf.standalone.placement.view import AnchorView, PlacementView, RoomView, UnitView
+from limeshelf.standalone.placement.view import AnchorView, EngineView, PlacementView, UnitView
 from tests.support.table import FakeTable, TableFault
 
 BASE = Item('m@1', '', 6, 1)
 
 
-def room(name: str, *items: str) -> RoomView:
+def engine(name: str, *items: str) -> EngineView:
     held = frozenset(items)
-    return RoomView(name, 'x', True, True, 20, 5, held, held, 0.0)
+    return EngineView(name, 'x', True, True, 20, 5, held, held, 0.0)
 
 
-def view(*rooms: RoomView, min_replicas: int = 1) -> PlacementView:
+def view(*engines: EngineView, min_replicas: int = 1) -> PlacementView:
     unit = UnitView('m', (BASE,), min_replicas, 0.0, frozenset(), 0.0)
     anchors = {'m': AnchorView('u0', 'x', False, False)}
-    return PlacementView(0.0, 'x', {'m': unit}, {r.upstream_id: r for r in rooms}, anchors, {})
+    return PlacementView(0.0, 'x', {'m': unit}, {r.upstream_id: r for r in engines}, anchors, {})
 
 
 def anchored(*moves: tuple[str, TableFault]) -> AnchorBook:
@@ -41,7 +41,7 @@
 
 
 def test_anchor_stays_and_a_spare_replica_may_go() -> None:
-    seen = view(room('u0', 'm@1'), room('u1', 'm@1'))
+    seen = view(engine('u0', 'm@1'), engine('u1', 'm@1'))
     gate = UnloadGate(seen, anchored(('u0', TableFault.NONE)), 'x')
     assert not gate.may_unload('m@1', 'u0')
     assert gate.may_unload('m@1', 'u1')
@@ -49,13 +49,13 @@
 
 def test_replica_that_a_lost_answer_may_have_made_the_anchor_stays() -> None:
     """The table has the anchor at u1 by now, and its old holder may unload."""
-    seen = view(room('u0', 'm@1'), room('u1', 'm@1'))
+    seen = view(engine('u0', 'm@1'), engine('u1', 'm@1'))
     book = anchored(('u0', TableFault.NONE), ('u1', TableFault.LOST_AFTER))
     assert not UnloadGate(seen, book, 'x').may_unload('m@1', 'u1')
 
 
 def test_write_that_is_still_on_its_way_counts_too() -> None:
-    seen = view(room('u0', 'm@1'), room('u1', 'm@1'))
+    seen = view(engine('u0', 'm@1'), engine('u1', 'm@1'))
     book = anchored(('u0', TableFault.NONE), ('u1', TableFault.LATE))
     asyncio.run(book.refresh())
     assert not UnloadGate(seen, book, 'x').may_unload('m@1', 'u1')
@@ -64,12 +64,12 @@
 def test_nothing_goes_before_the_anchors_were_read() -> None:
     table = FakeTable()
     book = AnchorBook(table, LeaseKeeper(table, 'x', 'p', 3.0), 'x')
-    seen = view(room('u0', 'm@1'), room('u1', 'm@1'))
+    seen = view(engine('u0', 'm@1'), engine('u1', 'm@1'))
     assert not UnloadGate(seen, book, 'x').may_unload('m@1', 'u1')
 
 
 def test_two_unloads_of_one_round_do_not_count_on_each_other() -> None:
-    seen = view(room('u0', 'm@1'), room('u1', 'm@1'), room('u2', 'm@1'), min_replicas=2)
+    seen = view(engine('u0', 'm@1'), engine('u1', 'm@1'), engine('u2', 'm@1'), min_replicas=2)
     gate = UnloadGate(seen, anchored(('u0', TableFault.NONE)), 'x')
     assert gate.may_unload('m@1', 'u1')
     assert not gate.may_unload('m@1', 'u2')
@@ -77,7 +77,7 @@
 
 def test_replica_stays_while_the_anchor_is_not_ready() -> None:
     gate = UnloadGate(
-        view(room('u0'), room('u1', 'm@1'), room('u2', 'm@1')),
+        view(engine('u0'), engine('u1', 'm@1'), engine('u2', 'm@1')),
         anchored(('u0', TableFault.NONE)),
         'x',
     )
--- a/tests/standalone/placement/test_memory_machine.py
+++ b/tests/standalone/placement/test_memory_machine.py
@@ -22,7 +22,7 @@
 from limeshelf.standalone.membership.upstreams import Upstream
 from limeshelf.standalone.placement.intents import IntentLog
 from limeshelf.standalone.placement.ledger import Ledger
-from limeshelf.standalone.placement.worker import EngineWorker, Wish
+from limeshelf.standalone.placement.worker import EngineWorker, UnnumberedOrder
 from limeshelf.standalone.services.instances import Listed, ListedKind
 from limeshelf.standalone.upstreams.messages import OrderAction
 from tests.support.clock import fake_time
@@ -118,14 +118,14 @@
             if not self._may_decide(placer) or item in placer.ledger.possible_ids():
                 continue
             if placer.ledger.may_load(item, size_bytes):
-                placer.worker.submit(Wish(OrderAction.LOAD, item, '', size_bytes))
+                placer.worker.submit(UnnumberedOrder(OrderAction.LOAD, item, '', size_bytes))
         self.work(number)
 
     @rule(number=PLACERS, item=ITEMS)
     def unload(self, number: int, item: str) -> None:
         placer = self.placers[number]
         if self._may_decide(placer) and item in placer.ledger.sure_ids():
-            placer.worker.submit(Wish(OrderAction.UNLOAD, item, '', 0))
+            placer.worker.submit(UnnumberedOrder(OrderAction.UNLOAD, item, '', 0))
         self.work(number)
 
     @rule(number=PLACERS, last_item=ITEMS, fault=ORDER_FAULTS)
--- a/tests/standalone/placement/test_reachable_machine.py
+++ b/tests/standalone/placement/test_reachable_machine.py
@@ -55,9 +55,9 @@
 
     def propose(self, view: PlacementView) -> list[Move]:
         return [
-            Move(MoveKind.UNLOAD, model_of(i), room.upstream_id, Item(i, '', 0, 0), 'reckless')
-            for room in view.own_rooms
-            for i in sorted(room.sure_ids, reverse=True)
+            Move(MoveKind.UNLOAD, model_of(i), engine.upstream_id, Item(i, '', 0, 0), 'reckless')
+            for engine in view.own_engines
+            for i in sorted(engine.sure_ids, reverse=True)
         ]
 
 
--- a/tests/standalone/placement/test_rollout.py
+++ b/tests/standalone/placement/test_rollout.py
@@ -9,9 +9,9 @@
 from limeshelf.standalone.placement.policies import placement_policies
 from limeshelf.standalone.placement.view import (
     AnchorView,
+    EngineView,
     MoveKind,
     PlacementView,
-    RoomView,
     UnitView,
 )
 from tests.standalone.placement.test_gate import anchored
@@ -20,11 +20,11 @@
 SIZE_BYTES = 6
 
 
-def full_room(name: str) -> RoomView:
+def full_engine(name: str) -> EngineView:
     """Return an engine that is full of old versions, the one anchored here and a spare."""
     held = {'m@1': SIZE_BYTES, 'n@1': SIZE_BYTES}
     ids = frozenset(held)
-    return RoomView(name, 'x', True, True, 2 * SIZE_BYTES, 0, ids, ids, 0.0, held)
+    return EngineView(name, 'x', True, True, 2 * SIZE_BYTES, 0, ids, ids, 0.0, held)
 
 
 def full_view() -> PlacementView:
@@ -36,8 +36,8 @@
         'm': AnchorView('u0', 'x', False, False),
         'n': AnchorView('u1', 'x', False, False),
     }
-    rooms = {name: full_room(name) for name in ('u0', 'u1')}
-    return PlacementView(0.0, 'x', units, rooms, anchors, {'m': 0, 'n': 0})
+    engines = {name: full_engine(name) for name in ('u0', 'u1')}
+    return PlacementView(0.0, 'x', units, engines, anchors, {'m': 0, 'n': 0})
 
 
 def test_old_spare_replicas_make_place_for_new_versions() -> None:
