--- a/limeshelf/membership/registration.py
+++ b/limeshelf/membership/registration.py
@@ -56,8 +56,11 @@
             try:
                 await store.write(MEMBER_TABLE, self.instance_id, value, None)
                 return
-            except (PlatformUnavailable, PlatformUnknown, ConditionFailed):
+            except (PlatformUnavailable, PlatformUnknown, ConditionFailed) as error:
+                # Until the row is there, the others know this gateway from its digests.
                 attempt += 1
+                if attempt == 1:
+                    log_change('member_row_not_written', reason=repr(error))
                 await asyncio.sleep(full_jitter_s(attempt, RETRY_BASE_S, RETRY_LIMIT_S))
 
     def take_row(self, row: Row) -> None:
