--- a/limeshelf/peers/codec.py
+++ b/limeshelf/peers/codec.py
@@ -1,4 +1,8 @@
-"""Encodes peer messages with msgpack and checks them when they arrive."""
+"""Encodes peer messages with msgpack and checks them when they arrive.
+
+Owns the frame around a message. Relies on the registry of
+:mod:`limeshelf.peers.messages` for which classes there are.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +14,7 @@
 from limeshelf.errors import LimeshelfError
 from limeshelf.peers.messages import kind_of, message_kinds
 
-#: A longer frame is refused before it is decoded.
+#: A longer frame is refused before it is decoded. Commit 08e0ebb; chosen, not measured.
 MAX_FRAME_BYTES = 8 << 20
 
 
@@ -43,7 +47,7 @@
 
 
 def encode(envelope: Envelope) -> bytes:
-    """Return the frame of *envelope*."""
+    """Return the frame of *envelope*; its message is of a registered class."""
     body = msgspec.Raw(msgspec.msgpack.encode(envelope.message))
     kind = kind_of(envelope.message)
     return msgspec.msgpack.encode(_Frame(envelope.sender, envelope.data_centre, kind, body))
--- a/limeshelf/peers/messages.py
+++ b/limeshelf/peers/messages.py
@@ -1,4 +1,7 @@
-"""The registry of messages between processes: each class under its name on the wire."""
+"""The registry of messages between processes: each class under its name on the wire.
+
+Owns the names. The modules that define messages fill it as they are imported.
+"""
 
 from __future__ import annotations
 
--- a/limeshelf/peers/node.py
+++ b/limeshelf/peers/node.py
@@ -1,9 +1,12 @@
-"""The peer sockets of one process: one listener, one task for each peer."""
+"""The peer sockets of one process: one listener, one task for each peer.
+
+Owns the links to peers and the counts of what was sent, received, dropped and refused.
+Relies on :mod:`limeshelf.peers.codec` for the form of messages. Both halves of the
+product use it.
+"""
 
 from __future__ import annotations
 
-import asyncio
-from collections import deque
 from typing import TYPE_CHECKING, Any
 
 import pynng
@@ -11,6 +14,7 @@
 
 from limeshelf.errors import LimeshelfError
 from limeshelf.peers.codec import MAX_FRAME_BYTES, Envelope, MalformedMessage, decode, encode
+from limeshelf.peers.link import PeerLink
 from limeshelf.util.tasks import TaskSet
 
 if TYPE_CHECKING:
@@ -18,20 +22,19 @@
 
     Handler = Callable[[Envelope], None]
 
-#: Frames kept for a peer that does not take them; older ones are dropped.
-QUEUE_LIMIT = 64
-#: A connection that was not used for this long is closed.
-IDLE_S = 30.0
-RECONNECT_MIN_MS = 100
-RECONNECT_MAX_MS = 1000
-SEND_TIMEOUT_MS = 2000
-
 
 class PeerNode:
     """Sends messages to peers and hands arriving ones to handlers.
 
     Messages are one-way and may be lost; every exchange that needs certainty
     repeats itself periodically.
+
+    :param host: address to listen at, which peers are told.
+    :param port: TCP port; 0 takes a free one.
+    :param data_centre: of this process, sent with each message.
+    :ivar address: host and port where this process listens; empty before the start.
+    :ivar dropped: frames that were queued for a peer and never sent.
+    :ivar malformed: frames that arrived and are no messages of ours.
     """
 
     def __init__(self, host: str, port: int, data_centre: str) -> None:
@@ -44,7 +47,7 @@
         self._listen_url = f'tcp://{host}:{port}'
         self._host = host
         self._handlers: dict[type[Any], list[Handler]] = {}
-        self._links: dict[str, _Link] = {}
+        self._links: dict[str, PeerLink] = {}
         self._tasks = TaskSet()
         self._socket: Any = None
 
@@ -70,30 +73,24 @@
 
     def send(self, address: str, message: Any) -> None:
         """Queue *message* for the peer at *address*."""
-        frame = encode(Envelope(self.address, self.data_centre, message))
-        self.send_frame(address, frame)
+        self.send_all([address], message)
 
     def send_all(self, addresses: list[str], message: Any) -> None:
         """Queue *message* for several peers; it is encoded once."""
-        if not addresses:
-            return
-        frame = encode(Envelope(self.address, self.data_centre, message))
-        for address in addresses:
-            self.send_frame(address, frame)
+        self.forward_all(addresses, Envelope(self.address, self.data_centre, message))
 
     def forward_all(self, addresses: list[str], envelope: Envelope) -> None:
-        """Queue a message of another process, which stays its sender."""
+        """Queue a message that may be of another process, which stays its sender."""
         if not addresses:
             return
         frame = encode(envelope)
         for address in addresses:
-            self.send_frame(address, frame)
+            self._queue(address, frame)
 
-    def send_frame(self, address: str, frame: bytes) -> None:
-        """Queue an encoded message."""
+    def _queue(self, address: str, frame: bytes) -> None:
         link = self._links.get(address)
         if link is None:
-            link = self._links[address] = _Link(address)
+            link = self._links[address] = PeerLink(address)
             self._tasks.spawn(self._run_link(link), f'peer-{address}')
         if link.put(frame):
             self.dropped += 1
@@ -103,6 +100,7 @@
             try:
                 data = await self._socket.arecv()
             except pynng.exceptions.Closed:
+                # By close().
                 return
             except pynng.NNGException as error:
                 logging.warning('peers=receive_failed error=%r', error)
@@ -114,6 +112,7 @@
         try:
             envelope = decode(data)
         except MalformedMessage:
+            # Counted only: whoever sends such frames must not fill the log.
             self.malformed += 1
             return
         for handler in self._handlers.get(type(envelope.message), ()):
@@ -122,7 +121,7 @@
             except LimeshelfError as error:
                 logging.warning('peers=handler_failed error=%r', error)
 
-    async def _run_link(self, link: _Link) -> None:
+    async def _run_link(self, link: PeerLink) -> None:
         try:
             link.open()
             while True:
@@ -138,58 +137,7 @@
             link.close()
 
 
-class _Link:
-    """The connection to one peer with its queue."""
-
-    def __init__(self, address: str) -> None:
-        self.address = address
-        self._frames: deque[bytes] = deque()
-        self._arrived = asyncio.Event()
-        self._socket: Any = None
-
-    def open(self) -> None:
-        """Start connecting in the background."""
-        self._socket = pynng.Push0(
-            send_timeout=SEND_TIMEOUT_MS,
-            reconnect_time_min=RECONNECT_MIN_MS,
-            reconnect_time_max=RECONNECT_MAX_MS,
-        )
-        self._socket.dial(f'tcp://{self.address}', block=False)
-
-    def put(self, frame: bytes) -> bool:
-        """Queue *frame*; return whether an older one was dropped for it."""
-        full = len(self._frames) >= QUEUE_LIMIT
-        if full:
-            self._frames.popleft()
-        self._frames.append(frame)
-        self._arrived.set()
-        return full
-
-    async def take(self) -> bytes | None:
-        """Return the next frame, or ``None`` after a long time without one."""
-        while not self._frames:
-            self._arrived.clear()
-            try:
-                await asyncio.wait_for(self._arrived.wait(), IDLE_S)
-            except TimeoutError:
-                return None
-        return self._frames.popleft()
-
-    async def transmit(self, frame: bytes) -> bool:
-        """Send *frame*; return whether the peer's connection took it."""
-        try:
-            await self._socket.asend(frame)
-        except pynng.NNGException:
-            return False
-        return True
-
-    def close(self) -> None:
-        """Close the connection."""
-        if self._socket is not None:
-            self._socket.close()
-
-
 def _port_of(address: Any) -> int:
     # The object's own ``port`` is in network byte order; its text is not
-    # (tests/peers/test_node.py::test_address_is_the_bound_port).
+    # (tests/peers/test_peers.py::test_address_is_the_bound_port).
     return int(str(address).rsplit(':', 1)[-1])
--- a/tests/peers/test_peers.py
+++ b/tests/peers/test_peers.py
@@ -10,8 +10,9 @@
 from hypothesis import strategies as st
 
 from limeshelf.peers.codec import Envelope, MalformedMessage, decode, encode
+from limeshelf.peers.link import MAX_QUEUED_FRAMES, PeerLink
 from limeshelf.peers.messages import message_kinds
-from limeshelf.peers.node import QUEUE_LIMIT, PeerNode
+from limeshelf.peers.node import PeerNode
 from limeshelf.standalone.messages import ConfigPull, Heartbeat
 
 VALUES = st.recursive(
@@ -73,10 +74,38 @@
         node = PeerNode('127.0.0.1', 0, 'x')
         await node.start()
         try:
-            for number in range(QUEUE_LIMIT * 3):
+            for number in range(MAX_QUEUED_FRAMES * 3):
                 node.send('127.0.0.1:1', ConfigPull(number))
-            assert node.dropped >= QUEUE_LIMIT
+            assert node.dropped >= MAX_QUEUED_FRAMES
         finally:
             await node.close()
 
     asyncio.run(case())
+
+
+def test_full_queue_drops_the_oldest_frame() -> None:
+    async def case() -> None:
+        link = PeerLink('127.0.0.1:1')
+        dropped = [link.put(b'%d' % number) for number in range(MAX_QUEUED_FRAMES + 1)]
+        assert dropped == [False] * MAX_QUEUED_FRAMES + [True]
+        assert await link.take() == b'1'
+
+    asyncio.run(case())
+
+
+def test_forwarded_message_keeps_its_sender() -> None:
+    async def case() -> None:
+        got: asyncio.Queue[Envelope] = asyncio.Queue()
+        one, two = PeerNode('127.0.0.1', 0, 'x'), PeerNode('127.0.0.1', 0, 'x')
+        two.add_handler(ConfigPull, got.put_nowait)
+        await one.start()
+        await two.start()
+        try:
+            one.forward_all([two.address], Envelope('10.0.0.1:7', 'y', ConfigPull(1)))
+            envelope = await asyncio.wait_for(got.get(), 10)
+            assert (envelope.sender, envelope.data_centre) == ('10.0.0.1:7', 'y')
+        finally:
+            await one.close()
+            await two.close()
+
+    asyncio.run(case())
