--- /dev/null
+++ b/limeshelf/gateway/body.py
@@ -0,0 +1,59 @@
+"""Reads a caller's request whole, within the limits of the configuration in force."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from aiohttp import web
+
+    from limeshelf.calls.routes import ClientLimits
+
+#: Largest body before the first configuration. Chosen in a904fff, not measured.
+MAX_BODY_BYTES = 8 << 20
+#: Bytes that a header field takes beside its name and value: a colon, a space, CR LF.
+FIELD_FRAME_BYTES = 4
+
+STATUS_BODY_TOO_LARGE = 413
+STATUS_HEAD_TOO_LARGE = 431
+
+
+@dataclass(frozen=True)
+class TooLarge:
+    """The request exceeds a limit, and the rest of it is not read.
+
+    :param status: names the limit to the caller.
+    """
+
+    status: int
+
+
+async def read_body(request: web.BaseRequest, limits: ClientLimits | None) -> bytes | TooLarge:
+    """Return the body of a request.
+
+    :param limits: ``None`` before the first configuration; then the head is bounded by
+        the listener alone.
+    """
+    if limits is not None:
+        if _head_bytes(request) > limits.header_bytes:
+            return TooLarge(STATUS_HEAD_TOO_LARGE)
+        if (request.content_length or 0) > limits.body_bytes:
+            return TooLarge(STATUS_BODY_TOO_LARGE)
+    if not request.can_read_body:
+        return b''
+    limit_bytes = limits.body_bytes if limits is not None else MAX_BODY_BYTES
+    chunks = []
+    size_bytes = 0
+    async for chunk in request.content.iter_any():
+        chunks.append(chunk)
+        size_bytes += len(chunk)
+        if size_bytes > limit_bytes:
+            return TooLarge(STATUS_BODY_TOO_LARGE)
+    return b''.join(chunks)
+
+
+def _head_bytes(request: web.BaseRequest) -> int:
+    return len(request.raw_path) + sum(
+        len(name) + len(value) + FIELD_FRAME_BYTES for name, value in request.raw_headers
+    )
--- a/limeshelf/gateway/edge.py
+++ b/limeshelf/gateway/edge.py
@@ -1,4 +1,9 @@
-"""The listeners: callers' calls, and the balancer's question whether we are ready."""
+"""The listeners: one for calls, one on which the balancer asks whether we are ready.
+
+Reads each request whole within the limits in force, hands it to the pipeline as a call,
+and answers by itself what is no call. Owns the phase of the process and the count of
+requests under way; relies on the pipeline for everything that a call needs.
+"""
 
 from __future__ import annotations
 
@@ -7,8 +12,11 @@
 
 from aiohttp import web
 
+from limeshelf.admission import come_back
 from limeshelf.errors import InvalidRequest
 from limeshelf.gateway.answer import CallerGone, HttpAnswer
+from limeshelf.gateway.body import TooLarge, read_body
+from limeshelf.gateway.settling import STATUS_BAD_GATEWAY, STATUS_UNAVAILABLE
 from limeshelf.metrics.event_log import log_change, log_request
 from limeshelf.util.clock import boottime_s
 
@@ -17,28 +25,44 @@
     from limeshelf.gateway.pipeline import Pipeline
     from limeshelf.metrics.prometheus import GatewayMetrics
 
-BACKLOG = 1024
-#: Largest head of a request before a configuration says less, in bytes.
-MAX_HEAD_BYTES = 1 << 16
-MAX_BODY_BYTES = 8 << 20
+#: Connections that may wait to be accepted. Chosen in a904fff, not measured.
+BACKLOG_CONNECTIONS = 1024
+#: Longest request line or header field, whatever the configuration allows for the whole
+#: head. Chosen in a904fff, not measured.
+MAX_FIELD_BYTES = 1 << 16
+#: A connection without a request is closed after this time. Chosen in a904fff, not
+#: measured; the configuration's own limit is not applied.
 IDLE_S = 60.0
-STOPPING_RETRY_S = 0.05
+#: How long the rest of a request is read whose answer went out before its end, and how
+#: long a closing listener waits for its connections. Chosen in a904fff, not measured.
+LINGER_S = 1.0
+SHUTDOWN_S = 0.2
+STATUS_READY = 200
+#: Nobody is there to read it; other servers use the same number for their logs.
+STATUS_CALLER_GONE = 499
 
 
-class Phase(enum.StrEnum):
-    """Phases in their order; none comes back."""
+class GatewayPhase(enum.StrEnum):
+    """Phases of a gateway's life, in their order; none comes back."""
 
+    #: It listens, but lacks a configuration or replicas.
     STARTING = 'starting'
     SERVING = 'serving'
+    #: It serves on while the balancer notices that it is no longer ready.
     NOTICE = 'notice'
+    #: Calls under way end; new ones are refused.
     DRAINING = 'draining'
 
 
 class Edge:
-    """Takes callers' requests and hands them to the pipeline as calls."""
+    """Takes callers' requests and hands them to the pipeline as calls.
+
+    :ivar phase: of this process.
+    :ivar running: requests under way.
+    """
 
     def __init__(self, pipeline: Pipeline, wire: CallWire, figures: GatewayMetrics) -> None:
-        self.phase = Phase.STARTING
+        self.phase = GatewayPhase.STARTING
         self.running = 0
         self._pipeline = pipeline
         self._wire = wire
@@ -59,28 +83,29 @@
             access_log=None,
             auto_decompress=False,
             keepalive_timeout=IDLE_S,
-            max_line_size=MAX_HEAD_BYTES,
-            max_field_size=MAX_HEAD_BYTES,
-            lingering_time=1.0,
+            max_line_size=MAX_FIELD_BYTES,
+            max_field_size=MAX_FIELD_BYTES,
+            lingering_time=LINGER_S,
         )
-        runner = web.ServerRunner(server, shutdown_timeout=0.2)
+        runner = web.ServerRunner(server, shutdown_timeout=SHUTDOWN_S)
         await runner.setup()
         host, _, port = address.rpartition(':')
-        await web.TCPSite(runner, host, int(port), backlog=BACKLOG).start()
+        await web.TCPSite(runner, host, int(port), backlog=BACKLOG_CONNECTIONS).start()
         self._servers.append(server)
         self._runners.append(runner)
 
-    def enter(self, phase: Phase) -> None:
+    def enter(self, phase: GatewayPhase) -> None:
         """Go on to *phase*."""
         self.phase = phase
         log_change('phase', phase=phase, running=self.running)
 
     async def _readiness(self, request: web.BaseRequest) -> web.StreamResponse:
-        return web.Response(status=200 if self.phase is Phase.SERVING else 503)
+        ready = self.phase is GatewayPhase.SERVING
+        return web.Response(status=STATUS_READY if ready else STATUS_UNAVAILABLE)
 
     @property
     def _closing(self) -> bool:
-        return self.phase in (Phase.NOTICE, Phase.DRAINING)
+        return self.phase in (GatewayPhase.NOTICE, GatewayPhase.DRAINING)
 
     async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
         self.running += 1
@@ -88,36 +113,34 @@
         try:
             return await self._serve(request, boottime_s())
         except CallerGone:
-            return web.Response(status=499)
+            return web.Response(status=STATUS_CALLER_GONE)
         finally:
             self.running -= 1
             self._busy.discard(request.protocol)
 
     async def _serve(self, request: web.BaseRequest, arrived_s: float) -> web.StreamResponse:
         answer = HttpAnswer(request, self._closing)
-        too_large = self._check_head(request)
-        if too_large is not None:
-            return self._own(None, too_large)
-        body = await self._read_body(request)
-        if body is None:
-            return self._own(None, 413)
+        config = self._pipeline.config
+        body = await read_body(request, config.limits if config is not None else None)
+        if isinstance(body, TooLarge):
+            return self._answer(None, body.status)
         try:
             call = self._wire.read_call(
                 request.method, request.raw_path, request.headers, body, arrived_s
             )
         except InvalidRequest as error:
             log_request('invalid', field=error.field_name, problem=error.problem)
-            return self._own(None, error.status)
-        if self.phase is Phase.DRAINING:
-            return self._own(call.call_id, 503, STOPPING_RETRY_S)
+            return self._answer(None, error.status)
+        if self.phase is GatewayPhase.DRAINING:
+            return self._answer(call.call_id, STATUS_UNAVAILABLE, come_back.STOPPING_COME_BACK_S)
         await self._pipeline.serve(call, answer)
         response = answer.response
         if response is None:
-            return self._own(call.call_id, 502)
+            return self._answer(call.call_id, STATUS_BAD_GATEWAY)
         self._figures.observe_call(response.status, boottime_s() - arrived_s)
         return response
 
-    def _own(
+    def _answer(
         self, call_id: str | None, status: int, retry_after_s: float | None = None
     ) -> web.Response:
         headers = self._wire.refusal_headers(call_id, retry_after_s)
@@ -127,33 +150,6 @@
         self._figures.observe_call(status, 0.0)
         return response
 
-    def _check_head(self, request: web.BaseRequest) -> int | None:
-        config = self._pipeline.config
-        if config is None:
-            return None
-        size = len(request.raw_path) + sum(
-            len(name) + len(value) + 4 for name, value in request.raw_headers
-        )
-        if size > config.limits.header_bytes:
-            return 431
-        if (request.content_length or 0) > config.limits.body_bytes:
-            return 413
-        return None
-
-    async def _read_body(self, request: web.BaseRequest) -> bytes | None:
-        if not request.can_read_body:
-            return b''
-        config = self._pipeline.config
-        limit = config.limits.body_bytes if config else MAX_BODY_BYTES
-        parts = []
-        size = 0
-        async for chunk in request.content.iter_any():
-            parts.append(chunk)
-            size += len(chunk)
-            if size > limit:
-                return None
-        return b''.join(parts)
-
     def end_idle_connections(self) -> None:
         """Close the callers' connections on which nothing is under way."""
         # The library's own pre_shutdown() leaves them open and deaf
--- a/limeshelf/programs/gateway.py
+++ b/limeshelf/programs/gateway.py
@@ -21,7 +21,7 @@
 from limeshelf.feeds.follower import TableFollower
 from limeshelf.feeds.rows import Row
 from limeshelf.feeds.table_copy import FollowRule, TableCopy
-from limeshelf.gateway.edge import Edge, Phase
+from limeshelf.gateway.edge import Edge, GatewayPhase
 from limeshelf.gateway.pipeline import Pipeline
 from limeshelf.gateway.selection import ReplicaSelector
 from limeshelf.lease.leadership import Leadership
@@ -243,7 +243,7 @@
     async def _become_ready(self) -> None:
         while self.pipeline.config is None or not self.directory.all():
             await self.directory.wait_for_change(HEAR_S)
-        self.edge.enter(Phase.SERVING)
+        self.edge.enter(GatewayPhase.SERVING)
 
     async def _lead(self) -> None:
         while True:
@@ -256,11 +256,11 @@
     async def drain(self) -> int:
         """Stop as planned; return the exit code."""
         began_s = boottime_s()
-        self.edge.enter(Phase.NOTICE)
+        self.edge.enter(GatewayPhase.NOTICE)
         await self.leadership.release()
         self.registration.announce_leaving()
         await asyncio.sleep(NOTICE_S)
-        self.edge.enter(Phase.DRAINING)
+        self.edge.enter(GatewayPhase.DRAINING)
         self.pipeline.refuse_waiting()
         end_s = began_s + self.settings.grace_s * LAST_SHARE
         while self.edge.running and boottime_s() < end_s:
