--- a/tests/support/gateway.py
+++ b/tests/support/gateway.py
@@ -7,6 +7,7 @@
 import contextlib
 import itertools
 import json
+import random
 import socket
 from typing import Any
 
@@ -22,14 +23,22 @@
 HOST = 'calls.example'
 ENGINE = 'lm'
 PLAIN = 'app'
+#: Below the kernel's default of ``net.ipv4.ip_local_port_range``, 32768 to 60999.
+LISTENING_PORTS = (16000, 32000)
 _call_ids = itertools.count(1)
 
 
 def free_port() -> int:
-    """Return a port on loopback that nobody listens on now."""
-    with socket.socket() as probe:
-        probe.bind(('127.0.0.1', 0))
-        return int(probe.getsockname()[1])
+    """Return a port on loopback that nobody listens on now.
+
+    It lies below the ports that the kernel gives to outgoing connections: those were
+    taken now and then between this look and the listening.
+    """
+    while True:
+        port = random.randrange(*LISTENING_PORTS)
+        with socket.socket() as probe, contextlib.suppress(OSError):
+            probe.bind(('127.0.0.1', port))
+            return port
 
 
 def route(name: str, kind: str, service: str, **changes: Any) -> dict[str, Any]:
