--- a/limeshelf/lease/leadership.py
+++ b/limeshelf/lease/leadership.py
@@ -1,48 +1,53 @@
-"""The lease under which one gateway gives orders, and its fence."""
+"""Who leads: the lease under which one gateway gives orders, and its fence.
+
+Owns the term of this process. Relies on the store for one writer of the row at a time,
+and on the replicas, which compare fences, for shutting out a predecessor.
+
+The end of a lease lets others take it; it does not stop its holder. While the store is
+away the last holder goes on ordering: without it nobody would place models, and the
+first order of a successor at a replica shuts it out there. A term ends when a renewal
+finds the row in other hands, when a replica or a peer shows a higher fence, or at a stop.
+
+The lease of our own wire (:mod:`limeshelf.standalone.lease.keeper`) stays apart from
+this one. Its table tells no clock, so contenders watch the row for longer than a
+lease's life, and some of its upstreams check no fence, so the holder judges before it
+orders whether the lease still is valid.
+"""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
 import attrs
-import msgspec
 
 from limeshelf.errors import PlatformUnavailable, PlatformUnknown
 from limeshelf.feeds.rows import ConditionFailed
+from limeshelf.lease.row import (
+    LEASE_KEY,
+    LEASE_TABLE,
+    LeaseValue,
+    find_row,
+    is_free,
+    next_fence,
+    read_value,
+)
 from limeshelf.metrics.event_log import log_change
 from limeshelf.util.clock import boottime_s
 
 if TYPE_CHECKING:
-    from limeshelf.feeds.rows import Page, Row, RowTable
+    from limeshelf.feeds.rows import RowTable
 
-LEASE_TABLE = 'lease'
-LEASE_KEY = 'placement'
-#: A holder renews when this share of the lease has passed; chosen, not measured
-#: (commit a904fff).
+#: A holder renews when this share of the lease has passed since the last renewal.
+#: Chosen, not measured (commit a904fff).
 RENEW_SHARE = 0.35
 
 
-class LeaseValue(msgspec.Struct):
-    """The lease row.
-
-    :ivar fence: rises with each holder.
-    :ivar until_ms: on the store's own clock.
-    """
-
-    holder: str
-    fence: int
-    until_ms: int
-
-
-_values = msgspec.json.Decoder(LeaseValue)
-
-
 @attrs.define
 class Term:
     """One holding of the lease.
 
-    :ivar renewed_s: when the row was last written, on this machine's steady
-        clock; a moment before the write was sent.
+    :ivar renewed_s: when the row was last written, on the boot clock; a moment before
+        the write was sent.
     :ivar row_version: the store's version of that write.
     """
 
@@ -50,6 +55,13 @@
     renewed_s: float
     row_version: int
 
+    def renewal_is_due(self, now_s: float, lease_s: float) -> bool:
+        """Return whether to renew now.
+
+        :param lease_s: life of a lease without renewal.
+        """
+        return now_s - self.renewed_s > RENEW_SHARE * lease_s
+
 
 class Leadership:
     """Competes for the lease row; holds, renews and gives back.
@@ -64,6 +76,7 @@
         self._holder = holder
         self._lease_s = lease_s
         self._highest_fence = 0
+        self._store_lost = False
 
     @property
     def fence(self) -> int:
@@ -87,43 +100,56 @@
         try:
             if self.term is None:
                 await self._contend()
-            elif self._renewal_due(self.term):
+            elif self.term.renewal_is_due(boottime_s(), self._lease_s):
                 await self._renew(self.term)
-        except (PlatformUnavailable, PlatformUnknown):
+            else:
+                return
+        except (PlatformUnavailable, PlatformUnknown) as error:
+            # The term goes on (see above), and the next step asks again. A write whose
+            # effect is unknown needs no more: its row names this holder, who may take it.
+            self._note_store(lost_by=type(error).__name__)
             return
+        self._note_store(lost_by='')
 
-    def _renewal_due(self, term: Term) -> bool:
-        return boottime_s() - term.renewed_s > RENEW_SHARE * self._lease_s
+    def _note_store(self, lost_by: str) -> None:
+        """Log when a step is the first that the store failed, or the first that it did not."""
+        if bool(lost_by) == self._store_lost:
+            return
+        self._store_lost = bool(lost_by)
+        if lost_by:
+            log_change('lease_store_lost', fence=self.fence, cause=lost_by)
+        else:
+            log_change('lease_store_reached', fence=self.fence)
 
     async def _contend(self) -> None:
         page = await self._store.read(LEASE_TABLE)
-        row = _lease_row(page)
-        value = _values.decode(row.value) if row is not None else None
-        if value is not None and value.until_ms > page.now_ms and value.holder != self._holder:
+        row = find_row(page)
+        value = read_value(row)
+        if not is_free(value, page.now_ms, self._holder):
             return
-        fence = max(self._highest_fence, value.fence if value else 0) + 1
+        fence = next_fence(self._highest_fence, value)
         await self._write(fence, row.version if row else 0, page.now_ms)
 
     async def _renew(self, term: Term) -> None:
         page = await self._store.read(LEASE_TABLE)
-        row = _lease_row(page)
-        value = _values.decode(row.value) if row is not None else None
+        row = find_row(page)
+        value = read_value(row)
         if row is None or value is None or value.fence != term.fence:
             self.end('row_taken')
             return
         await self._write(term.fence, row.version, page.now_ms)
 
-    async def _write(self, fence: int, expected: int, now_ms: int) -> None:
+    async def _write(self, fence: int, expected_version: int, now_ms: int) -> None:
         """Write the row; the store's clock stood at *now_ms* or later before."""
         sent_s = boottime_s()
         value = LeaseValue(self._holder, fence, now_ms + int(self._lease_s * 1000))
         try:
             version = await self._store.write(
-                LEASE_TABLE, LEASE_KEY, msgspec.json.encode(value), expected
+                LEASE_TABLE, LEASE_KEY, value.encode(), expected_version
             )
         except ConditionFailed:
-            if self.term is not None:
-                self.end('condition_failed')
+            # Another contender wrote first; without a term that is no event here.
+            self.end('condition_failed')
             return
         if self.term is None:
             self.term = Term(fence, sent_s, version)
@@ -141,15 +167,7 @@
         self.end('released')
         value = LeaseValue(self._holder, term.fence, 0)
         try:
-            await self._store.write(
-                LEASE_TABLE, LEASE_KEY, msgspec.json.encode(value), term.row_version
-            )
-        except (ConditionFailed, PlatformUnavailable, PlatformUnknown):
-            return
-
-
-def _lease_row(page: Page) -> Row | None:
-    for row in page.rows:
-        if row.key == LEASE_KEY:
-            return row
-    return None
+            await self._store.write(LEASE_TABLE, LEASE_KEY, value.encode(), term.row_version)
+        except (ConditionFailed, PlatformUnavailable, PlatformUnknown) as error:
+            # Nothing is lost but time: the row's end lets a successor in.
+            log_change('lease_not_released', fence=term.fence, cause=type(error).__name__)
--- /dev/null
+++ b/limeshelf/lease/row.py
@@ -0,0 +1,67 @@
+"""The lease row in the platform's store: what it says, and when it may be taken.
+
+The row is free once its end has passed on the store's clock, which every answer tells,
+or if it names the contender itself: a holder whose answer was lost, or that starts
+again. Nobody needs to watch a row through a lease's life, and clocks of machines are
+not compared.
+"""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+import msgspec
+
+if TYPE_CHECKING:
+    from limeshelf.feeds.rows import Page, Row
+
+LEASE_TABLE = 'lease'
+LEASE_KEY = 'placement'
+
+
+class LeaseValue(msgspec.Struct):
+    """The value of the lease row.
+
+    :ivar fence: rises with each holder.
+    :ivar until_ms: on the store's own clock; 0 once the lease was given back.
+    """
+
+    holder: str
+    fence: int
+    until_ms: int
+
+    def encode(self) -> bytes:
+        """Return the row's value as the store keeps it."""
+        return msgspec.json.encode(self)
+
+
+_values = msgspec.json.Decoder(LeaseValue)
+
+
+def find_row(page: Page) -> Row | None:
+    """Return the lease row of a page, if there is one."""
+    for row in page.rows:
+        if row.key == LEASE_KEY:
+            return row
+    return None
+
+
+def read_value(row: Row | None) -> LeaseValue | None:
+    """Return what a lease row says, or ``None`` without a row.
+
+    :raises msgspec.MsgspecError: the value is not that of a lease.
+    """
+    return _values.decode(row.value) if row is not None else None
+
+
+def is_free(value: LeaseValue | None, now_ms: int, contender: str) -> bool:
+    """Return whether *contender* may take the lease.
+
+    :param now_ms: on the store's clock.
+    """
+    return value is None or value.until_ms <= now_ms or value.holder == contender
+
+
+def next_fence(highest_seen: int, value: LeaseValue | None) -> int:
+    """Return the fence of a new term: above the row's, and above any seen elsewhere."""
+    return max(highest_seen, value.fence if value else 0) + 1
--- a/tests/lease/test_leadership.py
+++ b/tests/lease/test_leadership.py
@@ -5,7 +5,10 @@
 import asyncio
 from typing import Any
 
-from limeshelf.lease.leadership import LEASE_KEY, LEASE_TABLE, Leadership
+import pytest
+
+from limeshelf.lease.leadership import Leadership
+from limeshelf.lease.row import LEASE_KEY, LEASE_TABLE
 from limeshelf.platform.store import StoreClient
 from standins.users_platform.store import StoreStandIn
 
@@ -96,3 +99,29 @@
         assert (first.fence, second.fence) == (0, 2)
 
     play(scenario)
+
+
+def test_lost_store_is_logged_once_and_again_when_it_is_reached(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    events: list[tuple[str, dict[str, Any]]] = []
+    monkeypatch.setattr(
+        'limeshelf.lease.leadership.log_change',
+        lambda event, **fields: events.append((event, fields)),
+    )
+
+    async def scenario(store: StoreStandIn, first: Leadership, second: Leadership) -> None:
+        store.faults.status = 503
+        for _ in range(3):
+            await first.step()
+        store.faults.status = 0
+        for _ in range(3):
+            await first.step()
+
+    play(scenario)
+    assert [event for event, _ in events] == [
+        'lease_store_lost',
+        'term_begun',
+        'lease_store_reached',
+    ]
+    assert events[0][1] == {'fence': 0, 'cause': 'PlatformUnavailable'}
--- /dev/null
+++ b/tests/lease/test_row.py
@@ -0,0 +1,51 @@
+"""When the lease may be taken, under which fence, and when it is renewed."""
+
+from __future__ import annotations
+
+import pytest
+
+from limeshelf.feeds.rows import Page, Row
+from limeshelf.lease.leadership import RENEW_SHARE, Term
+from limeshelf.lease.row import LEASE_KEY, LeaseValue, find_row, is_free, next_fence, read_value
+
+NOW_MS = 50_000
+
+
+@pytest.mark.parametrize(
+    ('value', 'free'),
+    [
+        (None, True),
+        (LeaseValue('g-2', 8, NOW_MS + 1), False),
+        (LeaseValue('g-2', 8, NOW_MS), True),
+        (LeaseValue('g-2', 8, 0), True),
+        (LeaseValue('g-1', 8, NOW_MS + 1), True),
+    ],
+    ids=['no row', 'held', 'ended', 'given back', 'own'],
+)
+def test_lease_is_free_after_its_end_or_for_its_holder(
+    value: LeaseValue | None, free: bool
+) -> None:
+    assert is_free(value, NOW_MS, 'g-1') is free
+
+
+def test_fence_rises_above_the_row_and_all_that_was_seen() -> None:
+    assert next_fence(0, None) == 1
+    assert next_fence(3, LeaseValue('g-2', 8, 0)) == 9
+    assert next_fence(9, LeaseValue('g-2', 8, 0)) == 10
+
+
+def test_value_reads_back_from_its_row() -> None:
+    value = LeaseValue('g-1', 2, 7)
+    other = Row('else', b'{}', 3)
+    row = Row(LEASE_KEY, value.encode(), 4)
+    page = Page((other, row), 4, NOW_MS)
+    assert find_row(page) is row
+    assert read_value(row) == value
+    assert find_row(Page((other,), 4, NOW_MS)) is None
+    assert read_value(None) is None
+
+
+def test_renewal_is_due_after_its_share_of_the_lease() -> None:
+    term = Term(1, 100.0, 1)
+    assert not term.renewal_is_due(100.0 + RENEW_SHARE * 2.0 - 0.001, 2.0)
+    assert term.renewal_is_due(100.0 + RENEW_SHARE * 2.0 + 0.001, 2.0)
