--- a/limeshelf/dispatch/dispatcher.py
+++ b/limeshelf/dispatch/dispatcher.py
@@ -23,7 +23,7 @@
 from limeshelf.dispatch.reading_speed import ReadingSpeed
 from limeshelf.dispatch.refusal import QueuePosition, estimate_wait
 from limeshelf.dispatch.requests import GrantedRequest, QueuedRequest
-from limeshelf.dispatch.selector import ReplicaSelector
+from limeshelf.dispatch.selector import HolderSelector
 from limeshelf.util.clock import boottime_s
 
 if TYPE_CHECKING:
@@ -65,7 +65,7 @@
         self._answer = answer
         self._queue: dict[str, QueuedRequest] = {}
         self._granted: dict[str, GrantedRequest] = {}
-        self._selector = ReplicaSelector(directory, self.speed)
+        self._selector = HolderSelector(directory, self.speed)
 
     def set_reading_share(self, share: float) -> None:
         """Set the part of a replica's reading, 0 to 1, that may be granted here."""
--- a/limeshelf/dispatch/fallback.py
+++ b/limeshelf/dispatch/fallback.py
@@ -15,8 +15,8 @@
 #: A dispatcher that does not answer within this time counts as silent. Chosen, not
 #: measured (7b7cfc1).
 ANSWER_TIMEOUT_S = 0.08
-#: A silent dispatcher is not asked for this long. Lowered from 1 s by 07266d4, whose
-#: trials of trouble-2 were too far apart (0.33 to 0.92) to show a gain.
+#: A silent dispatcher is not asked for this long. Lowered from 1 s by 07266d4 together with
+#: refusing early; its trials of trouble-2 (0.92 before, 0.50 after) show no gain.
 AVOID_S = 0.4
 #: Part of a replica's reading that a gateway grants while it is not the dispatcher.
 #: Chosen, not measured (07266d4).
--- a/limeshelf/dispatch/selector.py
+++ b/limeshelf/dispatch/selector.py
@@ -4,7 +4,7 @@
 holders, where all are suspended), and that may read and hold it now
 (:mod:`limeshelf.dispatch.limits`), the one with the least to read, to run and to hold.
 Owns what granted requests take of each replica, and the holders of each model until the
-next :meth:`~ReplicaSelector.forget_holders`; relies on
+next :meth:`~HolderSelector.forget_holders`; relies on
 :mod:`limeshelf.replicas.directory` for records, holdings, health and reported loads.
 """
 
@@ -26,8 +26,8 @@
     from limeshelf.replicas.replica import Replica
 
 
-class ReplicaSelector:
-    """Chooses replicas, by what granted requests take of them.
+class HolderSelector:
+    """Chooses among the replicas that hold a model, by what granted requests take of them.
 
     :ivar reading_share: part of a replica's reading, 0 to 1, that may be granted here.
     :ivar loads: what granted requests take, by id of the replica.
--- a/tests/dispatch/test_selector.py
+++ b/tests/dispatch/test_selector.py
@@ -12,7 +12,7 @@
 from limeshelf.dispatch.limits import Occupancy
 from limeshelf.dispatch.messages import DispatchQuery
 from limeshelf.dispatch.reading_speed import ReadingSpeed
-from limeshelf.dispatch.selector import ReplicaSelector, call_cost
+from limeshelf.dispatch.selector import HolderSelector, call_cost
 from limeshelf.platform.replicas import read_record
 from limeshelf.replicas.directory import ReplicaDirectory
 from limeshelf.replicas.health import Failure
@@ -29,23 +29,23 @@
         yield made
 
 
-def selector_of(*data_centres: str) -> ReplicaSelector:
+def selector_of(*data_centres: str) -> HolderSelector:
     directory = ReplicaDirectory(read_record)
     for number, data_centre in enumerate(data_centres):
         record = ReplicaRecord(
             f'r{number}', 'lm', f'ip:{number}', data_centre, 4, False, None, (Holding('m'),), 1
         )
         directory._take_record(record)
-    return ReplicaSelector(directory, ReadingSpeed())
+    return HolderSelector(directory, ReadingSpeed())
 
 
-def replica(selector: ReplicaSelector, replica_id: str) -> Replica:
+def replica(selector: HolderSelector, replica_id: str) -> Replica:
     found = selector._directory.get(replica_id)
     assert found is not None
     return found
 
 
-def chosen(selector: ReplicaSelector, **changes: Any) -> str | None:
+def chosen(selector: HolderSelector, **changes: Any) -> str | None:
     fields: dict[str, Any] = {
         'ticket_id': 'a',
         'key': ModelKey('lm', 'm'),
