--- a/limeshelf/standalone/entry/claimed.py
+++ b/limeshelf/standalone/entry/claimed.py
@@ -1,4 +1,8 @@
-"""Plain calls under a claim on their idempotency key."""
+"""Plain calls under a claim on their idempotency key: sent at most once.
+
+Owns no state; the claims are rows of the table. Relies on ``claims.keeper`` for who
+may send a call and on ``plain_attempts`` for sending it.
+"""
 
 from __future__ import annotations
 
@@ -36,7 +40,7 @@
     from limeshelf.standalone.entry.context import EntryContext
     from limeshelf.standalone.entry.plain_attempts import PreparedCall
 
-#: What a caller is told when keys cannot be claimed.
+#: When a caller is told to come back if keys cannot be claimed. Chosen, not measured.
 CLAIMS_RETRY_S = 5.0
 
 
@@ -47,34 +51,59 @@
         self._context = context
 
     async def answer(self, prepared: PreparedCall, key: str, body: bytes) -> web.Response:
-        """Send the call under a claim on its key, at most once for all instances."""
+        """Send the call under a claim on its key, at most once for all instances.
+
+        :param body: the whole body; it is part of what tells two calls apart.
+        :raises RequestNotRun: the call did not run.
+        :raises RequestInDoubt: it may have run, for this request or an earlier one.
+        """
         call = prepared.call
         fingerprint = fingerprint_of(call.method, call.path_and_query, body)
         scope = f'{prepared.route.name}/{prepared.caller}'
         claim = await self._context.claims.claim(scope, key, fingerprint)
+        if isinstance(claim, Claimed):
+            return await self._answer_once(prepared, claim, fingerprint)
+        if isinstance(claim, ClaimedBefore):
+            return _repeated(claim, prepared)
         if isinstance(claim, ClaimMismatch):
             raise RequestNotRun(
                 NotRun(RefusalReason.KEY_REUSED, None, 'the key belongs to another call')
             )
-        if isinstance(claim, ClaimedBefore):
-            return _repeated(claim, prepared)
-        if not isinstance(claim, Claimed):
-            raise RequestNotRun(
-                NotRun(
-                    RefusalReason.CLAIMS_UNAVAILABLE,
-                    CLAIMS_RETRY_S,
-                    'the key cannot be claimed now',
-                )
+        self._log(prepared, 'claim', claim.cause)
+        raise RequestNotRun(
+            NotRun(
+                RefusalReason.CLAIMS_UNAVAILABLE, CLAIMS_RETRY_S, 'the key cannot be claimed now'
             )
+        )
+
+    async def _answer_once(
+        self, prepared: PreparedCall, claim: Claimed, fingerprint: str
+    ) -> web.Response:
+        """Send the call, and keep its answer or free its key."""
+        claims = self._context.claims
         try:
             whole = await self._send(prepared)
         except RequestNotRun:
-            await self._context.claims.give_back(claim)
+            if not await claims.give_back(claim):
+                # Repeats are told that the call may have run, though it did not.
+                self._log(prepared, 'give_back', 'uncertain')
             raise
         answer = _answered(whole, prepared)
-        await self._context.claims.keep_answer(claim, whole.to_keep(), fingerprint)
+        if not await claims.keep_answer(claim, whole.to_keep(), fingerprint):
+            # Repeats are told that the call may have run; they never run it again.
+            self._log(prepared, 'keep_answer', 'uncertain')
         return answer
 
+    def _log(self, prepared: PreparedCall, step: str, outcome: str) -> None:
+        self._context.decisions.add(
+            prepared.request_id,
+            'claim',
+            route=prepared.route.name,
+            caller=prepared.caller,
+            step=step,
+            outcome=outcome,
+        )
+
     async def _send(self, prepared: PreparedCall) -> WholeAnswer:
         """Send until one replica takes the call; read its whole answer.
 
@@ -139,9 +168,11 @@
 
 
 def _kept_text(body: bytes) -> str | None:
+    """Return the body as a row can hold it, or ``None`` if it is too large or no text."""
     if len(body) > MAX_KEPT_BYTES:
         return None
     try:
         return body.decode()
     except UnicodeDecodeError:
+        # A repeat gets the status without the body, and a header that says so.
         return None
--- a/limeshelf/standalone/upstreams/engine.py
+++ b/limeshelf/standalone/upstreams/engine.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from limeshelf.errors import DoubtReason, ExchangeBroken
-from limeshelf.standalone.upstreams.http import failure_of, refusal_of
+from limeshelf.standalone.upstreams.http import CLIENT_ERRORS, failure_of, refusal_of
 from limeshelf.standalone.upstreams.messages import (
     EngineReport,
     GenerateRequest,
@@ -71,8 +71,8 @@
                     # out of step and must not be used again.
                     if not answer.content.at_eof():
                         answer.close()
-        except (aiohttp.ClientError, ConnectionError, TimeoutError) as error:
-            raise failure_of(error, self.upstream_id) or error from None
+        except CLIENT_ERRORS as error:
+            raise failure_of(error, self.upstream_id) from None
 
     def _check_status(self, answer: aiohttp.ClientResponse) -> None:
         refusal = refusal_of(answer.headers, self.upstream_id)
@@ -115,8 +115,8 @@
             ):
                 self._check_status(answer)
                 return await answer.read()
-        except (aiohttp.ClientError, ConnectionError, TimeoutError) as error:
-            raise failure_of(error, self.upstream_id) or error from None
+        except CLIENT_ERRORS as error:
+            raise failure_of(error, self.upstream_id) from None
 
     def _decoded(self, body: bytes, kind: type[T]) -> T:
         try:
--- a/limeshelf/standalone/upstreams/http.py
+++ b/limeshelf/standalone/upstreams/http.py
@@ -18,6 +18,9 @@
 LEAVING_HEADER = 'X-Leaving'
 RETRY_AFTER_HEADER = 'Retry-After'
 
+#: What a client call raises when the exchange fails.
+CLIENT_ERRORS = (aiohttp.ClientError, ConnectionError, TimeoutError)
+
 
 def open_session(connect_timeout_s: float, reuse: bool = True) -> aiohttp.ClientSession:
     """Return a session that never repeats a request by itself.
@@ -36,15 +39,15 @@
     return without_silent_retry(session)
 
 
-def failure_of(error: Exception, upstream_id: str) -> UpstreamUnreachable | ExchangeBroken | None:
-    """Return what a client error says of the request, ``None`` if not one of ours."""
+def failure_of(
+    error: aiohttp.ClientError | ConnectionError | TimeoutError, upstream_id: str
+) -> UpstreamUnreachable | ExchangeBroken:
+    """Return what an error of :data:`CLIENT_ERRORS` says of the request."""
     if isinstance(error, aiohttp.ClientConnectorError | aiohttp.ConnectionTimeoutError):
         return UpstreamUnreachable(upstream_id)
     if isinstance(error, TimeoutError):
         return ExchangeBroken(upstream_id, DoubtReason.ANSWER_TIMEOUT)
-    if isinstance(error, aiohttp.ClientError | ConnectionError):
-        return ExchangeBroken(upstream_id, DoubtReason.CONNECTION_LOST)
-    return None
+    return ExchangeBroken(upstream_id, DoubtReason.CONNECTION_LOST)
 
 
 def refusal_of(headers: CIMultiDictProxy[str], upstream_id: str) -> UpstreamRefused | None:
@@ -64,4 +67,5 @@
     try:
         return float(text)
     except ValueError:
+        # A date or nonsense: the refusal itself counts, with a pause of our own.
         return None
--- a/limeshelf/standalone/upstreams/plain.py
+++ b/limeshelf/standalone/upstreams/plain.py
@@ -12,7 +12,7 @@
 from yarl import URL
 
 from limeshelf.errors import DoubtReason, ExchangeBroken
-from limeshelf.standalone.upstreams.http import failure_of, refusal_of
+from limeshelf.standalone.upstreams.http import CLIENT_ERRORS, failure_of, refusal_of
 from limeshelf.standalone.upstreams.messages import PlainReport
 
 if TYPE_CHECKING:
@@ -95,8 +95,8 @@
                 if refusal is not None:
                     raise refusal
                 yield answer
-        except (aiohttp.ClientError, ConnectionError, TimeoutError) as error:
-            raise failure_of(error, self.upstream_id) or error from None
+        except CLIENT_ERRORS as error:
+            raise failure_of(error, self.upstream_id) from None
 
     async def report(self, timeout_s: float) -> PlainReport:
         """Return the service's report."""
@@ -108,8 +108,8 @@
                 return msgspec.json.decode(await answer.read(), type=PlainReport)
         except msgspec.MsgspecError:
             raise ExchangeBroken(self.upstream_id, DoubtReason.ANSWER_FOREIGN) from None
-        except (aiohttp.ClientError, ConnectionError, TimeoutError) as error:
-            raise failure_of(error, self.upstream_id) or error from None
+        except CLIENT_ERRORS as error:
+            raise failure_of(error, self.upstream_id) from None
 
 
 def passable_headers(headers: CIMultiDict[str]) -> CIMultiDict[str]:
--- a/tests/standalone/entry/test_plain.py
+++ b/tests/standalone/entry/test_plain.py
@@ -161,6 +161,30 @@
     run(case())
 
 
+@pytest.mark.parametrize(
+    ('faults', 'busy', 'logged'),
+    [
+        ([TableFault.DOWN], 0, 'step=claim outcome=table_unavailable'),
+        ([TableFault.LOST_BEFORE], 0, 'step=claim outcome=insert_may_be_late'),
+        ([TableFault.LOST_AFTER, TableFault.DOWN], 0, 'step=claim outcome=read_back_failed'),
+        ([TableFault.NONE, TableFault.DOWN], 0, 'step=keep_answer outcome=uncertain'),
+        ([TableFault.NONE, TableFault.DOWN], 1, 'step=give_back outcome=uncertain'),
+    ],
+)
+def test_trouble_with_a_claim_is_logged(faults, busy, logged) -> None:
+    async def case() -> None:
+        async with bench() as made:
+            made.table.next_faults.extend(faults)
+            for service in made.services.values():
+                service.faults.busy = busy
+            headers = {'Idempotency-Key': 'k'}
+            _, got, _ = await made.send('POST', '/book/s', data=b'x', headers=headers)
+            lines = made.context.decisions.lines(got['X-Limeshelf-Request-Id'])
+            assert f'route=book caller=anonymous {logged}' in lines[-1]
+
+    run(case())
+
+
 def test_lost_claim_answer_is_read_back() -> None:
     async def case() -> None:
         async with bench() as made:
