--- a/limeshelf/membership/__init__.py
+++ b/limeshelf/membership/__init__.py
@@ -1,1 +1,1 @@
-"""The gateways of this deployment, and the state that they tell one another."""
+"""The gateways of this deployment, and the state that they send one another."""
--- a/limeshelf/membership/contention.py
+++ b/limeshelf/membership/contention.py
@@ -1,6 +1,6 @@
 """Decides whether this gateway tries to take the lease.
 
-Relays come first: they hear of a lost leader first, and few contenders keep the calls to
+Relays come first: they notice a lost leader first, and few contenders keep the calls to
 the store few. Decides only; :class:`limeshelf.membership.leader.LeaderView` applies it.
 """
 
--- a/limeshelf/membership/digest_exchange.py
+++ b/limeshelf/membership/digest_exchange.py
@@ -1,4 +1,4 @@
-"""Tells the other gateways what this one does, and takes in what they do.
+"""Sends the other gateways what this one does, and takes in what they do.
 
 Each gateway sends a digest to the relays of its data centre; relays sum the digests up
 for the others. Owns the digests and the sum that came; passes loads on to the directory
@@ -111,7 +111,7 @@
         )
 
     def _send_summary(self) -> None:
-        """Tell the gateways of this data centre what all gateways have under way."""
+        """Send the gateways of this data centre what all gateways have under way."""
         totals = self._book.loads()
         for replica in self.directory.all():
             if replica.own.calls:
@@ -131,7 +131,7 @@
     def _take_digest(self, envelope: Envelope) -> None:
         digest: GatewayDigest = envelope.message
         if self.members.note_message(digest.address, digest.data_centre):
-            log_change('peer_heard', peer=digest.instance_id, address=digest.address)
+            log_change('gateway_active', gateway=digest.instance_id, address=digest.address)
         self.members.add(digest.address, digest.data_centre, digest.weight)
         self._note_digest(digest)
 
--- a/limeshelf/membership/messages.py
+++ b/limeshelf/membership/messages.py
@@ -92,7 +92,7 @@
 @add_message('gateway-digest')
 @attrs.frozen
 class GatewayDigest:
-    """What a gateway does, as it tells the relays of its data centre.
+    """What a gateway does, sent to the relays of its data centre.
 
     :param weight: how much the gateway can carry beside its calls.
     :param number: rises with each digest; a lower one came late.
@@ -124,7 +124,7 @@
 @add_message('fleet-summary')
 @attrs.frozen
 class FleetSummary:
-    """What all gateways do, as a relay tells the gateways of its data centre.
+    """What all gateways do, sent by a relay to the gateways of its data centre.
 
     :param gateways: how many there are, over all data centres.
     :param loads: what all of them have under way at each replica.
--- a/limeshelf/membership/row_exchange.py
+++ b/limeshelf/membership/row_exchange.py
@@ -26,7 +26,7 @@
     from limeshelf.peers.codec import Envelope
     from limeshelf.peers.node import PeerNode
 
-#: The first relay tells this often how new its rows are, and a gateway with stale rows
+#: The first relay sends this often how new its rows are, and a gateway with stale rows
 #: asks another one. Commit 48b990a; chosen, not measured.
 CONFIRM_INTERVAL_S = 0.3
 
@@ -60,7 +60,7 @@
         return patience_s(self.members.own_rank())
 
     def announce_page(self, copy: TableCopy, after: int) -> None:
-        """Tell the gateways of this data centre what an answer of the store brought.
+        """Send the gateways of this data centre what an answer of the store brought.
 
         :param after: the version of the copy before.
         """
@@ -71,7 +71,7 @@
         self.node.send_all(audience.own_centre(self.members), TableUpdates(updates))
 
     async def run(self) -> None:
-        """Tell how new the rows are, and ask others while they are stale."""
+        """As first relay, send how new the rows are; while they are stale, ask others."""
         while True:
             await asyncio.sleep(jittered_s(CONFIRM_INTERVAL_S))
             if self.members.is_first_relay:
--- a/limeshelf/membership/state_changes.py
+++ b/limeshelf/membership/state_changes.py
@@ -1,4 +1,4 @@
-"""Collects what the leader has to tell the other gateways of replicas at once.
+"""Collects the changes of replicas that the leader has to send to other gateways at once.
 
 Owns the changes that were not sent yet. The directory of replicas and the placement note
 them; :class:`limeshelf.membership.state_exchange.StateExchange` sends them.
--- a/limeshelf/membership/state_exchange.py
+++ b/limeshelf/membership/state_exchange.py
@@ -1,4 +1,4 @@
-"""Tells the other gateways, while this one leads, what replicas hold and what is loading.
+"""Sends the other gateways, while this one leads, what replicas hold and what is loading.
 
 Owns which leader's states are believed. Relies on the directory of replicas, where
 states go, and on :mod:`~limeshelf.membership.audience` for who is sent them.
@@ -26,12 +26,12 @@
     from limeshelf.placement.service import PlacementService
     from limeshelf.replicas.directory import ReplicaDirectory
 
-#: Loads under way are told at least this often. Commit a904fff; chosen, not measured.
+#: Loads under way are sent at least this often. Commit a904fff; chosen, not measured.
 STATES_INTERVAL_S = 0.25
-#: States of all replicas, changed or not, are told this often. Commit a904fff; chosen,
+#: States of all replicas, changed or not, are sent this often. Commit a904fff; chosen,
 #: not measured.
 ALL_STATES_INTERVAL_S = 1.0
-#: Changes of replicas that come closer together than this are told together. Commit
+#: Changes of replicas that come closer together than this are sent together. Commit
 #: 48b990a; chosen, not measured.
 CHANGES_GAP_S = 0.05
 
@@ -70,7 +70,7 @@
         self.node.add_handler(ReplicaStates, self._take_states)
 
     async def run(self) -> None:
-        """While this gateway leads, tell what the replicas report."""
+        """While this gateway leads, send what the replicas report."""
         while True:
             await self.changes.wait(STATES_INTERVAL_S, CHANGES_GAP_S)
             changed = self.changes.take()
--- a/limeshelf/membership/store_polling.py
+++ b/limeshelf/membership/store_polling.py
@@ -29,7 +29,7 @@
 
     :param overdue_s: for how long the oldest of its copies has been older than it should
         be; negative while none is. One table that is old is a sign that the others may
-        be, too: a relay that lost the store tells of no changes of any table
+        be, too: a relay that lost the store sends no changes of any table
         (tests/membership/test_row_exchange.py::test_one_old_table_makes_all_due).
     """
     return is_first_relay or overdue_s > patience_s(rank)
--- a/tests/feeds/test_follower.py
+++ b/tests/feeds/test_follower.py
@@ -38,13 +38,13 @@
 def test_feed_brings_changes_and_deletions() -> None:
     async def scenario(store: StoreStandIn, client: StoreClient) -> None:
         store.put('t', 'a', text('1'))
-        heard: list[Row] = []
-        copy = TableCopy('t', heard.append)
+        taken: list[Row] = []
+        copy = TableCopy('t', taken.append)
         task = asyncio.create_task(TableFollower(copy, client).run())
-        await _until(lambda: len(heard) == 1)
+        await _until(lambda: len(taken) == 1)
         store.put('t', 'a', text('2'))
         store.drop('t', 'a')
-        await _until(lambda: heard[-1].gone)
+        await _until(lambda: taken[-1].gone)
         assert copy.rows() == []
         task.cancel()
 
--- a/tests/membership/test_row_exchange.py
+++ b/tests/membership/test_row_exchange.py
@@ -100,8 +100,8 @@
     node: Any = one.node
     address, answer = node.sent[-1]
     assert address == 'g2'
-    told = answer.words[0]
-    assert (told.after, told.upto, [row.key for row in told.rows]) == (5, 9, ['b'])
+    sent = answer.words[0]
+    assert (sent.after, sent.upto, [row.key for row in sent.rows]) == (5, 9, ['b'])
 
 
 def test_first_relay_follows_and_the_others_wait_in_turn() -> None:
@@ -114,7 +114,7 @@
 
 
 def test_one_old_table_makes_all_due() -> None:
-    """A relay that lost the store tells of no changes of any table."""
+    """A relay that lost the store sends no changes of any table."""
     one = exchange('g2', 'g1')
     one.copies['u'] = TableCopy('u', lambda row: None)
     one._take_updates(update(0, 9))
--- a/tests/membership/test_state_exchange.py
+++ b/tests/membership/test_state_exchange.py
@@ -83,8 +83,8 @@
 def test_leader_believes_its_own_looks_only() -> None:
     async def play() -> None:
         one = exchange(Leadership(fence=5))
-        look = ReplicaReport((Holding('m1'), Holding('m2')), False, 3)
-        one.directory.take_report('r1', look)
+        report = ReplicaReport((Holding('m1'), Holding('m2')), False, 3)
+        one.directory.take_report('r1', report)
         one._take_states(states(9, 'm1'))
         assert holdings(one) == {'m1', 'm2'}
 
