--- a/limeshelf/programs/gateway.py
+++ b/limeshelf/programs/gateway.py
@@ -83,7 +83,8 @@
         self.tasks = TaskSet()
         self.figures = GatewayMetrics()
         self.store = StoreClient(settings.store_address)
-        self.directory = ReplicaDirectory(read_record)
+        self.changes = StateChanges()
+        self.directory = ReplicaDirectory(read_record, self.changes.note_replica)
         self.node = PeerNode(settings.ip, settings.peer_port, settings.data_centre)
         await self.node.start()
         own = Member(self.node.address, settings.data_centre, settings.weight)
@@ -116,8 +117,6 @@
             self.figures,
             lambda: self.pipeline.config,
         )
-        self.changes = StateChanges()
-        self.directory.on_change = self.changes.note_replica
         self.fleet = PlacementService(
             self.directory,
             self.leadership,
--- a/limeshelf/replicas/directory.py
+++ b/limeshelf/replicas/directory.py
@@ -36,15 +36,19 @@
     """Every replica that has a row in the store, or had one.
 
     :param read_record: reads a row into a record; raises :exc:`InvalidDocument`.
+    :param on_change: called with the id of a replica when what it holds has changed.
     """
 
-    def __init__(self, read_record: Callable[[str, bytes], ReplicaRecord]) -> None:
+    def __init__(
+        self,
+        read_record: Callable[[str, bytes], ReplicaRecord],
+        on_change: Callable[[str], None] = lambda replica_id: None,
+    ) -> None:
         self._read_record = read_record
+        self._on_change = on_change
         self._replicas: dict[str, Replica] = {}
         self._peer_loads = PeerLoads()
         self._changed = asyncio.Event()
-        #: Called with the id of a replica when what it holds has changed.
-        self.on_change: Callable[[str], None] = lambda replica_id: None
 
     def all(self) -> list[Replica]:
         """Return every replica that is there."""
@@ -139,7 +143,7 @@
         if holdings != replica.holdings:
             replica.holdings = holdings
             self.notify_change()
-            self.on_change(replica_id)
+            self._on_change(replica_id)
 
     def drop_adapter(self, replica: Replica, model: str, adapter: str) -> None:
         """Note that an order has unloaded an adapter, before a report shows it."""
