--- a/limeshelf/orders/attempts.py
+++ b/limeshelf/orders/attempts.py
@@ -1,6 +1,6 @@
 """How often an order is tried, and when its task is given up.
 
-Pure rules over a task and an outcome; :mod:`limeshelf.orders.sender` applies them.
+Pure rules over a task and an outcome; :mod:`limeshelf.orders.task_runner` applies them.
 """
 
 from __future__ import annotations
--- a/limeshelf/orders/order.py
+++ b/limeshelf/orders/order.py
@@ -25,10 +25,16 @@
     """How a replica answered an order."""
 
     TAKEN = 'taken'
+    #: It is as ordered already; an idle adapter that goes at once is answered so too.
     HOLDS_ALREADY = 'holds_already'
+    #: Another order is under way, or it has taken another number of orders. Also where
+    #: no answer came.
     BUSY_OR_STALE = 'busy_or_stale'
+    #: It has seen a higher fence. Also where this process holds no term any more.
     FENCED_OFF = 'fenced_off'
+    #: Another incarnation stands at the address.
     GONE = 'gone'
+    #: It refuses for another reason. Also a load that is withheld for want of room.
     REJECTED = 'rejected'
 
 
--- a/limeshelf/orders/sender.py
+++ b/limeshelf/orders/sender.py
@@ -1,33 +1,21 @@
-"""The leader's orders: sends them under the term in force and waits for their effect.
+"""Single orders and polls to replicas: checks, sends and notes what came of them.
 
 Owns one :class:`PendingOrders` for each replica. Relies on the directory for what
-replicas hold, on the leadership for the term, and on the rules of
-:mod:`limeshelf.orders.attempts` and :mod:`limeshelf.orders.capacity`.
+replicas hold, on the leadership for the term, and on :mod:`limeshelf.orders.capacity`
+for whether a load fits. :mod:`limeshelf.orders.task_runner` repeats and waits.
 """
 
 from __future__ import annotations
 
-import asyncio
 from typing import TYPE_CHECKING
 
 import attrs
 
 from limeshelf.metrics.event_log import log_change
-from limeshelf.orders.attempts import (
-    MAX_ATTEMPTS,
-    MODEL_POLL_S,
-    UNPOLLED_LOAD_SHARE,
-    NextStep,
-    next_step,
-    poll_interval_s,
-    settle_interval_s,
-    time_limit_s,
-)
 from limeshelf.orders.capacity import PossibleContents, RoomCheck, check_room
 from limeshelf.orders.order import OrderKind, OrderOutcome, ReplicaOrder, ReplicaSilent
 from limeshelf.orders.pending import PendingOrders
 from limeshelf.orders.task import OrderTask, harmless_task
-from limeshelf.util.clock import boottime_s
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -41,7 +29,7 @@
 
 
 class OrderSender:
-    """Sends orders to replicas and polls them until the orders are done.
+    """Sends orders to replicas under the term in force, and polls them.
 
     :param holder: names this process's machine in orders.
     :param config: returns the configuration in force, which tells what an engine bears.
@@ -105,61 +93,6 @@
             return
         self.pending(replica).note_claimed(term.fence)
 
-    async def run(self, replica: Replica, tasks: list[OrderTask]) -> bool:
-        """Carry out *tasks* one after the other; return whether all were done."""
-        pending = self.pending(replica)
-        loads = [task for task in tasks if task.kind is OrderKind.LOAD]
-        for task in loads:
-            pending.expect_if_new(task.item, boottime_s() + task.load_s)
-        retired = {task.model for task in tasks if task not in loads and not task.adapter}
-        replica.retiring |= retired
-        try:
-            async with pending.lock:
-                for task in tasks:
-                    if not await self._carry_out(replica, task):
-                        return False
-            # Adapters may be on their way together, so the next orders may go out
-            # while these arrive.
-            return await self._until_adapters_came(replica, loads)
-        finally:
-            replica.retiring -= retired
-            for task in loads:
-                pending.note_ended(task.item)
-
-    async def _until_adapters_came(self, replica: Replica, loads: list[OrderTask]) -> bool:
-        for task in loads:
-            if task.adapter and not await self._until_done(replica, task):
-                return False
-        return True
-
-    async def _carry_out(self, replica: Replica, task: OrderTask) -> bool:
-        for _ in range(MAX_ATTEMPTS):
-            step = next_step(task, await self._attempt(replica, task))
-            if step is NextStep.GO_ON:
-                return True
-            if step is NextStep.AWAIT_EFFECT:
-                return await self._until_done(replica, task)
-            if step is NextStep.GIVE_UP or not await self._settle(replica, task):
-                return False
-            if task.is_done(replica):
-                return True
-        return False
-
-    async def _settle(self, replica: Replica, task: OrderTask) -> bool:
-        """Learn how many orders the replica has taken, after one whose effect is open.
-
-        Reports lag, so the number counts only when it stands still.
-        """
-        limit_s = boottime_s() + time_limit_s(task)
-        while boottime_s() < limit_s and replica.takes_calls:
-            await asyncio.sleep(settle_interval_s(task))
-            # A number that was counted wrongly would otherwise stay wrong for good
-            # (tests/orders/test_sender.py::test_wrong_number_is_settled).
-            answered = await self.poll(replica, settled=True)
-            if answered and replica.report and not replica.report.busy:
-                return True
-        return False
-
     async def _obstacle(self, replica: Replica, task: OrderTask) -> OrderOutcome | None:
         """Return why an order cannot go out now, or ``None`` if it can."""
         known = replica.order_number is not None and self.pending(replica).is_fresh
@@ -194,7 +127,12 @@
         expected = replica.order_number or 0
         return ReplicaOrder(task.kind, task.model, task.adapter, expected, self._holder, fence)
 
-    async def _attempt(self, replica: Replica, task: OrderTask) -> OrderOutcome:
+    async def send(self, replica: Replica, task: OrderTask) -> OrderOutcome:
+        """Send one order for *task*, if nothing stands against it; return how it ended.
+
+        Without an answer it ends as ``BUSY_OR_STALE``: whether it took effect is open.
+        The caller holds the lock of the replica's pending orders.
+        """
         obstacle = await self._obstacle(replica, task)
         if obstacle is not None:
             return obstacle
@@ -244,22 +182,6 @@
         if outcome is OrderOutcome.FENCED_OFF:
             self._leadership.end('fenced_off')
 
-    async def _until_done(self, replica: Replica, task: OrderTask) -> bool:
-        limit_s = boottime_s() + time_limit_s(task)
-        if task.loads_model:
-            await self._wait_for_model(replica, task)
-        while boottime_s() < limit_s and replica.takes_calls:
-            if task.is_done(replica):
-                return True
-            await asyncio.sleep(poll_interval_s(task))
-            await self.poll(replica)
-        return task.is_done(replica)
-
-    async def _wait_for_model(self, replica: Replica, task: OrderTask) -> None:
-        end_s = boottime_s() + UNPOLLED_LOAD_SHARE * task.load_s
-        while boottime_s() < end_s and replica.takes_calls and not task.is_done(replica):
-            await self._directory.wait_for_change(MODEL_POLL_S)
-
 
 def _unloaded_at_once(replica: Replica, task: OrderTask, outcome: OrderOutcome) -> bool:
     """Return whether an idle adapter went without delay, which counts as an order.
--- a/limeshelf/placement/move_runner.py
+++ b/limeshelf/placement/move_runner.py
@@ -1,7 +1,7 @@
 """Turns the planner's moves into orders and sees them through.
 
 Marks at once what a move brings and takes away, so that the next plan counts it.
-Relies on the order sender, which checks the room before each load.
+Relies on the task runner, whose order sender checks the room before each load.
 """
 
 from __future__ import annotations
@@ -11,6 +11,7 @@
 from limeshelf.metrics.event_log import log_change
 from limeshelf.orders.order import OrderKind
 from limeshelf.orders.task import Loadable, OrderTask
+from limeshelf.orders.task_runner import TaskRunner
 from limeshelf.util.clock import boottime_s
 
 if TYPE_CHECKING:
@@ -45,6 +46,7 @@
     ) -> None:
         self._directory = directory
         self._sender = sender
+        self._runner = TaskRunner(directory, sender)
         self._tasks = tasks
         self._on_load = on_load
 
@@ -85,7 +87,7 @@
 
     async def _run(self, replica: Replica, tasks: list[OrderTask]) -> None:
         try:
-            done = await self._sender.run(replica, tasks)
+            done = await self._runner.run(replica, tasks)
         finally:
             self._sender.pending(replica).note_unload_ended(task.item for task in tasks)
         if not done:
--- a/tests/orders/test_sender.py
+++ b/tests/orders/test_sender.py
@@ -14,6 +14,7 @@
 from limeshelf.orders.order import OrderKind
 from limeshelf.orders.sender import OrderSender
 from limeshelf.orders.task import Loadable, OrderTask
+from limeshelf.orders.task_runner import TaskRunner
 from limeshelf.platform.orders import ReplicaOrderClient
 from limeshelf.platform.replicas import read_record
 from limeshelf.replicas.directory import ReplicaDirectory
@@ -65,6 +66,7 @@
         self.sender = OrderSender(
             self.client, self.directory, leadership, 'g-1', GatewayMetrics(), self.config
         )
+        self.runner = TaskRunner(self.directory, self.sender)
 
     def config(self) -> Any:
         return Config({'lm': ServiceSpec('lm', 50, self.engine)})
@@ -104,7 +106,7 @@
     replica.order_number = 7
 
     async def scenario(world: World) -> None:
-        assert await world.sender.run(
+        assert await world.runner.run(
             world.replica, [OrderTask(UNLOAD, 'm1'), OrderTask(LOAD, 'm2')]
         )
         assert [(o.op, o.expected, o.status) for o in replica.orders] == [
@@ -120,7 +122,7 @@
 
     async def scenario(world: World) -> None:
         world.replica.order_number = 3
-        assert await world.sender.run(world.replica, [OrderTask(LOAD, 'm1', 'a1')])
+        assert await world.runner.run(world.replica, [OrderTask(LOAD, 'm1', 'a1')])
         assert [o.status for o in replica.orders] == [409, 202]
 
     play(scenario, replica)
@@ -139,7 +141,7 @@
             there_at_load.append('m1' in world.replica.holdings) or config
         )
         task = asyncio.create_task(
-            world.sender.run(
+            world.runner.run(
                 world.replica, [OrderTask(UNLOAD, 'm1'), OrderTask(LOAD, 'm2', '', 0.1)]
             )
         )
@@ -158,7 +160,7 @@
 
     async def scenario(world: World) -> None:
         world.engine = attrs.evolve(ROOMY, capacity_mb=139.0)
-        assert not await world.sender.run(world.replica, [OrderTask(LOAD, 'm2')])
+        assert not await world.runner.run(world.replica, [OrderTask(LOAD, 'm2')])
         assert replica.orders == []
 
     play(scenario, replica)
@@ -169,9 +171,9 @@
     replica.highest_fence = 6
 
     async def scenario(world: World) -> None:
-        assert not await world.sender.run(world.replica, [OrderTask(LOAD, 'm2')])
+        assert not await world.runner.run(world.replica, [OrderTask(LOAD, 'm2')])
         assert world.leadership.term is None
-        assert not await world.sender.run(world.replica, [OrderTask(LOAD, 'm3')])
+        assert not await world.runner.run(world.replica, [OrderTask(LOAD, 'm3')])
         assert len(replica.orders) == 1
 
     play(scenario, replica)
@@ -183,8 +185,8 @@
 
     async def scenario(world: World) -> None:
         tasks = [OrderTask(UNLOAD, 'm1', 'a1'), OrderTask(LOAD, 'm1', 'a2')]
-        assert await world.sender.run(world.replica, tasks)
-        assert await world.sender.run(
+        assert await world.runner.run(world.replica, tasks)
+        assert await world.runner.run(
             world.replica, [OrderTask(UNLOAD, 'm1', 'a1'), OrderTask(LOAD, 'm1', 'a3')]
         )
         # What is not there any more is no order, and the next number still fits.
@@ -206,7 +208,7 @@
 
     async def scenario(world: World) -> None:
         task = asyncio.create_task(
-            world.sender.run(world.replica, [OrderTask(LOAD, 'm2', '', 0.1)])
+            world.runner.run(world.replica, [OrderTask(LOAD, 'm2', '', 0.1)])
         )
         await asyncio.sleep(0.9)
         replica.order_fault = Fault.NONE
@@ -239,7 +241,7 @@
     async def scenario(world: World) -> None:
         pending = world.sender.pending(world.replica)
         task = asyncio.create_task(
-            world.sender.run(world.replica, [OrderTask(LOAD, 'm2', '', 0.1)])
+            world.runner.run(world.replica, [OrderTask(LOAD, 'm2', '', 0.1)])
         )
         await asyncio.sleep(1.0)
         task.cancel()
