--- a/limeshelf/demand/meter.py
+++ b/limeshelf/demand/meter.py
@@ -33,14 +33,14 @@
     """Counts the calls of this process by model and adapter.
 
     :param on_missing: called with a key that a call asks for and no replica holds.
-    :ivar expected: when each model that the leader announced will likely be there, on
+    :ivar announced_s: when each model that the leader announced will likely be there, on
         the clock of :func:`~limeshelf.util.clock.boottime_s`.
     """
 
     def __init__(
         self, directory: ReplicaDirectory, on_missing: Callable[[ModelKey], None]
     ) -> None:
-        self.expected: dict[ModelKey, float] = {}
+        self.announced_s: dict[ModelKey, float] = {}
         self._directory = directory
         self._on_missing = on_missing
         self._by_key: dict[ModelKey, KeyDemand] = {}
@@ -94,7 +94,7 @@
         A plain call needs no announcement.
         """
         key = key_of(call, service.name)
-        return key is None or key.base in self.expected
+        return key is None or key.base in self.announced_s
 
     def expected_wait_s(self, call: Call, service: ServiceSpec) -> float:
         """Return the time until a replica can likely run the call, in seconds.
@@ -109,7 +109,7 @@
     def _outlook(self, key: ModelKey, engine: EngineSpec) -> ModelOutlook:
         replicas = self._directory.of_service(key.service)
         spec = engine.models.get(key.model)
-        ready_s = self.expected.get(key.base)
+        ready_s = self.announced_s.get(key.base)
         return ModelOutlook(
             has_key=any(replica.holds(key.model, key.adapter) for replica in replicas),
             has_model=any(replica.holds(key.model) for replica in replicas),
--- a/limeshelf/membership/state_exchange.py
+++ b/limeshelf/membership/state_exchange.py
@@ -87,11 +87,11 @@
             for replica in self.directory.all()
             if replica.report is not None and (whole or replica.replica_id in changed)
         ]
-        self.meter.expected = self.fleet.awaited()
+        self.meter.announced_s = self.fleet.awaited()
         now_s = boottime_s()
         awaited = [
             AwaitedLoad(key, int((ready_s - now_s) * 1000))
-            for key, ready_s in self.meter.expected.items()
+            for key, ready_s in self.meter.announced_s.items()
         ]
         message = ReplicaStates(self.leadership.fence, states, awaited, whole)
         self.node.send_all(audience.of_states(self.members), message)
@@ -112,6 +112,6 @@
         for state in message.states:
             self.directory.take_report(state.replica_id, report_of(state))
         now_s = boottime_s()
-        self.meter.expected = {
+        self.meter.announced_s = {
             awaited.key: now_s + awaited.left_ms / 1000 for awaited in message.awaited
         }
--- /dev/null
+++ b/tests/demand/test_meter.py
@@ -0,0 +1,100 @@
+"""What one gateway counts of its calls, and how long it expects them to wait."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+
+import attrs
+import pytest
+
+from limeshelf.calls.call import Call, ModelNeed
+from limeshelf.calls.routes import EngineSpec, ModelSpec, ServiceSpec
+from limeshelf.demand.keys import KeyDemand, ModelKey
+from limeshelf.demand.meter import DemandMeter
+from limeshelf.platform.replicas import read_record
+from limeshelf.replicas.directory import ReplicaDirectory
+from limeshelf.replicas.record import Holding, ReplicaRecord
+from limeshelf.util.clock import VirtualClock, virtual_clock
+
+MODEL = ModelSpec('m1', 70.0, 8.0, 1.0, frozenset({'a1'}), 1.0)
+SERVICE = ServiceSpec('lm', 50, EngineSpec(8, 1000, 150.0, 2, 1.0, {'m1': MODEL}))
+PLAIN_SERVICE = ServiceSpec('web', 50, None)
+ADAPTER = ModelKey('lm', 'm1', 'a1')
+PLAIN_CALL = Call('c1', 'GET', 'h', '/', (), b'', 0.0, None, None, None)
+CALL = attrs.evolve(PLAIN_CALL, model_need=ModelNeed('m1', 'a1', 300, 100, 50, ()))
+
+
+@attrs.define
+class Gateway:
+    """A meter beside the clock and the replicas that it relies on."""
+
+    clock: VirtualClock
+    directory: ReplicaDirectory = attrs.field(factory=lambda: ReplicaDirectory(read_record))
+    missing: list[ModelKey] = attrs.field(factory=list)
+    meter: DemandMeter = attrs.field(init=False)
+
+    def __attrs_post_init__(self) -> None:
+        self.meter = DemandMeter(self.directory, self.missing.append)
+
+    def add(self, service: str, *holdings: Holding) -> None:
+        record = ReplicaRecord('r1', service, 'ip:1', 'z1', 8, False, None, holdings, 1)
+        self.directory._take_record(record)
+
+    @property
+    def wait_s(self) -> float:
+        return self.meter.expected_wait_s(CALL, SERVICE)
+
+
+@pytest.fixture
+def gateway() -> Iterator[Gateway]:
+    with virtual_clock() as clock:
+        yield Gateway(clock)
+
+
+def test_calls_are_counted_while_under_way_and_told_for_some_seconds(gateway: Gateway) -> None:
+    meter = gateway.meter
+    with meter.track(CALL, 'lm', 6.0), meter.track(CALL, 'lm', 1.0):
+        expected = KeyDemand(ADAPTER, started=2, running=2, objective_ms=1000, tokens=600)
+        assert meter.recent() == [expected]
+    gateway.clock.advance(2.9)
+    assert [demand.running for demand in meter.recent()] == [0]
+    gateway.clock.advance(0.2)
+    assert meter.recent() == []
+
+
+def test_plain_calls_are_not_counted(gateway: Gateway) -> None:
+    with gateway.meter.track(PLAIN_CALL, 'web', 1.0):
+        assert gateway.meter.recent() == []
+    gateway.meter.report_missing(PLAIN_CALL, PLAIN_SERVICE)
+    assert gateway.missing == []
+    assert gateway.meter.is_announced(PLAIN_CALL, PLAIN_SERVICE)
+
+
+def test_a_missing_key_is_reported_at_most_ten_times_a_second(gateway: Gateway) -> None:
+    for _ in range(100):
+        gateway.meter.report_missing(CALL, SERVICE)
+        gateway.clock.advance(0.01)
+    assert set(gateway.missing) == {ADAPTER}
+    assert 9 <= len(gateway.missing) <= 10
+    assert gateway.meter.recent()[0].wanted == len(gateway.missing)
+
+
+def test_wait_follows_what_replicas_hold_and_what_was_announced(gateway: Gateway) -> None:
+    assert gateway.wait_s == 1.0 + 8.0
+    assert not gateway.meter.is_announced(CALL, SERVICE)
+    gateway.meter.announced_s = {ModelKey('lm', 'm1'): gateway.clock.now_s + 5.0}
+    assert gateway.wait_s == 5.0
+    assert gateway.meter.is_announced(CALL, SERVICE)
+    gateway.add('lm', Holding('m1'))
+    assert gateway.wait_s == 0.25
+
+
+def test_no_wait_where_a_replica_holds_the_adapter(gateway: Gateway) -> None:
+    gateway.add('lm', Holding('m1', frozenset({'a1'})))
+    assert gateway.wait_s == 0.0
+
+
+def test_plain_call_waits_only_without_replicas(gateway: Gateway) -> None:
+    assert gateway.meter.expected_wait_s(PLAIN_CALL, PLAIN_SERVICE) == 1.0
+    gateway.add('web')
+    assert gateway.meter.expected_wait_s(PLAIN_CALL, PLAIN_SERVICE) == 0.0
--- a/tests/placement/test_planner.py
+++ b/tests/placement/test_planner.py
@@ -24,7 +24,7 @@
     assert (move.model, move.reason) == ('rare', 'missing')
 
 
-def test_crowded_model_gets_a_copy_in_place_of_an_idle_one() -> None:
+def test_overloaded_model_gets_a_copy_in_place_of_an_idle_one() -> None:
     replicas = [replica('r1', 'hot', 'big'), replica('r2', 'small', 'other', 'rare')]
     move = planner(hot=busy(20)).next_move(replicas)
     assert move is not None
@@ -32,7 +32,7 @@
     assert 'hot' not in move.evicted
 
 
-def test_copy_that_is_needed_does_not_give_way_to_a_seldom_model() -> None:
+def test_copy_that_is_needed_is_not_evicted_for_a_seldom_model() -> None:
     """Copies of the busy model went one by one for models with a call now and then.
 
     Seen on Sljeme's scale-1: one replica of nine was left to the busiest model.
@@ -143,7 +143,7 @@
     assert plan.next_move(replicas) is None
 
 
-def test_quiet_start_gives_surplus_copies_for_models_without_one() -> None:
+def test_quiet_start_evicts_surplus_copies_for_models_without_one() -> None:
     replicas = [replica(f'r{n}', 'hot', 'big') for n in range(4)]
     replicas[0].ready = {'hot', 'small', 'rare'}
     plan = CopyPlanner(engine(), {}, {'hot': 4, 'big': 3, 'small': 1, 'rare': 1})
