--- a/limeshelf/platform/wire.py
+++ b/limeshelf/platform/wire.py
@@ -7,13 +7,16 @@
 
 from __future__ import annotations
 
-from typing import Any
+from typing import TYPE_CHECKING
 
 from limeshelf.calls.call import Call
 from limeshelf.calls.wire import AnswerFacts, SendFacts
 from limeshelf.errors import InvalidRequest
 from limeshelf.platform import headers
 
+if TYPE_CHECKING:
+    from collections.abc import Mapping
+
 #: The replica is another incarnation than the one that was meant, or does not
 #: hold what the call needs; it did not run the call.
 STATUS_MISDIRECTED = 421
@@ -33,7 +36,7 @@
     """Implements :class:`limeshelf.calls.wire.CallWire`."""
 
     def read_call(
-        self, method: str, target: str, fields: Any, body: bytes, arrived_s: float
+        self, method: str, target: str, fields: Mapping[str, str], body: bytes, arrived_s: float
     ) -> Call:
         """Return the call in a request.
 
@@ -76,7 +79,7 @@
             sent.append((headers.LAST_EVENT, facts.last_event_id))
         return sent
 
-    def read_answer(self, status: int, fields: Any) -> AnswerFacts:
+    def read_answer(self, status: int, fields: Mapping[str, str]) -> AnswerFacts:
         """Return what the head of a replica's answer says.
 
         :param fields: case-insensitive multi-dictionary of the answer's headers.
