--- a/limeshelf/dispatch/__init__.py
+++ b/limeshelf/dispatch/__init__.py
@@ -1,1 +1,10 @@
-"""One gateway decides for all which replica reads which prompt when; others ask it."""
+"""Which replica a model call goes to, and when: one gateway decides it for all.
+
+Reading order: :mod:`~limeshelf.dispatch.client` asks (:mod:`~limeshelf.dispatch.fallback`
+says whom), :mod:`~limeshelf.dispatch.dispatcher` queues and grants. The rules that it
+applies: :mod:`~limeshelf.dispatch.requests` (order of service),
+:mod:`~limeshelf.dispatch.selector` (which replica), :mod:`~limeshelf.dispatch.limits` (how
+much one may read and hold), :mod:`~limeshelf.dispatch.refusal` (when to refuse). What they
+know of the replicas: :mod:`~limeshelf.dispatch.granted_load`,
+:mod:`~limeshelf.dispatch.prompt_blocks`, :mod:`~limeshelf.dispatch.reading_speed`.
+"""
--- a/limeshelf/routing/__init__.py
+++ b/limeshelf/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Which replica a call goes to."""
+"""Which replica a plain call goes to; each gateway decides it by itself."""
