--- a/limeshelf/replicas/directory.py
+++ b/limeshelf/replicas/directory.py
@@ -79,10 +79,11 @@
         except InvalidDocument as error:
             log_change('replica_row_invalid', replica=row.key, problem=str(error))
             return
-        self._take_record(record)
+        self.take_record(record)
         self.notify_change()
 
-    def _take_record(self, record: ReplicaRecord) -> None:
+    def take_record(self, record: ReplicaRecord) -> None:
+        """Add a replica, or update it unless the record came late."""
         replica = self._replicas.get(record.replica_id)
         if replica is None or replica.gone:
             self._add(record)
--- a/tests/dispatch/test_dispatcher.py
+++ b/tests/dispatch/test_dispatcher.py
@@ -41,7 +41,7 @@
         self.clock = clock
         self.directory = ReplicaDirectory(read_record)
         for number in range(replicas):
-            self.directory._take_record(
+            self.directory.take_record(
                 ReplicaRecord(
                     f'r{number}', 'lm', f'ip:{number}', 'z1', 4, False, None, (Holding('m'),), 1
                 )
--- a/tests/membership/test_state_exchange.py
+++ b/tests/membership/test_state_exchange.py
@@ -49,7 +49,7 @@
 
 def exchange(leadership: Leadership) -> StateExchange:
     directory = ReplicaDirectory(read_record)
-    directory._take_record(ReplicaRecord('r1', 'lm', 'ip:1', 'z1', 8, False, None, (), 1))
+    directory.take_record(ReplicaRecord('r1', 'lm', 'ip:1', 'z1', 8, False, None, (), 1))
     members = Members(Member('own', 'z1'))
     known: dict[str, Any] = {
         'node': Node(),
--- a/tests/orders/test_capacity.py
+++ b/tests/orders/test_capacity.py
@@ -32,7 +32,7 @@
     happen: Callable[[ReplicaDirectory, Replica], None] = lambda directory, replica: None,
 ) -> bool:
     directory = ReplicaDirectory(read_record)
-    directory._take_record(ReplicaRecord('r1', 'lm', 'ip:1', 'z1', 8, False, None, (), 1))
+    directory.take_record(ReplicaRecord('r1', 'lm', 'ip:1', 'z1', 8, False, None, (), 1))
     directory.take_report('r1', report)
     replica = directory.get('r1')
     assert isinstance(replica, Replica)
--- a/tests/placement/test_adapters.py
+++ b/tests/placement/test_adapters.py
@@ -37,7 +37,7 @@
 
     def add(self, name: str, *adapters: str, loading: tuple[str, ...] = ()) -> None:
         record = ReplicaRecord(name, 'lm', f'ip:{name}', 'z1', 8, False, None, (), 1)
-        self.directory._take_record(record)
+        self.directory.take_record(record)
         on_their_way = tuple(('m1', adapter) for adapter in loading)
         held = (Holding('m1', frozenset(adapters)),)
         report = ReplicaReport(held, False, 1, loading=on_their_way)
--- a/tests/placement/test_replica_watch.py
+++ b/tests/placement/test_replica_watch.py
@@ -47,7 +47,7 @@
     def add(self, replica_id: str, *models: str) -> None:
         holdings = tuple(Holding(model) for model in models)
         address = f'{replica_id}:1'
-        self.directory._take_record(
+        self.directory.take_record(
             ReplicaRecord(replica_id, 'lm', address, 'z1', 8, False, None, holdings, 1)
         )
 
--- a/tests/routing/test_chooser.py
+++ b/tests/routing/test_chooser.py
@@ -28,7 +28,7 @@
 def directory_of(*data_centres: str) -> ReplicaDirectory:
     directory = ReplicaDirectory(read_record)
     for number, data_centre in enumerate(data_centres):
-        directory._take_record(
+        directory.take_record(
             ReplicaRecord(f'r{number}', 'web', f'ip:{number}', data_centre, 4, False, None, (), 1)
         )
     return directory
