--- a/limeshelf/placement/planner.py
+++ b/limeshelf/placement/planner.py
@@ -96,17 +96,17 @@
     def next_move(self, replicas: list[ReplicaCopies]) -> CopyMove | None:
         """Return the move that is worth most now, if any is worth making.
 
-        Models are tried by what one more copy could gain at the most, so the first move
-        found ends the search.
+        Models are tried by what one more copy gains at an idle replica; the first for which
+        a move is worth making ends the search.
         """
         survey = CopySurvey.take(self._engine, self._demands, replicas)
         worth = CopyWorth(survey, self._first_copies, self._starved_s)
-        candidates = [(worth.gain_limit(name), name) for name in self._engine.models]
+        candidates = [(worth.idle_gain(name), name) for name in self._engine.models]
         candidates.sort(reverse=True)
-        for gain_limit, model in candidates:
-            if gain_limit < LEAST_GAIN_PER_S:
+        for idle_gain, model in candidates:
+            if idle_gain < LEAST_GAIN_PER_S:
                 return None
-            if _is_withheld(gain_limit, survey, worth):
+            if _is_withheld(idle_gain, survey, worth):
                 return None
             move = _best_move(model, survey, worth)
             if move is not None:
@@ -114,12 +114,12 @@
         return None
 
 
-def _is_withheld(gain_limit: float, survey: CopySurvey, worth: CopyWorth) -> bool:
+def _is_withheld(idle_gain: float, survey: CopySurvey, worth: CopyWorth) -> bool:
     """Return whether a move waits, so that replicas stay idle for urgent ones.
 
     A replica carries out one order at a time and a load takes seconds.
     """
-    if gain_limit >= URGENT_GAIN_PER_S or worth.is_quiet:
+    if idle_gain >= URGENT_GAIN_PER_S or worth.is_quiet:
         return False
     idle = sum(1 for replica in survey.replicas if replica.is_idle)
     return idle <= RESERVED_REPLICAS_SHARE * len(survey.replicas)
--- a/limeshelf/placement/worth.py
+++ b/limeshelf/placement/worth.py
@@ -75,8 +75,11 @@
         #: Whether too little was asked for yet to judge by demand.
         self.is_quiet = calls_per_s < QUIET_CALLS_PER_S
 
-    def gain_limit(self, model: str) -> float:
-        """Return what one more copy gains at a replica with nothing else to do."""
+    def idle_gain(self, model: str) -> float:
+        """Return what one more copy gains at a replica with nothing else to do.
+
+        A data centre without a copy adds to that; this leaves it out.
+        """
         return self._gain(model, 1.0)
 
     def gain(self, model: str, replica: ReplicaCopies) -> float:
--- a/tests/placement/test_worth.py
+++ b/tests/placement/test_worth.py
@@ -23,12 +23,12 @@
 def test_first_copy_gains_its_calls_and_what_waits_and_starves() -> None:
     demands = {'hot': busy(20), 'rare': seldom(0.3)}
     replicas = [replica('r1', 'hot')]
-    assert worth_of(demands, replicas).gain_limit('rare') == pytest.approx(0.6 + 2 * 0.3)
+    assert worth_of(demands, replicas).idle_gain('rare') == pytest.approx(0.6 + 2 * 0.3)
     demands['rare'] = seldom(0.3, waits=True)
     worth = worth_of(demands, replicas, starved_s={'rare': 10.0})
-    assert worth.gain_limit('rare') == pytest.approx(0.6 + 2 * 0.3 + 1.0 + 1.5)
+    assert worth.idle_gain('rare') == pytest.approx(0.6 + 2 * 0.3 + 1.0 + 1.5)
     longer = worth_of(demands, replicas, starved_s={'rare': 100.0})
-    assert longer.gain_limit('rare') == pytest.approx(0.6 + 2 * 0.3 + 1.0 + 3.0)
+    assert longer.idle_gain('rare') == pytest.approx(0.6 + 2 * 0.3 + 1.0 + 3.0)
 
 
 def test_further_copy_gains_the_calls_that_are_served_by_it() -> None:
@@ -64,8 +64,8 @@
     worth = worth_of({}, replicas, first_copies={'hot': 4})
     assert worth.is_quiet
     assert worth.loss('hot', replicas[0]) == pytest.approx(0.4 * 4 / 9)
-    assert worth.gain_limit('hot') == pytest.approx(0.4 * 4 / 16)
-    assert worth_of({}, replicas, first_copies={'hot': 3}).gain_limit('hot') == 0.0
+    assert worth.idle_gain('hot') == pytest.approx(0.4 * 4 / 16)
+    assert worth_of({}, replicas, first_copies={'hot': 3}).idle_gain('hot') == 0.0
 
 
 def test_model_that_left_the_configuration_is_lost_at_no_cost() -> None:
