--- a/limeshelf/dispatch/dispatcher.py
+++ b/limeshelf/dispatch/dispatcher.py
@@ -89,6 +89,10 @@
             self._queue[query.ticket_id] = request
         request.asked_s = now_s
         self._drop_stale(now_s)
+        if query.ticket_id not in self._queue:
+            # Its time is over (tests/dispatch/test_dispatcher.py::
+            # test_request_asked_for_again_after_its_time_takes_no_room).
+            return
         if self._is_next(request, now_s):
             self._selector.forget_holders()
             self._end_overdue_reading(now_s)
--- a/tests/dispatch/test_dispatcher.py
+++ b/tests/dispatch/test_dispatcher.py
@@ -249,3 +249,17 @@
     assert world.ask('new', 10) is VerdictKind.QUEUED
     world.dispatcher.pump()
     assert world.granted()[:2] == ['a', 'soon']
+
+
+def test_request_asked_for_again_after_its_time_takes_no_room(clock: VirtualClock) -> None:
+    """It was dropped as over, then granted all the same: an error, and its room was lost."""
+    world = World(clock, 1)
+    assert world.ask('a', 3500) is VerdictKind.GRANTED
+    for _ in range(3):
+        world.ask('b', 1000, left_ms=300, objective_ms=9000)
+        clock.advance(0.2)
+    world.ask('b', 1000, left_ms=300, objective_ms=9000)
+    world.dispatcher.take_progress(DispatchProgress('b', Stage.ENDED))
+    load = world.dispatcher._selector.loads['r0']
+    assert load.calls == 1
+    assert 'b' not in world.granted()
