--- a/limeshelf/standalone/entry/answers.py
+++ b/limeshelf/standalone/entry/answers.py
@@ -1,4 +1,7 @@
-"""Error answers in the OpenAI shape, with outcome and time to come back."""
+"""Error answers in the OpenAI shape, with outcome and time to come back.
+
+Owns the HTTP status of each outcome. Relies on the outcomes of ``limeshelf.errors``.
+"""
 
 from __future__ import annotations
 
@@ -40,8 +43,11 @@
 def error_body(
     outcome: NotRun | MayHaveRun, request_id: str, field_name: str | None = None
 ) -> dict[str, Any]:
-    """Return the body of an error answer."""
-    kind = OutcomeKind.NOT_RUN if isinstance(outcome, NotRun) else OutcomeKind.MAY_HAVE_RUN
+    """Return the body of an error answer.
+
+    :param field_name: field of a malformed request that is at fault.
+    """
+    kind = _kind_of(outcome)
     return {
         'error': {
             'message': outcome.detail or outcome.reason.value,
@@ -56,10 +62,10 @@
 
 def outcome_answer(outcome: NotRun | MayHaveRun, request_id: str) -> web.Response:
     """Return the final answer for a request that has no other."""
+    body = error_body(outcome, request_id)
     if isinstance(outcome, MayHaveRun):
-        return _answer(MAY_HAVE_RUN_STATUS, error_body(outcome, request_id), 'may_have_run')
-    status = STATUS_BY_REASON.get(outcome.reason, NOT_RUN_STATUS)
-    answer = _answer(status, error_body(outcome, request_id), 'not_run')
+        return _answer(MAY_HAVE_RUN_STATUS, body, outcome)
+    answer = _answer(STATUS_BY_REASON.get(outcome.reason, NOT_RUN_STATUS), body, outcome)
     if outcome.retry_after_s is not None:
         answer.headers[RETRY_AFTER_HEADER] = str(max(1, math.ceil(outcome.retry_after_s)))
     return answer
@@ -69,7 +75,7 @@
     """Return the answer to a malformed request; nothing reached an upstream."""
     outcome = NotRun(RefusalReason.BAD_REQUEST, None, f'{error.field_name}: {error.problem}')
     body = error_body(outcome, request_id, error.field_name)
-    return _answer(error.status, body, 'not_run')
+    return _answer(error.status, body, outcome)
 
 
 def tag(answer: AnyAnswer, request_id: str, revision: int) -> AnyAnswer:
@@ -79,10 +85,14 @@
     return answer
 
 
-def _answer(status: int, body: dict[str, Any], outcome: str) -> web.Response:
+def _kind_of(outcome: NotRun | MayHaveRun) -> OutcomeKind:
+    return OutcomeKind.NOT_RUN if isinstance(outcome, NotRun) else OutcomeKind.MAY_HAVE_RUN
+
+
+def _answer(status: int, body: dict[str, Any], outcome: NotRun | MayHaveRun) -> web.Response:
     return web.Response(
         status=status,
         body=msgspec.json.encode(body),
         content_type='application/json',
-        headers={OUTCOME_HEADER: outcome},
+        headers={OUTCOME_HEADER: _kind_of(outcome).value},
     )
--- a/limeshelf/standalone/entry/context.py
+++ b/limeshelf/standalone/entry/context.py
@@ -1,4 +1,7 @@
-"""What the request handlers of an entry process share."""
+"""What the request handlers of an entry process share.
+
+Owns the retry budgets; everything else belongs to the module that its type is from.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +16,7 @@
 from limeshelf.standalone.entry.demand import DemandCounter
 from limeshelf.standalone.entry.lifecycle import Lifecycle
 from limeshelf.standalone.entry.request_policies import PolicyCache
-from limeshelf.standalone.entry.samples import SampleBook
+from limeshelf.standalone.entry.samples import PolicySamples
 from limeshelf.standalone.membership.upstreams import UpstreamDirectory
 from limeshelf.standalone.routing.loads import UpstreamLoads
 from limeshelf.standalone.upstreams.pool import UpstreamPool
@@ -34,7 +37,7 @@
     demand: DemandCounter
     lifecycle: Lifecycle
     loads: UpstreamLoads = attrs.field(factory=UpstreamLoads)
-    samples: SampleBook = attrs.field(factory=SampleBook)
+    samples: PolicySamples = attrs.field(factory=PolicySamples)
     policies: PolicyCache = attrs.field(factory=PolicyCache)
     budgets: dict[str, RouteRetryBudget] = attrs.field(factory=dict)
 
--- a/limeshelf/standalone/entry/demand.py
+++ b/limeshelf/standalone/entry/demand.py
@@ -1,4 +1,7 @@
-"""Counts what callers ask for, for the placers of the data centre."""
+"""Counts what callers ask for, for the placers of the data centre.
+
+Owns the counts since the last message. Relies on the process list for the placers.
+"""
 
 from __future__ import annotations
 
@@ -13,6 +16,7 @@
     from limeshelf.peers.node import PeerNode
     from limeshelf.standalone.membership.processes import ProcessDirectory
 
+#: Time between two messages to the placers. Chosen, not measured.
 PERIOD_S = 1.0
 
 
--- a/limeshelf/standalone/entry/formats.py
+++ b/limeshelf/standalone/entry/formats.py
@@ -1,4 +1,7 @@
-"""Writes tokens in the OpenAI shapes, as one body or as events."""
+"""Writes tokens in the OpenAI shapes, as one body or as events.
+
+Owns the fields of answers to model requests. Relies on ``answers`` for errors.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +18,8 @@
     from limeshelf.standalone.upstreams.messages import TokenLine
 
 END_EVENT = b'data: [DONE]\n\n'
-_MARK = '\0'
+#: Stands for the text while the equal bytes of the events are encoded once.
+_PLACEHOLDER = '\0'
 
 
 class EventWriter:
@@ -28,8 +32,8 @@
     def __init__(self, request: ModelRequest) -> None:
         self._request = request
         self._created = int(time.time())
-        whole = msgspec.json.encode(self._chunk(_MARK, None))
-        before, _, after = whole.partition(msgspec.json.encode(_MARK))
+        whole = msgspec.json.encode(self._chunk(_PLACEHOLDER, None))
+        before, _, after = whole.partition(msgspec.json.encode(_PLACEHOLDER))
         self._before = b'data: ' + before
         self._after = after + b'\n\n'
 
@@ -50,15 +54,15 @@
 
     def events(self, batch: list[TokenLine]) -> bytes:
         """Return the events of a batch of lines."""
-        parts: list[bytes] = []
+        pieces: list[bytes] = []
         encode = msgspec.json.encode
         for line in batch:
             if line.finish:
-                parts.append(b'data: ' + encode(self._chunk('', line.finish)) + b'\n\n')
-                parts.append(END_EVENT)
+                pieces.append(b'data: ' + encode(self._chunk('', line.finish)) + b'\n\n')
+                pieces.append(END_EVENT)
             else:
-                parts += (self._before, encode(line.text), self._after)
-        return b''.join(parts)
+                pieces += (self._before, encode(line.text), self._after)
+        return b''.join(pieces)
 
     def error_event(self, outcome: NotRun | MayHaveRun) -> bytes:
         """Return the event that ends an answer which cannot be whole."""
@@ -67,7 +71,11 @@
 
 
 def whole_body(request: ModelRequest, text: str, finish: str, tokens: int) -> bytes:
-    """Return the body of an answer that is not streamed."""
+    """Return the body of an answer that is not streamed.
+
+    :param tokens: number of tokens of *text*. Those of the prompt are not known here;
+        its words are counted in their place.
+    """
     choice: dict[str, Any] = {'index': 0, 'finish_reason': finish}
     if request.chat:
         choice['message'] = {'role': 'assistant', 'content': text}
--- a/limeshelf/standalone/entry/lifecycle.py
+++ b/limeshelf/standalone/entry/lifecycle.py
@@ -1,12 +1,20 @@
-"""Start, service, planned stop: which phase an entry process is in."""
+"""Start, service, planned stop: which phase an entry process is in.
+
+Owns the phase and the count of running requests. Relies on the program for the signals
+and the times of a planned stop.
+"""
 
 from __future__ import annotations
 
 import asyncio
 import enum
+from typing import TYPE_CHECKING
 
 from absl import logging
 
+if TYPE_CHECKING:
+    from collections.abc import Awaitable
+
 
 class Phase(enum.StrEnum):
     """Phases in their order; no phase comes back."""
@@ -73,9 +81,9 @@
         return self.running
 
 
-async def _first(wait: object, at_once: asyncio.Event) -> None:
+async def _first(wait: Awaitable[object], at_once: asyncio.Event) -> None:
     """Wait for *wait*, or until *at_once* is set."""
-    waiting = asyncio.ensure_future(wait)  # type: ignore[call-overload]
+    waiting = asyncio.ensure_future(wait)
     signalled = asyncio.ensure_future(at_once.wait())
     await asyncio.wait({waiting, signalled}, return_when=asyncio.FIRST_COMPLETED)
     for task in (waiting, signalled):
--- a/limeshelf/standalone/entry/models.py
+++ b/limeshelf/standalone/entry/models.py
@@ -1,4 +1,8 @@
-"""HTTP handlers of model requests."""
+"""HTTP handlers of model requests: whole answers, streams, and the list of models.
+
+Owns no state. Relies on ``parse`` for the request, on ``model_attempts`` for its tokens
+and on ``formats`` for the shape of the answer.
+"""
 
 from __future__ import annotations
 
@@ -138,19 +142,10 @@
         attempts: ModelAttempts,
     ) -> web.StreamResponse:
         writer = EventWriter(request)
-        answer = web.StreamResponse()
-        answer.content_type = 'text/event-stream'
-        answer.headers['Cache-Control'] = 'no-store'
-        tag(answer, request.request_id, catalog.revision)
+        answer = tag(_event_stream(), request.request_id, catalog.revision)
         try:
-            async with (
-                asyncio.timeout(request.deadline_s),
-                aclosing(attempts.batches()) as batches,
-            ):
-                async for batch in batches:
-                    if not answer.prepared:
-                        await answer.prepare(http)
-                    await answer.write(writer.events(batch))
+            async with asyncio.timeout(request.deadline_s):
+                await _write_events(http, answer, writer, attempts)
         except TimeoutError:
             outcome = MayHaveRun(DoubtReason.ANSWER_TIMEOUT)
             if not answer.prepared:
@@ -162,8 +157,27 @@
             self._context.metrics.count('entry.streams_broken')
             await answer.write(writer.error_event(error.outcome))
         except ConnectionError:
-            # The caller has gone; leaving the block above cancelled the engine.
+            # The caller has gone; leaving the block above cancelled the engine. Nobody
+            # is left to answer.
             self._context.metrics.count('entry.callers_gone')
             return answer
         await answer.write_eof()
         return answer
+
+
+def _event_stream() -> web.StreamResponse:
+    answer = web.StreamResponse()
+    answer.content_type = 'text/event-stream'
+    answer.headers['Cache-Control'] = 'no-store'
+    return answer
+
+
+async def _write_events(
+    http: web.Request, answer: web.StreamResponse, writer: EventWriter, attempts: ModelAttempts
+) -> None:
+    """Write events as tokens arrive; the head goes out with the first of them."""
+    async with aclosing(attempts.batches()) as batches:
+        async for batch in batches:
+            if not answer.prepared:
+                await answer.prepare(http)
+            await answer.write(writer.events(batch))
--- a/limeshelf/standalone/entry/plain.py
+++ b/limeshelf/standalone/entry/plain.py
@@ -74,7 +74,8 @@
         self, http: web.Request, request_id: str, catalog: Catalog, route: Route
     ) -> web.StreamResponse:
         key = idempotency_key_of(http)
-        repeatable = route.repeatable or http.method in SAFE_METHODS
+        is_safe = http.method in SAFE_METHODS
+        repeatable = route.repeatable or is_safe
         body = await self._body(http, whole=key is not None or repeatable)
         timeout_s = header_deadline_s(http, route.timeout_s)
         call = PlainCall(
@@ -93,7 +94,7 @@
             caller=caller_of(http) or ANONYMOUS,
             started_s=boottime_s(),
         )
-        if key is None or http.method in SAFE_METHODS:
+        if key is None or is_safe:
             attempts: PlainAttempts[web.StreamResponse] = PlainAttempts(self._context, prepared)
             return await attempts.send(StreamedAnswer(http, prepared))
         assert isinstance(body, bytes)
--- a/limeshelf/standalone/entry/samples.py
+++ b/limeshelf/standalone/entry/samples.py
@@ -1,4 +1,7 @@
-"""Outcomes by policy, so that two policies can be held against each other."""
+"""Outcomes of requests by policy, so that two policies can be compared.
+
+Owns the sums since the process started; the admin program asks for them.
+"""
 
 from __future__ import annotations
 
@@ -17,11 +20,11 @@
     requests: int = 0
     ok: int = 0
     refused: int = 0
-    seconds: float = 0.0
-    squares: float = 0.0
+    first_token_s: float = 0.0
+    first_token_s_squares: float = 0.0
 
 
-class SampleBook:
+class PolicySamples:
     """Sums for each policy and class since the process started."""
 
     def __init__(self) -> None:
@@ -42,16 +45,19 @@
         self,
         policies: list[Policy],
         priority_class: PriorityClass,
-        seconds: float,
+        first_token_s: float,
         met: bool,
     ) -> None:
-        """Count a request whose first token came."""
+        """Count a request whose first token came.
+
+        :param met: whether it came within its target.
+        """
         for policy in policies:
             sums = self._get(policy, priority_class)
             sums.requests += 1
             sums.ok += 1 if met else 0
-            sums.seconds += seconds
-            sums.squares += seconds * seconds
+            sums.first_token_s += first_token_s
+            sums.first_token_s_squares += first_token_s * first_token_s
 
     def samples(self) -> list[PolicySample]:
         """Return all sums."""
@@ -63,8 +69,8 @@
                 sums.requests,
                 sums.ok,
                 sums.refused,
-                sums.seconds,
-                sums.squares,
+                sums.first_token_s,
+                sums.first_token_s_squares,
             )
             for (kind, policy, priority_class), sums in self._sums.items()
         ]
--- a/limeshelf/standalone/entry/server.py
+++ b/limeshelf/standalone/entry/server.py
@@ -1,4 +1,8 @@
-"""The caller-facing HTTP listener."""
+"""The caller-facing HTTP listener: paths, health, and refusal while not serving.
+
+Owns the listener. Relies on the lifecycle for whether requests are taken, and on the
+handlers of models and plain calls for the rest.
+"""
 
 from __future__ import annotations
 
@@ -23,9 +27,20 @@
     Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
 HEALTH_PATHS = frozenset({'/health', '/ready'})
+#: When a caller is told to come back to a process that starts or stops: another
+#: instance serves at once. Chosen, not measured.
 STOPPING_RETRY_S = 1.0
-#: Longest header line and field, in bytes; larger ones get status 400.
+#: Longest header line and field, in bytes; larger ones get status 400. The default of
+#: aiohttp.
 MAX_HEADER_BYTES = 8190
+#: Largest body that the listener lets pass; the setting ``entry.max_body_bytes`` is
+#: checked where a body is read whole. Chosen, not measured.
+LISTENER_BODY_LIMIT_BYTES = 1 << 30
+#: Connections that may wait to be accepted. Chosen, not measured.
+ACCEPT_BACKLOG = 1024
+#: How long handlers may go on after the listener has closed. Chosen, not measured: a
+#: planned stop has waited for running requests before.
+SHUTDOWN_TIMEOUT_S = 1.0
 
 
 class EntryServer:
@@ -37,28 +52,33 @@
 
     async def start(self, host: str, port: int, tls: ssl.SSLContext | None) -> int:
         """Listen, and return the port."""
-        app = web.Application(middlewares=[self._count], client_max_size=1 << 30)
-        models = ModelHandlers(self._context)
-        plain = PlainHandlers(self._context)
-        app.router.add_get('/health', self._health)
-        app.router.add_get('/ready', self._ready)
-        app.router.add_get('/v1/models', models.models)
-        app.router.add_post('/v1/chat/completions', models.chat)
-        app.router.add_post('/v1/completions', models.completions)
-        app.router.add_route('*', '/{path:.*}', plain.any_method)
         self._runner = web.AppRunner(
-            app,
+            self._make_app(),
             access_log=None,
             handler_cancellation=True,
             max_line_size=MAX_HEADER_BYTES,
             max_field_size=MAX_HEADER_BYTES,
-            shutdown_timeout=1.0,
+            shutdown_timeout=SHUTDOWN_TIMEOUT_S,
         )
         await self._runner.setup()
-        site = web.TCPSite(self._runner, host, port, ssl_context=tls, backlog=1024)
+        site = web.TCPSite(self._runner, host, port, ssl_context=tls, backlog=ACCEPT_BACKLOG)
         await site.start()
         return int(self._runner.addresses[0][1])
 
+    def _make_app(self) -> web.Application:
+        app = web.Application(
+            middlewares=[self._count_or_refuse], client_max_size=LISTENER_BODY_LIMIT_BYTES
+        )
+        models = ModelHandlers(self._context)
+        plain = PlainHandlers(self._context)
+        app.router.add_get('/health', self._health)
+        app.router.add_get('/ready', self._ready)
+        app.router.add_get('/v1/models', models.models)
+        app.router.add_post('/v1/chat/completions', models.chat)
+        app.router.add_post('/v1/completions', models.completions)
+        app.router.add_route('*', '/{path:.*}', plain.any_method)
+        return app
+
     async def close(self) -> None:
         """Close the listener and all connections."""
         if self._runner is not None:
@@ -82,17 +102,18 @@
         )
 
     @web.middleware
-    async def _count(self, request: web.Request, handler: Handler) -> web.StreamResponse:
+    async def _count_or_refuse(self, request: web.Request, handler: Handler) -> web.StreamResponse:
         """Count the request as running, or refuse it when none are taken."""
         lifecycle = self._context.lifecycle
         if request.path in HEALTH_PATHS:
             return await handler(request)
         if not lifecycle.takes_requests:
-            return self._not_taken()
+            return self._refused()
         with lifecycle:
             return await handler(request)
 
-    def _not_taken(self) -> web.Response:
+    def _refused(self) -> web.Response:
+        """Return the answer of a process that starts or stops; close the connection."""
         starting = self._context.lifecycle.phase is Phase.STARTING
         reason = RefusalReason.STARTING if starting else RefusalReason.STOPPING
         self._context.metrics.count(f'entry.refused.{reason}')
--- a/limeshelf/standalone/messages.py
+++ b/limeshelf/standalone/messages.py
@@ -1,4 +1,7 @@
-"""Messages between the processes of limeshelf's own wire."""
+"""Messages between the processes of limeshelf's own wire.
+
+Owns the fields of each message; ``limeshelf.peers`` brings them from process to process.
+"""
 
 from __future__ import annotations
 
--- a/limeshelf/standalone/services/http.py
+++ b/limeshelf/standalone/services/http.py
@@ -1,8 +1,13 @@
-"""One JSON exchange with a platform service: deadline, rate limit, outcome."""
+"""One JSON exchange with a platform service: deadline, rate limit, outcome.
+
+Owns the session and the rate limit of one service. Never repeats a call: every repeat
+is decided by the caller.
+"""
 
 from __future__ import annotations
 
 import asyncio
+from http import HTTPStatus
 from typing import Any
 
 import aiohttp
@@ -27,7 +32,11 @@
 
 
 class ServiceClient:
-    """Sends requests to one platform service."""
+    """Sends requests to one platform service.
+
+    :param timeout_s: longest time of one call, the answer included.
+    :param calls_per_s: calls beyond this rate fail at once, unsent.
+    """
 
     def __init__(self, service: str, base_url: str, timeout_s: float, calls_per_s: float) -> None:
         self.service = service
@@ -52,9 +61,9 @@
             raise PlatformUnavailable(self.service) from None
         except (TimeoutError, aiohttp.ClientError):
             raise PlatformUnknown(self.service) from None
-        if reply.status in (429, 503):
+        if reply.status in (HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE):
             raise PlatformUnavailable(self.service)
-        if reply.status >= 500:
+        if reply.status >= HTTPStatus.INTERNAL_SERVER_ERROR:
             raise PlatformUnknown(self.service)
         return reply
 
--- a/limeshelf/standalone/services/objects.py
+++ b/limeshelf/standalone/services/objects.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from http import HTTPStatus
 from typing import TYPE_CHECKING
 from urllib.parse import quote
 
@@ -37,7 +38,7 @@
     async def get(self, key: str) -> Any | None:
         """Return the value under *key*, or ``None``."""
         reply = await self._client.call('GET', f'/objects/{quote(key, safe="")}')
-        if reply.status == 404:
+        if reply.status == HTTPStatus.NOT_FOUND:
             return None
         return msgspec.json.decode(reply.body)
 
--- a/limeshelf/standalone/services/table.py
+++ b/limeshelf/standalone/services/table.py
@@ -1,8 +1,12 @@
-"""The transactional table service: rows with versions, conditional writes."""
+"""The transactional table service: rows with versions, conditional writes.
+
+Owns no state; the rows belong to the modules that write them.
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
+from http import HTTPStatus
 from typing import TYPE_CHECKING, Any
 from urllib.parse import quote
 
@@ -90,7 +94,7 @@
         """
         body = {'conditions': conditions, 'writes': writes}
         reply = await self._client.call('POST', '/transact', body)
-        if reply.status == 409:
+        if reply.status == HTTPStatus.CONFLICT:
             return Conflicted(msgspec.convert(reply.json()['rows'], list[VersionedRow]))
         return Committed(msgspec.convert(reply.json()['versions'], dict[str, int]))
 
--- a/limeshelf/standalone/services/weights.py
+++ b/limeshelf/standalone/services/weights.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from http import HTTPStatus
 from typing import TYPE_CHECKING
 from urllib.parse import quote
 
@@ -40,7 +41,7 @@
     async def manifest(self, item_id: str) -> Manifest | None:
         """Return the manifest of *item_id*, or ``None`` if the store lacks it."""
         reply = await self._client.call('GET', f'/manifests/{quote(item_id, safe="")}')
-        if reply.status == 404:
+        if reply.status == HTTPStatus.NOT_FOUND:
             return None
         return msgspec.convert(reply.json(), Manifest)
 
--- a/limeshelf/standalone/upstreams/engine.py
+++ b/limeshelf/standalone/upstreams/engine.py
@@ -1,8 +1,13 @@
-"""Client of one model engine."""
+"""Client of one model engine: reports, orders, and answers checked line by line.
+
+Owns no state but its session, which the pool shares. Relies on ``http`` for what a
+failure says; never repeats a request.
+"""
 
 from __future__ import annotations
 
 import asyncio
+from http import HTTPStatus
 from typing import TYPE_CHECKING, Any, TypeVar
 
 import aiohttp
@@ -23,8 +28,6 @@
 
 T = TypeVar('T')
 
-HTTP_OK = 200
-
 
 class HttpEngineClient:
     """Speaks JSON over HTTP, with one line of JSON for each token."""
@@ -78,12 +81,13 @@
         refusal = refusal_of(answer.headers, self.upstream_id)
         if refusal is not None:
             raise refusal
-        if answer.status != HTTP_OK:
+        if answer.status != HTTPStatus.OK:
             raise ExchangeBroken(self.upstream_id, DoubtReason.ANSWER_CUT)
 
     async def _batches(
         self, answer: aiohttp.ClientResponse, request: GenerateRequest
     ) -> AsyncIterator[list[TokenLine]]:
+        """Yield the lines that have arrived whole; each must be the next of this answer."""
         expected = request.start_index
         rest = b''
         while True:
--- a/limeshelf/standalone/upstreams/http.py
+++ b/limeshelf/standalone/upstreams/http.py
@@ -1,4 +1,9 @@
-"""HTTP sessions towards upstreams and what their failures mean."""
+"""HTTP sessions towards upstreams, and what failures and refusals mean for a request.
+
+Owns the names of the headers of a refusal. ``UpstreamUnreachable`` and
+``UpstreamRefused`` mean that the request did not run, ``ExchangeBroken`` that it may
+have.
+"""
 
 from __future__ import annotations
 
--- a/limeshelf/standalone/upstreams/messages.py
+++ b/limeshelf/standalone/upstreams/messages.py
@@ -1,4 +1,8 @@
-"""Messages exchanged with model engines, as the engines' wire format has them."""
+"""Messages exchanged with model engines, as the engines' wire format has them.
+
+Owns the field names on that wire. Some values are only sent by engines, and some
+fields only read by them.
+"""
 
 from __future__ import annotations
 
--- a/limeshelf/standalone/upstreams/plain.py
+++ b/limeshelf/standalone/upstreams/plain.py
@@ -1,4 +1,8 @@
-"""Client of plain services: any method, bodies streamed both ways."""
+"""Client of plain services: any method, bodies streamed both ways.
+
+Owns no state but its sessions, which the pool shares. Relies on ``http`` for what a
+failure says; never repeats a call.
+"""
 
 from __future__ import annotations
 
--- a/limeshelf/standalone/upstreams/pool.py
+++ b/limeshelf/standalone/upstreams/pool.py
@@ -1,4 +1,8 @@
-"""Clients of all upstreams, made when first used, over shared sessions."""
+"""Clients of all upstreams, made when first used, over shared sessions.
+
+Owns the two sessions of a process: one keeps connections, the other uses a fresh one
+for each call that may not be repeated.
+"""
 
 from __future__ import annotations
 
