--- a/limeshelf/standalone/lease/keeper.py
+++ b/limeshelf/standalone/lease/keeper.py
@@ -1,4 +1,8 @@
-"""Holds, renews, loses and gives back the leader lease of a data centre."""
+"""Holds, renews, loses and gives back the leader lease of a data centre.
+
+Owns what this process knows of the lease row and of the epoch row. Relies on the table
+and on a clock that goes on while the process is paused (docs/design/memory.rst).
+"""
 
 from __future__ import annotations
 
@@ -8,6 +12,7 @@
 from absl import logging
 
 from limeshelf.errors import PlatformUnavailable, PlatformUnknown
+from limeshelf.standalone.services.outages import OUTAGE_LOG_S
 from limeshelf.standalone.services.table import Committed, Condition, VersionedRow, Write
 from limeshelf.util.clock import boottime_s
 
@@ -17,7 +22,8 @@
     from limeshelf.standalone.services.table import TableClient
 
 #: A contender waits for this many lease lives without a renewal. Being above
-#: one, it leaves room for clocks that run at slightly different rates.
+#: one, it leaves room for clocks that run at slightly different rates. Chosen, not
+#: measured (docs/design/memory.rst).
 TAKE_OVER_LIVES = 1.5
 
 
@@ -34,9 +40,11 @@
 
 
 @attrs.frozen
-class _Seen:
+class _ObservedRow:
+    """The lease row of another holder: its version, and since when it has that."""
+
     version: int
-    first_seen_s: float
+    since_s: float
 
 
 class LeaseKeeper:
@@ -60,7 +68,7 @@
         self._holder_id = holder_id
         self._lease_s = lease_s
         self._clock = clock
-        self._seen: _Seen | None = None
+        self._observed: _ObservedRow | None = None
         self._lease_version = 0
         self.epoch_version = 0
 
@@ -84,8 +92,16 @@
                 await self._contend()
             else:
                 await self._renew(self.held.epoch)
-        except (PlatformUnavailable, PlatformUnknown):
-            return
+        except (PlatformUnavailable, PlatformUnknown) as error:
+            # A holder stays the last one, a contender stays out; the next step tries
+            # again.
+            logging.log_every_n_seconds(
+                logging.WARNING,
+                'lease=%s state=not_kept error=%r',
+                OUTAGE_LOG_S,
+                self.lease_key,
+                error,
+            )
 
     async def release(self) -> None:
         """Give the lease back, so that a successor need not wait."""
@@ -99,7 +115,9 @@
                 [Condition(self.lease_key, self._lease_version)],
                 [Write(self.lease_key, value)],
             )
-        except (PlatformUnavailable, PlatformUnknown):
+        except (PlatformUnavailable, PlatformUnknown) as error:
+            # The lease runs out by itself; a successor waits a little longer.
+            logging.warning('lease=%s state=not_released error=%r', self.lease_key, error)
             return
         logging.info('lease=%s state=released epoch=%d', self.lease_key, epoch)
 
@@ -108,7 +126,7 @@
         if self.held is not None:
             logging.info('lease=%s state=superseded epoch=%d', self.lease_key, self.held.epoch)
         self.held = None
-        self._seen = None
+        self._observed = None
 
     async def _renew(self, epoch: int) -> None:
         started_s = self._clock()
@@ -154,7 +172,7 @@
             outcome = await self._table.transact(conditions, writes)
         except PlatformUnknown:
             # Taken or not, the row now tells: the next step reads it.
-            self._seen = None
+            self._observed = None
             row = await self._table.read(self.lease_key)
             if not _is(row, self._holder_id, epoch):
                 return
@@ -178,10 +196,10 @@
         if row.value is None or not row.value['holder']:
             return True
         now_s = self._clock()
-        if self._seen is None or self._seen.version != row.version:
-            self._seen = _Seen(row.version, now_s)
+        if self._observed is None or self._observed.version != row.version:
+            self._observed = _ObservedRow(row.version, now_s)
             return False
-        return now_s - self._seen.first_seen_s > TAKE_OVER_LIVES * self._lease_s
+        return now_s - self._observed.since_s > TAKE_OVER_LIVES * self._lease_s
 
 
 def _is(row: VersionedRow, holder_id: str, epoch: int) -> bool:
--- a/limeshelf/standalone/placement/anchors.py
+++ b/limeshelf/standalone/placement/anchors.py
@@ -1,4 +1,9 @@
-"""The one replica of each model that must not be unloaded, agreed in the table."""
+"""The one replica of each model that must not be unloaded, agreed in the table.
+
+Owns the anchors as last read and the writes whose outcome is unknown. Relies on the
+table and on the lease: a write counts only under the epoch that the placer holds
+(docs/design/reachable.rst).
+"""
 
 from __future__ import annotations
 
@@ -8,6 +13,7 @@
 from absl import logging
 
 from limeshelf.errors import PlatformUnavailable, PlatformUnknown
+from limeshelf.standalone.services.outages import OUTAGE_LOG_S
 from limeshelf.standalone.services.table import Committed, Condition, VersionedRow, Write
 
 if TYPE_CHECKING:
@@ -16,7 +22,7 @@
 
 ANCHOR_PREFIX = 'anchor/'
 #: One row for each data centre, written with each change of an anchor, so that
-#: readers look at a few rows as long as nothing changes.
+#: readers read a few rows as long as nothing changes.
 CHANGE_PREFIX = 'anchor-change/'
 
 
@@ -49,9 +55,9 @@
         self._lease = lease
         self._data_centre = data_centre
         self._anchors: dict[str, Anchor] = {}
-        #: Own upstreams that a write of unknown outcome may have made anchors,
-        #: by model, with the row version that would rule it out.
-        self._doubtful: dict[str, dict[str, int]] = {}
+        #: Own upstreams that a write of unknown outcome may have made anchors, by
+        #: model, with the row version that the write was conditional on.
+        self._unconfirmed: dict[str, dict[str, int]] = {}
         self.is_read = False
         self._change_versions: dict[str, int] = {}
         self._change_write = Write(f'{CHANGE_PREFIX}{data_centre}', {'changed': True})
@@ -70,7 +76,7 @@
             return True
         anchor = self._anchors.get(model)
         at_it = anchor is not None and anchor.upstream_id == upstream_id
-        return at_it or upstream_id in self._doubtful.get(model, {})
+        return at_it or upstream_id in self._unconfirmed.get(model, {})
 
     async def refresh(self) -> bool:
         """Read the anchors if any may have changed; return whether they are known."""
@@ -80,31 +86,36 @@
             if self.is_read and versions == self._change_versions:
                 return True
             # The rows are read after the versions: a change in between is read
-            # now, and once more at the next look.
+            # now, and once more at the next refresh.
             rows = await self._table.scan(ANCHOR_PREFIX)
-        except (PlatformUnavailable, PlatformUnknown):
+        except (PlatformUnavailable, PlatformUnknown) as error:
+            # Anchors last read stay good for unloads: only the own placer moves an
+            # anchor to an own engine, and it does so through this book.
+            logging.log_every_n_seconds(
+                logging.WARNING, 'anchors=not_read error=%r', OUTAGE_LOG_S, error
+            )
             return False
         self._change_versions = versions
         self._anchors = {anchor.model: anchor for anchor in map(_anchor_of, rows)}
-        for model in list(self._doubtful):
-            self._clear_doubts(model)
+        for model in list(self._unconfirmed):
+            self._drop_refuted(model)
         self.is_read = True
         return True
 
-    def _clear_doubts(self, model: str) -> None:
+    def _drop_refuted(self, model: str) -> None:
         anchor = self._anchors.get(model)
         version = anchor.row_version if anchor else 0
         left = {
             upstream_id: based_on
-            for upstream_id, based_on in self._doubtful[model].items()
-            # The doubtful write was conditional on this version; while the row
-            # has it, the write may still arrive.
+            for upstream_id, based_on in self._unconfirmed[model].items()
+            # While the row has the version that the write was conditional on, the
+            # write may still arrive.
             if version == based_on
         }
         if left:
-            self._doubtful[model] = left
+            self._unconfirmed[model] = left
         else:
-            del self._doubtful[model]
+            del self._unconfirmed[model]
 
     async def put(self, model: str, upstream_id: str, handoff: bool = False) -> bool:
         """Move the anchor of *model* to an own upstream; return whether it is there.
@@ -123,16 +134,19 @@
             Condition(key, based_on),
             Condition(self._lease.epoch_key, self._lease.epoch_version),
         ]
-        self._doubtful.setdefault(model, {})[upstream_id] = based_on
+        self._unconfirmed.setdefault(model, {})[upstream_id] = based_on
         try:
             writes = [Write(key, value), self._change_write]
             outcome = await self._table.transact(conditions, writes)
         except PlatformUnavailable:
-            self._doubtful[model].pop(upstream_id, None)
+            # No effect; the placer logs the move as not made and plans it again.
+            self._unconfirmed[model].pop(upstream_id, None)
             return False
         except PlatformUnknown:
+            # The upstream counts as the anchor until the row's version has moved on
+            # (test_replica_that_a_lost_answer_may_have_made_the_anchor_stays).
             return False
-        self._doubtful[model].pop(upstream_id, None)
+        self._unconfirmed[model].pop(upstream_id, None)
         if not isinstance(outcome, Committed):
             return False
         self._anchors[model] = Anchor(
@@ -155,7 +169,11 @@
                 ],
                 [Write(key, None), self._change_write],
             )
-        except (PlatformUnavailable, PlatformUnknown):
+        except (PlatformUnavailable, PlatformUnknown) as error:
+            # The next round drops it: an anchor without a deployment harms nothing.
+            logging.log_every_n_seconds(
+                logging.WARNING, 'anchor=%s state=not_dropped error=%r', OUTAGE_LOG_S, model, error
+            )
             return False
         if isinstance(outcome, Committed):
             del self._anchors[model]
--- a/limeshelf/standalone/placement/intents.py
+++ b/limeshelf/standalone/placement/intents.py
@@ -1,12 +1,18 @@
-"""Intents: orders written to the table before they go to an engine that checks no fence."""
+"""Intents: orders written to the table before they go to an engine that checks no fence.
+
+Owns the row of one engine. Relies on the table and on the epoch of the lease
+(docs/design/memory.rst).
+"""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
 import msgspec
+from absl import logging
 
 from limeshelf.errors import PlatformUnavailable, PlatformUnknown
+from limeshelf.standalone.services.outages import OUTAGE_LOG_S
 from limeshelf.standalone.services.table import Committed, Condition, Write
 from limeshelf.standalone.upstreams.messages import Order
 from limeshelf.util.clock import wall_s
@@ -35,7 +41,11 @@
         """Return all intents written, or ``None`` when the table did not answer."""
         try:
             row = await self._table.read(self._key)
-        except (PlatformUnavailable, PlatformUnknown):
+        except (PlatformUnavailable, PlatformUnknown) as error:
+            # The worker gives the engine no order until a later read succeeds.
+            logging.log_every_n_seconds(
+                logging.WARNING, '%s state=not_read error=%r', OUTAGE_LOG_S, self._key, error
+            )
             return None
         self._orders = msgspec.convert((row.value or {}).get('orders', []), list[Order])
         return list(self._orders)
@@ -52,7 +62,10 @@
         value = {'orders': msgspec.to_builtins(orders)}
         try:
             outcome = await self._table.transact([epoch_condition], [Write(self._key, value)])
-        except (PlatformUnavailable, PlatformUnknown):
+        except (PlatformUnavailable, PlatformUnknown) as error:
+            # The order is not sent. If the intent was written after all, a successor
+            # counts an order that never came, which errs on the safe side.
+            logging.warning('%s state=not_added item=%s error=%r', self._key, order.item_id, error)
             return False
         if not isinstance(outcome, Committed):
             self._lease.supersede()
--- a/limeshelf/standalone/programs/process.py
+++ b/limeshelf/standalone/programs/process.py
@@ -21,6 +21,7 @@
 from limeshelf.peers.node import PeerNode
 from limeshelf.settings.load import load_settings
 from limeshelf.standalone.config.holder import ConfigHolder
+from limeshelf.standalone.membership.listing import InstanceListSync
 from limeshelf.standalone.membership.processes import ENTRY_PROGRAM, ProcessDirectory
 from limeshelf.standalone.membership.upstreams import UpstreamDirectory
 from limeshelf.standalone.messages import (
@@ -80,17 +81,20 @@
         self.table = TableClient.from_settings(settings.platform)
         self._objects = ObjectStoreClient.from_settings(settings.platform)
         self._instances = InstanceListClient.from_settings(settings.platform)
+        self.listing = InstanceListSync(
+            self._instances, self.processes, self.node, self._reads_platform
+        )
+        self.listing.add_listener(self.upstreams.take_listed)
         self.store = RevisionStore(self.table, self._objects)
         self.sync = RevisionSync(
             self.config,
             self.store,
-            self._instances,
+            self.listing,
             self.processes,
             self.node,
             settings.platform.poll_s,
             self._reads_platform,
         )
-        self.sync.add_listed_listener(self.upstreams.take_listed)
 
     def _reads_platform(self) -> bool:
         return self.program == ENTRY_PROGRAM and self.processes.is_chosen('platform-reader')
--- a/limeshelf/standalone/revisions/sync.py
+++ b/limeshelf/standalone/revisions/sync.py
@@ -1,4 +1,9 @@
-"""Keeps one process at the highest revision it can reach, and spreads it."""
+"""Keeps one process at the highest revision it can reach, and sends it to its peers.
+
+Owns when the platform was last read and which peer was last asked. Relies on the revision
+store, on the peers, and on :mod:`limeshelf.standalone.membership.listing` for whom to ask;
+the configuration itself is in :mod:`limeshelf.standalone.config.holder`.
+"""
 
 from __future__ import annotations
 
@@ -20,8 +25,8 @@
     ConfigPull,
     ConfigSnapshot,
     Heartbeat,
-    ListedInstances,
 )
+from limeshelf.standalone.services.outages import OUTAGE_LOG_S
 from limeshelf.util.backoff import jittered_s
 from limeshelf.util.clock import boottime_s
 
@@ -31,21 +36,20 @@
     from limeshelf.peers.codec import Envelope
     from limeshelf.peers.node import PeerNode
     from limeshelf.standalone.config.holder import ConfigHolder
+    from limeshelf.standalone.membership.listing import InstanceListSync
     from limeshelf.standalone.membership.processes import ProcessDirectory
     from limeshelf.standalone.revisions.store import RevisionStore
-    from limeshelf.standalone.services.instances import InstanceListClient, Listed
 
 #: A starting process gives its peers this long to answer when the platform
-#: does not.
+#: does not. Chosen, not measured.
 PEERS_ANSWER_S = 2.0
-#: Pause between two tries of a starting process.
+#: Pause between two tries of a starting process, and between two pulls from one peer.
+#: Chosen, not measured.
 START_PAUSE_S = 0.2
-#: One process of a data centre reads the platform for all; the others look by
-#: themselves this much less often, which covers the time without a reader.
+#: One process of a data centre reads the platform for all; the others read it
+#: this many times less often, which covers the time without a reader. Chosen,
+#: not measured.
 IDLE_READ_FACTOR = 20
-#: An unchanged instance list is sent again after this time, for peers that
-#: missed it; a starting process reads the list by itself.
-LISTED_REFRESH_S = 30.0
 
 
 class RevisionSync:
@@ -59,7 +63,7 @@
         self,
         config: ConfigHolder,
         store: RevisionStore,
-        instances: InstanceListClient,
+        listing: InstanceListSync,
         processes: ProcessDirectory,
         node: PeerNode,
         poll_s: float,
@@ -67,27 +71,17 @@
     ) -> None:
         self._config = config
         self._store = store
-        self._instances = instances
+        self._listing = listing
         self._processes = processes
         self._node = node
         self._poll_s = poll_s
         self._reads_platform = reads_platform
-        self._listed_listeners: list[Callable[[list[Listed]], None]] = []
         self._read_s = float('-inf')
-        self._listed: list[Listed] = []
-        self._told_listed: list[Listed] = []
-        self._told_listed_s = float('-inf')
         self._pulled: dict[str, float] = {}
         node.add_handler(ConfigChanges, self._take_changes)
         node.add_handler(ConfigSnapshot, self._take_snapshot)
         node.add_handler(ConfigPull, self._answer_pull)
         node.add_handler(Heartbeat, self._compare)
-        node.add_handler(ListedInstances, self._take_listed)
-        processes.add_new_listener(self._greet)
-
-    def add_listed_listener(self, listener: Callable[[list[Listed]], None]) -> None:
-        """Call *listener* with each new instance list."""
-        self._listed_listeners.append(listener)
 
     async def start(self) -> None:
         """Return once the highest revision within reach is in force.
@@ -125,13 +119,18 @@
                 self._node.send(random.choice(addresses), message)
 
     async def _read_platform(self) -> bool:
-        listed_read = await self._read_listed()
+        listed_read = await self._listing.read()
         try:
             head = await self._store.head()
             before = self._config.revision
             if head.revision > before:
                 await self._fetch(head.revision, head.snapshot_revision)
-        except (PlatformUnavailable, PlatformUnknown):
+        except (PlatformUnavailable, PlatformUnknown) as error:
+            # The revision in force goes on; peers may bring a higher one meanwhile, and
+            # the next poll asks again.
+            logging.log_every_n_seconds(
+                logging.WARNING, 'config=head_not_read error=%r', OUTAGE_LOG_S, error
+            )
             return False
         if self._config.revision > before:
             self.push(before)
@@ -147,51 +146,15 @@
             try:
                 self._config.take_changes(record.revision - 1, record.revision, record.changes)
             except StaleRevision:
-                # A peer's push got here first; the next look settles it.
+                # A peer's push got here first; the next poll reads what is left.
+                logging.info('config=overtaken revision=%d', record.revision)
                 return
 
-    async def _read_listed(self) -> bool:
-        try:
-            listed = await self._instances.list()
-        except (PlatformUnavailable, PlatformUnknown):
-            return False
-        self._use_listed(listed)
-        if self._reads_platform():
-            self._tell_listed(listed)
-        return True
-
-    def _tell_listed(self, listed: list[Listed]) -> None:
-        """Send the list to the data centre when it changed, and now and then."""
-        now_s = boottime_s()
-        if listed == self._told_listed and now_s - self._told_listed_s < LISTED_REFRESH_S:
-            return
-        self._told_listed, self._told_listed_s = listed, now_s
-        self._node.send_all(self._processes.centre_addresses(), ListedInstances(listed))
-
-    def _use_listed(self, listed: list[Listed]) -> None:
-        self._listed = listed
-        self._processes.take_listed(listed)
-        for listener in self._listed_listeners:
-            listener(listed)
-
-    def _greet(self, newcomer: Heartbeat) -> None:
-        """Send the instance list to a process that has just started.
-
-        It may have started while the platform is down
-        (tests/features/configuration.feature).
-        """
-        near = newcomer.data_centre == self._processes.own.data_centre
-        if near and self._listed and self._reads_platform():
-            self._node.send(newcomer.address, ListedInstances(self._listed))
-
     def _ask_peers(self) -> None:
         addresses = self._processes.centre_addresses()
         self._node.send_all(addresses, ConfigPull(self._config.revision))
         self._node.send_all(addresses, self._processes.own)
 
-    def _take_listed(self, envelope: Envelope) -> None:
-        self._use_listed(envelope.message.instances)
-
     def _compare(self, envelope: Envelope) -> None:
         beat: Heartbeat = envelope.message
         if beat.revision < self._config.revision:
@@ -242,7 +205,7 @@
         self._relay(before, envelope)
 
     def _relay(self, before: int, envelope: Envelope) -> None:
-        """Pass news from another data centre on inside the own one."""
+        """Pass a change from another data centre on inside the own one."""
         foreign = envelope.data_centre != self._processes.own.data_centre
         if foreign and self._config.revision > before:
             message = self._update_after(before)
--- /dev/null
+++ b/limeshelf/standalone/services/outages.py
@@ -0,0 +1,7 @@
+"""How often a lasting outage of a platform service is written to the log."""
+
+from __future__ import annotations
+
+#: Least pause between two lines of one place about an outage: its calls come up to some
+#: times a second, and one line tells as much. Chosen, not measured.
+OUTAGE_LOG_S = 10.0
