--- /dev/null
+++ b/tests/placement/test_service.py
@@ -0,0 +1,119 @@
+"""The leader brings what calls wait for, over a replica that takes real orders."""
+
+from __future__ import annotations
+
+import asyncio
+from typing import Any
+
+import attrs
+
+from limeshelf.calls.routes import EngineSpec, ModelSpec, ServiceSpec
+from limeshelf.demand.keys import ModelKey
+from limeshelf.lease.leadership import Term
+from limeshelf.metrics.prometheus import GatewayMetrics
+from limeshelf.orders.pending import REPORT_SETTLE_S
+from limeshelf.orders.sender import OrderSender
+from limeshelf.placement.service import PlacementService
+from limeshelf.platform.orders import ReplicaOrderClient
+from limeshelf.platform.replicas import read_record
+from limeshelf.replicas.directory import ReplicaDirectory
+from limeshelf.replicas.record import Holding, ReplicaRecord
+from limeshelf.util.tasks import TaskSet
+from standins.users_platform.replica import ReplicaStandIn
+
+MODELS = {
+    name: ModelSpec(name, 70.0, 5.0, 1.0, frozenset({'a1', 'a2', 'a3'}), 1.0)
+    for name in ('m1', 'm2')
+}
+ENGINE = EngineSpec(8, 1000, 150.0, 2, 1.0, MODELS)
+
+
+@attrs.define
+class FixedTerm:
+    """A leadership whose term does not change by itself."""
+
+    fence: int
+
+    @property
+    def term(self) -> Term | None:
+        return Term(self.fence, 1e12, 1) if self.fence else None
+
+    def end(self, cause: str) -> None:
+        self.fence = 0
+
+
+@attrs.frozen
+class Config:
+    """The part of a configuration that orders read."""
+
+    services: dict[str, ServiceSpec]
+
+
+async def wait_until(condition: Any) -> None:
+    async with asyncio.timeout(5.0):
+        while not condition():
+            await asyncio.sleep(0.02)
+
+
+def wanted(adapters: list[str], adapter: str, fence: int = 5) -> list[tuple[str, str]]:
+    """Return the orders after a call waited for an adapter of m1."""
+
+    async def run() -> list[tuple[str, str]]:
+        stand_in = ReplicaStandIn('e-1', ['m1'])
+        stand_in.models['m1'] = list(adapters)
+        directory = ReplicaDirectory(read_record)
+        address = await stand_in.start()
+        held = (Holding('m1', frozenset(adapters)),)
+        directory._take_record(ReplicaRecord('e-1', 'lm', address, 'z1', 8, False, None, held, 1))
+        leadership: Any = FixedTerm(fence)
+        config: Any = Config({'lm': ServiceSpec('lm', 50, ENGINE)})
+        client = ReplicaOrderClient()
+        tasks = TaskSet()
+        sender = OrderSender(
+            client, directory, leadership, 'g-1', GatewayMetrics(), lambda: config
+        )
+        service = PlacementService(
+            directory,
+            leadership,
+            sender,
+            tasks,
+            lambda: config,
+            5.0,
+            lambda model, tokens: 0.0,
+            lambda: None,
+        )
+        replica = directory.get('e-1')
+        assert replica is not None
+        await sender.claim(replica, ENGINE)
+        stand_in.orders.clear()
+        await asyncio.sleep(REPORT_SETTLE_S + 0.05)
+        await sender.poll(replica)
+        service.want(ModelKey('lm', 'm1', adapter))
+        # What is on its way is not ordered again.
+        service.want(ModelKey('lm', 'm1', adapter))
+        if service.leads() and adapter not in adapters:
+            await wait_until(lambda: adapter in stand_in.models['m1'])
+        await tasks.close()
+        await client.close()
+        await stand_in.close()
+        return [(order.op, order.adapter) for order in stand_in.orders]
+
+    return asyncio.run(run())
+
+
+def test_wanted_adapter_is_loaded_at_once() -> None:
+    assert wanted(['a1'], 'a2') == [('load', 'a2')]
+
+
+def test_idle_adapter_is_evicted_where_all_places_are_taken() -> None:
+    orders = wanted(['a1', 'a2'], 'a3')
+    assert [op for op, _ in orders] == ['unload', 'load']
+    assert orders[-1] == ('load', 'a3')
+
+
+def test_adapter_that_is_there_is_not_ordered() -> None:
+    assert wanted(['a1'], 'a1') == []
+
+
+def test_who_does_not_lead_orders_nothing() -> None:
+    assert wanted(['a1'], 'a2', fence=0) == []
