--- a/tests/dispatch/test_dispatcher.py
+++ b/tests/dispatch/test_dispatcher.py
@@ -258,7 +258,6 @@
     for _ in range(3):
         world.ask('b', 1000, left_ms=300, objective_ms=9000)
         clock.advance(0.2)
-    world.ask('b', 1000, left_ms=300, objective_ms=9000)
     world.dispatcher.take_progress(DispatchProgress('b', Stage.ENDED))
     load = world.dispatcher._selector.loads['r0']
     assert load.calls == 1
