--- a/limeshelf/gateway/lines.py
+++ b/limeshelf/gateway/lines.py
@@ -66,7 +66,7 @@
 def log_overloaded(state: CallState, expected_wait_s: float, left_s: float) -> None:
     """Log that replicas hold what the call needs, but have no room for it in time."""
     log_request(
-        'refused_crowded',
+        'refused_overloaded',
         request=state.call.call_id,
         route=state.route.name,
         expected_wait_ms=int(expected_wait_s * 1000),
@@ -75,11 +75,11 @@
     )
 
 
-def log_until_ready(state: CallState, expected_wait_s: float) -> None:
+def log_no_replica(state: CallState, expected_wait_s: float) -> None:
     """Log that no replica holds what the call needs, nor will in time."""
     need = state.call.model_need
     log_request(
-        'refused_until_ready',
+        'refused_no_replica',
         request=state.call.call_id,
         route=state.route.name,
         model=need.model if need else '',
--- a/limeshelf/gateway/pipeline.py
+++ b/limeshelf/gateway/pipeline.py
@@ -22,7 +22,7 @@
 from limeshelf.errors import NotRun, RefusalReason
 from limeshelf.gateway.exchange import Broken, BrokenBy, Exchange
 from limeshelf.gateway.learning import apply, excludes, lesson_of
-from limeshelf.gateway.lines import log_attempt, log_overloaded, log_refused, log_until_ready
+from limeshelf.gateway.lines import log_attempt, log_no_replica, log_overloaded, log_refused
 from limeshelf.gateway.selection import Selected
 from limeshelf.gateway.settling import (
     STATUS_UNAVAILABLE,
@@ -161,7 +161,7 @@
                 return selection
             decided = decide_absent(self._absent(state, answer))
             if isinstance(decided, RefuseUntilReady):
-                return self._refuse_until_ready(state, answer, decided)
+                return self._refuse_no_replica(state, answer, decided)
             await self._hold(state, decided)
 
     def _refuse_overloaded(self, state: CallState, answer: Answer, wait_s: float) -> Ending:
@@ -171,10 +171,10 @@
         retry_after_s = come_back.after_wait_s(wait_s, left_s)
         return give_up(_progress(state, answer), RefusalReason.OVERLOADED, retry_after_s)
 
-    def _refuse_until_ready(
+    def _refuse_no_replica(
         self, state: CallState, answer: Answer, refusal: RefuseUntilReady
     ) -> Ending:
-        log_until_ready(state, refusal.expected_wait_s)
+        log_no_replica(state, refusal.expected_wait_s)
         reason = RefusalReason.NO_READY_REPLICA
         return give_up(_progress(state, answer), reason, refusal.retry_after_s)
 
