--- a/limeshelf/gateway/events.py
+++ b/limeshelf/gateway/events.py
@@ -1,17 +1,32 @@
-"""Splits a stream of server-sent events at the ends of whole events."""
+"""Splits a stream of server-sent events at the ends of whole events.
+
+Owns the unfinished rest of one call's stream, across its attempts; a resumed stream goes
+on behind the last whole event.
+"""
 
 from __future__ import annotations
 
 import re
+from dataclasses import dataclass
 
 import attrs
 
+from limeshelf.errors import LimeshelfError
+
 _END = re.compile(rb'\r?\n\r?\n')
 _ID = re.compile(rb'^id: ?([^\r\n]*)', re.MULTILINE)
-#: An event that grows beyond this is no event.
+#: Most bytes that are kept of an event without an end. Chosen in a904fff, not measured:
+#: events of the users' streams carry a few tokens.
 MAX_EVENT_BYTES = 1 << 20
 
 
+@dataclass(eq=False)
+class EventTooLong(LimeshelfError):
+    """An event grew beyond its bound without an end."""
+
+    size_bytes: int
+
+
 @attrs.define
 class EventSplitter:
     """Keeps the unfinished rest of a stream back until its event is whole.
@@ -25,13 +40,19 @@
     _rest: bytes = b''
 
     def feed(self, data: bytes) -> bytes:
-        """Return the whole events that *data* completes."""
+        """Return the whole events that *data* completes.
+
+        :raises EventTooLong: what follows them is too long; none of them is returned or
+            counted, so that a resumed stream brings them again.
+        """
         text = self._rest + data
         end = 0
         count = 0
         for found in _END.finditer(text):
             end = found.end()
             count += 1
+        if len(text) - end > MAX_EVENT_BYTES:
+            raise EventTooLong(len(text) - end)
         if not end:
             self._rest = text
             return b''
--- a/limeshelf/gateway/exchange.py
+++ b/limeshelf/gateway/exchange.py
@@ -9,7 +9,7 @@
 
 import aiohttp
 
-from limeshelf.gateway.events import EventSplitter
+from limeshelf.gateway.events import EventSplitter, EventTooLong
 from limeshelf.util.clock import boottime_s
 
 if TYPE_CHECKING:
@@ -31,6 +31,7 @@
     SILENT = 'silent'
     FOREIGN_ANSWER = 'foreign_answer'
     CUT_SHORT = 'cut_short'
+    EVENT_TOO_LONG = 'event_too_long'
     TIME_OVER = 'time_over'
 
 
@@ -120,6 +121,8 @@
             if response is None:
                 return Broken(BrokenBy.SILENT)
             return Broken(BrokenBy.CUT_SHORT)
+        except EventTooLong:
+            return Broken(BrokenBy.EVENT_TOO_LONG)
         except aiohttp.ClientPayloadError:
             return Broken(BrokenBy.CUT_SHORT)
         except (aiohttp.ClientError, OSError, ValueError):
--- a/limeshelf/gateway/learning.py
+++ b/limeshelf/gateway/learning.py
@@ -26,6 +26,7 @@
     BrokenBy.SILENT: Failure.SILENT,
     BrokenBy.FOREIGN_ANSWER: Failure.FOREIGN,
     BrokenBy.CUT_SHORT: Failure.BROKEN,
+    BrokenBy.EVENT_TOO_LONG: Failure.BROKEN,
 }
 
 
--- a/standins/users_platform/replica.py
+++ b/standins/users_platform/replica.py
@@ -14,6 +14,8 @@
 
 #: Adapters are named so; an order about another one is not taken, fence and all.
 KNOWN_ADAPTER = re.compile(r'a\d+')
+#: What an event without an end sends before it stands still.
+ENDLESS_EVENT_BYTES = 2 << 20
 
 
 class Fault(enum.StrEnum):
@@ -31,6 +33,7 @@
     SILENT = 'silent'
     ERROR = 'error'
     HALF_EVENT = 'half_event'
+    ENDLESS_EVENT = 'endless_event'
 
 
 @attrs.define
@@ -301,6 +304,9 @@
             await response.write(f'id: {number}\ndata: token {number}\n\n'.encode())
             if self.event_s:
                 await asyncio.sleep(self.event_s)
+        if fault is Fault.ENDLESS_EVENT:
+            await response.write(b'data: ' + b'x' * ENDLESS_EVENT_BYTES)
+            await asyncio.sleep(60)
         if fault is Fault.HALF_EVENT:
             await response.write(b'id: 99\nda')
         await response.write_eof()
--- a/tests/gateway/test_events.py
+++ b/tests/gateway/test_events.py
@@ -4,10 +4,11 @@
 
 import itertools
 
+import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from limeshelf.gateway.events import EventSplitter
+from limeshelf.gateway.events import MAX_EVENT_BYTES, EventSplitter, EventTooLong
 
 STREAM = b''.join(f'id: {n}\ndata: t{n}\n\n'.encode() for n in range(1, 9))
 
@@ -34,3 +35,18 @@
     splitter.restart()
     assert splitter.feed(b'id: 2\ndata: b\r\n\r\n') == b'id: 2\ndata: b\r\n\r\n'
     assert splitter.last_id == '2'
+
+
+def test_event_without_an_end_is_given_up_at_its_bound() -> None:
+    splitter = EventSplitter()
+    assert splitter.feed(b'id: 1\ndata: a\n\n') == b'id: 1\ndata: a\n\n'
+    assert splitter.feed(b'x' * MAX_EVENT_BYTES) == b''
+    with pytest.raises(EventTooLong):
+        splitter.feed(b'x')
+
+
+def test_events_before_one_without_an_end_are_asked_for_again() -> None:
+    splitter = EventSplitter()
+    with pytest.raises(EventTooLong):
+        splitter.feed(b'id: 1\ndata: a\n\n' + b'x' * (MAX_EVENT_BYTES + 1))
+    assert (splitter.last_id, splitter.events) == (None, 0)
--- a/tests/gateway/test_learning.py
+++ b/tests/gateway/test_learning.py
@@ -43,6 +43,7 @@
         (NeverRan(reached=True), Failed(Failure.REFUSED, excluded=True)),
         (Broken(BrokenBy.CONNECTION_BROKEN), Failed(Failure.BROKEN, excluded=True)),
         (Broken(BrokenBy.CUT_SHORT), Failed(Failure.BROKEN, excluded=True)),
+        (Broken(BrokenBy.EVENT_TOO_LONG), Failed(Failure.BROKEN, excluded=True)),
         (Broken(BrokenBy.SILENT), Failed(Failure.SILENT, excluded=True)),
         (Broken(BrokenBy.FOREIGN_ANSWER), Failed(Failure.FOREIGN, excluded=True)),
         (Broken(BrokenBy.TIME_OVER), Nothing()),
--- a/tests/gateway/test_path.py
+++ b/tests/gateway/test_path.py
@@ -140,6 +140,18 @@
     run(scenario)
 
 
+def test_event_without_an_end_breaks_the_stream_and_counts_against_its_replica() -> None:
+    async def scenario(world: GatewayWorld) -> None:
+        for replica in world.engines:
+            replica.fault = Fault.ENDLESS_EVENT
+        with pytest.raises(aiohttp.ClientError):
+            await world.generate()
+        known = world.gateway.directory.of_service(ENGINE)
+        assert [replica.health.failing_share > 0 for replica in known].count(True) == 1
+
+    run(scenario)
+
+
 def test_resumable_stream_goes_on_at_the_next_event() -> None:
     async def scenario(world: GatewayWorld) -> None:
         broken = world.engines[0]
