--- a/tests/support/gateway.py
+++ b/tests/support/gateway.py
@@ -7,9 +7,9 @@
 import contextlib
 import itertools
 import json
-import random
+import os
 import socket
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import aiohttp
 import attrs
@@ -20,25 +20,40 @@
 from standins.users_platform.replica import ReplicaStandIn
 from standins.users_platform.store import StoreStandIn
 
+if TYPE_CHECKING:
+    from collections.abc import Iterator
+
 HOST = 'calls.example'
 ENGINE = 'lm'
 PLAIN = 'app'
+#: Ports of one test process, in turn, so that no two of its listeners get the same.
+PORTS_A_PROCESS = 100
 #: Below the kernel's default of ``net.ipv4.ip_local_port_range``, 32768 to 60999.
-LISTENING_PORTS = (16000, 32000)
+FIRST_PORTS = range(16000, 32000, PORTS_A_PROCESS)
 _call_ids = itertools.count(1)
 
 
+def _ports() -> Iterator[int]:
+    first = FIRST_PORTS[os.getpid() % len(FIRST_PORTS)]
+    return itertools.cycle(range(first, first + PORTS_A_PROCESS))
+
+
+_own_ports = _ports()
+
+
 def free_port() -> int:
     """Return a port on loopback that nobody listens on now.
 
     It lies below the ports that the kernel gives to outgoing connections: those were
-    taken now and then between this look and the listening.
+    taken now and then between this look and the listening. Other test processes look
+    elsewhere.
     """
-    while True:
-        port = random.randrange(*LISTENING_PORTS)
+    for port in _own_ports:
         with socket.socket() as probe, contextlib.suppress(OSError):
+            probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             probe.bind(('127.0.0.1', port))
             return port
+    raise AssertionError
 
 
 def route(name: str, kind: str, service: str, **changes: Any) -> dict[str, Any]:
