--- a/limeshelf/standalone/config/catalog.py
+++ b/limeshelf/standalone/config/catalog.py
@@ -1,4 +1,7 @@
-"""A document indexed for the questions that requests and placers ask."""
+"""A document indexed for the questions that requests and placers ask.
+
+Immutable: a request keeps one catalog from its start to its end.
+"""
 
 from __future__ import annotations
 
@@ -7,9 +10,9 @@
 from limeshelf.standalone.config.document import (
     Deployment,
     Document,
+    PlainRoute,
     Policy,
     PolicyKind,
-    Route,
     Split,
 )
 from limeshelf.standalone.config.items import Item, items_of
@@ -45,7 +48,7 @@
     policies: dict[str, Policy]
     splits: dict[PolicyKind, Split]
     bindings: dict[PolicyKind, str]
-    routes: list[Route]
+    routes: list[PlainRoute]
     drained: frozenset[str]
 
     @classmethod
@@ -70,7 +73,7 @@
             drained=frozenset(document.drained_upstreams),
         )
 
-    def route_for(self, path: str) -> Route | None:
+    def route_for(self, path: str) -> PlainRoute | None:
         """Return the route with the longest prefix of *path*."""
         for route in self.routes:
             prefix = route.path_prefix.rstrip('/')
--- a/limeshelf/standalone/config/check.py
+++ b/limeshelf/standalone/config/check.py
@@ -1,4 +1,7 @@
-"""Checks of a configuration that types alone do not make."""
+"""Checks of a configuration that types alone do not make.
+
+Each check is a function of the document; relies on the registries that it is given.
+"""
 
 from __future__ import annotations
 
@@ -11,8 +14,10 @@
     from collections.abc import Iterable, Mapping
 
     from limeshelf.registry import Registry
+    from limeshelf.standalone.config.document import Deployment
 
-#: Marks that item names are built with, and so may not be part of a name.
+#: Marks that item names are built with (:mod:`limeshelf.standalone.config.items`), and so
+#: may not be part of a name.
 RESERVED_MARKS = '@+:/ '
 
 
@@ -63,17 +68,20 @@
     problems += _duplicates((s.name for s in document.splits), 'splits')
     problems += _duplicates((b.name for b in document.bindings), 'bindings')
     for deployment in document.deployments:
-        names = [deployment.name, deployment.version]
-        names += [adapter.name for adapter in deployment.adapters]
-        problems += _duplicates(names[2:], f'deployments.{deployment.name}.adapters')
-        for name in names:
-            if not name or any(mark in name for mark in RESERVED_MARKS):
-                problems.append(
-                    Problem(
-                        f'deployments.{deployment.name}',
-                        f'{name!r} is empty or holds one of {RESERVED_MARKS!r}',
-                    )
-                )
+        problems += _item_name_problems(deployment)
+    return problems
+
+
+def _item_name_problems(deployment: Deployment) -> list[Problem]:
+    """Return the faults of the names that the items of *deployment* are built from."""
+    place = f'deployments.{deployment.name}'
+    adapters = [adapter.name for adapter in deployment.adapters]
+    problems = _duplicates(adapters, f'{place}.adapters')
+    problems += [
+        Problem(place, f'{name!r} is empty or holds one of {RESERVED_MARKS!r}')
+        for name in (deployment.name, deployment.version, *adapters)
+        if not name or any(mark in name for mark in RESERVED_MARKS)
+    ]
     return problems
 
 
--- a/limeshelf/standalone/config/delta.py
+++ b/limeshelf/standalone/config/delta.py
@@ -1,4 +1,7 @@
-"""Differences between two configurations, one entity at a time."""
+"""Differences between two configurations, one entity at a time.
+
+The form of a change is that of the revision records; relies on the document's classes.
+"""
 
 from __future__ import annotations
 
@@ -12,8 +15,8 @@
     Binding,
     Deployment,
     Document,
+    PlainRoute,
     Policy,
-    Route,
     Split,
 )
 
@@ -24,7 +27,7 @@
 SECTION_TYPES: dict[str, type[Any]] = {
     'deployments': Deployment,
     'policies': Policy,
-    'routes': Route,
+    'routes': PlainRoute,
     'splits': Split,
     'bindings': Binding,
 }
--- a/limeshelf/standalone/config/document.py
+++ b/limeshelf/standalone/config/document.py
@@ -1,4 +1,8 @@
-"""The operator's configuration as typed entities."""
+"""The operator's configuration as typed entities.
+
+The stored form: field names are those of the rows and of an operator's JSON, and stay.
+Relies on nothing.
+"""
 
 from __future__ import annotations
 
@@ -44,6 +48,10 @@
     :param weights_bytes: memory of the weights.
     :param kv_reserve_bytes: memory kept for the KV cache of each replica.
     :param min_replicas: replicas kept ready over all data centres.
+    :param first_token_target_s: time to the first token that admission and the measures
+        judge by.
+    :param next_token_target_s: time between tokens. Stored configurations carry it, so it
+        is accepted; nothing reads it.
     :param repeatable: whether a broken answer may be asked for again.
     :param policies: kind of policy to policy name; the split, if any, decides
         between names.
@@ -88,7 +96,7 @@
 
 
 @attrs.frozen
-class Route:
+class PlainRoute:
     """A path prefix that leads to a plain service.
 
     :param path_prefix: longest prefix wins; the rest of the path is passed on.
@@ -132,7 +140,7 @@
 
     deployments: list[Deployment] = attrs.field(factory=list)
     policies: list[Policy] = attrs.field(factory=list)
-    routes: list[Route] = attrs.field(factory=list)
+    routes: list[PlainRoute] = attrs.field(factory=list)
     splits: list[Split] = attrs.field(factory=list)
     bindings: list[Binding] = attrs.field(factory=list)
     drained_upstreams: list[str] = attrs.field(factory=list)
--- a/limeshelf/standalone/config/holder.py
+++ b/limeshelf/standalone/config/holder.py
@@ -1,4 +1,8 @@
-"""The configuration in force in one process; it never goes back."""
+"""The configuration in force in one process; it never goes back.
+
+Owns the catalog in force and the recent changes. Relies on whoever brings revisions:
+:mod:`limeshelf.standalone.revisions.sync` and the admin program.
+"""
 
 from __future__ import annotations
 
@@ -29,7 +33,8 @@
         self._listeners: list[Callable[[Catalog], None]] = []
         self.refused = 0
 
-    #: Revisions of changes kept for peers; older peers get the whole document.
+    #: Revisions of changes kept for peers; older peers get the whole document. Chosen,
+    #: not measured.
     RECENT_LIMIT = 256
 
     @property
--- a/limeshelf/standalone/config/items.py
+++ b/limeshelf/standalone/config/items.py
@@ -1,4 +1,7 @@
-"""Names of what an engine holds: a model version, or an adapter of one."""
+"""Names of what an engine holds: a model version, or an adapter of one.
+
+The forms of item ids are those on the wire and in the table, and stay.
+"""
 
 from __future__ import annotations
 
--- a/limeshelf/standalone/entry/plain.py
+++ b/limeshelf/standalone/entry/plain.py
@@ -40,7 +40,7 @@
     import aiohttp
 
     from limeshelf.standalone.config.catalog import Catalog
-    from limeshelf.standalone.config.document import Route
+    from limeshelf.standalone.config.document import PlainRoute
     from limeshelf.standalone.entry.context import EntryContext
 
 #: Methods whose repetition has the same effect as one call, by definition.
@@ -71,7 +71,7 @@
             return tag(outcome_answer(error.outcome, request_id), request_id, catalog.revision)
 
     async def _serve(
-        self, http: web.Request, request_id: str, catalog: Catalog, route: Route
+        self, http: web.Request, request_id: str, catalog: Catalog, route: PlainRoute
     ) -> web.StreamResponse:
         key = idempotency_key_of(http)
         is_safe = http.method in SAFE_METHODS
@@ -112,7 +112,7 @@
         return await read_body(http, settings.max_body_bytes, settings.body_timeout_s)
 
 
-def _passed_path(http: web.Request, route: Route) -> str:
+def _passed_path(http: web.Request, route: PlainRoute) -> str:
     """Return path and query as the service sees them, encoded as they came."""
     raw = http.raw_path
     prefix = route.path_prefix.rstrip('/')
--- a/limeshelf/standalone/entry/plain_attempts.py
+++ b/limeshelf/standalone/entry/plain_attempts.py
@@ -34,7 +34,7 @@
     import aiohttp
 
     from limeshelf.standalone.config.catalog import Catalog
-    from limeshelf.standalone.config.document import Route
+    from limeshelf.standalone.config.document import PlainRoute
     from limeshelf.standalone.entry.context import EntryContext
     from limeshelf.standalone.upstreams.plain import PlainCall
 
@@ -52,7 +52,7 @@
 
     request_id: str
     catalog: Catalog
-    route: Route
+    route: PlainRoute
     call: PlainCall
     repeatable: bool
     caller: str
--- a/tests/forms/test_rows.py
+++ b/tests/forms/test_rows.py
@@ -43,12 +43,12 @@
     Deployment,
     Document,
     NumberParameter,
+    PlainRoute,
     Policy,
     PolicyKind,
     PriorityClass,
     Split,
 )
-from limeshelf.standalone.config.document import Route as PlainRoute
 from limeshelf.standalone.lease.keeper import LeaseKeeper
 from limeshelf.standalone.placement.anchors import AnchorBook
 from limeshelf.standalone.placement.intents import IntentLog
--- a/tests/support/entry.py
+++ b/tests/support/entry.py
@@ -13,7 +13,7 @@
 from limeshelf.metrics.statsd import Metrics
 from limeshelf.settings.model import EntrySettings, MetricsSettings
 from limeshelf.standalone.claims.keeper import ClaimKeeper
-from limeshelf.standalone.config.document import Deployment, Document, Route
+from limeshelf.standalone.config.document import Deployment, Document, PlainRoute
 from limeshelf.standalone.config.holder import ConfigHolder
 from limeshelf.standalone.entry.context import EntryContext
 from limeshelf.standalone.entry.demand import DemandCounter
@@ -84,8 +84,8 @@
             Deployment('once', '1', 1 << 30, repeatable=False),
         ],
         routes=[
-            Route('book', '/book', 'svc', repeatable=False),
-            Route('read', '/read', 'svc', repeatable=True),
+            PlainRoute('book', '/book', 'svc', repeatable=False),
+            PlainRoute('read', '/read', 'svc', repeatable=True),
         ],
     )
 
