--- a/limeshelf/standalone/admission/retries.py
+++ b/limeshelf/standalone/admission/retries.py
@@ -17,8 +17,8 @@
 #: An upstream that could not be reached gets no new work for this long. Chosen, not
 #: measured.
 AVOID_S = 1.0
-#: What a caller is told when no replica is ready, or none may be tried any more.
-#: Chosen, not measured.
+#: Retry-After when no replica is ready, or none may be tried any more. Chosen, not
+#: measured.
 NOT_READY_RETRY_S = 2.0
 
 
--- a/limeshelf/standalone/claims/keeper.py
+++ b/limeshelf/standalone/claims/keeper.py
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True)
 class Claimed:
-    """The key is ours: send the call, once."""
+    """The key belongs to this call: send it, once."""
 
     key: str
     claim_id: str
@@ -63,7 +63,7 @@
 
 
 class UnclaimedCause(enum.StrEnum):
-    """Why it cannot be told whose a key is."""
+    """Why it is not known whose a key is."""
 
     TABLE_UNAVAILABLE = 'table_unavailable'
     READ_BACK_FAILED = 'read_back_failed'
--- a/limeshelf/standalone/entry/claimed.py
+++ b/limeshelf/standalone/entry/claimed.py
@@ -40,7 +40,7 @@
     from limeshelf.standalone.entry.context import EntryContext
     from limeshelf.standalone.entry.plain_attempts import PreparedCall
 
-#: When a caller is told to come back if keys cannot be claimed. Chosen, not measured.
+#: Retry-After while keys cannot be claimed. Chosen, not measured.
 CLAIMS_RETRY_S = 5.0
 
 
@@ -85,12 +85,12 @@
             whole = await self._send(prepared)
         except RequestNotRun:
             if not await claims.give_back(claim):
-                # Repeats are told that the call may have run, though it did not.
+                # Repeats get may_have_run, though the call did not run.
                 self._log(prepared, 'give_back', 'uncertain')
             raise
         answer = _answered(whole, prepared)
         if not await claims.keep_answer(claim, whole.to_keep(), fingerprint):
-            # Repeats are told that the call may have run; they never run it again.
+            # Repeats get may_have_run; they never run it a second time.
             self._log(prepared, 'keep_answer', 'uncertain')
         return answer
 
--- a/limeshelf/standalone/entry/formats.py
+++ b/limeshelf/standalone/entry/formats.py
@@ -73,8 +73,8 @@
 def whole_body(request: ModelRequest, text: str, finish: str, tokens: int) -> bytes:
     """Return the body of an answer that is not streamed.
 
-    :param tokens: number of tokens of *text*. Those of the prompt are not known here;
-        its words are counted in their place.
+    :param tokens: number of tokens of *text*. The prompt is not tokenized here;
+        it is counted by whitespace.
     """
     choice: dict[str, Any] = {'index': 0, 'finish_reason': finish}
     if request.chat:
--- a/limeshelf/standalone/entry/model_attempts.py
+++ b/limeshelf/standalone/entry/model_attempts.py
@@ -157,11 +157,12 @@
             raise RequestNotRun(outcome)
 
     async def _generate(self, candidate: Candidate) -> AsyncGenerator[list[TokenLine], None]:
+        """Ask one replica for the tokens that are missing; yield its checked lines."""
         context = self._context
         request = self._request
         deployment = self._target.deployment
         priority = context.policies.priority(self._policies.priority)
-        order = GenerateRequest(
+        generate = GenerateRequest(
             exchange_id=new_id('x'),
             item_id=candidate.item_id,
             caller=request.caller,
@@ -174,7 +175,7 @@
         context.loads.started(candidate.upstream_id)
         try:
             engine = context.pool.engine(candidate.upstream)
-            async with aclosing(engine.generate(order)) as batches:
+            async with aclosing(engine.generate(generate)) as batches:
                 async for batch in batches:
                     yield batch
         finally:
@@ -196,6 +197,8 @@
 
     def _note_break(self, candidate: Candidate, broken: ExchangeBroken) -> None:
         self._context.metrics.count('entry.exchange_broken')
+        # Not avoided, unlike for plain calls: where a model has one replica, the answer
+        # is resumed there (test_broken_stream_is_resumed_at_the_next_token).
         self._broken_ids.add(candidate.upstream_id)
         if not self._target.deployment.repeatable:
             raise RequestInDoubt(MayHaveRun(broken.reason))
@@ -209,11 +212,12 @@
             remaining_s=self._remaining_s,
         )
         if not may_retry(question, self._context.budget(self._target.deployment.name)):
+            # An upstream that names no pause, or one of 0, leaves it to us.
             self._give_up(reason, retry_after_s or NOT_READY_RETRY_S)
         self._context.metrics.count('entry.retries')
 
     def _give_up(self, reason: RefusalReason, retry_after_s: float) -> NoReturn:
-        """Raise the final outcome: in doubt if the answer of any replica broke."""
+        """Raise the final outcome: may have run if the answer of any replica broke."""
         self._context.demand.refused(self._target.item.item_id)
         if self._broken_ids:
             raise RequestInDoubt(MayHaveRun(DoubtReason.ANSWER_CUT))
--- a/limeshelf/standalone/entry/parse.py
+++ b/limeshelf/standalone/entry/parse.py
@@ -46,7 +46,7 @@
 
 @attrs.frozen
 class Extension:
-    """Fields of ours inside the body, under ``limeshelf``."""
+    """Fields of limeshelf itself inside the body, under ``limeshelf``."""
 
     deadline_s: float | None = None
     caller: str | None = None
--- a/limeshelf/standalone/entry/server.py
+++ b/limeshelf/standalone/entry/server.py
@@ -27,8 +27,8 @@
     Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
 HEALTH_PATHS = frozenset({'/health', '/ready'})
-#: When a caller is told to come back to a process that starts or stops: another
-#: instance serves at once. Chosen, not measured.
+#: Retry-After of a process that starts or stops: another instance serves at once.
+#: Chosen, not measured.
 STOPPING_RETRY_S = 1.0
 #: Longest header line and field, in bytes; larger ones get status 400. The default of
 #: aiohttp.
--- a/limeshelf/standalone/routing/candidates.py
+++ b/limeshelf/standalone/routing/candidates.py
@@ -64,7 +64,7 @@
 ) -> list[Candidate]:
     """Return the engines of the best kind that hold the item in some version.
 
-    :param drained: ids of upstreams that get no new work by the operator's wish.
+    :param drained: ids of upstreams that the operator has taken out of service.
     :param tried: ids of upstreams that failed the request before.
     """
     kinds: dict[CandidateKind, list[Candidate]] = {}
--- a/limeshelf/standalone/services/http.py
+++ b/limeshelf/standalone/services/http.py
@@ -8,7 +8,7 @@
 
 import asyncio
 from http import HTTPStatus
-from typing import Any
+from typing import TYPE_CHECKING, Any, Self
 
 import aiohttp
 import attrs
@@ -18,6 +18,9 @@
 from limeshelf.util.http import without_silent_retry
 from limeshelf.util.rate import TokenBucket
 
+if TYPE_CHECKING:
+    from limeshelf.settings.model import PlatformSettings
+
 
 @attrs.frozen
 class Reply:
@@ -45,6 +48,11 @@
         self._rate = TokenBucket(calls_per_s)
         self._session: aiohttp.ClientSession | None = None
 
+    @classmethod
+    def from_settings(cls, service: str, base_url: str, settings: PlatformSettings) -> Self:
+        """Build the client of one service with the limits that hold for all."""
+        return cls(service, base_url, settings.timeout_s, settings.calls_per_s)
+
     async def call(self, method: str, path: str, body: Any = None) -> Reply:
         """Make one call and return its whole answer.
 
--- a/limeshelf/standalone/services/instances.py
+++ b/limeshelf/standalone/services/instances.py
@@ -60,11 +60,7 @@
     @classmethod
     def from_settings(cls, settings: PlatformSettings) -> InstanceListClient:
         """Build the client for the address in *settings*."""
-        return cls(
-            ServiceClient(
-                'instances', settings.instances_url, settings.timeout_s, settings.calls_per_s
-            )
-        )
+        return cls(ServiceClient.from_settings('instances', settings.instances_url, settings))
 
     async def list(self) -> list[Listed]:
         """Return every listed instance."""
--- a/limeshelf/standalone/services/objects.py
+++ b/limeshelf/standalone/services/objects.py
@@ -25,11 +25,7 @@
     @classmethod
     def from_settings(cls, settings: PlatformSettings) -> ObjectStoreClient:
         """Build the client for the address in *settings*."""
-        return cls(
-            ServiceClient(
-                'objects', settings.objects_url, settings.timeout_s, settings.calls_per_s
-            )
-        )
+        return cls(ServiceClient.from_settings('objects', settings.objects_url, settings))
 
     async def put(self, key: str, value: Any) -> None:
         """Store *value* as JSON under *key*; storing it again changes nothing."""
--- a/limeshelf/standalone/services/table.py
+++ b/limeshelf/standalone/services/table.py
@@ -73,9 +73,7 @@
     @classmethod
     def from_settings(cls, settings: PlatformSettings) -> TableClient:
         """Build the client for the address in *settings*."""
-        return cls(
-            ServiceClient('table', settings.table_url, settings.timeout_s, settings.calls_per_s)
-        )
+        return cls(ServiceClient.from_settings('table', settings.table_url, settings))
 
     async def read(self, key: str) -> VersionedRow:
         """Return the row called *key*; an absent one has version 0."""
--- a/limeshelf/standalone/services/weights.py
+++ b/limeshelf/standalone/services/weights.py
@@ -32,11 +32,7 @@
     @classmethod
     def from_settings(cls, settings: PlatformSettings) -> WeightStoreClient:
         """Build the client for the address in *settings*."""
-        return cls(
-            ServiceClient(
-                'weights', settings.weights_url, settings.timeout_s, settings.calls_per_s
-            )
-        )
+        return cls(ServiceClient.from_settings('weights', settings.weights_url, settings))
 
     async def manifest(self, item_id: str) -> Manifest | None:
         """Return the manifest of *item_id*, or ``None`` if the store lacks it."""
--- a/tests/forms/test_http.py
+++ b/tests/forms/test_http.py
@@ -24,7 +24,7 @@
 from limeshelf.standalone.entry.answers import invalid_answer, outcome_answer, tag
 from limeshelf.standalone.entry.lifecycle import Phase
 from tests.forms.recorded import check_recorded
-from tests.support.entry import Bench, bench
+from tests.support.entry import EntryWorld, entry_world
 from tests.support.gateway import GatewayWorld, configuration, route
 from tests.support.gateway import run as run_gateway
 
@@ -68,7 +68,7 @@
     """Return answers of a whole entry server to calls that it can't or won't pass on."""
     found = []
 
-    async def note(made: Bench, case: str, method: str, path: str, **rest: Any) -> None:
+    async def note(made: EntryWorld, case: str, method: str, path: str, **rest: Any) -> None:
         status, headers, body = await made.send(method, path, **rest)
         body = re.sub(rb'"created":\d+', b'"created":TIME', body)
         body = re.sub(rb'"service": "s\d"', b'"service": "ANY"', body)
@@ -77,7 +77,7 @@
     chat = '/v1/chat/completions'
     messages = [{'role': 'user', 'content': 'hi'}]
     good = {'model': 'm', 'messages': messages, 'max_tokens': 1}
-    async with bench(max_body_bytes=512) as made:
+    async with entry_world(max_body_bytes=512) as made:
         for phase in Phase:
             made.context.lifecycle.phase = phase
             await note(made, f'{phase} health', 'GET', '/health')
--- a/tests/standalone/entry/test_hostile.py
+++ b/tests/standalone/entry/test_hostile.py
@@ -10,7 +10,7 @@
 
 from limeshelf.errors import InvalidRequest
 from limeshelf.standalone.entry.parse import parse_model_request
-from tests.support.entry import bench
+from tests.support.entry import entry_world
 
 JSON = st.recursive(
     st.none() | st.booleans() | st.integers() | st.floats(allow_nan=False) | st.text(),
@@ -72,7 +72,7 @@
 
 def test_hostile_requests_leave_the_server_serving() -> None:
     async def case() -> None:
-        async with bench(body_timeout_s=0.2) as made:
+        async with entry_world(body_timeout_s=0.2) as made:
             for data in RAW:
                 answer = await send_raw(made.url, data)
                 assert b'"object":"chat' not in answer
@@ -87,7 +87,7 @@
 @given(st.lists(st.binary(min_size=1, max_size=200), min_size=1, max_size=5))
 def test_random_bytes_leave_the_server_serving(pieces: list[bytes]) -> None:
     async def case() -> None:
-        async with bench(body_timeout_s=0.2) as made:
+        async with entry_world(body_timeout_s=0.2) as made:
             for piece in pieces:
                 await asyncio.wait_for(send_raw(made.url, piece + b'\r\n\r\n'), 5)
             status, _, _ = await made.chat(max_tokens=1)
--- a/tests/standalone/entry/test_models.py
+++ b/tests/standalone/entry/test_models.py
@@ -8,7 +8,7 @@
 import pytest
 
 from standins.engine import token_text
-from tests.support.entry import ENGINES, bench
+from tests.support.entry import ENGINES, entry_world
 
 PROMPT = 'user: hi'
 TOKENS = 8
@@ -30,7 +30,7 @@
 
 def test_whole_answer() -> None:
     async def case() -> None:
-        async with bench() as made:
+        async with entry_world() as made:
             status, headers, body = await made.chat(max_tokens=TOKENS)
             assert status == 200
             assert headers['X-Limeshelf-Outcome'] == 'completed'
@@ -44,7 +44,7 @@
 @pytest.mark.parametrize('fault', ['cut', 'foreign', 'skipped', 'doubled'])
 def test_broken_stream_is_resumed_at_the_next_token(fault: str) -> None:
     async def case() -> None:
-        async with bench() as made:
+        async with entry_world() as made:
             for engine in made.engines.values():
                 setattr(engine.stream_faults, fault, 1)
             status, _, body = await made.chat(
@@ -60,7 +60,7 @@
 
 def test_stream_that_cannot_be_resumed_ends_with_a_typed_error() -> None:
     async def case() -> None:
-        async with bench() as made:
+        async with entry_world() as made:
             for engine in made.engines.values():
                 engine.stream_faults.cut = 100
             _, _, body = await made.chat(max_tokens=100, stream=True)
@@ -73,7 +73,7 @@
 
 def test_once_only_model_is_not_asked_again() -> None:
     async def case() -> None:
-        async with bench() as made:
+        async with entry_world() as made:
             for engine in made.engines.values():
                 engine.stream_faults.cut = 100
             status, headers, _ = await made.chat(model='once', max_tokens=TOKENS)
@@ -86,7 +86,7 @@
 
 def test_unreachable_engine_is_passed_over() -> None:
     async def case() -> None:
-        async with bench() as made:
+        async with entry_world() as made:
             await made.stop('e0')
             for _ in range(4):
                 status, _, _ = await made.chat(max_tokens=2)
@@ -97,7 +97,7 @@
 
 def test_no_engine_at_all_is_told_not_run_at_once() -> None:
     async def case() -> None:
-        async with bench() as made:
+        async with entry_world() as made:
             for name in ENGINES:
                 await made.stop(name)
             status, headers, _ = await made.chat(max_tokens=2)
@@ -111,7 +111,7 @@
 
 def test_leaving_engine_gets_no_second_request() -> None:
     async def case() -> None:
-        async with bench() as made:
+        async with entry_world() as made:
             made.engines['e0'].leaving = True
             # Several at one time, so that some are sent to either engine.
             answers = await asyncio.gather(*(made.chat(max_tokens=2) for _ in range(20)))
@@ -132,7 +132,7 @@
     """A retry storm: every try breaks; tries stay near the number of requests."""
 
     async def case() -> None:
-        async with bench() as made:
+        async with entry_world() as made:
             for engine in made.engines.values():
                 engine.stream_faults.cut = 10_000
             requests = 200
@@ -149,7 +149,7 @@
 
 def test_deadline_ends_a_request_at_once() -> None:
     async def case() -> None:
-        async with bench() as made:
+        async with entry_world() as made:
             for engine in made.engines.values():
                 engine.model.first_token_s = 30.0
             status, headers, _ = await made.chat(max_tokens=2, limeshelf={'deadline_s': 0.2})
@@ -161,7 +161,7 @@
 
 def test_caller_gone_cancels_the_engine() -> None:
     async def case() -> None:
-        async with bench() as made:
+        async with entry_world() as made:
             for engine in made.engines.values():
                 engine.model.token_s = 0.05
             task = asyncio.ensure_future(made.chat(max_tokens=1000, stream=True))
@@ -180,7 +180,7 @@
     """After a request is cut off, later callers get their own answers."""
 
     async def case() -> None:
-        async with bench() as made:
+        async with entry_world() as made:
             for engine in made.engines.values():
                 engine.model.token_s = 0.002
             for number in range(10):
@@ -216,7 +216,7 @@
 )
 def test_bad_field_is_named_and_reaches_no_engine(fields, status, named) -> None:
     async def case() -> None:
-        async with bench() as made:
+        async with entry_world() as made:
             got, headers, body = await made.chat(**fields)
             error = json.loads(body)['error']
             assert (got, error['param']) == (status, named)
@@ -228,7 +228,7 @@
 
 def test_unknown_model() -> None:
     async def case() -> None:
-        async with bench() as made:
+        async with entry_world() as made:
             status, _, body = await made.chat(model='nobody')
             assert status == 404
             assert json.loads(body)['error']['code'] == 'unknown_model'
@@ -242,7 +242,7 @@
         await asyncio.sleep(30)
 
     async def case() -> None:
-        async with bench(max_body_bytes=1000, body_timeout_s=0.2) as made:
+        async with entry_world(max_body_bytes=1000, body_timeout_s=0.2) as made:
             path = '/v1/chat/completions'
             status, _, _ = await made.send('POST', path, data=b'x' * 2000)
             assert status == 413
--- a/tests/standalone/entry/test_plain.py
+++ b/tests/standalone/entry/test_plain.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tests.support.entry import SERVICES, bench
+from tests.support.entry import SERVICES, entry_world
 from tests.support.table import TableFault
 
 
@@ -18,7 +18,7 @@
 @pytest.mark.parametrize('method', ['GET', 'POST', 'PUT', 'DELETE', 'PATCH'])
 def test_any_method_passes_through(method: str) -> None:
     async def case() -> None:
-        async with bench() as made:
+        async with entry_world() as made:
             status, headers, body = await made.send(method, '/book/a%2Fb?c=%20d', data=b'x')
             assert status == 200
             assert headers['X-Limeshelf-Outcome'] == 'completed'
@@ -35,7 +35,7 @@
             yield f'{number},'.encode()
 
     async def case() -> None:
-        async with bench() as made:
+        async with entry_world() as made:
             _, _, body = await made.send('POST', '/book/slots', data=chunks())
             assert json.loads(body)['echo'] == ''.join(f'{n},' for n in range(50))
 
@@ -48,7 +48,7 @@
     """The client must not repeat it by itself, idempotent method or not."""
 
     async def case() -> None:
-        async with bench() as made:
+        async with entry_world() as made:
             for service in made.services.values():
                 setattr(service.faults, fault, 1)
             headers = {'Idempotency-Key': 'k'}
@@ -67,7 +67,7 @@
 
 def test_call_without_a_key_is_sent_once_too() -> None:
     async def case() -> None:
-        async with bench() as made:
+        async with entry_world() as made:
             for service in made.services.values():
                 service.faults.die_after = 1
             status, got, _ = await made.send('PUT', '/book/s', data=b'x')
@@ -79,7 +79,7 @@
 
 def test_repeatable_route_is_tried_again() -> None:
     async def case() -> None:
-        async with bench() as made:
+        async with entry_world() as made:
             for service in made.services.values():
                 service.faults.die_before = 1
             service = made.services[SERVICES[0]]
@@ -93,7 +93,7 @@
 
 def test_refused_call_goes_to_another_replica() -> None:
     async def case() -> None:
-        async with bench() as made:
+        async with entry_world() as made:
             made.services['s0'].faults.busy = 100
             for number in range(6):
                 headers = {'Idempotency-Key': f'k{number}'}
@@ -106,7 +106,7 @@
 
 def test_told_not_run_frees_the_key() -> None:
     async def case() -> None:
-        async with bench() as made:
+        async with entry_world() as made:
             for service in made.services.values():
                 service.faults.busy = 1
             headers = {'Idempotency-Key': 'k'}
@@ -122,7 +122,7 @@
 
 def test_same_key_at_one_moment_runs_once() -> None:
     async def case() -> None:
-        async with bench() as made:
+        async with entry_world() as made:
             for service in made.services.values():
                 service.faults.call_s = 0.05
             headers = {'Idempotency-Key': 'k'}
@@ -138,7 +138,7 @@
 
 def test_key_of_another_call_is_refused() -> None:
     async def case() -> None:
-        async with bench() as made:
+        async with entry_world() as made:
             headers = {'Idempotency-Key': 'k'}
             await made.send('POST', '/book/s', data=b'x', headers=headers)
             status, got, _ = await made.send('POST', '/book/s', data=b'y', headers=headers)
@@ -150,7 +150,7 @@
 
 def test_claims_down_is_told_not_run_at_once() -> None:
     async def case() -> None:
-        async with bench() as made:
+        async with entry_world() as made:
             made.table.down = True
             headers = {'Idempotency-Key': 'k'}
             status, got, _ = await made.send('POST', '/book/s', data=b'x', headers=headers)
@@ -173,7 +173,7 @@
 )
 def test_trouble_with_a_claim_is_logged(faults, busy, logged) -> None:
     async def case() -> None:
-        async with bench() as made:
+        async with entry_world() as made:
             made.table.next_faults.extend(faults)
             for service in made.services.values():
                 service.faults.busy = busy
@@ -187,7 +187,7 @@
 
 def test_lost_claim_answer_is_read_back() -> None:
     async def case() -> None:
-        async with bench() as made:
+        async with entry_world() as made:
             made.table.next_faults.append(TableFault.LOST_AFTER)
             headers = {'Idempotency-Key': 'k'}
             status, _, _ = await made.send('POST', '/book/s', data=b'x', headers=headers)
@@ -199,7 +199,7 @@
 
 def test_caller_who_went_away_finds_the_answer() -> None:
     async def case() -> None:
-        async with bench() as made:
+        async with entry_world() as made:
             for service in made.services.values():
                 service.faults.call_s = 0.1
             headers = {'Idempotency-Key': 'k'}
@@ -219,7 +219,7 @@
 
 def test_unknown_route() -> None:
     async def case() -> None:
-        async with bench() as made:
+        async with entry_world() as made:
             status, got, _ = await made.send('GET', '/nowhere')
             assert (status, got['X-Limeshelf-Outcome']) == (404, 'not_run')
 
--- a/tests/support/entry.py
+++ b/tests/support/entry.py
@@ -35,7 +35,7 @@
 
 
 @attrs.define
-class Bench:
+class EntryWorld:
     """What a test of the request path works with."""
 
     url: str
@@ -91,7 +91,7 @@
 
 
 @contextlib.asynccontextmanager
-async def bench(**entry_settings: Any):
+async def entry_world(**entry_settings: Any):
     """Give a serving entry server with two engines and two plain services."""
     engines = {n: Engine(n, EngineModel(first_token_s=0.0, token_s=0.0)) for n in ENGINES}
     services = {n: PlainService(n, 0.0) for n in SERVICES}
@@ -133,7 +133,9 @@
     port = await server.start(HOST, 0, None)
     async with aiohttp.ClientSession() as session:
         session._retry_connection = False
-        made = Bench(f'http://{HOST}:{port}', session, context, table, engines, services, runners)
+        made = EntryWorld(
+            f'http://{HOST}:{port}', session, context, table, engines, services, runners
+        )
         try:
             yield made
         finally:
