--- a/limeshelf/calls/call.py
+++ b/limeshelf/calls/call.py
@@ -1,4 +1,7 @@
-"""One call of a caller: what it asks for, until when, and what it may cost."""
+"""One call of a caller: what it asks for and until when.
+
+Values only; the adapter makes them from requests (:class:`limeshelf.calls.wire.CallWire`).
+"""
 
 from __future__ import annotations
 
@@ -19,7 +22,7 @@
 class PromptPart:
     """A part of a prompt that several calls may share.
 
-    :param part_id: names the part's content.
+    :param part_id: names the part's content; calls that share the part share the id.
     """
 
     part_id: str
@@ -52,9 +55,11 @@
 class Call:
     """One attempt of a caller, read whole.
 
+    :param call_id: of this attempt; a caller that tries again takes another one.
+    :param host: without its port.
     :param target: path and query exactly as received.
     :param headers: those that travel on, in their order and spelling.
-    :param arrived_s: on the steady clock.
+    :param arrived_s: when its head was there, on the steady clock.
     :param budget_s: how long the caller waits, in seconds; ``None`` if untold.
     :param model_need: ``None`` for a call to a plain service.
     :param last_event_id: the last event that the caller has, on resumption.
--- a/limeshelf/calls/routes.py
+++ b/limeshelf/calls/routes.py
@@ -1,4 +1,8 @@
-"""Routes, services and limits: what an operator's configuration says of calls."""
+"""Routes, services and limits: what an operator's configuration says of calls.
+
+Values only: :mod:`limeshelf.platform.configuration` reads them, and all that decides on
+calls or places models relies on them.
+"""
 
 from __future__ import annotations
 
@@ -8,6 +12,14 @@
 
 from limeshelf.calls.call import CallKind
 
+#: Callers give up a stream after a gap of this time, so many objectives or so many pauses,
+#: whichever is longest, and before its first event too (the platform's page on requests).
+LEAST_PATIENCE_S = 2.0
+PATIENCE_OBJECTIVES = 4
+PATIENCE_PAUSES = 8
+#: Pause of a route that names none, as in the platform's configuration.
+DEFAULT_PAUSE_S = 0.3
+
 
 @attrs.frozen
 class WeightedService:
@@ -40,16 +52,16 @@
     max_attempts: int
     priority: int
     resumable: bool
-    pause_s: float = 0.3
+    pause_s: float = DEFAULT_PAUSE_S
 
     @property
     def patience_s(self) -> float:
-        """Return how long a caller waits for the first event, at the least.
-
-        Two seconds, four times the objective or eight times the pause,
-        whichever is longest (the platform's page on requests).
-        """
-        return max(2.0, 4 * self.objective_s, 8 * self.pause_s)
+        """Return how long a caller waits for the first event, in seconds, at the least."""
+        return max(
+            LEAST_PATIENCE_S,
+            PATIENCE_OBJECTIVES * self.objective_s,
+            PATIENCE_PAUSES * self.pause_s,
+        )
 
     @property
     def repeatable(self) -> bool:
@@ -70,7 +82,9 @@
 
     :param size_mb: megabytes of its weights.
     :param load_s: time of a load from the weight store, in seconds.
+    :param warm_load_s: time of a load where the weights are at the replica still.
     :param adapters: names of its adapters.
+    :param adapter_mb: megabytes of one adapter.
     """
 
     name: str
@@ -89,6 +103,8 @@
     :param memory_tokens: tokens of running calls and kept prompts.
     :param event_tokens: tokens, each a step of the batch, in an event of a stream.
     :param capacity_mb: megabytes for weights and adapters together.
+    :param adapter_places: adapters that a replica holds at once.
+    :param models: by name.
     :param loads_per_s: loads from the weight store, over all replicas.
     """
 
@@ -105,7 +121,7 @@
 class ServiceSpec:
     """A service: the replicas behind its name.
 
-    :param max_connections: connections that a replica takes from all callers.
+    :param max_connections: connections that a replica takes from all gateways together.
     :param engine: ``None`` for a plain service.
     """
 
@@ -116,7 +132,15 @@
 
 @attrs.frozen
 class ClientLimits:
-    """What a caller may send, and how long its connection may rest."""
+    """What a caller may send, and how long its connection may rest.
+
+    The two times are read and not enforced yet: the listener starts before the first
+    configuration is there, and its library takes one idle time, for good.
+
+    :param header_bytes: request line and header fields together.
+    :param header_timeout_s: from the first byte of a head to its end.
+    :param idle_timeout_s: without a request.
+    """
 
     header_bytes: int
     body_bytes: int
@@ -129,6 +153,7 @@
     """One whole configuration; a later one takes its place at once.
 
     :param version: rises with each change.
+    :param services: by name.
     """
 
     version: int
--- a/limeshelf/calls/wire.py
+++ b/limeshelf/calls/wire.py
@@ -1,4 +1,8 @@
-"""What the sending side needs to say to a replica, and learns from its answer's head."""
+"""The port to an adapter that spells calls: what is sent, and what an answer's head says.
+
+The gateway decides on these types alone; :class:`CallWire` is implemented once for each
+platform.
+"""
 
 from __future__ import annotations
 
@@ -16,6 +20,7 @@
 
     :param left_s: time that the replica may work, in seconds.
     :param replica_id: the incarnation that is meant; no other may run the call.
+    :param priority: rank of the call's route; 0 is the most urgent.
     :param last_event_id: go on behind this event, on resumption.
     """
 
@@ -32,11 +37,13 @@
     :param call_id: the call that it answers, as the replica tells it.
     :param stamped: whether it bears the replica's signature.
     :param encoded: whether the body was encoded on the way.
-    :param not_run: the replica's word that it did not run the call.
+    :param not_run: the replica says that it did not run the call.
     :param misdirected: another incarnation answered, or what the call needs is
         not there.
     :param headers: those that travel on.
-    :param keep_alive_s: how long the replica keeps an idle connection.
+    :param retry_after_s: when the replica expects to have room, in seconds.
+    :param keep_alive_s: how long the replica keeps an idle connection, in seconds.
+    :param closes: whether it closes the connection after this answer.
     """
 
     status: int
@@ -57,7 +64,13 @@
     def read_call(
         self, method: str, target: str, fields: Any, body: bytes, arrived_s: float
     ) -> Call:
-        """Return the call in a request; raises :exc:`InvalidRequest`."""
+        """Return the call in a request.
+
+        :param target: path and query exactly as received.
+        :param fields: header fields, a case-insensitive multi-dictionary.
+        :param arrived_s: when the head was there, on the steady clock.
+        :raises InvalidRequest: a field is missing or malformed.
+        """
 
     def send_headers(self, call: Call, facts: SendFacts) -> list[tuple[str, str]]:
         """Return the headers with which a call goes to a replica."""
@@ -68,4 +81,8 @@
     def refusal_headers(
         self, call_id: str | None, retry_after_s: float | None
     ) -> list[tuple[str, str]]:
-        """Return the headers of an answer of our own."""
+        """Return the headers of an answer of our own.
+
+        :param call_id: ``None`` where the request is no call.
+        :param retry_after_s: when to come back, in seconds; ``None`` if not at all.
+        """
--- a/limeshelf/gateway/exchange.py
+++ b/limeshelf/gateway/exchange.py
@@ -1,4 +1,10 @@
-"""One exchange with a replica: send, check that the answer is whole and the call's own."""
+"""One attempt of a call at one replica: send it, and bring the answer on if it is good.
+
+An answer is good if it is the call's own, bears the replica's signature and is whole. A
+stream goes on to the caller event by event; anything else is read whole first, so that
+the call can still go elsewhere. Owns nothing beyond the attempt; relies on
+:mod:`limeshelf.replicas.connections` to tell a reset from an end.
+"""
 
 from __future__ import annotations
 
@@ -20,18 +26,26 @@
     from limeshelf.gateway.answer import Answer
     from limeshelf.replicas.connections import ReplicaConnections
 
-MAX_BODY_BYTES = 32 << 20
+#: Largest answer that is read whole. Chosen in a904fff, not measured.
+MAX_ANSWER_BYTES = 32 << 20
+STATUS_OK = 200
 EVENT_STREAM = 'text/event-stream'
 
 
 class BrokenBy(enum.StrEnum):
     """Why an answer is not whole, so that it is open whether the replica ran the call."""
 
+    #: Before the head of an answer was there, or the answer made no sense.
     CONNECTION_BROKEN = 'connection_broken'
+    #: No head came within the attempt's time for it.
     SILENT = 'silent'
+    #: The answer is another call's, or lacks the replica's signature.
     FOREIGN_ANSWER = 'foreign_answer'
+    #: The body or stream ended before its end.
     CUT_SHORT = 'cut_short'
+    #: A stream's event did not end within its bound.
     EVENT_TOO_LONG = 'event_too_long'
+    #: The call's own time was over first.
     TIME_OVER = 'time_over'
 
 
@@ -39,7 +53,8 @@
 class Delivered:
     """The whole answer went to the caller, with its status.
 
-    :param longest_pause_s: between two events of a stream.
+    :param first_s: time from the send to the head of the answer, in seconds.
+    :param longest_pause_s: between two events of the stream, in seconds.
     """
 
     status: int
@@ -49,7 +64,10 @@
 
 @dataclass(frozen=True)
 class WholeAnswer:
-    """A plain answer that is whole but has not gone to the caller yet."""
+    """A plain answer that is whole but has not gone to the caller yet.
+
+    :param first_s: time from the send to the head of the answer, in seconds.
+    """
 
     facts: AnswerFacts
     body: bytes
@@ -61,7 +79,8 @@
     """The replica did not run the call and never will.
 
     :param reached: whether the call reached the replica.
-    :param misdirected: another incarnation answered, or something is missing.
+    :param misdirected: another incarnation answered, or the model is not there.
+    :param status: of its answer; 0 if it was not reached.
     """
 
     reached: bool
@@ -105,7 +124,9 @@
     async def run(self, facts: SendFacts, head_limit_s: float) -> Result:
         """Send the call and bring its answer on.
 
-        :param head_limit_s: time until the head of the answer must be there.
+        :param head_limit_s: within which the head of the answer must be there, in
+            seconds.
+        :raises CallerGone: the caller has closed its connection.
         """
         started_s = boottime_s()
         response: aiohttp.ClientResponse | None = None
@@ -141,7 +162,7 @@
             return NeverRan(True, facts.misdirected, facts.status)
         if not facts.stamped or facts.encoded:
             return Broken(BrokenBy.FOREIGN_ANSWER)
-        if response.status == 200 and response.content_type == EVENT_STREAM:
+        if response.status == STATUS_OK and response.content_type == EVENT_STREAM:
             return await self._relay(response, facts, first_s)
         body = await self._read_whole(response)
         self._connections.note_keep_alive(facts)
@@ -160,7 +181,7 @@
         async for chunk in response.content.iter_any():
             parts.append(chunk)
             size += len(chunk)
-            if size > MAX_BODY_BYTES:
+            if size > MAX_ANSWER_BYTES:
                 raise ValueError('answer too long')
         return b''.join(parts)
 
