--- a/tests/placement/test_service.py
+++ b/tests/placement/test_service.py
@@ -64,7 +64,7 @@
         directory = ReplicaDirectory(read_record)
         address = await stand_in.start()
         held = (Holding('m1', frozenset(adapters)),)
-        directory._take_record(ReplicaRecord('e-1', 'lm', address, 'z1', 8, False, None, held, 1))
+        directory.take_record(ReplicaRecord('e-1', 'lm', address, 'z1', 8, False, None, held, 1))
         leadership: Any = FixedTerm(fence)
         config: Any = Config({'lm': ServiceSpec('lm', 50, ENGINE)})
         client = ReplicaOrderClient()
