--- a/limeshelf/standalone/membership/processes.py
+++ b/limeshelf/standalone/membership/processes.py
@@ -1,4 +1,8 @@
-"""Which processes of limeshelf are alive, from the list and from heartbeats."""
+"""Which processes of limeshelf are alive, from the list and from heartbeats.
+
+Owns the last heartbeat of each peer and the listed entry instances; chooses which
+process does a duty for its data centre. Relies on nothing else.
+"""
 
 from __future__ import annotations
 
--- a/limeshelf/standalone/membership/reach.py
+++ b/limeshelf/standalone/membership/reach.py
@@ -1,4 +1,8 @@
-"""Which process has which revision in force, over all data centres."""
+"""Sends which process has which revision in force to the other data centres.
+
+Owns what was sent last. Relies on the heartbeats of the own data centre; admin programs
+show the result to operators.
+"""
 
 from __future__ import annotations
 
@@ -15,37 +19,38 @@
     from limeshelf.peers.node import PeerNode
     from limeshelf.standalone.membership.processes import ProcessDirectory
 
-#: Pause between two tellings when a revision changed, and when none did.
+#: Pause between two messages when a revision changed. Chosen, not measured.
 CHANGED_S = 0.25
+#: Pause between two messages when none did. Chosen, not measured.
 UNCHANGED_S = 5.0
 
 
 class ReachSender:
-    """Tells the other data centres the revisions of the own one."""
+    """Sends the revisions of the own data centre to the others."""
 
     def __init__(self, processes: ProcessDirectory, node: PeerNode) -> None:
         self._processes = processes
         self._node = node
 
     async def run(self) -> None:
-        """Tell changes soon, and everything now and then."""
-        told: dict[str, int] = {}
-        told_s = 0.0
+        """Send changes soon, and everything now and then."""
+        sent: dict[str, int] = {}
+        sent_s = 0.0
         while True:
             await asyncio.sleep(jittered_s(CHANGED_S))
             if not self._processes.is_chosen('gateway'):
                 continue
             revisions = centre_revisions(self._processes)
-            if revisions == told and boottime_s() - told_s < UNCHANGED_S:
+            if revisions == sent and boottime_s() - sent_s < UNCHANGED_S:
                 continue
-            told, told_s = revisions, boottime_s()
+            sent, sent_s = revisions, boottime_s()
             message = Reach(self._processes.own.data_centre, revisions, relay=True)
             for addresses in self._processes.remote_entries().values():
                 if addresses:
                     self._node.send(random.choice(addresses), message)
 
     def relay(self, envelope: Envelope) -> None:
-        """Pass a telling on to the admin processes of the own data centre."""
+        """Pass a message on to the admin processes of the own data centre."""
         message: Reach = envelope.message
         if message.relay:
             inner = Reach(message.data_centre, message.revisions)
--- a/limeshelf/standalone/membership/upstreams.py
+++ b/limeshelf/standalone/membership/upstreams.py
@@ -1,4 +1,8 @@
-"""Which upstreams may get work, and what they hold."""
+"""Which upstreams may get work, and what they hold.
+
+Owns the last state of each upstream and the boots that said that they leave. Relies on
+the instance list and on states that are brought to it.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +21,7 @@
     from limeshelf.standalone.messages import UpstreamState
 
 
-#: States kept for upstreams that are not listed yet.
+#: States kept for upstreams that are not listed yet. Chosen, not measured.
 EARLY_LIMIT = 10_000
 
 
@@ -71,7 +75,7 @@
         self._leaving_listeners: list[Callable[[str, str], None]] = []
 
     def add_leaving_listener(self, listener: Callable[[str, str], None]) -> None:
-        """Call *listener* with upstream id and boot id at first news of leaving."""
+        """Call *listener* with upstream id and boot id when it first leaves."""
         self._leaving_listeners.append(listener)
 
     def take_listed(self, instances: list[Listed]) -> None:
--- a/limeshelf/standalone/programs/entry.py
+++ b/limeshelf/standalone/programs/entry.py
@@ -30,9 +30,11 @@
 )
 from limeshelf.standalone.upstreams.pool import UpstreamPool
 
-#: A starting process looks this often for the states of upstreams.
-HEAR_LOOKS = 60
-HEAR_PAUSE_S = 0.05
+#: A starting process waits at most this long for the states of upstreams
+#: (docs/design/membership.rst). Chosen, not measured.
+STATES_WAIT_S = 3.0
+#: Pause between two checks whether they have arrived. Chosen, not measured.
+STATES_PAUSE_S = 0.05
 
 
 class EntryProgram(ProgramService):
@@ -60,7 +62,7 @@
             settings.peers.report_s,
         )
         self.watch.start()
-        self._start_telling()
+        self._start_sending()
         peer_port = int(self.process.node.address.rsplit(':')[-1])
         self.announce(http_port=http_port, peer_port=peer_port)
         self.process.tasks.keep(self._serve, 'serve')
@@ -80,15 +82,15 @@
             lifecycle=Lifecycle(),
         )
 
-    def _start_telling(self) -> None:
+    def _start_sending(self) -> None:
         process = self.process
         reach = ReachSender(process.processes, process.node)
         process.node.add_handler(Reach, reach.relay)
-        process.node.add_handler(SamplesQuery, self._tell_samples)
+        process.node.add_handler(SamplesQuery, self._answer_samples)
         process.tasks.keep(reach.run, 'reach')
         process.tasks.keep(self.shared.demand.run, 'demand', process.processes, process.node)
 
-    def _tell_samples(self, envelope: Envelope) -> None:
+    def _answer_samples(self, envelope: Envelope) -> None:
         query: SamplesQuery = envelope.message
         samples = self.shared.samples.samples()
         reply = SamplesReply(query.query_id, self.settings.instance_id, samples)
@@ -96,20 +98,20 @@
 
     async def _serve(self) -> None:
         await self.process.synchronise()
-        await self._hear_upstreams()
+        await self._await_states()
         self.shared.lifecycle.enter(Phase.SERVING)
         self.process.set_serving(True)
 
-    async def _hear_upstreams(self) -> None:
+    async def _await_states(self) -> None:
         """Wait for the states of the upstreams, but not for those out of reach.
 
         A process that served before it knew who holds what would refuse
         requests that its peers can serve (tests/features/planned_stop.feature).
         """
-        for _ in range(HEAR_LOOKS):
+        for _ in range(round(STATES_WAIT_S / STATES_PAUSE_S)):
             if self.process.upstreams.all_heard():
                 return
-            await asyncio.sleep(HEAR_PAUSE_S)
+            await asyncio.sleep(STATES_PAUSE_S)
 
     async def drain(self, at_once: asyncio.Event) -> int:
         """Stop as planned; return the exit code."""
