--- a/limeshelf/metrics/event_log.py
+++ b/limeshelf/metrics/event_log.py
@@ -67,6 +67,8 @@
         line = {'at_s': round(wall_s(), 4), 'instance': self.instance_id, 'event': event, **fields}
         if len(self._waiting) > BUFFER_BYTES:
             self.dropped += 1
+            # What waits is offered again, or the buffer would stay full for ever.
+            self._flush(self._descriptor)
             return
         self._waiting += _encoder.encode(line) + b'\n'
         self._flush(self._descriptor)
--- a/tests/metrics/test_event_log.py
+++ b/tests/metrics/test_event_log.py
@@ -103,3 +103,18 @@
 
 def test_log_that_is_not_open_writes_nothing(clock: VirtualClock) -> None:
     EventLog().change('phase')
+
+
+def test_log_goes_on_when_its_reader_has_caught_up(
+    clock: VirtualClock, pipe: tuple[int, int]
+) -> None:
+    """The buffer was flushed only behind the check of its size: once full, for ever full."""
+    log = EventLog(pipe[1])
+    while not log.dropped:
+        log.change('large', text=LARGE_TEXT)
+    found = b''
+    for _ in range(200):
+        found += drain(pipe[0])
+        log.change('small')
+    found += drain(pipe[0])
+    assert b'"small"' in found
