--- a/limeshelf/calls/__init__.py
+++ b/limeshelf/calls/__init__.py
@@ -1,1 +1,1 @@
-"""What a caller asks for, in the product's own terms: calls, routes, services."""
+"""What a call and a configuration are: values that decide nothing."""
--- a/limeshelf/gateway/__init__.py
+++ b/limeshelf/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""One path for every call: route, choose, send, relay, go on elsewhere, answer."""
+"""How one call goes from its caller to a replica, and its answer back."""
--- a/limeshelf/gateway/answer.py
+++ b/limeshelf/gateway/answer.py
@@ -1,4 +1,7 @@
-"""The answer to one caller; it is whole, or it visibly is not."""
+"""The answer to one caller; it is whole, or it visibly is not.
+
+Owns what went out on one exchange with a caller; relies on the HTTP library for framing.
+"""
 
 from __future__ import annotations
 
@@ -18,7 +21,13 @@
 
 
 class Answer(Protocol):
-    """Where the pipeline puts the answer to a call."""
+    """Where the pipeline puts the answer to a call.
+
+    Every method that sends raises :exc:`CallerGone` once the caller has closed its
+    connection.
+
+    :ivar started: the head is out, so the status can no longer change.
+    """
 
     started: bool
 
@@ -42,6 +51,7 @@
     """An answer on an HTTP connection.
 
     :param closing: whether the caller is told to close the connection.
+    :ivar response: ``None`` until the head is out.
     """
 
     def __init__(self, request: web.BaseRequest, closing: bool) -> None:
--- a/limeshelf/gateway/pipeline.py
+++ b/limeshelf/gateway/pipeline.py
@@ -30,7 +30,6 @@
     Answered,
     BreakOff,
     PassOn,
-    Progress,
     Refuse,
     SendAgain,
     give_up,
@@ -87,16 +86,16 @@
 
     async def serve(self, call: Call, answer: Answer) -> None:
         """Bring the call to a replica and its answer to the caller."""
-        state = self._route(call)
+        state = self._route(call, answer)
         if isinstance(state, Refuse):
             await self._answer(call, state, answer)
             return
         self._budgets.of(state.service.name).note_call()
         with self._demand.track(call, state.service.name, state.route.objective_s):
-            ending = await self._run(state, answer)
+            ending = await self._run(state)
             await self._answer(call, ending, answer)
 
-    def _route(self, call: Call) -> CallState | Refuse:
+    def _route(self, call: Call, answer: Answer) -> CallState | Refuse:
         config = self.config
         if config is None:
             return _not_ready(RefusalReason.STARTING)
@@ -107,37 +106,36 @@
         if service is None:
             return _not_ready(RefusalReason.NO_READY_REPLICA)
         allowed_s = min(call.budget_s or DEFAULT_BUDGET_S, route.timeout_s)
-        return CallState(call, route, service, call.arrived_s + allowed_s - ANSWER_MARGIN_S)
+        ends_s = call.arrived_s + allowed_s - ANSWER_MARGIN_S
+        return CallState(call, answer, route, service, ends_s)
 
-    async def _run(self, state: CallState, answer: Answer) -> Ending:
+    async def _run(self, state: CallState) -> Ending:
         while True:
-            selected = await self._select_unless_stopped(state, answer)
+            selected = await self._select_unless_stopped(state)
             if not isinstance(selected, Selected):
                 return selected
-            result = await self._attempt(state, selected, answer)
+            result = await self._attempt(state, selected)
             state.note_result(result)
             self._learn(state, selected.replica, result)
-            settled = settle(_progress(state, answer))
+            settled = settle(state.progress())
             if not isinstance(settled, SendAgain):
                 return settled
 
-    async def _select_unless_stopped(self, state: CallState, answer: Answer) -> Selected | Ending:
+    async def _select_unless_stopped(self, state: CallState) -> Selected | Ending:
         """Return the replica to try next; a planned stop ends the wait for one."""
         task = asyncio.current_task()
         assert task is not None
         self._waiting.add(task)
         try:
             if not self._stopping:
-                return await self._select(state, answer)
+                return await self._select(state)
         except asyncio.CancelledError:
             if not self._stopping:
                 raise
             task.uncancel()
         finally:
             self._waiting.discard(task)
-        return give_up(
-            _progress(state, answer), RefusalReason.STOPPING, come_back.STOPPING_COME_BACK_S
-        )
+        return give_up(state.progress(), RefusalReason.STOPPING, come_back.STOPPING_COME_BACK_S)
 
     def refuse_waiting(self) -> None:
         """Refuse the calls that still wait for a replica; other gateways take them."""
@@ -145,39 +143,25 @@
         for task in list(self._waiting):
             task.cancel()
 
-    async def _select(self, state: CallState, answer: Answer) -> Selected | Ending:
+    async def _select(self, state: CallState) -> Selected | Ending:
         """Return the replica to try next, or how the call ends without one."""
         while True:
             reason = reason_not_to_send(state.refusals, state.left_s)
             if reason is not None:
-                return give_up(_progress(state, answer), reason)
+                return give_up(state.progress(), reason)
             selection = await self._selector.select(state)
             if isinstance(selection, NoRoom):
-                return self._refuse_overloaded(state, answer, selection.wait_s)
+                return _refuse_overloaded(state, selection.wait_s)
             if isinstance(selection, Selected):
                 if state.sends and not self._budgets.of(state.service.name).try_retry():
                     selection.note_end()
-                    return give_up(_progress(state, answer), RefusalReason.UPSTREAM_REFUSED)
+                    return give_up(state.progress(), RefusalReason.UPSTREAM_REFUSED)
                 return selection
-            decided = decide_absent(self._absent(state, answer))
+            decided = decide_absent(self._absent(state))
             if isinstance(decided, RefuseUntilReady):
-                return self._refuse_no_replica(state, answer, decided)
+                return _refuse_no_replica(state, decided)
             await self._hold(state, decided)
 
-    def _refuse_overloaded(self, state: CallState, answer: Answer, wait_s: float) -> Ending:
-        """Refuse a call that would be served too late, and say when to come back."""
-        left_s = state.left_s
-        log_overloaded(state, wait_s, left_s)
-        retry_after_s = come_back.after_wait_s(wait_s, left_s)
-        return give_up(_progress(state, answer), RefusalReason.OVERLOADED, retry_after_s)
-
-    def _refuse_no_replica(
-        self, state: CallState, answer: Answer, refusal: RefuseUntilReady
-    ) -> Ending:
-        log_no_replica(state, refusal.expected_wait_s)
-        reason = RefusalReason.NO_READY_REPLICA
-        return give_up(_progress(state, answer), reason, refusal.retry_after_s)
-
     async def _hold(self, state: CallState, hold: Hold) -> None:
         """Wait for a replica that can run the call."""
         if hold.retry_excluded:
@@ -185,7 +169,7 @@
         self._demand.report_missing(state.call, state.service)
         await self._directory.wait_for_change(hold.wait_s)
 
-    def _absent(self, state: CallState, answer: Answer) -> AbsentModel:
+    def _absent(self, state: CallState) -> AbsentModel:
         return AbsentModel(
             route=state.route,
             expected_wait_s=self._demand.expected_wait_s(state.call, state.service),
@@ -194,10 +178,10 @@
             returned=state.returned,
             announced=self._demand.is_announced(state.call, state.service),
             excluded=bool(state.excluded),
-            answer_started=answer.started,
+            answer_started=state.answer.started,
         )
 
-    async def _attempt(self, state: CallState, selected: Selected, answer: Answer) -> Result:
+    async def _attempt(self, state: CallState, selected: Selected) -> Result:
         call = state.call
         replica = selected.replica
         tokens = call.model_need.memory_tokens if call.model_need else 0
@@ -210,7 +194,7 @@
         )
         connections = self._pool.connections(replica, state.service)
         exchange = Exchange(
-            call, connections, self._wire, answer, state.splitter, selected.note_first
+            call, connections, self._wire, state.answer, state.splitter, selected.note_first
         )
         replica.own.calls += 1
         replica.own.tokens += tokens
@@ -260,9 +244,17 @@
         await answer.whole(refusal.status, headers, b'')
 
 
-def _progress(state: CallState, answer: Answer) -> Progress:
-    return Progress(state.route, state.runs, state.last, state.left_s, answer.started)
-
-
 def _not_ready(reason: RefusalReason) -> Refuse:
     return Refuse(STATUS_UNAVAILABLE, NotRun(reason, come_back.NOT_READY_COME_BACK_S))
+
+
+def _refuse_overloaded(state: CallState, expected_wait_s: float) -> Ending:
+    left_s = state.left_s
+    log_overloaded(state, expected_wait_s, left_s)
+    retry_after_s = come_back.after_wait_s(expected_wait_s, left_s)
+    return give_up(state.progress(), RefusalReason.OVERLOADED, retry_after_s)
+
+
+def _refuse_no_replica(state: CallState, refusal: RefuseUntilReady) -> Ending:
+    log_no_replica(state, refusal.expected_wait_s)
+    return give_up(state.progress(), RefusalReason.NO_READY_REPLICA, refusal.retry_after_s)
--- a/limeshelf/gateway/state.py
+++ b/limeshelf/gateway/state.py
@@ -9,11 +9,13 @@
 from limeshelf.admission.patience import has_returned
 from limeshelf.gateway.events import EventSplitter
 from limeshelf.gateway.exchange import Delivered, NeverRan
+from limeshelf.gateway.settling import Progress
 from limeshelf.util.clock import boottime_s
 
 if TYPE_CHECKING:
     from limeshelf.calls.call import Call
     from limeshelf.calls.routes import Route, ServiceSpec
+    from limeshelf.gateway.answer import Answer
     from limeshelf.gateway.exchange import Result
 
 
@@ -21,6 +23,7 @@
 class CallState:
     """How far a call has come.
 
+    :ivar answer: where its answer goes.
     :ivar ends_s: when its final answer must go out, on the steady clock.
     :ivar splitter: keeps the place in a stream across attempts.
     :ivar runs: replicas that ran it or may have run it.
@@ -32,6 +35,7 @@
     """
 
     call: Call
+    answer: Answer
     route: Route
     service: ServiceSpec
     ends_s: float
@@ -56,6 +60,10 @@
         elif not isinstance(result, Delivered):
             self.runs += 1
 
+    def progress(self) -> Progress:
+        """Return what decides how the call ends."""
+        return Progress(self.route, self.runs, self.last, self.left_s, self.answer.started)
+
     @property
     def returned(self) -> bool:
         """Return whether the caller was likely refused before and has come back."""
