--- a/tests/docs/test_named_things.py
+++ b/tests/docs/test_named_things.py
@@ -47,3 +47,11 @@
     names = [name.removesuffix('_total') for name in named('architecture.rst', 'metric')]
     assert names
     assert [name for name in names if f"'{name}'" not in SOURCE] == []
+
+
+def test_events_of_the_operations_page_are_written_somewhere() -> None:
+    table = (ROOT / 'docs/OPERATIONS.md').read_text().split('| event | says |')[1]
+    rows = table.split('\n\n')[0].splitlines()[2:]
+    events = [event for row in rows for event in re.findall(r'`(\w+)`', row.split('|')[1])]
+    assert len(events) > len(rows)
+    assert [event for event in events if f"'{event}'" not in SOURCE] == []
