--- /dev/null
+++ b/tests/gateway/test_selection.py
@@ -0,0 +1,132 @@
+"""Which replica an attempt goes to, and what the dispatcher is asked for."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import attrs
+import pytest
+
+from limeshelf.calls.call import Call, ModelNeed
+from limeshelf.calls.routes import EngineSpec, ServiceSpec
+from limeshelf.dispatch.grants import NoHolder, NoRoom
+from limeshelf.dispatch.messages import Stage, VerdictKind
+from limeshelf.gateway.answer import Answer
+from limeshelf.gateway.exchange import Broken, BrokenBy, Delivered, NeverRan
+from limeshelf.gateway.selection import ReplicaSelector, Selected
+from limeshelf.gateway.state import CallState
+from limeshelf.platform.replicas import read_record
+from limeshelf.replicas.directory import ReplicaDirectory
+from limeshelf.replicas.health import Failure
+from limeshelf.replicas.record import Holding, ReplicaRecord
+from limeshelf.routing.chooser import Chooser
+from limeshelf.util.clock import boottime_s
+from tests.dispatch.test_client import Wire, client_of, in_loop
+from tests.support.routes import make_route
+
+ENGINE = ServiceSpec('lm', 50, EngineSpec(4, 20000, 100.0, 4, 1.0, {}))
+PLAIN = ServiceSpec('app', 50, None)
+NEED = ModelNeed('m', '', 100, 50, 20, ())
+
+
+def selector_of(wire: Wire) -> ReplicaSelector:
+    directory = ReplicaDirectory(read_record)
+    for number in range(2):
+        for service in (ENGINE, PLAIN):
+            directory.take_record(
+                ReplicaRecord(
+                    f'{"r" if service is ENGINE else "p"}{number}',
+                    service.name,
+                    f'{service.name}:{number}',
+                    'z1',
+                    4,
+                    False,
+                    None,
+                    (Holding('m'),),
+                    1,
+                )
+            )
+    return ReplicaSelector(directory, Chooser(directory, 'z1'), client_of(wire))
+
+
+def state_of(service: ServiceSpec, need: ModelNeed | None = None, **changes: Any) -> CallState:
+    now_s = boottime_s()
+    call = Call('c', 'POST', 'h', '/r/x', (), b'', now_s, None, need, None)
+    answer: Answer = _Nowhere()
+    state = CallState(call, answer, make_route(), service, now_s + 10.0)
+    return attrs.evolve(state, **changes)
+
+
+class _Nowhere:
+    """An answer that no test here sends."""
+
+    started = False
+
+    def __getattr__(self, name: str) -> Any:
+        raise AssertionError(name)
+
+
+@in_loop
+async def test_model_call_goes_where_the_dispatcher_grants() -> None:
+    wire = Wire(VerdictKind.GRANTED)
+    selected = await selector_of(wire).select(state_of(ENGINE, NEED))
+    assert isinstance(selected, Selected)
+    assert selected.replica.replica_id == 'r0'
+    selected.note_first()
+    selected.note_end()
+    assert [stage for _, stage in wire.stages()] == [Stage.READ, Stage.ENDED]
+
+
+@in_loop
+async def test_grant_of_a_replica_that_has_left_is_given_back() -> None:
+    wire = Wire(VerdictKind.GRANTED)
+    selector = selector_of(wire)
+    replica = selector.directory.get('r0')
+    assert replica is not None
+    replica.leaving = True
+    state = state_of(ENGINE, NEED)
+    assert await selector.select(state) == NoHolder()
+    assert state.excluded == {'r0'}
+    assert [stage for _, stage in wire.stages()] == [Stage.ENDED]
+
+
+@in_loop
+async def test_dispatcher_hears_of_replicas_out_of_reach_and_of_the_callers_patience() -> None:
+    wire = Wire(VerdictKind.REFUSED)
+    selector = selector_of(wire)
+    replica = selector.directory.get('r1')
+    assert replica is not None
+    replica.health.failed(Failure.NO_CONNECTION)
+    state = state_of(ENGINE, NEED, excluded={'r9'})
+    assert await selector.select(state) == NoRoom(0.07)
+    query = wire.sent[0][1]
+    assert query.excluded == ['r1', 'r9']
+    # Callers wait four objectives of 1 s here, of which 0.85 may pass.
+    assert 3300 <= query.left_ms <= 3400
+    assert 900 <= query.objective_ms <= 1000
+
+
+@pytest.mark.parametrize(('excluded', 'chosen'), [({'p0'}, 'p1'), ({'p1'}, 'p0')])
+@in_loop
+async def test_plain_call_is_routed_without_the_dispatcher(
+    excluded: set[str], chosen: str
+) -> None:
+    wire = Wire()
+    selected = await selector_of(wire).select(state_of(PLAIN, excluded=excluded))
+    assert isinstance(selected, Selected)
+    assert selected.replica.replica_id == chosen
+    selected.note_end()
+    assert wire.sent == []
+
+
+@in_loop
+async def test_plain_call_without_a_replica_left() -> None:
+    state = state_of(PLAIN, excluded={'p0', 'p1'})
+    assert await selector_of(Wire()).select(state) == NoHolder()
+
+
+def test_results_count_as_runs_or_refusals() -> None:
+    state = state_of(PLAIN)
+    for result in (NeverRan(reached=True), Broken(BrokenBy.SILENT), Delivered(200, 0.1)):
+        state.note_result(result)
+    assert (state.refusals, state.runs, state.last) == (1, 1, Delivered(200, 0.1))
