--- a/limeshelf/feeds/rows.py
+++ b/limeshelf/feeds/rows.py
@@ -1,7 +1,7 @@
 """The port to a table of rows with versions, conditions and a feed of changes.
 
-Owns nothing: it says what this product needs of the store. The adapter in
-:mod:`limeshelf.platform.store` does it.
+Owns nothing: it says what this product needs of the store; the adapter to the users'
+platform does it.
 """
 
 from __future__ import annotations
