--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -1,4 +1,8 @@
-"""``make capacity``: slopes of cost against size, for docs/CAPACITY.md."""
+"""``make capacity``: slopes of the own wire's cost against size, for docs/CAPACITY.md.
+
+The only measurement at sizes beyond what a machine can run as processes: it times single
+rules on made-up directories and views, and small sets of programs.
+"""
 
 from __future__ import annotations
 
--- a/benchmarks/client.py
+++ b/benchmarks/client.py
@@ -1,4 +1,7 @@
-"""A load-generating process: closed loop by concurrency, or open loop by rate."""
+"""A load-generating process for ``make bench``: closed loop, or open loop by rate.
+
+Unlike :mod:`tests.support.load` it keeps no history: it is to cost little itself.
+"""
 
 from __future__ import annotations
 
--- a/benchmarks/path.py
+++ b/benchmarks/path.py
@@ -1,4 +1,8 @@
-"""``make bench``: the request path against a direct connection to the same stand-in."""
+"""``make bench``: the own entry program against a direct connection to the stand-in.
+
+The only source of requests and tokens a core of an entry program, and of the time it
+adds, for docs/CAPACITY.md; the users' bench plays the gateway.
+"""
 
 from __future__ import annotations
 
@@ -8,13 +12,16 @@
 from benchmarks.processes import cpu_s, quantile, resident_bytes, results, start_client
 from standins.launcher import GIB, System, get, post, wait_until
 
+#: Load-generating processes: enough that they are not the limit. Chosen, not measured.
 CLIENTS = 3
+#: Length of each measurement, and of the watch of idle programs. Chosen, not measured.
 SECONDS = 4.0
 IDLE_S = 10.0
+#: Tokens of each answer where tokens are counted. Chosen, not measured.
 STREAM_TOKENS = 200
 
 
-class Path:
+class MeasuredPath:
     """One entry instance before one engine and one plain service."""
 
     def __init__(self, system: System) -> None:
@@ -56,7 +63,7 @@
         return found
 
 
-def idle(system: System, path: Path) -> None:
+def idle(system: System, path: MeasuredPath) -> None:
     """Print what each program takes while nothing is asked of it."""
     print('\nidle          resident MB  % of a core')
     programs = path.instance.programs
@@ -68,7 +75,7 @@
         print(f'{name:<14}{resident:>11.1f}{used * 100:>13.2f}')
 
 
-def rates(path: Path, what: str, kinds: tuple[str, str], unit: int, **options: float) -> float:
+def rates(path: MeasuredPath, what: str, kinds: tuple[str, str], unit: int, **options: float) -> float:
     """Print highest rates direct and through; return the one through."""
     direct = path.load(kinds[0], **options)
     through = path.load(kinds[1], **options)
@@ -80,7 +87,7 @@
     return through['per_s']
 
 
-def latency(path: Path, rate_per_s: float) -> None:
+def latency(path: MeasuredPath, rate_per_s: float) -> None:
     """Print the added time to the first byte, at a rate."""
     print(f'\ntime to first byte at {rate_per_s:.0f} requests a second, in ms')
     print(f'{"":<12}{"median":>8}{"p99":>8}')
@@ -99,7 +106,7 @@
 def main() -> None:
     """Measure and print."""
     with System({'entry.max_streams_per_upstream': 1000}) as system:
-        path = Path(system)
+        path = MeasuredPath(system)
         heading = ('direct/s', 'through/s', 'share', 'through/entry core')
         print(f'{"highest rates":<26}{heading[0]:>10}{heading[1]:>10}', end='')
         print(f'{heading[2]:>8}{"per entry core":>16}{"failed":>8}')
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -1,4 +1,8 @@
-"""``make recovery``: how long recovery takes, on real processes under load."""
+"""``make recovery``: how long the own wire's programs take to recover, under load.
+
+The only source of the times themselves, for docs/CAPACITY.md; the features hold limits,
+and the users' bench times the gateway.
+"""
 
 from __future__ import annotations
 
@@ -7,7 +11,8 @@
 
 from standins.launcher import get, wait_until
 from tests.features.environment import World
-from tests.support.load import Load, faults_of, key_runs
+from tests.support.history import faults_of, key_runs
+from tests.support.load import Load
 
 MODELS = [f'm{number}' for number in range(6)]
 REPEATS = 3
--- a/tests/features/steps/world_steps.py
+++ b/tests/features/steps/world_steps.py
@@ -10,7 +10,8 @@
 from behave import given, then, when
 
 from standins.launcher import get, post, wait_until
-from tests.support.load import Load, faults_of, key_runs, overcommits
+from tests.support.history import faults_of, key_runs, overcommits
+from tests.support.load import Load
 
 MODEL_NAMES = [f'm{number}' for number in range(6)]
 
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -1,4 +1,9 @@
-"""``make soak``: real processes under seeded random faults, then the history checked."""
+"""``make entrysoak``: the own wire's programs under seeded random faults.
+
+The only run in which entry, placer and admin programs meet faults in random order and
+overlap, with the history of the callers checked afterwards; the users' bench and
+``make soak`` play the gateway. Seeds that were played: docs/proofs.rst.
+"""
 
 from __future__ import annotations
 
@@ -11,10 +16,13 @@
 
 from standins.launcher import get, post, wait_until
 from tests.features.environment import World
-from tests.support.load import Load, faults_of, key_runs, overcommits
+from tests.support.history import faults_of, key_runs, overcommits
+from tests.support.load import Load
 
 MODELS = [f'm{number}' for number in range(6)]
+#: Least and longest pause between two faults. Chosen, not measured.
 FAULT_PAUSE_S = (0.5, 2.0)
+#: Everything is ready again within this time after the last fault. Chosen, not measured.
 RECOVERY_LIMIT_S = 90.0
 
 
--- /dev/null
+++ b/tests/support/history.py
@@ -0,0 +1,117 @@
+"""What callers saw of each call, and the promises that a history is checked against.
+
+The fault soak, the features and ``make recovery`` judge by these checks and no other.
+"""
+
+from __future__ import annotations
+
+import json
+import zlib
+from collections import Counter
+from typing import TYPE_CHECKING, Any
+
+import attrs
+
+if TYPE_CHECKING:
+    from standins.launcher import System
+
+
+@attrs.frozen
+class Call:
+    """One call and its end, as the caller saw it.
+
+    :param outcome: ``completed``, ``not_run``, ``may_have_run``, or what the
+        caller's own connection met: ``refused`` or ``dropped``.
+    """
+
+    kind: str
+    caller: str
+    key: str
+    instance: str
+    started_s: float
+    ended_s: float
+    status: int
+    outcome: str
+    whole: bool
+    revision: int
+    first_s: float = 0.0
+    retry_after: str | None = None
+    model: str = ''
+    reason: str = ''
+
+
+def judge_stream(text: str, caller: str, prompt: str, tokens: int) -> tuple[str, bool]:
+    """Return the outcome of a streamed answer, and whether every token is its own.
+
+    An answer that was cut must say so by an error event; it may not look whole.
+    """
+    events = [json.loads(e[6:]) for e in text.split('\n\n') if e.startswith('data: {')]
+    mark = f'{caller}.{zlib.crc32(f"user: {prompt}".encode()):08x}'
+    got = [e['choices'][0]['delta'].get('content', '') for e in events if 'choices' in e]
+    got = [token for token in got if token]
+    own = all(token == f'{mark}.{index} ' for index, token in enumerate(got))
+    errors = [e['error'] for e in events if 'error' in e]
+    if errors:
+        return errors[-1]['outcome'], own
+    ended = text.endswith('data: [DONE]\n\n')
+    return ('completed' if ended else 'dropped'), own and (len(got) == tokens or not ended)
+
+
+def faults_of(history: list[Call], runs: dict[str, int]) -> list[str]:
+    """Check a history against what the upstreams ran; return every fault found.
+
+    :param runs: times that each key ran, over all upstreams.
+    """
+    faults = [
+        f'not whole or not own: {call}'
+        for call in history
+        if call.outcome == 'completed' and not call.whole
+    ]
+    faults += [f'no outcome told: {call}' for call in history if call.outcome == 'untold']
+    faults += [f'{key} ran {n} times' for key, n in runs.items() if key and n > 1]
+    told: dict[str, set[str]] = {}
+    for call in history:
+        if call.key:
+            told.setdefault(call.key, set()).add(call.outcome)
+    for key, outcomes in told.items():
+        ran = runs.get(key, 0) > 0
+        if outcomes == {'not_run'} and ran:
+            faults.append(f'{key} was told not run and ran')
+        if 'completed' in outcomes and not ran:
+            faults.append(f'{key} was told completed and did not run')
+    return faults + revision_faults(history)
+
+
+def revision_faults(history: list[Call]) -> list[str]:
+    """Return each instance's steps back in revision, between calls that do not overlap."""
+    faults = []
+    highest: dict[str, tuple[float, int]] = {}
+    for call in sorted(history, key=lambda c: c.ended_s):
+        if not call.revision:
+            continue
+        ended_s, revision = highest.get(call.instance, (0.0, 0))
+        if call.revision < revision and call.started_s > ended_s:
+            faults.append(f'{call.instance} went back to revision {call.revision}: {call}')
+        if call.revision >= revision:
+            highest[call.instance] = (call.ended_s, call.revision)
+    return faults
+
+
+def key_runs(system: System) -> dict[str, int]:
+    """Return how often each key ran, over all plain services."""
+    runs: Counter[str] = Counter()
+    for upstream in system.upstreams.values():
+        if upstream.line['kind'] == 'plain':
+            for run in system.record(upstream.upstream_id)['runs']:
+                runs[run['key']] += 1
+    return dict(runs)
+
+
+def overcommits(system: System) -> list[Any]:
+    """Return every instant at which an engine held more than it can."""
+    return [
+        found
+        for upstream in system.upstreams.values()
+        if upstream.line['kind'] == 'engine'
+        for found in system.record(upstream.upstream_id)['overcommits']
+    ]
--- a/tests/support/load.py
+++ b/tests/support/load.py
@@ -1,4 +1,7 @@
-"""Concurrent callers that keep a history of every call and check it afterwards."""
+"""Concurrent callers of a running system, behind a balancer that follows readiness.
+
+The callers keep a history; :mod:`tests.support.history` checks it.
+"""
 
 from __future__ import annotations
 
@@ -8,13 +11,15 @@
 import secrets
 import threading
 import time
-import zlib
 from collections import Counter
+from collections.abc import Callable, Mapping
 from typing import TYPE_CHECKING, Any
 
 import aiohttp
 import attrs
 
+from tests.support.history import Call, judge_stream
+
 if TYPE_CHECKING:
     from standins.launcher import System
 
@@ -24,26 +29,29 @@
 
 
 @attrs.frozen
-class Call:
-    """One call and its end, as the caller saw it.
+class Request:
+    """One call as a caller sends it.
 
-    :param outcome: ``completed``, ``not_run``, ``may_have_run``, or what the
-        caller's own connection met: ``refused`` or ``dropped``.
+    :param options: headers and body, as the HTTP client takes them.
     """
 
     kind: str
+    url: str
     caller: str
-    key: str
-    instance: str
-    started_s: float
-    ended_s: float
-    status: int
-    outcome: str
-    whole: bool
-    revision: int
-    first_s: float = 0.0
-    retry_after: str | None = None
+    options: dict[str, Any]
+    key: str = ''
     model: str = ''
+
+
+@attrs.define
+class Answer:
+    """What has come of a call so far; without more, its connection was dropped."""
+
+    status: int = 0
+    headers: Mapping[str, str] = attrs.field(factory=dict)
+    outcome: str = 'dropped'
+    whole: bool = False
+    first_s: float = 0.0
     reason: str = ''
 
 
@@ -138,24 +146,15 @@
     async def _book(self, session, instance: str, url: str, number: int, key: str) -> None:
         caller = f'desk-{number}'
         headers = {'Idempotency-Key': key, 'X-Caller': caller}
-        started_s = time.monotonic()
-        outcome, status, whole, got = 'dropped', 0, False, {}
-        try:
-            async with session.post(
-                f'{url}/booking/slots',
-                data=key,
-                headers=headers,
-                timeout=aiohttp.ClientTimeout(total=ANSWER_LIMIT_S),
-            ) as answer:
-                status, got = answer.status, answer.headers
-                body = await answer.read()
-                outcome = got.get('X-Limeshelf-Outcome', 'untold')
-                whole = outcome != 'completed' or json.loads(body)['echo'] == key
-        except aiohttp.ClientConnectorError:
-            outcome = 'refused'
-        except (aiohttp.ClientError, TimeoutError, ConnectionError):
-            outcome = 'dropped'
-        self._note('book', caller, key, instance, started_s, status, outcome, whole, got)
+        request = Request(
+            'book', f'{url}/booking/slots', caller, {'data': key, 'headers': headers}, key=key
+        )
+
+        def judge(answer: Answer, text: str) -> None:
+            answer.outcome = answer.headers.get('X-Limeshelf-Outcome', 'untold')
+            answer.whole = answer.outcome != 'completed' or json.loads(text)['echo'] == key
+
+        await self._send(session, instance, request, judge)
 
     async def _stream(self, session, instance: str, url: str, number: int, model: str) -> None:
         caller = f'depot-{number}'
@@ -166,156 +165,64 @@
             'max_tokens': self._max_tokens,
             'messages': [{'role': 'user', 'content': prompt}],
         }
-        headers = {'X-Caller': caller}
-        started_s = time.monotonic()
-        outcome, status, whole, got, first_s = 'dropped', 0, False, {}, 0.0
-        reason = ''
-        try:
-            async with session.post(
-                f'{url}/v1/chat/completions',
-                json=body,
-                headers=headers,
-                timeout=aiohttp.ClientTimeout(total=ANSWER_LIMIT_S),
-            ) as answer:
-                status, got = answer.status, answer.headers
-                first = await answer.content.readany()
-                first_s = time.monotonic() - started_s
-                text = (first + await answer.read()).decode()
-                if status == 200:
-                    outcome, whole = judge_stream(text, caller, prompt, self._max_tokens)
-                else:
-                    outcome, whole = got.get('X-Limeshelf-Outcome', 'untold'), True
-                    reason = json.loads(text)['error']['code']
-        except aiohttp.ClientConnectorError:
-            outcome = 'refused'
-        except (aiohttp.ClientError, TimeoutError, ConnectionError):
-            outcome = 'dropped'
-        self._note(
+        request = Request(
             'stream',
+            f'{url}/v1/chat/completions',
             caller,
-            '',
-            instance,
-            started_s,
-            status,
-            outcome,
-            whole,
-            got,
-            first_s,
-            model,
-            reason,
+            {'json': body, 'headers': {'X-Caller': caller}},
+            model=model,
         )
 
-    def _note(
+        def judge(answer: Answer, text: str) -> None:
+            if answer.status == 200:
+                answer.outcome, answer.whole = judge_stream(text, caller, prompt, self._max_tokens)
+            else:
+                answer.outcome = answer.headers.get('X-Limeshelf-Outcome', 'untold')
+                answer.whole = True
+                answer.reason = json.loads(text)['error']['code']
+
+        await self._send(session, instance, request, judge)
+
+    async def _send(
         self,
-        kind,
-        caller,
-        key,
-        instance,
-        started_s,
-        status,
-        outcome,
-        whole,
-        got,
-        first_s=0.0,
-        model='',
-        reason='',
+        session: aiohttp.ClientSession,
+        instance: str,
+        request: Request,
+        judge: Callable[[Answer, str], None],
     ) -> None:
+        """Send *request* and add its end to the history."""
+        started_s = time.monotonic()
+        answer = Answer()
+        try:
+            limit = aiohttp.ClientTimeout(total=ANSWER_LIMIT_S)
+            async with session.post(request.url, timeout=limit, **request.options) as http:
+                answer.status, answer.headers = http.status, http.headers
+                first = await http.content.readany()
+                answer.first_s = time.monotonic() - started_s
+                judge(answer, (first + await http.read()).decode())
+        except aiohttp.ClientConnectorError:
+            answer.outcome = 'refused'
+        except (aiohttp.ClientError, TimeoutError, ConnectionError):
+            answer.outcome = 'dropped'
         self.history.append(
             Call(
-                kind,
-                caller,
-                key,
+                request.kind,
+                request.caller,
+                request.key,
                 instance,
                 started_s,
                 time.monotonic(),
-                status,
-                outcome,
-                whole,
-                int(got.get('X-Limeshelf-Revision', 0)),
-                first_s,
-                got.get('Retry-After'),
-                model,
-                reason,
+                answer.status,
+                answer.outcome,
+                answer.whole,
+                int(answer.headers.get('X-Limeshelf-Revision', 0)),
+                answer.first_s,
+                answer.headers.get('Retry-After'),
+                request.model,
+                answer.reason,
             )
         )
 
     def outcomes(self) -> Counter[str]:
         """Return the number of calls by kind and outcome."""
         return Counter(f'{call.kind} {call.outcome}' for call in self.history)
-
-
-def judge_stream(text: str, caller: str, prompt: str, tokens: int) -> tuple[str, bool]:
-    """Return the outcome of a streamed answer, and whether every token is its own.
-
-    An answer that was cut must say so by an error event; it may not look whole.
-    """
-    events = [json.loads(e[6:]) for e in text.split('\n\n') if e.startswith('data: {')]
-    mark = f'{caller}.{zlib.crc32(f"user: {prompt}".encode()):08x}'
-    got = [e['choices'][0]['delta'].get('content', '') for e in events if 'choices' in e]
-    got = [token for token in got if token]
-    own = all(token == f'{mark}.{index} ' for index, token in enumerate(got))
-    errors = [e['error'] for e in events if 'error' in e]
-    if errors:
-        return errors[-1]['outcome'], own
-    ended = text.endswith('data: [DONE]\n\n')
-    return ('completed' if ended else 'dropped'), own and (len(got) == tokens or not ended)
-
-
-def faults_of(history: list[Call], runs: dict[str, int]) -> list[str]:
-    """Check a history against what the upstreams ran; return every fault found.
-
-    :param runs: times that each key ran, over all upstreams.
-    """
-    faults = [
-        f'not whole or not own: {call}'
-        for call in history
-        if call.outcome == 'completed' and not call.whole
-    ]
-    faults += [f'no outcome told: {call}' for call in history if call.outcome == 'untold']
-    faults += [f'{key} ran {n} times' for key, n in runs.items() if key and n > 1]
-    told: dict[str, set[str]] = {}
-    for call in history:
-        if call.key:
-            told.setdefault(call.key, set()).add(call.outcome)
-    for key, outcomes in told.items():
-        ran = runs.get(key, 0) > 0
-        if outcomes == {'not_run'} and ran:
-            faults.append(f'{key} was told not run and ran')
-        if 'completed' in outcomes and not ran:
-            faults.append(f'{key} was told completed and did not run')
-    return faults + revision_faults(history)
-
-
-def revision_faults(history: list[Call]) -> list[str]:
-    """Return each instance's steps back in revision, between calls that do not overlap."""
-    faults = []
-    highest: dict[str, tuple[float, int]] = {}
-    for call in sorted(history, key=lambda c: c.ended_s):
-        if not call.revision:
-            continue
-        ended_s, revision = highest.get(call.instance, (0.0, 0))
-        if call.revision < revision and call.started_s > ended_s:
-            faults.append(f'{call.instance} went back to revision {call.revision}: {call}')
-        if call.revision >= revision:
-            highest[call.instance] = (call.ended_s, call.revision)
-    return faults
-
-
-def key_runs(system: System) -> dict[str, int]:
-    """Return how often each key ran, over all plain services."""
-    runs: Counter[str] = Counter()
-    for upstream in system.upstreams.values():
-        if upstream.line['kind'] == 'plain':
-            for run in system.record(upstream.upstream_id)['runs']:
-                runs[run['key']] += 1
-    return dict(runs)
-
-
-def overcommits(system: System) -> list[Any]:
-    """Return every instant at which an engine held more than it can."""
-    return [
-        found
-        for upstream in system.upstreams.values()
-        if upstream.line['kind'] == 'engine'
-        for found in system.record(upstream.upstream_id)['overcommits']
-    ]
