--- a/benchmarks/path.py
+++ b/benchmarks/path.py
@@ -75,7 +75,9 @@
         print(f'{name:<14}{resident:>11.1f}{used * 100:>13.2f}')
 
 
-def rates(path: MeasuredPath, what: str, kinds: tuple[str, str], unit: int, **options: float) -> float:
+def rates(
+    path: MeasuredPath, what: str, kinds: tuple[str, str], unit: int, **options: float
+) -> float:
     """Print highest rates direct and through; return the one through."""
     direct = path.load(kinds[0], **options)
     through = path.load(kinds[1], **options)
