--- a/limeshelf/standalone/entry/plain_attempts.py
+++ b/limeshelf/standalone/entry/plain_attempts.py
@@ -100,6 +100,7 @@
             except ExchangeBroken as broken:
                 partial = receiver.cut()
                 if partial is not None:
+                    self._log_cut(candidate, broken)
                     return partial
                 if not prepared.repeatable:
                     raise RequestInDoubt(MayHaveRun(broken.reason)) from None
@@ -134,6 +135,18 @@
         )
         return chosen
 
+    def _log_cut(self, candidate: Candidate, broken: ExchangeBroken) -> None:
+        """Log an answer that broke after its head was sent: its status says nothing."""
+        prepared = self._prepared
+        self._context.decisions.add(
+            prepared.request_id,
+            'cut',
+            route=prepared.route.name,
+            caller=prepared.caller,
+            upstream=candidate.upstream_id,
+            reason=broken.reason,
+        )
+
     def _check_body_is_whole(self) -> None:
         """Refuse a second attempt of a body that was streamed and may be used up."""
         if not isinstance(self._prepared.call.body, bytes | None):
--- a/tests/standalone/entry/test_plain.py
+++ b/tests/standalone/entry/test_plain.py
@@ -5,6 +5,7 @@
 import asyncio
 import json
 
+import aiohttp
 import pytest
 
 from tests.support.entry import SERVICES, entry_world
@@ -91,6 +92,23 @@
     run(case())
 
 
+def test_answer_that_breaks_after_its_head_is_cut_for_the_caller_and_logged() -> None:
+    async def case() -> None:
+        async with entry_world() as made:
+            for service in made.services.values():
+                service.faults.cut = 1
+            async with made.session.get(f'{made.url}/read/s') as answer:
+                assert answer.status == 200
+                with pytest.raises(aiohttp.ClientError):
+                    await answer.read()
+            assert made.service_runs == 1
+            lines = made.context.decisions.lines(answer.headers['X-Limeshelf-Request-Id'])
+            assert lines[-1].startswith('decision=cut')
+            assert lines[-1].endswith('reason=connection_lost')
+
+    run(case())
+
+
 def test_refused_call_goes_to_another_replica() -> None:
     async def case() -> None:
         async with entry_world() as made:
