--- a/limeshelf/standalone/entry/answers.py
+++ b/limeshelf/standalone/entry/answers.py
@@ -17,6 +17,8 @@
     NotRun,
     OutcomeKind,
     RefusalReason,
+    RequestInDoubt,
+    RequestNotRun,
 )
 from limeshelf.standalone.entry.headers import (
     OUTCOME_HEADER,
@@ -78,6 +80,15 @@
     return _answer(error.status, body, outcome)
 
 
+def error_answer(
+    error: InvalidRequest | RequestNotRun | RequestInDoubt, request_id: str, revision: int
+) -> web.Response:
+    """Return the whole answer to a request that ended with *error*."""
+    if isinstance(error, InvalidRequest):
+        return tag(invalid_answer(error, request_id), request_id, revision)
+    return tag(outcome_answer(error.outcome, request_id), request_id, revision)
+
+
 def tag(answer: AnyAnswer, request_id: str, revision: int) -> AnyAnswer:
     """Add the headers that every answer carries."""
     answer.headers[REQUEST_ID_HEADER] = request_id
--- a/limeshelf/standalone/entry/models.py
+++ b/limeshelf/standalone/entry/models.py
@@ -23,7 +23,7 @@
     RequestInDoubt,
     RequestNotRun,
 )
-from limeshelf.standalone.entry.answers import invalid_answer, outcome_answer, tag
+from limeshelf.standalone.entry.answers import error_answer, tag
 from limeshelf.standalone.entry.body import read_body
 from limeshelf.standalone.entry.formats import EventWriter, whole_body
 from limeshelf.standalone.entry.headers import OUTCOME_HEADER, REVISION_HEADER
@@ -85,16 +85,12 @@
             request = parse_model_request(
                 http, body, chat, request_id, settings.default_deadline_s
             )
+            return await self._serve(http, request, catalog, _target_of(request, catalog))
         except InvalidRequest as error:
             self._context.metrics.count('entry.invalid')
-            return tag(invalid_answer(error, request_id), request_id, catalog.revision)
-        target = catalog.targets.get(request.model)
-        if target is None:
-            outcome = NotRun(
-                RefusalReason.UNKNOWN_MODEL, None, f'model: {request.model!r} is not deployed'
-            )
-            return tag(outcome_answer(outcome, request_id), request_id, catalog.revision)
-        return await self._serve(http, request, catalog, target)
+            return error_answer(error, request_id, catalog.revision)
+        except (RequestNotRun, RequestInDoubt) as error:
+            return error_answer(error, request_id, catalog.revision)
 
     async def _serve(
         self, http: web.Request, request: ModelRequest, catalog: Catalog, target: Target
@@ -108,9 +104,6 @@
             if request.stream:
                 return await self._stream(http, request, catalog, attempts)
             return await self._whole(request, catalog, attempts)
-        except (RequestNotRun, RequestInDoubt) as error:
-            answer = outcome_answer(error.outcome, request.request_id)
-            return tag(answer, request.request_id, catalog.revision)
         finally:
             context.demand.ended(item_id)
 
@@ -165,6 +158,15 @@
         return answer
 
 
+def _target_of(request: ModelRequest, catalog: Catalog) -> Target:
+    target = catalog.targets.get(request.model)
+    if target is None:
+        raise RequestNotRun(
+            NotRun(RefusalReason.UNKNOWN_MODEL, None, f'model: {request.model!r} is not deployed')
+        )
+    return target
+
+
 def _event_stream() -> web.StreamResponse:
     answer = web.StreamResponse()
     answer.content_type = 'text/event-stream'
--- a/limeshelf/standalone/entry/plain.py
+++ b/limeshelf/standalone/entry/plain.py
@@ -19,7 +19,7 @@
     RequestInDoubt,
     RequestNotRun,
 )
-from limeshelf.standalone.entry.answers import invalid_answer, outcome_answer, tag
+from limeshelf.standalone.entry.answers import error_answer, tag
 from limeshelf.standalone.entry.body import CHUNK_BYTES, read_body
 from limeshelf.standalone.entry.claimed import ClaimedCalls
 from limeshelf.standalone.entry.headers import (
@@ -58,17 +58,12 @@
         """Answer a call under one of the configured routes."""
         request_id = new_id(f'req-{self._context.instance_id}')
         catalog = self._context.config.catalog
-        route = catalog.route_for(http.path)
-        if route is None:
-            outcome = NotRun(RefusalReason.UNKNOWN_ROUTE, None, f'no route for {http.path}')
-            return tag(outcome_answer(outcome, request_id), request_id, catalog.revision)
-        self._context.metrics.count('entry.plain_requests')
         try:
+            route = _route_of(http, catalog)
+            self._context.metrics.count('entry.plain_requests')
             return await self._serve(http, request_id, catalog, route)
-        except InvalidRequest as error:
-            return tag(invalid_answer(error, request_id), request_id, catalog.revision)
-        except (RequestNotRun, RequestInDoubt) as error:
-            return tag(outcome_answer(error.outcome, request_id), request_id, catalog.revision)
+        except (InvalidRequest, RequestNotRun, RequestInDoubt) as error:
+            return error_answer(error, request_id, catalog.revision)
 
     async def _serve(
         self, http: web.Request, request_id: str, catalog: Catalog, route: PlainRoute
@@ -112,6 +107,13 @@
         return await read_body(http, settings.max_body_bytes, settings.body_timeout_s)
 
 
+def _route_of(http: web.Request, catalog: Catalog) -> PlainRoute:
+    route = catalog.route_for(http.path)
+    if route is None:
+        raise RequestNotRun(NotRun(RefusalReason.UNKNOWN_ROUTE, None, f'no route for {http.path}'))
+    return route
+
+
 def _passed_path(http: web.Request, route: PlainRoute) -> str:
     """Return path and query as the service sees them, encoded as they came."""
     raw = http.raw_path
