--- a/limeshelf/standalone/entry/plain.py
+++ b/limeshelf/standalone/entry/plain.py
@@ -72,19 +72,11 @@
         is_safe = http.method in SAFE_METHODS
         repeatable = route.repeatable or is_safe
         body = await self._body(http, whole=key is not None or repeatable)
-        timeout_s = header_deadline_s(http, route.timeout_s)
-        call = PlainCall(
-            http.method,
-            _passed_path(http, route),
-            passable_headers(http.headers.copy()),
-            body,
-            timeout_s,
-        )
         prepared = PreparedCall(
             request_id=request_id,
             catalog=catalog,
             route=route,
-            call=call,
+            call=_call_of(http, route, body),
             repeatable=repeatable,
             caller=caller_of(http) or ANONYMOUS,
             started_s=boottime_s(),
@@ -114,6 +106,18 @@
     return route
 
 
+def _call_of(
+    http: web.Request, route: PlainRoute, body: bytes | AsyncIterator[bytes] | None
+) -> PlainCall:
+    return PlainCall(
+        method=http.method,
+        timeout_s=header_deadline_s(http, route.timeout_s),
+        path_and_query=_passed_path(http, route),
+        headers=passable_headers(http.headers.copy()),
+        body=body,
+    )
+
+
 def _passed_path(http: web.Request, route: PlainRoute) -> str:
     """Return path and query as the service sees them, encoded as they came."""
     raw = http.raw_path
