--- a/limeshelf/standalone/config/document.py
+++ b/limeshelf/standalone/config/document.py
@@ -51,7 +51,7 @@
     :param first_token_target_s: time to the first token that admission and the measures
         judge by.
     :param next_token_target_s: time between tokens. Stored configurations carry it, so it
-        is accepted; nothing reads it.
+        is accepted; only experiments judge by it.
     :param repeatable: whether a broken answer may be asked for again.
     :param policies: kind of policy to policy name; the split, if any, decides
         between names.
--- a/limeshelf/standalone/experiment/centres.py
+++ b/limeshelf/standalone/experiment/centres.py
@@ -22,9 +22,9 @@
     from limeshelf.standalone.experiment.engine import SimulatedEngine
     from limeshelf.standalone.services.instances import Listed
 
-#: An upstream's state older than this is not trusted.
+#: An upstream's state older than this is not trusted. Chosen, not measured.
 STALE_S = 4.0
-#: Loads of one data centre that run at one time.
+#: Loads of one data centre that run at one time. Chosen, not measured.
 MAX_LOADS = 4
 
 
@@ -43,7 +43,7 @@
 class Centre:
     """One data centre.
 
-    :param arrived: requests by item since the demand was last told; likewise
+    :param arrived: requests by item since the demand was last taken; likewise
         *refused*; *waiting* are those now in work.
     """
 
@@ -96,6 +96,8 @@
             try:
                 await worker.step()
             except LimeshelfError:
+                # A dead engine answers no order, as in production; the next round
+                # asks it again.
                 continue
 
     def take_demand(self, period_s: float) -> Demand:
--- a/limeshelf/standalone/experiment/measures.py
+++ b/limeshelf/standalone/experiment/measures.py
@@ -1,13 +1,14 @@
-"""What an experiment measures of each request and of each run."""
+"""What an experiment measures of each request and of each run.
+
+A run is counted exactly; there is no interval as in
+:mod:`limeshelf.standalone.admin.comparison`, which judges samples of live traffic.
+"""
 
 from __future__ import annotations
 
 import attrs
 
-from limeshelf.standalone.config.document import PriorityClass
-
-FIRST_TOKEN_TARGET_S = 1.5
-NEXT_TOKEN_TARGET_S = 0.035
+from limeshelf.standalone.config.document import Deployment, PriorityClass
 
 
 @attrs.define
@@ -43,6 +44,16 @@
         """Return all requests."""
         return sum(count.requests for count in self.classes.values())
 
+    @property
+    def refused(self) -> int:
+        """Return the requests that admission refused."""
+        return sum(count.refused for count in self.classes.values())
+
+    @property
+    def unreachable(self) -> int:
+        """Return the requests for which no engine was ready."""
+        return sum(count.unreachable for count in self.classes.values())
+
     @property
     def attainment_ratio(self) -> float:
         """Return the share of all requests that met their targets."""
@@ -65,7 +76,10 @@
         return count.met / max(1, count.requests)
 
 
-def met_targets(first_s: float, arrived_s: float, done_s: float, tokens: int) -> bool:
-    """Return whether a finished request met both targets."""
+def met_targets(
+    deployment: Deployment, first_s: float, arrived_s: float, done_s: float, tokens: int
+) -> bool:
+    """Return whether a finished request met both targets of *deployment*."""
     next_token_s = (done_s - first_s) / max(1, tokens - 1)
-    return first_s - arrived_s <= FIRST_TOKEN_TARGET_S and next_token_s <= NEXT_TOKEN_TARGET_S
+    in_time = first_s - arrived_s <= deployment.first_token_target_s
+    return in_time and next_token_s <= deployment.next_token_target_s
--- a/limeshelf/standalone/experiment/report.py
+++ b/limeshelf/standalone/experiment/report.py
@@ -1,7 +1,8 @@
-"""Sets the results of an experiment side by side."""
+"""Sets the results of an experiment side by side, as means over the seeds."""
 
 from __future__ import annotations
 
+import statistics
 from typing import TYPE_CHECKING, Any
 
 import attrs
@@ -45,7 +46,6 @@
     refused: float
     unreachable: float
     moves: float
-    loaded_bytes: float
     overcommitted: bool
 
 
@@ -58,22 +58,17 @@
 
 
 def _summary(key: tuple[str, str, str], rows: list[RunResult]) -> Summary:
-    def mean(values: list[float]) -> float:
-        return sum(values) / len(values)
-
     attained = [row.attainment_ratio for row in rows]
-    counts = [count for row in rows for count in row.classes.values()]
     return Summary(
         *key,
-        met_per_engine_s=mean([row.met_per_engine_s for row in rows]),
-        attainment_ratio=mean(attained),
+        met_per_engine_s=statistics.fmean(row.met_per_engine_s for row in rows),
+        attainment_ratio=statistics.fmean(attained),
         attainment_spread=max(attained) - min(attained),
-        high_ratio=mean([row.class_ratio(PriorityClass.HIGH) for row in rows]),
-        low_ratio=mean([row.class_ratio(PriorityClass.LOW) for row in rows]),
-        refused=sum(count.refused for count in counts) / len(rows),
-        unreachable=sum(count.unreachable for count in counts) / len(rows),
-        moves=mean([float(row.moves) for row in rows]),
-        loaded_bytes=mean([float(row.loaded_bytes) for row in rows]),
+        high_ratio=statistics.fmean(row.class_ratio(PriorityClass.HIGH) for row in rows),
+        low_ratio=statistics.fmean(row.class_ratio(PriorityClass.LOW) for row in rows),
+        refused=statistics.fmean(row.refused for row in rows),
+        unreachable=statistics.fmean(row.unreachable for row in rows),
+        moves=statistics.fmean(row.moves for row in rows),
         overcommitted=any(row.overcommitted for row in rows),
     )
 
--- a/limeshelf/standalone/experiment/systems.py
+++ b/limeshelf/standalone/experiment/systems.py
@@ -1,4 +1,7 @@
-"""The systems that an experiment sets side by side."""
+"""The sets of policies that an experiment sets side by side: its "systems".
+
+The names are those of plans and tables (docs/design/experiments.rst).
+"""
 
 from __future__ import annotations
 
@@ -8,7 +11,7 @@
 
 
 @attrs.frozen
-class System:
+class PolicySet:
     """A set of policies.
 
     :param unlimited_memory: every engine holds everything from the start. No
@@ -38,16 +41,16 @@
     return Policy(f'{kind}-{implementation}', kind, implementation)
 
 
-def make_system(
+def make_policy_set(
     name: str,
     placement: str,
     admission: str,
     priority: str,
     routing: str,
     unlimited_memory: bool = False,
-) -> System:
+) -> PolicySet:
     """Return a system of the named implementations."""
-    return System(
+    return PolicySet(
         name,
         _policy(PolicyKind.PLACEMENT, placement),
         _policy(PolicyKind.ADMISSION, admission),
@@ -57,13 +60,13 @@
     )
 
 
-STATIC = make_system('static', 'static', 'always', 'flat', 'least-connections')
-NAIVE = make_system('naive-swap', 'least-recently-used', 'always', 'flat', 'least-connections')
-OURS = make_system('ours', 'spread', 'estimate', 'class-rank', 'first-token-estimate')
-FEWER_MOVES = make_system(
+STATIC = make_policy_set('static', 'static', 'always', 'flat', 'least-connections')
+NAIVE = make_policy_set('naive-swap', 'least-recently-used', 'always', 'flat', 'least-connections')
+OURS = make_policy_set('ours', 'spread', 'estimate', 'class-rank', 'first-token-estimate')
+FEWER_MOVES = make_policy_set(
     'ours-few-moves', 'spread-few-moves', 'estimate', 'class-rank', 'first-token-estimate'
 )
-BOUND = make_system(
+BOUND = make_policy_set(
     'bound', 'static', 'estimate', 'class-rank', 'first-token-estimate', unlimited_memory=True
 )
 SYSTEMS = {system.name: system for system in (STATIC, NAIVE, OURS, FEWER_MOVES, BOUND)}
--- a/limeshelf/standalone/experiment/workload.py
+++ b/limeshelf/standalone/experiment/workload.py
@@ -64,9 +64,13 @@
     (PriorityClass.LOW, 500, 140),
     (PriorityClass.NORMAL, 150, 100),
 )
+#: Demand of the model that bursts, against its demand before. Chosen, not measured.
 BURST_FACTOR = 10.0
+#: Exponents of the demand by rank, in the skewed variant and in the others. Chosen, not
+#: measured.
 SKEW = 1.2
 MILD_SKEW = 0.6
+#: Times that the demand moves in an adversarial run. Chosen, not measured.
 PERIODS = 8
 
 
