--- /dev/null
+++ b/limeshelf/calls/in_force.py
@@ -0,0 +1,40 @@
+"""The operator's configuration that this gateway serves by.
+
+Owns which version is in force here. Everything that depends on the configuration holds
+this object, so that one assignment puts a version in force everywhere in the process.
+"""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+import attrs
+
+if TYPE_CHECKING:
+    from limeshelf.calls.routes import ServingConfig
+
+
+@attrs.define
+class ConfigInForce:
+    """The newest configuration that was seen; it never goes back.
+
+    :ivar config: ``None`` until the first is known.
+    """
+
+    config: ServingConfig | None = None
+
+    @property
+    def version(self) -> int:
+        """Return the operator's version of it; 0 before any."""
+        return self.config.version if self.config is not None else 0
+
+    def get(self) -> ServingConfig | None:
+        """Return the configuration in force."""
+        return self.config
+
+    def take(self, config: ServingConfig) -> bool:
+        """Put *config* in force; return false where a newer one, or the same, already is."""
+        if self.config is not None and config.version <= self.config.version:
+            return False
+        self.config = config
+        return True
--- a/limeshelf/calls/routes.py
+++ b/limeshelf/calls/routes.py
@@ -1,7 +1,7 @@
 """Routes, services and limits: what an operator's configuration says of calls.
 
-Values only: :mod:`limeshelf.platform.configuration` reads them, and all that decides on
-calls or places models relies on them.
+Values only: the adapter reads them from the operator's document, and all that decides
+on calls or places models relies on them.
 """
 
 from __future__ import annotations
--- a/limeshelf/gateway/pipeline.py
+++ b/limeshelf/gateway/pipeline.py
@@ -1,6 +1,6 @@
 """The path of a call: route it, select a replica, send it, learn, settle, answer.
 
-Owns the configuration in force and the calls that wait for a replica. Each rule on the
+Owns the calls that wait for a replica. Each rule on the
 way has a module of its own: :mod:`~limeshelf.gateway.selection` (which replica),
 :mod:`~limeshelf.admission.absent_model` (held or refused),
 :mod:`~limeshelf.admission.repeats` and :mod:`~limeshelf.admission.retry_budget` (sent
@@ -40,6 +40,7 @@
 if TYPE_CHECKING:
     from limeshelf.admission.retry_budget import RetryBudgets
     from limeshelf.calls.call import Call
+    from limeshelf.calls.in_force import ConfigInForce
     from limeshelf.calls.routes import ServingConfig
     from limeshelf.calls.wire import CallWire
     from limeshelf.demand.meter import DemandMeter
@@ -60,10 +61,7 @@
 
 
 class Pipeline:
-    """Serves calls with the configuration in force.
-
-    :ivar config: ``None`` until the first configuration is known.
-    """
+    """Serves calls with the configuration in force."""
 
     def __init__(
         self,
@@ -73,17 +71,23 @@
         pool: ConnectionPool,
         demand: DemandMeter,
         budgets: RetryBudgets,
+        in_force: ConfigInForce,
     ) -> None:
-        self.config: ServingConfig | None = None
         self._wire = wire
         self._directory = directory
         self._selector = selector
         self._pool = pool
         self._demand = demand
         self._budgets = budgets
+        self._in_force = in_force
         self._waiting: set[asyncio.Task[object]] = set()
         self._stopping = False
 
+    @property
+    def config(self) -> ServingConfig | None:
+        """Return the configuration in force; ``None`` before the first."""
+        return self._in_force.config
+
     async def serve(self, call: Call, answer: Answer) -> None:
         """Bring the call to a replica and its answer to the caller."""
         state = self._route(call, answer)
--- a/limeshelf/membership/digest_exchange.py
+++ b/limeshelf/membership/digest_exchange.py
@@ -21,6 +21,7 @@
 from limeshelf.util.clock import boottime_s
 
 if TYPE_CHECKING:
+    from limeshelf.calls.in_force import ConfigInForce
     from limeshelf.demand.meter import DemandMeter
     from limeshelf.demand.totals import DemandTotals
     from limeshelf.lease.leadership import Leadership
@@ -36,10 +37,7 @@
 
 @attrs.define
 class DigestExchange:
-    """Sends this gateway's digests and takes those of the others.
-
-    :param config_version: of the configuration in force here; 0 before any.
-    """
+    """Sends this gateway's digests and takes those of the others."""
 
     instance_id: str
     node: PeerNode
@@ -49,7 +47,7 @@
     directory: ReplicaDirectory
     meter: DemandMeter
     totals: DemandTotals
-    config_version: int = 0
+    in_force: ConfigInForce
     _book: DigestBook = attrs.field(factory=DigestBook)
     _digest_count: int = 0
     _summary_gateways: int = 0
@@ -104,7 +102,7 @@
             own.weight,
             # Rises also when the process starts again.
             int(boottime_s() * 1000),
-            self.config_version,
+            self.in_force.version,
             self.leadership.fence,
             loads,
             self.meter.recent(),
--- /dev/null
+++ b/limeshelf/programs/parts.py
@@ -0,0 +1,178 @@
+"""The parts of a gateway and who depends on whom; nothing here decides or waits.
+
+Each part is made after those it needs, in the order of the imports: configuration,
+replicas, membership, dispatch, placement, then the path of a call on top.
+Owns nothing beyond the parts themselves.
+"""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from limeshelf.admission.retry_budget import RetryBudgets, RetryRule
+from limeshelf.calls.in_force import ConfigInForce
+from limeshelf.demand.meter import DemandMeter
+from limeshelf.dispatch.client import DispatchClient
+from limeshelf.gateway.edge import Edge
+from limeshelf.gateway.pipeline import Pipeline
+from limeshelf.gateway.selection import ReplicaSelector
+from limeshelf.lease.leadership import Leadership
+from limeshelf.membership.digest_exchange import DigestExchange
+from limeshelf.membership.leader import LeaderView
+from limeshelf.membership.member import Member
+from limeshelf.membership.members import Members
+from limeshelf.membership.registration import Registration
+from limeshelf.membership.row_exchange import RowExchange
+from limeshelf.membership.state_changes import StateChanges
+from limeshelf.membership.state_exchange import StateExchange
+from limeshelf.membership.want_exchange import WantExchange
+from limeshelf.metrics.prometheus import GatewayMetrics
+from limeshelf.orders.sender import OrderSender
+from limeshelf.placement.service import PlacementService
+from limeshelf.platform.orders import ReplicaOrderClient
+from limeshelf.platform.replicas import read_record
+from limeshelf.platform.store import StoreClient
+from limeshelf.platform.wire import PlatformWire
+from limeshelf.programs.followed_tables import ConfigRows, follow_tables
+from limeshelf.replicas.directory import ReplicaDirectory
+from limeshelf.replicas.pool import ConnectionPool
+from limeshelf.routing.chooser import Chooser
+
+if TYPE_CHECKING:
+    from limeshelf.peers.node import PeerNode
+    from limeshelf.settings.gateway import GatewaySettings
+    from limeshelf.util.tasks import TaskSet
+
+
+def retry_rule(settings: GatewaySettings) -> RetryRule:
+    """Return what all gateways together may send again, by the settings."""
+    retries = settings.retries
+    return RetryRule(retries.ratio, retries.slack, retries.window_s)
+
+
+class GatewayParts:
+    """Everything that one gateway consists of, wired.
+
+    :param node: listens already, since its address names this gateway.
+    :param tasks: where placement starts its moves.
+    """
+
+    def __init__(self, settings: GatewaySettings, node: PeerNode, tasks: TaskSet) -> None:
+        self.node = node
+        self.in_force = ConfigInForce()
+        self.metrics = GatewayMetrics()
+        self.store = StoreClient(settings.store_address)
+        self.changes = StateChanges()
+        self.directory = ReplicaDirectory(read_record, self.changes.note_replica)
+        self.members = Members(Member(node.address, settings.data_centre, settings.weight))
+        self.leadership = Leadership(self.store, settings.instance_id, settings.placement.lease_s)
+        self.leader = LeaderView(self.members, self.leadership)
+        self._make_dispatch(settings)
+        self._make_placement(settings, tasks)
+        self._make_exchanges(settings)
+        self._make_path(settings)
+        self.add_seeds(settings)
+
+    def _make_dispatch(self, settings: GatewaySettings) -> None:
+        self.dispatch = DispatchClient(
+            self.node,
+            self.directory,
+            self.in_force.get,
+            self.leader.dispatcher,
+            settings.data_centre,
+        )
+
+    def _make_placement(self, settings: GatewaySettings, tasks: TaskSet) -> None:
+        self.order_client = ReplicaOrderClient()
+        sender = OrderSender(
+            self.order_client,
+            self.directory,
+            self.leadership,
+            settings.instance_id,
+            self.metrics,
+            self.in_force.get,
+        )
+        self.placement = PlacementService(
+            self.directory,
+            self.leadership,
+            sender,
+            tasks,
+            self.in_force.get,
+            settings.placement.window_s,
+            self.dispatch.dispatcher.speed.read_ms,
+            self.changes.note_load,
+        )
+
+    def _make_exchanges(self, settings: GatewaySettings) -> None:
+        """Make what gateways send one another, and what follows the store with them."""
+        instance_id = settings.instance_id
+        self.wants = WantExchange(self.node, self.leader, self.placement)
+        self.meter = DemandMeter(self.directory, self.wants.report)
+        self.registration = Registration(instance_id, self.node, self.members, self.leader)
+        self.digests = DigestExchange(
+            instance_id,
+            self.node,
+            self.members,
+            self.leader,
+            self.leadership,
+            self.directory,
+            self.meter,
+            self.placement.totals,
+            self.in_force,
+        )
+        self.states = StateExchange(
+            self.node,
+            self.members,
+            self.leader,
+            self.leadership,
+            self.directory,
+            self.meter,
+            self.placement,
+            self.changes,
+        )
+        self.rows = RowExchange(self.node, self.members)
+        config_rows = ConfigRows(self.in_force, self.directory)
+        self.followers = follow_tables(
+            self.store, self.rows, config_rows, self.directory, self.registration
+        )
+
+    def _make_path(self, settings: GatewaySettings) -> None:
+        wire = PlatformWire()
+        self.budgets = RetryBudgets(retry_rule(settings))
+        self.pool = ConnectionPool(wire)
+        chooser = Chooser(self.directory, settings.data_centre)
+        selector = ReplicaSelector(self.directory, chooser, self.dispatch)
+        self.pipeline = Pipeline(
+            wire,
+            self.directory,
+            selector,
+            self.pool,
+            self.meter,
+            self.budgets,
+            self.in_force,
+        )
+        self.edge = Edge(self.pipeline, wire, self.metrics)
+
+    def add_seeds(self, settings: GatewaySettings) -> None:
+        """Add the gateways that the settings name, so that a start without the store works."""
+        for seed in settings.seeds:
+            host = seed.rpartition(':')[0]
+            if host != settings.ip:
+                self.members.add(f'{host}:{settings.peer_port}')
+
+    def take_messages(self) -> None:
+        """Take the peers' messages from now on."""
+        self.registration.start()
+        self.digests.start()
+        self.states.start()
+        self.wants.start()
+        self.rows.start()
+        self.dispatch.start()
+
+    async def close(self) -> None:
+        """Close all connections."""
+        await self.edge.close()
+        await self.pool.close()
+        await self.order_client.close()
+        await self.store.close()
+        await self.node.close()
--- a/tests/gateway/test_edge.py
+++ b/tests/gateway/test_edge.py
@@ -20,7 +20,7 @@
         assert head.startswith(b'HTTP/1.1 200')
         length = int(head.lower().split(b'content-length: ')[1].split(b'\r\n')[0])
         await reader.readexactly(length)
-        world.gateway.edge.end_idle_connections()
+        world.gateway.parts.edge.end_idle_connections()
         async with asyncio.timeout(1):
             assert await reader.read() == b''
         writer.close()
@@ -61,12 +61,12 @@
     async def scenario(world: GatewayWorld) -> None:
         for replica in world.plain:
             world.store.drop('servers', replica.replica_id)
-        await world.until(lambda: not world.gateway.directory.of_service('app'))
+        await world.until(lambda: not world.gateway.parts.directory.of_service('app'))
         world.configure(configuration(2, route('long', 'unsafe', 'app', LatencySloMs=60000)))
-        await world.until(lambda: world.gateway.pipeline.config.version == 2)
+        await world.until(lambda: world.gateway.parts.pipeline.config.version == 2)
         task = asyncio.create_task(world.call('/long/x'))
-        await world.until(lambda: world.gateway.pipeline._waiting)
-        world.gateway.pipeline.refuse_waiting()
+        await world.until(lambda: world.gateway.parts.pipeline._waiting)
+        world.gateway.parts.pipeline.refuse_waiting()
         answer = await task
         assert answer.status == 503
         assert 'Retry-After' in answer.headers
--- a/tests/gateway/test_path.py
+++ b/tests/gateway/test_path.py
@@ -146,7 +146,7 @@
             replica.fault = Fault.ENDLESS_EVENT
         with pytest.raises(aiohttp.ClientError):
             await world.generate()
-        known = world.gateway.directory.of_service(ENGINE)
+        known = world.gateway.parts.directory.of_service(ENGINE)
         assert [replica.health.failing_share > 0 for replica in known].count(True) == 1
 
     run(scenario)
@@ -170,7 +170,7 @@
 def test_time_over_ends_a_call_at_its_route_limit() -> None:
     async def scenario(world: GatewayWorld) -> None:
         world.configure(configuration(2, route('slow', 'unsafe', PLAIN, TimeoutMs=300)))
-        await world.until(lambda: world.gateway.pipeline.config.version == 2)
+        await world.until(lambda: world.gateway.parts.pipeline.config.version == 2)
         for replica in world.plain:
             replica.fault = Fault.SILENT
         answer = await world.call('/slow/x')
@@ -194,15 +194,15 @@
 def test_configuration_follows_and_never_goes_back() -> None:
     async def scenario(world: GatewayWorld) -> None:
         world.configure(configuration(3, route('new', 'safe', PLAIN)))
-        await world.until(lambda: world.gateway.pipeline.config.version == 3)
+        await world.until(lambda: world.gateway.parts.pipeline.config.version == 3)
         assert (await world.call('/new/x')).status == 200
         assert (await world.call('/safe/x')).status == 404
         world.configure(configuration(2))
         await asyncio.sleep(0.1)
-        assert world.gateway.pipeline.config.version == 3
+        assert world.gateway.parts.pipeline.config.version == 3
         world.store.put('op', 'config', 'bm8gSlNPTg==')
         await asyncio.sleep(0.1)
-        assert world.gateway.pipeline.config.version == 3
+        assert world.gateway.parts.pipeline.config.version == 3
 
     run(scenario)
 
@@ -210,7 +210,7 @@
 def test_leaving_replica_gets_no_new_call() -> None:
     async def scenario(world: GatewayWorld) -> None:
         world.announce(world.plain[0], 'draining', beat=2)
-        await world.until(lambda: len(world.gateway.directory.of_service(PLAIN)) == 1)
+        await world.until(lambda: len(world.gateway.parts.directory.of_service(PLAIN)) == 1)
         # A late heartbeat from before says ready again.
         world.announce(world.plain[0], 'ready', beat=1)
         await asyncio.sleep(0.05)
@@ -244,12 +244,12 @@
 
 def test_model_without_a_copy_is_loaded_and_served() -> None:
     async def scenario(world: GatewayWorld) -> None:
-        await world.until(lambda: world.gateway.leadership.fence > 0)
+        await world.until(lambda: world.gateway.parts.leadership.fence > 0)
         await world.until(
             lambda: any('m3' in replica.models for replica in world.engines), limit_s=8
         )
         await world.until(
-            lambda: any(r.holds('m3') for r in world.gateway.directory.of_service(ENGINE))
+            lambda: any(r.holds('m3') for r in world.gateway.parts.directory.of_service(ENGINE))
         )
         assert (await world.generate(model='m3')).status == 200
 
@@ -258,7 +258,7 @@
 
 def test_adapter_is_brought_for_the_call_that_waits() -> None:
     async def scenario(world: GatewayWorld) -> None:
-        await world.until(lambda: world.gateway.leadership.fence > 0)
+        await world.until(lambda: world.gateway.parts.leadership.fence > 0)
         first = await world.generate(model='m1/a1')
         if first.status == 503:
             await asyncio.sleep(float(first.headers['Retry-After']))
@@ -287,12 +287,13 @@
             world.announce(replica, beat=2)
         await world.until(
             lambda: all(
-                r.record.address == address for r in world.gateway.directory.of_service(PLAIN)
+                r.record.address == address
+                for r in world.gateway.parts.directory.of_service(PLAIN)
             )
         )
         answer = await world.call('/unsafe/x', Limeshelf_Deadline_Ms='1500')
         assert answer.status == 503
-        replicas = world.gateway.directory.of_service(PLAIN)
+        replicas = world.gateway.parts.directory.of_service(PLAIN)
         assert all(replica.health.awaits_probe for replica in replicas)
         for one in [deaf, *fillers]:
             one.close()
--- a/tests/membership/test_digest_exchange.py
+++ b/tests/membership/test_digest_exchange.py
@@ -6,6 +6,7 @@
 
 import attrs
 
+from limeshelf.calls.in_force import ConfigInForce
 from limeshelf.demand.keys import KeyDemand, ModelKey
 from limeshelf.membership.digest_exchange import DigestExchange
 from limeshelf.membership.digests import DIGEST_LIFE_S
@@ -78,6 +79,7 @@
         'directory': directory,
         'meter': Meter(),
         'totals': Totals(),
+        'in_force': ConfigInForce(),
     }
     return DigestExchange(**known)
 
--- a/tests/platform/test_names.py
+++ b/tests/platform/test_names.py
@@ -23,10 +23,10 @@
     assert found == []
 
 
-def test_only_the_program_imports_the_adapter() -> None:
+def test_only_the_wiring_of_the_program_imports_the_adapter() -> None:
     importers = {
         str(path.relative_to(PACKAGE))
         for path in PACKAGE.rglob('*.py')
         if path.parent.name != 'platform' and 'limeshelf.platform' in path.read_text()
     }
-    assert importers == {'programs/gateway.py'}
+    assert importers == {'programs/followed_tables.py', 'programs/parts.py'}
--- a/tests/support/gateway.py
+++ b/tests/support/gateway.py
@@ -188,7 +188,7 @@
                     if answer.status == 200:
                         break
                 await asyncio.sleep(0.02)
-            while len(self.gateway.directory.all()) < len(self.plain + self.engines):
+            while len(self.gateway.parts.directory.all()) < len(self.plain + self.engines):
                 await asyncio.sleep(0.02)
 
     async def call(
