--- a/limeshelf/standalone/admin/comparison.py
+++ b/limeshelf/standalone/admin/comparison.py
@@ -1,4 +1,8 @@
-"""Sets two policies side by side, with the uncertainty of their difference."""
+"""Sets two policies side by side, with the uncertainty of their difference.
+
+Judges sums of live requests, so its figures are estimates with an interval;
+:mod:`limeshelf.standalone.experiment.measures` counts whole runs.
+"""
 
 from __future__ import annotations
 
@@ -12,12 +16,13 @@
 
     from limeshelf.standalone.messages import PolicySample
 
-#: Standard deviations of a 95 % interval of a normal distribution.
+#: Standard deviations of the half width of a 95 % interval of a normal distribution
+#: (its 97.5 % quantile).
 NORMAL_95 = 1.96
 
 
 @attrs.define
-class Figures:
+class SampleSums:
     """Sums of one policy and class over all instances."""
 
     requests: int = 0
@@ -74,16 +79,16 @@
     first_token_half_width_s: float
 
 
-def gather(samples: Iterable[PolicySample], kind: str, policy: str) -> dict[str, Figures]:
+def gather(samples: Iterable[PolicySample], kind: str, policy: str) -> dict[str, SampleSums]:
     """Return the figures of *policy* by priority class."""
-    figures: dict[str, Figures] = {}
+    figures: dict[str, SampleSums] = {}
     for sample in samples:
         if sample.kind == kind and sample.policy == policy:
-            figures.setdefault(sample.priority_class, Figures()).add(sample)
+            figures.setdefault(sample.priority_class, SampleSums()).add(sample)
     return figures
 
 
-def difference(a: Figures, b: Figures) -> Difference:
+def difference(a: SampleSums, b: SampleSums) -> Difference:
     """Return how *b* differs from *a*."""
     return Difference(
         b.attainment_ratio - a.attainment_ratio,
--- a/limeshelf/standalone/admin/operations.py
+++ b/limeshelf/standalone/admin/operations.py
@@ -1,4 +1,8 @@
-"""What operators do: check, commit, put in force, tell."""
+"""What operators do: check a change, commit it, put it in force.
+
+Owns no state. Relies on the configuration in force, on the revision store, which decides
+races, and on the weight store for the sizes of new models.
+"""
 
 from __future__ import annotations
 
@@ -7,6 +11,7 @@
 
 import attrs
 import msgspec
+from absl import logging
 
 from limeshelf.errors import (
     InvalidDocument,
@@ -40,7 +45,8 @@
     from limeshelf.standalone.revisions.sync import RevisionSync
     from limeshelf.standalone.services.weights import WeightStoreClient
 
-#: Deployments of one change whose size is asked of the weight store.
+#: Deployments of one change whose size is asked of the weight store. Chosen, not
+#: measured.
 CHECKED_DEPLOYMENTS = 20
 #: The registry of each kind of policy.
 REGISTRIES: Mapping[PolicyKind, Registry[Any]] = {
@@ -188,15 +194,17 @@
         changed = [d for d in new.deployments if known.get(d.name) != d]
         problems = []
         for deployment in changed[:CHECKED_DEPLOYMENTS]:
+            item_id = model_item_id(deployment.name, deployment.version)
             try:
-                item_id = model_item_id(deployment.name, deployment.version)
                 manifest = await self._weights.manifest(item_id)
-            except (PlatformUnavailable, PlatformUnknown):
+            except (PlatformUnavailable, PlatformUnknown) as error:
+                # The check is a service to the operator, so its failure stops no change.
+                logging.warning('weights=not_checked item=%s error=%r', item_id, error)
                 break
             if manifest is not None and manifest.weights_bytes != deployment.weights_bytes:
                 place = f'deployments.{deployment.name}.weights_bytes'
-                told = f'the weight store has {manifest.weights_bytes} bytes'
-                problems.append(Problem(place, told))
+                message = f'the weight store has {manifest.weights_bytes} bytes'
+                problems.append(Problem(place, message))
         return problems
 
     async def _put_in_force(self, revision: int, based_on: int, changes: list[Change]) -> None:
@@ -204,6 +212,7 @@
             self._config.take_changes(based_on, revision, changes)
         except StaleRevision:
             # This process lags; the reader of the platform brings the rest.
+            logging.info('config=behind revision=%d based_on=%d', revision, based_on)
             return
         self._sync.push(based_on)
         if revision % SNAPSHOT_EVERY == 0:
--- a/limeshelf/standalone/admin/queries.py
+++ b/limeshelf/standalone/admin/queries.py
@@ -1,4 +1,8 @@
-"""Asks entry and placer processes questions over the peer sockets."""
+"""Asks entry and placer processes questions over the peer sockets.
+
+Owns the questions under way. Relies on the peers; one that does not answer in time is
+left out.
+"""
 
 from __future__ import annotations
 
@@ -18,6 +22,7 @@
     from limeshelf.peers.node import PeerNode
     from limeshelf.standalone.membership.processes import ProcessDirectory
 
+#: Time that peers have to answer a question. Chosen, not measured.
 ANSWER_TIMEOUT_S = 1.0
 
 
--- a/limeshelf/standalone/admin/server.py
+++ b/limeshelf/standalone/admin/server.py
@@ -23,7 +23,7 @@
 #: Metadata key under which operators send their token.
 TOKEN_KEY = 'authorization'
 TOKEN_PREFIX = 'Bearer '
-#: Largest message: a configuration of some thousand models.
+#: Largest message: a configuration of some thousand models. Chosen, not measured.
 MAX_MESSAGE_BYTES = 16 << 20
 
 
--- a/limeshelf/standalone/admin/service.py
+++ b/limeshelf/standalone/admin/service.py
@@ -1,4 +1,9 @@
-"""The operator RPC service: translates between the schema and operations."""
+"""The operator RPC service: takes operators' calls and answers them.
+
+Owns what the other data centres last sent of their revisions. Relies on the operations,
+on the questions to the peers and on the directories; :mod:`limeshelf.standalone.admin.replies`
+makes the messages.
+"""
 
 from __future__ import annotations
 
@@ -6,33 +11,39 @@
 
 import grpc
 import msgspec
-from absl import logging
 
 from limeshelf.admin import admin_pb2 as pb
 from limeshelf.admin import admin_pb2_grpc
 from limeshelf.errors import InvalidDocument, PlatformUnavailable, PlatformUnknown
-from limeshelf.standalone.admin.comparison import Figures, difference, gather
-from limeshelf.standalone.admin.operations import Operation, Rejected, Unchanged, parse_document
+from limeshelf.standalone.admin.comparison import gather
+from limeshelf.standalone.admin.operations import Operation, parse_document
+from limeshelf.standalone.admin.replies import (
+    changes_message,
+    commit_reply,
+    difference_message,
+    figures_message,
+    problems_message,
+    revision_message,
+)
 from limeshelf.standalone.config.delta import diff, document_to_json
 from limeshelf.standalone.membership.reach import centre_revisions
-from limeshelf.standalone.revisions.store import Applied, NotApplied, RaceLost, Undecided
 from limeshelf.util.clock import boottime_s
 
 if TYPE_CHECKING:
-    from limeshelf.errors import Problem
     from limeshelf.peers.codec import Envelope
-    from limeshelf.standalone.admin.operations import OperationOutcome, Operations
+    from limeshelf.standalone.admin.operations import Operations
     from limeshelf.standalone.admin.queries import PeerQueries
-    from limeshelf.standalone.config.delta import Change
     from limeshelf.standalone.config.holder import ConfigHolder
     from limeshelf.standalone.membership.processes import ProcessDirectory
     from limeshelf.standalone.membership.upstreams import Upstream, UpstreamDirectory
     from limeshelf.standalone.messages import Reach
-    from limeshelf.standalone.revisions.store import RevisionRecord, RevisionStore
+    from limeshelf.standalone.revisions.store import RevisionStore
 
+#: Revisions listed when a call names no number, and at most. Chosen, not measured.
 DEFAULT_HISTORY = 20
 MAX_HISTORY = 500
-#: A data centre unheard of for this long is shown as such.
+#: A data centre unheard of for this long is shown as such: three messages of
+#: membership/reach.py at rest. Chosen, not measured.
 CENTRE_SILENT_S = 15.0
 
 
@@ -65,7 +76,7 @@
         """Put a whole configuration in force."""
         operation = _operation(request.operation)
         outcome = await self._operations.apply(operation, request.document)
-        return _reply('apply', operation, outcome)
+        return commit_reply('apply', operation, outcome)
 
     async def Diff(self, request: Any, context: Any) -> Any:
         """Tell what an apply would change."""
@@ -73,11 +84,13 @@
         try:
             document = parse_document(request.document)
         except InvalidDocument as error:
-            return pb.DiffReply(based_on=catalog.revision, problems=_problems(error.problems))
+            return pb.DiffReply(
+                based_on=catalog.revision, problems=problems_message(error.problems)
+            )
         return pb.DiffReply(
             based_on=catalog.revision,
-            changes=_changes(diff(catalog.document, document)),
-            problems=_problems(self._operations.check(document)),
+            changes=changes_message(diff(catalog.document, document)),
+            problems=problems_message(self._operations.check(document)),
         )
 
     async def GetConfiguration(self, request: Any, context: Any) -> Any:
@@ -140,7 +153,7 @@
             records = await self._store.records_after(max(0, newest - limit), newest)
         except (PlatformUnavailable, PlatformUnknown):
             await context.abort(grpc.StatusCode.UNAVAILABLE, 'the table service is down')
-        return pb.HistoryReply(revisions=[_revision(r) for r in reversed(records)])
+        return pb.HistoryReply(revisions=[revision_message(r) for r in reversed(records)])
 
     async def SwapPolicy(self, request: Any, context: Any) -> Any:
         """Bind another policy."""
@@ -148,7 +161,7 @@
         outcome = await self._operations.swap_policy(
             operation, request.kind, request.policy, request.deployment
         )
-        return _reply('swap-policy', operation, outcome)
+        return commit_reply('swap-policy', operation, outcome)
 
     async def SplitTraffic(self, request: Any, context: Any) -> Any:
         """Divide traffic between two policies, or end that."""
@@ -157,7 +170,7 @@
         if not request.remove:
             split = (request.policy_a, request.policy_b, request.share_b_ratio)
         outcome = await self._operations.split_traffic(operation, request.kind, split)
-        return _reply('split-traffic', operation, outcome)
+        return commit_reply('split-traffic', operation, outcome)
 
     async def DrainUpstream(self, request: Any, context: Any) -> Any:
         """Keep new work off an upstream, or end that."""
@@ -165,7 +178,7 @@
         outcome = await self._operations.drain_upstream(
             operation, request.upstream, request.remove
         )
-        return _reply('drain-upstream', operation, outcome)
+        return commit_reply('drain-upstream', operation, outcome)
 
     async def ComparePolicies(self, request: Any, context: Any) -> Any:
         """Set two policies side by side."""
@@ -178,11 +191,13 @@
         a, b = by_policy[request.policy_a], by_policy[request.policy_b]
         return pb.ComparePoliciesReply(
             figures=[
-                _figures(name, priority_class, figures)
+                figures_message(name, priority_class, figures)
                 for name, rows in by_policy.items()
                 for priority_class, figures in sorted(rows.items())
             ],
-            differences=[_difference(key, a[key], b[key]) for key in sorted(a.keys() & b.keys())],
+            differences=[
+                difference_message(key, a[key], b[key]) for key in sorted(a.keys() & b.keys())
+            ],
             answered=len(replies),
             listed=len(self._processes.listed_ids()),
         )
@@ -194,75 +209,3 @@
 
 def _operation(message: Any) -> Operation:
     return Operation(message.operation_id, message.operator, message.note, int(message.based_on))
-
-
-def _reply(action: str, operation: Operation, outcome: OperationOutcome) -> Any:
-    logging.info(
-        'operation=%s id=%s operator=%s outcome=%s',
-        action,
-        operation.operation_id,
-        operation.operator,
-        type(outcome).__name__,
-    )
-    match outcome:
-        case Applied(revision):
-            return pb.CommitReply(result=pb.APPLIED, revision=revision)
-        case Unchanged(revision):
-            return pb.CommitReply(result=pb.UNCHANGED, revision=revision)
-        case RaceLost(revision, others):
-            rows = [_revision(record) for record in others]
-            return pb.CommitReply(result=pb.CONFLICT, revision=revision, others=rows)
-        case Rejected(problems):
-            return pb.CommitReply(result=pb.INVALID, problems=_problems(problems))
-        case Undecided():
-            return pb.CommitReply(result=pb.UNDECIDED)
-        case NotApplied():
-            return pb.CommitReply(result=pb.NOT_APPLIED)
-
-
-def _problems(problems: list[Problem]) -> list[Any]:
-    return [pb.Problem(path=problem.path, message=problem.message) for problem in problems]
-
-
-def _changes(changes: list[Change]) -> list[Any]:
-    return [
-        pb.Change(
-            section=change.section,
-            name=change.name,
-            entity=b'' if change.entity is None else msgspec.json.encode(change.entity),
-        )
-        for change in changes
-    ]
-
-
-def _revision(record: RevisionRecord) -> Any:
-    return pb.Revision(
-        revision=record.revision,
-        operation_id=record.operation_id,
-        operator=record.operator,
-        committed_unix_s=record.committed_unix_s,
-        note=record.note,
-        changes=_changes(record.changes),
-    )
-
-
-def _figures(policy: str, priority_class: str, figures: Figures) -> Any:
-    return pb.PolicyFigures(
-        policy=policy,
-        priority_class=priority_class,
-        requests=figures.requests,
-        refused=figures.refused,
-        attainment_ratio=figures.attainment_ratio,
-        first_token_s_mean=figures.mean_s,
-    )
-
-
-def _difference(priority_class: str, a: Figures, b: Figures) -> Any:
-    found = difference(a, b)
-    return pb.PolicyDifference(
-        priority_class=priority_class,
-        attainment_ratio=found.attainment_ratio,
-        attainment_ratio_half_width=found.attainment_half_width,
-        first_token_s=found.first_token_s,
-        first_token_s_half_width=found.first_token_half_width_s,
-    )
--- a/limeshelf/standalone/programs/admin.py
+++ b/limeshelf/standalone/programs/admin.py
@@ -18,7 +18,7 @@
 from limeshelf.standalone.programs.process import EXIT_OK, Process, ProgramService, run_program
 from limeshelf.standalone.services.weights import WeightStoreClient
 
-#: Time for running calls at a planned stop.
+#: Time for running calls at a planned stop. Chosen, not measured.
 CALL_GRACE_S = 5.0
 
 
--- a/limeshelf/standalone/programs/process.py
+++ b/limeshelf/standalone/programs/process.py
@@ -58,7 +58,7 @@
 IO_URING_SWITCH = 'UV_USE_IO_URING'
 #: New objects between two collections of the youngest generation.
 COLLECT_AFTER = 20_000
-#: The programs do no blocking work, so the thread pool stays small.
+#: The programs do no blocking work, so the thread pool stays small. Chosen, not measured.
 POOL_THREADS = 2
 
 
--- a/limeshelf/standalone/revisions/store.py
+++ b/limeshelf/standalone/revisions/store.py
@@ -1,4 +1,8 @@
-"""Commits revisions to the platform and fetches them from it."""
+"""Commits revisions to the platform and fetches them from it.
+
+Owns the forms of the rows ``config/...`` in the table. Relies on the table, whose
+conditional writes decide between operators, and on the object store for snapshots.
+"""
 
 from __future__ import annotations
 
@@ -23,10 +27,11 @@
 REVISION_PREFIX = 'config/revision/'
 OPERATION_PREFIX = 'config/operation/'
 SNAPSHOT_PREFIX = 'config-snapshot-'
-#: A whole snapshot is stored each time the revision is a multiple of this.
+#: A whole snapshot is stored each time the revision is a multiple of this. Chosen, not
+#: measured.
 SNAPSHOT_EVERY = 20
-#: Tries to learn the outcome of a commit whose answer was lost.
-SETTLE_TRIES = 3
+#: Attempts to learn the outcome of a commit whose answer was lost. Chosen, not measured.
+SETTLE_ATTEMPTS = 3
 
 
 @attrs.frozen
@@ -131,15 +136,16 @@
         Repeating the call with the same operation id never applies it twice.
         """
         record = RevisionRecord(based_on + 1, operation_id, operator, wall_s(), note, changes)
-        in_doubt = False
-        for _ in range(SETTLE_TRIES):
+        may_be_written = False
+        for _ in range(SETTLE_ATTEMPTS):
             try:
                 outcome = await self._try_commit(record)
             except PlatformUnavailable:
                 # An earlier write whose answer was lost may still take effect.
-                return Undecided() if in_doubt else NotApplied()
+                return Undecided() if may_be_written else NotApplied()
             except PlatformUnknown:
-                in_doubt = True
+                # The next attempt reads whether it was written.
+                may_be_written = True
                 continue
             if outcome is not None:
                 return outcome
--- a/tests/mutate.py
+++ b/tests/mutate.py
@@ -131,7 +131,7 @@
     Mutation(
         'a write on its way is called not applied',
         'standalone/revisions/store.py',
-        'return Undecided() if in_doubt else NotApplied()',
+        'return Undecided() if may_be_written else NotApplied()',
         'return NotApplied()',
         'tests/standalone/revisions',
     ),
