--- a/limeshelf/gateway/settling.py
+++ b/limeshelf/gateway/settling.py
@@ -93,7 +93,7 @@
     failed = not isinstance(last, WholeAnswer) or last.facts.status >= STATUS_SERVER_ERROR
     if failed and may_run_again(progress.route, progress.runs, progress.left_s):
         return SendAgain()
-    if isinstance(last, WholeAnswer):
+    if isinstance(last, WholeAnswer) and not progress.answer_started:
         return PassOn(last)
     return _end_broken(progress, is_too_late(progress.left_s))
 
--- a/tests/gateway/test_path.py
+++ b/tests/gateway/test_path.py
@@ -167,6 +167,24 @@
     run(scenario)
 
 
+def test_resumed_stream_that_fails_is_broken_off() -> None:
+    """No head of a second answer goes out inside the stream that has begun."""
+
+    async def scenario(world: GatewayWorld) -> None:
+        for replica in world.engines:
+            replica.fault = Fault.RESET_MIDWAY
+            replica.event_s = 0.1
+        task = asyncio.create_task(world.generate('/resume/x'))
+        await world.until(lambda: any(replica.runs for replica in world.engines))
+        for replica in world.engines:
+            if not replica.runs:
+                replica.fault = Fault.ERROR
+        with pytest.raises(aiohttp.ClientPayloadError):
+            await task
+
+    run(scenario)
+
+
 def test_time_over_ends_a_call_at_its_route_limit() -> None:
     async def scenario(world: GatewayWorld) -> None:
         world.configure(configuration(2, route('slow', 'unsafe', PLAIN, TimeoutMs=300)))
--- a/tests/gateway/test_settling.py
+++ b/tests/gateway/test_settling.py
@@ -86,3 +86,9 @@
 def test_refusal_without_a_known_wait_comes_back_in_time() -> None:
     refusal = give_up(progress(None), RefusalReason.UPSTREAM_REFUSED)
     assert refusal == Refuse(503, NotRun(RefusalReason.UPSTREAM_REFUSED, pytest.approx(0.3)))
+
+
+def test_no_second_answer_follows_a_stream_that_has_begun() -> None:
+    resumable = make_route(kind=CallKind.STREAM, resumable=True)
+    ended = settle(progress(whole(500), route=resumable, runs=2, answer_started=True))
+    assert ended == BreakOff()
