--- a/tests/gateway/test_edge.py
+++ b/tests/gateway/test_edge.py
@@ -72,3 +72,26 @@
         assert 'Retry-After' in answer.headers
 
     run(scenario)
+
+
+def test_slow_head_and_idle_connection_end_at_the_configured_times() -> None:
+    async def ends(world: GatewayWorld, sent: bytes) -> bool:
+        reader, writer = await asyncio.open_connection('127.0.0.1', world.port)
+        writer.write(sent)
+        try:
+            async with asyncio.timeout(3):
+                await reader.read()
+        except TimeoutError:
+            return False
+        finally:
+            writer.close()
+        return True
+
+    async def scenario(world: GatewayWorld) -> None:
+        world.configure(configuration(2, HeaderTimeoutMs=200, IdleTimeoutMs=400))
+        await world.until(lambda: world.gateway.parts.pipeline.config.version == 2)
+        half_a_head, whole_call = REQUEST[:40], REQUEST
+        assert await ends(world, half_a_head)
+        assert await ends(world, whole_call)
+
+    run(scenario)
