--- a/limeshelf/calls/wire.py
+++ b/limeshelf/calls/wire.py
@@ -43,7 +43,6 @@
     :param headers: those that travel on.
     :param retry_after_s: when the replica expects to have room, in seconds.
     :param keep_alive_s: how long the replica keeps an idle connection, in seconds.
-    :param closes: whether it closes the connection after this answer.
     """
 
     status: int
@@ -55,7 +54,6 @@
     retry_after_s: float | None
     headers: tuple[tuple[str, str], ...]
     keep_alive_s: float | None
-    closes: bool
 
 
 class CallWire(Protocol):
--- a/limeshelf/errors.py
+++ b/limeshelf/errors.py
@@ -127,14 +127,10 @@
 
 @dataclass(eq=False)
 class ExchangeBroken(LimeshelfError):
-    """The exchange ended after bytes may have left and before a whole answer.
-
-    :param next_index: number of tokens that arrived whole before the break.
-    """
+    """The exchange ended after bytes may have left and before a whole answer."""
 
     upstream_id: str
     reason: DoubtReason
-    next_index: int = 0
 
 
 @dataclass(eq=False)
--- a/limeshelf/platform/replicas.py
+++ b/limeshelf/platform/replicas.py
@@ -64,7 +64,6 @@
     running: int = 0
     #: Tokens of memory that cannot be evicted; kept prompts that can are not in it.
     kv_used: int = 0
-    kv_total: int = 0
     #: Adapters on their way, as MODEL/NAME@VERSION; they count as held for room.
     loading: list[str] = []
     #: As in its row; empty if not stated.
@@ -136,7 +135,6 @@
         queued=report.queued,
         running=report.running,
         memory_used=report.kv_used,
-        memory_total=report.kv_total,
         in_memory=frozenset(_name(item) for item in copies.in_memory),
         on_disk=frozenset(_name(item) for item in copies.on_disk),
         leaving=report.state == DRAINING,
--- a/limeshelf/platform/wire.py
+++ b/limeshelf/platform/wire.py
@@ -99,7 +99,6 @@
                 if name.lower() not in headers.HOP_HEADERS
             ),
             keep_alive_s=headers.read_keep_alive_s(fields.get('Keep-Alive')),
-            closes='close' in fields.get('Connection', '').lower(),
         )
 
     def refusal_headers(
--- a/limeshelf/replicas/record.py
+++ b/limeshelf/replicas/record.py
@@ -51,7 +51,6 @@
     :param queued: calls that wait there.
     :param running: calls in its batch.
     :param memory_used: tokens of accelerator memory that cannot be evicted.
-    :param memory_total: tokens of accelerator memory in all.
     :param in_memory: models whose weights lie in the memory of its machine.
     :param on_disk: models whose weights lie on its disk.
     :param leaving: it takes no new calls.
@@ -64,7 +63,6 @@
     queued: int = 0
     running: int = 0
     memory_used: int = 0
-    memory_total: int = 0
     in_memory: frozenset[str] = frozenset()
     on_disk: frozenset[str] = frozenset()
     leaving: bool = False
