--- a/tests/gateway/test_settling.py
+++ b/tests/gateway/test_settling.py
@@ -28,7 +28,7 @@
 
 
 def whole(status: int) -> WholeAnswer:
-    facts = AnswerFacts(status, 'c', True, False, False, False, None, (), None, False)
+    facts = AnswerFacts(status, 'c', True, False, False, False, None, (), None)
     return WholeAnswer(facts, b'', 0.1)
 
 
