--- a/standins/engine.py
+++ b/standins/engine.py
@@ -1,13 +1,13 @@
-"""Stand-in for a model engine: memory, fenced orders, batching, streams."""
+"""Stand-in for a model engine: memory, fenced orders, reports and the HTTP paths.
+
+:mod:`standins.slots` lets requests generate, :mod:`standins.answers` makes what they get.
+"""
 
 from __future__ import annotations
 
 import asyncio
-import heapq
-import itertools
 import secrets
 import time
-import zlib
 
 import attrs
 import msgspec
@@ -23,8 +23,11 @@
     OrderAnswer,
     OrderRefusal,
 )
+from standins.answers import StreamFaults, answer_lines, last_line
 from standins.faults import add_faults, drop, refuse, set_switches
+from standins.slots import Slots
 
+#: Requests kept in the record. Chosen, not measured.
 KEPT_RUNS = 50_000
 
 
@@ -64,27 +67,6 @@
     late_s: float = 1.0
 
 
-@attrs.define
-class StreamFaults:
-    """What goes wrong with answers at present, by number of next answers.
-
-    :param cut: end without their last lines.
-    :param foreign: carry another request's exchange id from the second line on.
-    :param skipped: leave out a token.
-    :param doubled: send a token twice.
-    """
-
-    cut: int = 0
-    foreign: int = 0
-    skipped: int = 0
-    doubled: int = 0
-
-
-def token_text(caller: str, prompt: str, index: int) -> str:
-    """Return the token that every engine gives at *index*: an oracle's answer."""
-    return f'{caller}.{zlib.crc32(prompt.encode()):08x}.{index} '
-
-
 class Engine:
     """One engine and the records that tests read."""
 
@@ -98,7 +80,7 @@
         self.runs: list[dict] = []
         self.leaving = False
         self.left_at_s = 0.0
-        self._numbers = itertools.count()
+        self.slots = Slots()
         self._tasks: set[asyncio.Task] = set()
         self._boot()
 
@@ -109,8 +91,7 @@
         self.last_epoch = 0
         self.last_order = 0
         self.sequence = 0
-        self.running = 0
-        self.queue: list[tuple[int, int, asyncio.Future]] = []
+        self.slots.reset()
         self.reports: list[tuple[float, EngineReport]] = []
 
     # Reports.
@@ -127,8 +108,8 @@
             self.sequence,
             self.model.capacity_bytes,
             self.used_bytes(),
-            self.running,
-            len(self.queue),
+            self.slots.running,
+            len(self.slots.queue),
             self.leaving,
             self.last_epoch,
             self.last_order,
@@ -256,11 +237,11 @@
         self.in_use[order.item_id] = self.in_use.get(order.item_id, 0) + 1
         self._record(order)
         try:
-            await self._wait_for_slot(order.priority)
+            await self.slots.take(order.priority, self.model.slots)
             try:
                 return await self._generate(request, order)
             finally:
-                self._free_slot()
+                self.slots.give_back()
         finally:
             self.in_use[order.item_id] = max(0, self.in_use.get(order.item_id, 0) - 1)
 
@@ -278,76 +259,25 @@
         )
         del self.runs[:-KEPT_RUNS]
 
-    async def _wait_for_slot(self, priority: int) -> None:
-        if self.running < self.model.slots:
-            self.running += 1
-            return
-        turn = asyncio.get_running_loop().create_future()
-        heapq.heappush(self.queue, (priority, next(self._numbers), turn))
-        try:
-            await turn
-        except asyncio.CancelledError:
-            if turn.done() and not turn.cancelled():
-                self._free_slot()
-            raise
-
-    def _free_slot(self) -> None:
-        self.running = max(0, self.running - 1)
-        while self.queue:
-            _, _, turn = heapq.heappop(self.queue)
-            if not turn.done():
-                self.running += 1
-                turn.set_result(None)
-                return
-
     async def _generate(self, request: web.Request, order: GenerateRequest) -> web.StreamResponse:
         boot_id = self.boot_id
-        faults = self._next_stream_faults()
+        fault = self.stream_faults.take()
         answer = web.StreamResponse()
         await answer.prepare(request)
         await asyncio.sleep(self.model.first_token_s)
         step = max(1, self.model.tokens_per_write)
         for start in range(order.start_index, order.max_tokens, step):
-            if self.boot_id != boot_id or (faults == 'cut' and start > order.start_index + 1):
+            if self.boot_id != boot_id or (fault == 'cut' and start > order.start_index + 1):
                 drop(request)
                 return answer
             stop = min(start + step, order.max_tokens)
-            await answer.write(self._lines(order, start, stop, faults))
+            await answer.write(answer_lines(order, start, stop, fault))
             if self.model.token_s:
                 await asyncio.sleep(self.model.token_s)
-        end = {'exchange_id': order.exchange_id, 'index': order.max_tokens, 'finish': 'stop'}
-        await answer.write(msgspec.json.encode(end) + b'\n')
+        await answer.write(last_line(order))
         await answer.write_eof()
         return answer
 
-    def _next_stream_faults(self) -> str:
-        for name in ('cut', 'foreign', 'skipped', 'doubled'):
-            left = getattr(self.stream_faults, name)
-            if left > 0:
-                setattr(self.stream_faults, name, left - 1)
-                return name
-        return ''
-
-    def _lines(self, order: GenerateRequest, start: int, stop: int, fault: str) -> bytes:
-        parts = []
-        for index in range(start, stop):
-            exchange_id = order.exchange_id
-            second = index > order.start_index
-            if fault == 'foreign' and second:
-                exchange_id = 'x-of-somebody-else'
-            if fault == 'skipped' and index == order.start_index + 1:
-                continue
-            line = {
-                'exchange_id': exchange_id,
-                'index': index,
-                'text': token_text(order.caller, order.prompt, index),
-            }
-            encoded = msgspec.json.encode(line) + b'\n'
-            parts.append(encoded)
-            if fault == 'doubled' and index == order.start_index + 1:
-                parts.append(encoded)
-        return b''.join(parts)
-
     # Control.
 
     async def handle_leave(self, request: web.Request) -> web.Response:
--- a/tests/standalone/entry/test_models.py
+++ b/tests/standalone/entry/test_models.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from standins.engine import token_text
+from standins.answers import token_text
 from tests.support.entry import ENGINES, entry_world
 
 PROMPT = 'user: hi'
@@ -165,12 +165,12 @@
             for engine in made.engines.values():
                 engine.model.token_s = 0.05
             task = asyncio.ensure_future(made.chat(max_tokens=1000, stream=True))
-            while not any(engine.running for engine in made.engines.values()):
+            while not any(engine.slots.running for engine in made.engines.values()):
                 await asyncio.sleep(0.01)
             task.cancel()
             await asyncio.gather(task, return_exceptions=True)
             async with asyncio.timeout(5):
-                while any(engine.running for engine in made.engines.values()):
+                while any(engine.slots.running for engine in made.engines.values()):
                     await asyncio.sleep(0.01)
 
     run(case())
