--- a/tests/run_all.py
+++ b/tests/run_all.py
@@ -19,6 +19,7 @@
     'ruff-check': [str(BIN / 'ruff'), 'check', '.'],
     'import-contract': [str(BIN / 'lint-imports')],
     'mypy': [str(BIN / 'mypy')],
+    'unused-code': [str(BIN / 'vulture')],
     'docs': [
         sys.executable,
         '-m',
