--- a/demo/__main__.py
+++ b/demo/__main__.py
@@ -1,4 +1,7 @@
-"""``make demo``: starts the system, walks through the steps, leaves it up."""
+"""``make demo``: starts the own wire's programs, walks through the steps, leaves them up.
+
+The only place where a newcomer sees the whole system answer on one machine (README).
+"""
 
 from __future__ import annotations
 
@@ -14,6 +17,7 @@
     from collections.abc import Callable
 
 DATA_CENTRES = ('kumamoto', 'oita')
+#: Instances and engines of each data centre. Chosen, not measured.
 ENTRIES = 3
 ENGINES = 2
 ENGINE_BYTES = 80 * GIB
--- a/demo/steps.py
+++ b/demo/steps.py
@@ -24,7 +24,9 @@
 if TYPE_CHECKING:
     from standins.launcher import System
 
+#: Streams at one time. Chosen, not measured.
 STREAMS = 40
+#: All models are ready within this time after the configuration. Chosen, not measured.
 READY_LIMIT_S = 60.0
 
 
@@ -108,8 +110,8 @@
     check(answer.status == 200, f'status {answer.status}: {text}')
     check(text.endswith('data: [DONE]\n\n'), 'the stream has no end')
     events = [json.loads(line[6:]) for line in text.split('\n\n') if line.startswith('data: {')]
-    words = [e['choices'][0]['delta'].get('content', '') for e in events]
-    tokens = [word for word in words if word]
+    texts = [e['choices'][0]['delta'].get('content', '') for e in events]
+    tokens = [text for text in texts if text]
     for index, token in enumerate(tokens):
         parts = token.strip().split('.')
         check(parts[0] == caller and int(parts[2]) == index, f'foreign token {token!r}')
--- a/limeshelf/standalone/placement/worker.py
+++ b/limeshelf/standalone/placement/worker.py
@@ -14,6 +14,7 @@
 from absl import logging
 
 from limeshelf.errors import ExchangeBroken, UpstreamRefused, UpstreamUnreachable
+from limeshelf.standalone.placement.order_check import OrderCheck, check_order
 from limeshelf.standalone.upstreams.messages import EngineReport, Order, OrderAction, OrderRefusal
 from limeshelf.util.backoff import jittered_s
 from limeshelf.util.clock import boottime_s, wall_s
@@ -81,11 +82,15 @@
         # A restarted engine has forgotten the fence, so it must be raised anew.
         return self._ready_for == (self._lease.epoch, self.ledger.report.boot_id)
 
+    @property
+    def _settle_s(self) -> float:
+        """Return the time after which an order can no longer take effect."""
+        return self._settings.order_life_s + self._settings.clock_margin_s
+
     def submit(self, draft: UnnumberedOrder) -> None:
         """Number *draft*, count it in the ledger and queue it for sending."""
         order = self._numbered(draft)
-        settle_s = self._settings.order_life_s + self._settings.clock_margin_s
-        self.ledger.add_order(order, boottime_s() + settle_s)
+        self.ledger.add_order(order, boottime_s() + self._settle_s)
         self._queue.append(order)
         self._arrived.set()
 
@@ -117,9 +122,9 @@
             await self._take_over(self._lease.epoch)
         while self._queue:
             await self._send(self._queue.popleft())
-        self._flush_if_stuck()
+        self._settle_lost_orders()
         report = await self._pool.engine(self.upstream).report(EXCHANGE_TIMEOUT_S)
-        self._note_report(report)
+        self._take_report(report)
 
     def _forget_epoch(self) -> None:
         self._ready_for = None
@@ -131,13 +136,13 @@
         self._forget_epoch()
         self._number = 0
         report = await self._pool.engine(self.upstream).report(EXCHANGE_TIMEOUT_S)
-        self._note_report(report)
+        self._take_report(report)
         if not self.ledger.checks_fence:
             await self._count_intents(epoch)
             return
         fence = self._numbered(UnnumberedOrder(OrderAction.FENCE, '', '', 0), epoch)
         answer = await self._pool.engine(self.upstream).order(fence, EXCHANGE_TIMEOUT_S)
-        self._note_report(answer.report)
+        self._take_report(answer.report)
         if answer.refusal is OrderRefusal.NONE:
             self._ready_for = (epoch, answer.report.boot_id)
             logging.info('upstream=%s fence=%d', self.upstream.upstream_id, epoch)
@@ -149,9 +154,8 @@
         if orders is None:
             return
         # Whatever the clocks say, none of them outlives this.
-        settle_s = self._settings.order_life_s + self._settings.clock_margin_s
         for order in orders:
-            self.ledger.add_order(order, boottime_s() + settle_s)
+            self.ledger.add_order(order, boottime_s() + self._settle_s)
         self._ready_for = (epoch, self.ledger.report.boot_id if self.ledger.report else '')
 
     def _numbered(self, draft: UnnumberedOrder, epoch: int | None = None) -> Order:
@@ -169,12 +173,14 @@
         )
 
     async def _send(self, order: Order) -> None:
-        if not await self._may_send(order):
+        check = await self._check(order)
+        if check is not OrderCheck.ALLOWED:
             self.ledger.remove_order(order)
+            self._log_unsent(order, check)
             return
         self._metrics.count(f'placement.orders.{order.action}')
         answer = await self._pool.engine(self.upstream).order(order, EXCHANGE_TIMEOUT_S)
-        self._note_report(answer.report)
+        self._take_report(answer.report)
         if answer.refusal is OrderRefusal.NONE:
             return
         self._metrics.count(f'placement.refused.{answer.refusal}')
@@ -189,29 +195,38 @@
         if answer.refusal is OrderRefusal.OLD_EPOCH:
             self._lease.supersede()
 
-    async def _may_send(self, order: Order) -> bool:
-        """Return whether *order* may go out, judged immediately before it does."""
-        if self._lease.epoch != order.epoch or wall_s() >= order.expires_unix_s:
-            return False
-        if self.ledger.checks_fence:
-            return True
-        if not self._lease.is_valid():
-            return False
-        keep_s = self._settings.clock_margin_s
-        return await self._intents.add(order, keep_s) and self._lease.is_valid()
+    def _log_unsent(self, order: Order, check: OrderCheck) -> None:
+        logging.info(
+            'upstream=%s order=%d/%d item=%s unsent=%s',
+            self.upstream.upstream_id,
+            order.epoch,
+            order.number,
+            order.item_id,
+            check,
+        )
 
-    def _flush_if_stuck(self) -> None:
+    async def _check(self, order: Order) -> OrderCheck:
+        checks_fence = self.ledger.checks_fence
+        check = check_order(
+            order, self._lease.epoch, wall_s(), checks_fence, self._lease.is_valid()
+        )
+        if check is not OrderCheck.ALLOWED or checks_fence:
+            return check
+        if not await self._intents.add(order, self._settings.clock_margin_s):
+            return OrderCheck.INTENT_NOT_WRITTEN
+        # The write may have outlasted the lease.
+        return OrderCheck.ALLOWED if self._lease.is_valid() else OrderCheck.LEASE_NOT_VALID
+
+    def _settle_lost_orders(self) -> None:
         """Follow a lost order by a fence order, which settles it."""
         if not self.is_ready or not self.ledger.checks_fence:
             return
         limit_s = boottime_s() - self._settings.order_life_s
-        settle_s = self._settings.order_life_s + self._settings.clock_margin_s
-        stuck = [o for o in self.ledger.open_orders if o.dead_after_s - settle_s < limit_s]
+        stuck = [o for o in self.ledger.open_orders if o.dead_after_s - self._settle_s < limit_s]
         if stuck and not self._queue:
             self._metrics.count('placement.orders_lost')
             self.submit(UnnumberedOrder(OrderAction.FENCE, '', '', 0))
 
-    def _note_report(self, report: EngineReport) -> None:
-
+    def _take_report(self, report: EngineReport) -> None:
         self.ledger.take_report(report, boottime_s())
         self.reported_s = boottime_s()
