--- a/tests/docs/test_named_things.py
+++ b/tests/docs/test_named_things.py
@@ -55,3 +55,41 @@
     events = [event for row in rows for event in re.findall(r'`(\w+)`', row.split('|')[1])]
     assert len(events) > len(rows)
     assert [event for event in events if f"'{event}'" not in SOURCE] == []
+
+
+def test_constants_of_the_decisions_stand_in_their_modules() -> None:
+    text = (ROOT / 'docs/design/decisions.rst').read_text()
+    missing = []
+    for row in text.split('   * - ')[1:]:
+        modules = re.findall(r':source:`([^`]+)`', row)
+        code = '\n'.join((PACKAGE / name).read_text() for name in modules)
+        constants = re.findall(r':constant:`([^`]+)`', row)
+        missing += [name for name in constants if not re.search(rf'^{name}\b', code, re.MULTILINE)]
+    assert missing == []
+
+
+#: Packages of the users' platform whose modules decide.
+DECIDING = (
+    'admission', 'demand', 'dispatch', 'feeds', 'gateway', 'lease', 'membership', 'orders',
+    'placement', 'replicas', 'routing',
+)  # fmt: skip
+#: Figures of these time or bound the applying code; no rule goes by them.
+NO_RULE = {
+    'gateway/edge.py': 'limits and statuses of the listener',
+    'gateway/exchange.py': 'the bound of one answer in memory',
+    'gateway/pipeline.py': 'the margin of the last answer, the time of a call that names none',
+    'membership/digest_exchange.py': 'the period of its message',
+    'membership/registration.py': 'backoff of one write',
+    'membership/row_exchange.py': 'the period of its message',
+}
+
+
+def test_each_module_with_a_figure_is_in_the_table_of_decisions() -> None:
+    named_there = named('design/decisions.rst', 'source')
+    with_figure = [
+        str(path.relative_to(PACKAGE))
+        for package in DECIDING
+        for path in sorted((PACKAGE / package).glob('*.py'))
+        if re.search(r'^[A-Z][A-Z_]+(: \w+)? = [\d.]', path.read_text(), re.MULTILINE)
+    ]
+    assert [name for name in with_figure if name not in named_there and name not in NO_RULE] == []
