--- a/tests/docs/test_named_things.py
+++ b/tests/docs/test_named_things.py
@@ -93,3 +93,11 @@
         if re.search(r'^[A-Z][A-Z_]+(: \w+)? = [\d.]', path.read_text(), re.MULTILINE)
     ]
     assert [name for name in with_figure if name not in named_there and name not in NO_RULE] == []
+
+
+def test_modules_of_the_glossary_exist() -> None:
+    text = (ROOT / 'docs/glossary.rst').read_text()
+    names = re.findall(r'``([\w/]+(?:\.py)?)``', text)
+    paths = [name for name in names if '/' in name or name.endswith('.py')]
+    assert paths
+    assert [name for name in paths if not (PACKAGE / name).exists()] == []
