--- a/limeshelf/platform/store.py
+++ b/limeshelf/platform/store.py
@@ -1,8 +1,13 @@
 """The platform's metadata store: rows under conditions, and the feed of their changes.
 
-Owns the connections to the store. Relies on the port in
-:mod:`limeshelf.feeds.rows`. Retries nothing, and tells a call that had no effect
-from one whose effect is unknown.
+Owns the connections to the store. Relies on the port in :mod:`limeshelf.feeds.rows`.
+Retries nothing: a call that had no effect and one whose effect is unknown raise
+different errors. What its callers send again while the store is away:
+
+* reads and the feed of each table, after a pause (:mod:`limeshelf.feeds.follower`);
+* the lease's row, with the next step of a holder or contender
+  (:mod:`limeshelf.lease.leadership`); giving it back at a stop is tried once;
+* this gateway's own row, until it is written (:mod:`limeshelf.membership.registration`).
 """
 
 from __future__ import annotations
--- a/limeshelf/replicas/__init__.py
+++ b/limeshelf/replicas/__init__.py
@@ -5,4 +5,11 @@
 * ``loads``: calls that other gateways have under way there.
 * ``health``: when one is suspended; ``penalties``: what speaks against one.
 * ``connections`` and ``pool``: the connections that calls go over, and probes.
+
+Why a replica gets no calls, in the order in which the causes are checked: it is gone or
+leaves (``replica``: ``takes_calls``); it does not hold the model, or is about to unload it
+(``holds``); it refused or failed this call (:mod:`limeshelf.gateway.learning`); it is
+suspended (``health``); it may not read or hold more now (:mod:`limeshelf.dispatch.limits`);
+another one costs less (``penalties``, :mod:`limeshelf.routing.chooser`,
+:mod:`limeshelf.dispatch.selector`).
 """
--- a/limeshelf/replicas/health.py
+++ b/limeshelf/replicas/health.py
@@ -1,8 +1,15 @@
 """The rule for when a replica is suspended, and when it is tried again.
 
-Owns the outcomes of the latest exchanges with one replica. A suspended replica is
-chosen only where there is no other (:mod:`limeshelf.routing.chooser`,
-:mod:`limeshelf.dispatch`).
+Owns the outcomes of the latest exchanges with one replica, as this gateway saw them;
+relies on the clock alone. What a suspension does:
+
+* A plain call goes to a suspended replica only where all of its service are
+  (:mod:`limeshelf.routing.chooser`).
+* A model call never goes to one that its own gateway has suspended
+  (:mod:`limeshelf.gateway.selection`), and to one that the dispatcher has suspended only
+  where all holders are (:mod:`limeshelf.dispatch.selector`).
+
+What suspends:
 
 * Nothing was reached there (:data:`UNREACHABLE`): suspended at the first failure,
   until a connection can be made again. A real call is not used to find that out:
