--- a/limeshelf/membership/contention.py
+++ b/limeshelf/membership/contention.py
@@ -14,7 +14,7 @@
 def may_contend(*, leader_is_active: bool, is_relay: bool, leaderless_s: float) -> bool:
     """Return whether to try to take the lease now.
 
-    :param leader_is_active: whether another gateway was heard from lately as the leader.
+    :param leader_is_active: whether another gateway claimed lately to lead.
     :param is_relay: whether this gateway is a relay of its data centre.
     :param leaderless_s: time since this gateway last saw that another one leads.
     """
--- a/limeshelf/membership/member.py
+++ b/limeshelf/membership/member.py
@@ -1,4 +1,4 @@
-"""One gateway as this process knows it, and its row in the table of members.
+"""One gateway: its row in the table of members, and when it last sent a message.
 
 Owns the form of that row. Relies on the clock alone.
 """
--- a/limeshelf/membership/members.py
+++ b/limeshelf/membership/members.py
@@ -1,6 +1,6 @@
 """Which gateways there are, in all data centres, and which of them are relays.
 
-Owns the table of gateways and when each was last heard from. Relies on the rules in
+Owns the table of gateways and when each last sent a message. Relies on the rules in
 :mod:`~limeshelf.membership.relays` and :mod:`~limeshelf.membership.silence`; what it
 knows comes from rows of the store, the seeds of the settings and messages.
 """
@@ -93,7 +93,7 @@
 
     @property
     def is_first_relay(self) -> bool:
-        """Return whether this gateway speaks for its data centre."""
+        """Return whether this gateway is the first relay by rank of its data centre."""
         return self.own_relays()[:1] == [self.own]
 
     def own_rank(self) -> int:
--- a/limeshelf/membership/messages.py
+++ b/limeshelf/membership/messages.py
@@ -40,7 +40,7 @@
     :ivar held: models that it serves, but for those about to be unloaded.
     :ivar queued: calls that wait there.
     :ivar running: calls that run there.
-    :ivar memory_used: as the replica reports it.
+    :ivar memory_used: tokens of accelerator memory that cannot be evicted.
     """
 
     replica_id: str
@@ -63,7 +63,7 @@
 
 
 class TableRow(msgspec.Struct, array_like=True):
-    """A row of the store, as new as the sender knows it.
+    """A row of the store, as new as the sender has it.
 
     :ivar gone: whether it was deleted at this version.
     """
@@ -75,7 +75,7 @@
 
 
 class TableUpdate(msgspec.Struct, array_like=True):
-    """What changed in a table between two versions, as the sender knows it.
+    """What changed in a table between two versions, as far as the sender has it.
 
     :ivar after: version of the store after which all changes are in the update.
     :ivar upto: version of the store up to which they are.
@@ -169,9 +169,9 @@
 @add_message('rows-query')
 @attrs.frozen
 class RowsQuery:
-    """Asks a peer for what it knows of the store.
+    """Asks a peer for its rows of the store.
 
-    :param versions: table to the highest version that the asker knows.
+    :param versions: table to the highest version that the asker has.
     """
 
     versions: dict[str, int]
--- a/limeshelf/membership/relays.py
+++ b/limeshelf/membership/relays.py
@@ -1,7 +1,7 @@
 """Decides which gateways of a data centre are its relays.
 
 The first gateways by rank are the relays: they pass on what the others of their data
-centre do, and what the rest of the fleet does. Ranks come from rows of the store, so
+centre do, and what the other data centres do. Ranks come from rows of the store, so
 nobody has to be elected; gateways that see the others differently for a while send
 some messages more.
 
@@ -19,7 +19,7 @@
 
     from limeshelf.membership.member import Member
 
-#: Relays of a data centre: one may fail and the other knows all. Commit 48b990a, which
+#: Relays of a data centre: one may fail and the other has all digests. Commit 48b990a, which
 #: measured that there are relays at all; the number was chosen, not measured.
 RELAYS = 2
 #: A relay without a message for this long is replaced by the next by rank; five
--- a/limeshelf/membership/row_exchange.py
+++ b/limeshelf/membership/row_exchange.py
@@ -17,7 +17,7 @@
 from limeshelf.feeds.rows import Row
 from limeshelf.membership import audience
 from limeshelf.membership.messages import RowsQuery, TableRow, TableUpdate, TableUpdates
-from limeshelf.membership.store_polling import patience_s, polls_store
+from limeshelf.membership.store_polling import overdue_limit_s, polls_store
 from limeshelf.util.backoff import jittered_s
 
 if TYPE_CHECKING:
@@ -55,9 +55,9 @@
             overdue_s=max(copy.overdue_s for copy in self.copies.values()),
         )
 
-    def patience_s(self) -> float:
-        """Return for how long copies may be overdue before this gateway asks the store."""
-        return patience_s(self.members.own_rank())
+    def overdue_limit_s(self) -> float:
+        """Return how long copies may be overdue before this gateway asks the store, in seconds."""
+        return overdue_limit_s(self.members.own_rank())
 
     def announce_page(self, copy: TableCopy, after: int) -> None:
         """Send the gateways of this data centre what an answer of the store brought.
@@ -104,6 +104,7 @@
         for update in envelope.message.words:
             copy = self.copies.get(update.table)
             if copy is None:
+                # A table that only another version of the gateway follows.
                 continue
             rows = [Row(row.key, row.value, row.version, row.gone) for row in update.rows]
             joint = copy.take_update(rows, update.after, update.upto, update.age_ms / 1000)
--- a/limeshelf/membership/state_exchange.py
+++ b/limeshelf/membership/state_exchange.py
@@ -1,6 +1,6 @@
 """Sends the other gateways, while this one leads, what replicas hold and what is loading.
 
-Owns which leader's states are believed. Relies on the directory of replicas, where
+Owns the highest fence under which states were taken. Relies on the directory of replicas, where
 states go, and on :mod:`~limeshelf.membership.audience` for who is sent them.
 """
 
@@ -36,15 +36,15 @@
 CHANGES_GAP_S = 0.05
 
 
-def is_believed(*, fence: int, newest_fence: int, own_leads: bool) -> bool:
-    """Return whether states of replicas from another gateway are newer than what we know.
+def states_count(*, fence: int, newest_fence: int, own_leads: bool) -> bool:
+    """Return whether states of replicas from another gateway are newer than those here.
 
     A leader asks the replicas itself. States of a predecessor that a cut held up are older
     than what is known (tests/membership/test_state_exchange.py::
     test_late_word_of_a_predecessor).
 
     :param fence: of the lease under which the states were sent.
-    :param newest_fence: the highest under which states were believed so far.
+    :param newest_fence: the highest under which states were taken so far.
     :param own_leads: whether this gateway leads.
     """
     return not own_leads and fence >= newest_fence
@@ -60,7 +60,7 @@
     leadership: Leadership
     directory: ReplicaDirectory
     meter: DemandMeter
-    fleet: PlacementService
+    placement: PlacementService
     changes: StateChanges
     _newest_fence: int = 0
     _all_due_s: float = 0.0
@@ -87,7 +87,7 @@
             for replica in self.directory.all()
             if replica.report is not None and (whole or replica.replica_id in changed)
         ]
-        self.meter.announced_s = self.fleet.awaited()
+        self.meter.announced_s = self.placement.awaited()
         now_s = boottime_s()
         awaited = [
             AwaitedLoad(key, int((ready_s - now_s) * 1000))
@@ -99,7 +99,7 @@
     def _take_states(self, envelope: Envelope) -> None:
         message: ReplicaStates = envelope.message
         self.leadership.note_fence(message.fence)
-        if not is_believed(
+        if not states_count(
             fence=message.fence,
             newest_fence=self._newest_fence,
             own_leads=self.leader.is_self,
--- a/limeshelf/membership/store_polling.py
+++ b/limeshelf/membership/store_polling.py
@@ -11,17 +11,17 @@
 
 #: Each gateway waits this much longer than the one before it by rank. Commit 48b990a;
 #: chosen, not measured.
-PATIENCE_STEP_S = 0.08
+OVERDUE_STEP_S = 0.08
 #: No gateway waits longer than this. Commit 48b990a; chosen, not measured.
-PATIENCE_LIMIT_S = 1.5
+OVERDUE_LIMIT_S = 1.5
 
 
-def patience_s(rank: int) -> float:
-    """Return for how long copies may be overdue before a gateway asks the store.
+def overdue_limit_s(rank: int) -> float:
+    """Return for how long copies may be overdue, in seconds, before a gateway asks the store.
 
     :param rank: of the gateway in its data centre, from 0.
     """
-    return min(PATIENCE_LIMIT_S, PATIENCE_STEP_S * rank)
+    return min(OVERDUE_LIMIT_S, OVERDUE_STEP_S * rank)
 
 
 def polls_store(*, is_first_relay: bool, rank: int, overdue_s: float) -> bool:
@@ -32,4 +32,4 @@
         be, too: a relay that lost the store sends no changes of any table
         (tests/membership/test_row_exchange.py::test_one_old_table_makes_all_due).
     """
-    return is_first_relay or overdue_s > patience_s(rank)
+    return is_first_relay or overdue_s > overdue_limit_s(rank)
--- a/limeshelf/membership/want_exchange.py
+++ b/limeshelf/membership/want_exchange.py
@@ -1,4 +1,4 @@
-"""Tells the leader that a call waits because no replica holds what it needs.
+"""Reports to the leader that a call waits because no replica holds what it needs.
 
 Owns nothing; relies on the view of the leader and, where this gateway leads, on the
 placement.
@@ -26,19 +26,19 @@
 
     node: PeerNode
     leader: LeaderView
-    fleet: PlacementService
+    placement: PlacementService
 
     def start(self) -> None:
         """Take messages."""
         self.node.add_handler(ModelWanted, self._take_wanted)
 
     def report(self, key: ModelKey) -> None:
-        """Tell the leader that a call waits for *key*; nothing if none is known."""
+        """Report to the leader that a call waits for *key*; nothing if none is known."""
         if self.leader.is_self:
-            self.fleet.want(key)
+            self.placement.want(key)
         elif self.leader.is_active:
             self.node.send(self.leader.address, ModelWanted(key))
 
     def _take_wanted(self, envelope: Envelope) -> None:
         wanted: ModelWanted = envelope.message
-        self.fleet.want(wanted.key)
+        self.placement.want(wanted.key)
--- a/limeshelf/metrics/event_log.py
+++ b/limeshelf/metrics/event_log.py
@@ -61,7 +61,7 @@
         self.change(event, **fields)
 
     def change(self, event: str, **fields: Any) -> None:
-        """Write a line about a change of what the process believes."""
+        """Write a line about a change of the process, or of what it knows of others."""
         if self._descriptor is None:
             return
         line = {'at_s': round(wall_s(), 4), 'instance': self.instance_id, 'event': event, **fields}
@@ -96,7 +96,7 @@
 
 
 def log_change(event: str, **fields: Any) -> None:
-    """Write a line about a change of what this process believes."""
+    """Write a line about a change of this process, or of what it knows of others."""
     event_log.change(event, **fields)
 
 
--- a/limeshelf/programs/followed_tables.py
+++ b/limeshelf/programs/followed_tables.py
@@ -74,6 +74,6 @@
     )
     rows.copies.update({copy.table: copy for copy in copies})
     return [
-        TableFollower(copy, store, rows.is_due, rows.patience_s, rows.announce_page)
+        TableFollower(copy, store, rows.is_due, rows.overdue_limit_s, rows.announce_page)
         for copy in copies
     ]
--- a/limeshelf/programs/gateway.py
+++ b/limeshelf/programs/gateway.py
@@ -33,14 +33,12 @@
 EXIT_OK = 0
 EXIT_BAD_SETTINGS = 2
 #: From failed readiness to refused calls at a planned stop, in which the balancer notices.
-#: Commit 7b7cfc1;
-#: chosen, not measured.
+#: Commit 7b7cfc1; chosen, not measured.
 NOTICE_S = 2.9
 #: Share of the grace after which running calls are given up, so that the process ends by
-#: itself before it is killed. Commit cbbe770; chosen, not
-#: measured.
+#: itself before it is killed. Commit cbbe770; chosen, not measured.
 LAST_SHARE = 0.93
-#: Pause between two looks, during a stop, at whether calls still run. Commit a904fff;
+#: Pause between two checks, during a stop, of whether calls still run. Commit a904fff;
 #: chosen, not measured.
 DRAIN_CHECK_S = 0.05
 #: Pause between two steps of renewing or contending for the lease. Commit a904fff;
@@ -105,7 +103,7 @@
     def reload(self) -> None:
         """Read the settings again, as a signal asks for."""
         if self.watch is not None:
-            self.watch.look_now()
+            self.watch.check_now()
 
     async def _become_ready(self) -> None:
         directory = self.parts.directory
--- a/limeshelf/programs/settings_watch.py
+++ b/limeshelf/programs/settings_watch.py
@@ -1,4 +1,8 @@
-"""Reads a gateway's settings again when their file changes."""
+"""Reads a gateway's settings again when their file changes.
+
+Owns the settings last read. Relies on :mod:`limeshelf.settings.gateway` for whether a
+changed file is right.
+"""
 
 from __future__ import annotations
 
@@ -16,8 +20,9 @@
     from collections.abc import Callable
     from pathlib import Path
 
-#: The file is looked at this often; a signal brings the look forward.
-LOOK_S = 1.0
+#: The file is checked this often; a signal brings the next check forward. Commit 5d5a0f0;
+#: chosen, not measured.
+CHECK_INTERVAL_S = 1.0
 #: Fields that a running process takes over; the others need a start.
 TAKEN_OVER = frozenset({'store_address', 'seeds', 'retries', 'grace_s', 'weight'})
 
@@ -25,7 +30,7 @@
 class SettingsWatch:
     """Follows a settings file; what is in force stays if the new one is faulty.
 
-    :param on_change: told the new settings.
+    :param on_change: called with the new settings.
     """
 
     def __init__(
@@ -37,23 +42,23 @@
         self._content = self._read()
         self._asked = asyncio.Event()
 
-    def look_now(self) -> None:
-        """Look at the file without delay, as a signal asks for."""
+    def check_now(self) -> None:
+        """Check the file without delay, as a signal asks for."""
         self._asked.set()
 
     async def run(self) -> None:
-        """Look at the file until cancelled."""
+        """Check the file again and again, until cancelled."""
         while True:
             try:
-                async with asyncio.timeout(jittered_s(LOOK_S)):
+                async with asyncio.timeout(jittered_s(CHECK_INTERVAL_S)):
                     await self._asked.wait()
             except TimeoutError:
                 pass
             else:
                 self._asked.clear()
-            self.look()
+            self.check()
 
-    def look(self) -> None:
+    def check(self) -> None:
         """Take the settings over if the file has changed and is right."""
         content = self._read()
         if content == self._content:
@@ -78,6 +83,7 @@
         try:
             return self._path.read_bytes()
         except OSError:
+            # Missing, for example while it is replaced: a change, so that the check logs it.
             return b''
 
 
--- a/limeshelf/replicas/directory.py
+++ b/limeshelf/replicas/directory.py
@@ -16,7 +16,7 @@
 from limeshelf.errors import InvalidDocument
 from limeshelf.metrics.event_log import log_change
 from limeshelf.replicas.freshness import (
-    heartbeat_tells_holdings,
+    heartbeat_counts,
     is_late_heartbeat,
     is_late_report,
 )
@@ -212,5 +212,5 @@
     if record.leaving and not replica.leaving:
         replica.leaving = True
         log_change('replica_leaving', replica=record.replica_id, left_s=record.leaves_in_s)
-    if heartbeat_tells_holdings(boottime_s() - replica.reported_s):
+    if heartbeat_counts(boottime_s() - replica.reported_s):
         replica.holdings = by_model(record.holdings)
--- a/limeshelf/replicas/freshness.py
+++ b/limeshelf/replicas/freshness.py
@@ -32,8 +32,8 @@
     return not settled and order_number < (known_order_number or 0)
 
 
-def heartbeat_tells_holdings(report_age_s: float) -> bool:
-    """Return whether a heartbeat says what is held, and not a report before it.
+def heartbeat_counts(report_age_s: float) -> bool:
+    """Return whether what is held goes by a heartbeat, and not by the report before it.
 
     A heartbeat may describe a time before a report that arrived earlier; only the
     report has the number of orders that would show it.
--- a/limeshelf/replicas/pool.py
+++ b/limeshelf/replicas/pool.py
@@ -68,7 +68,7 @@
     async def sweep(self, directory: ReplicaDirectory) -> None:
         """Close the connections to replicas that are gone, again and again.
 
-        Calls under way at a replica that is believed gone may still end well.
+        Calls under way at a replica that counts as gone may still end well.
         """
         while True:
             await asyncio.sleep(SWEEP_S)
--- a/tests/membership/test_row_exchange.py
+++ b/tests/membership/test_row_exchange.py
@@ -108,7 +108,7 @@
     assert exchange('g1', 'g2', 'g3').is_due()
     second = exchange('g2', 'g1', 'g3')
     third = exchange('g3', 'g1', 'g2')
-    assert 0.0 < second.patience_s() < third.patience_s()
+    assert 0.0 < second.overdue_limit_s() < third.overdue_limit_s()
     second._take_updates(update(0, 9))
     assert not second.is_due()
 
--- a/tests/membership/test_state_exchange.py
+++ b/tests/membership/test_state_exchange.py
@@ -12,7 +12,7 @@
 from limeshelf.membership.members import Members
 from limeshelf.membership.messages import HeldModel, ReplicaState, ReplicaStates
 from limeshelf.membership.state_changes import StateChanges
-from limeshelf.membership.state_exchange import StateExchange, is_believed
+from limeshelf.membership.state_exchange import StateExchange, states_count
 from limeshelf.peers.codec import Envelope
 from limeshelf.platform.replicas import read_record
 from limeshelf.replicas.directory import ReplicaDirectory
@@ -58,7 +58,7 @@
         'leadership': leadership,
         'directory': directory,
         'meter': Meter(),
-        'fleet': None,
+        'placement': None,
         'changes': StateChanges(),
     }
     return StateExchange(**known)
@@ -92,10 +92,10 @@
 
 
 def test_only_states_of_the_newest_leader_are_believed() -> None:
-    assert is_believed(fence=5, newest_fence=5, own_leads=False)
-    assert is_believed(fence=6, newest_fence=5, own_leads=False)
-    assert not is_believed(fence=4, newest_fence=5, own_leads=False)
-    assert not is_believed(fence=6, newest_fence=5, own_leads=True)
+    assert states_count(fence=5, newest_fence=5, own_leads=False)
+    assert states_count(fence=6, newest_fence=5, own_leads=False)
+    assert not states_count(fence=4, newest_fence=5, own_leads=False)
+    assert not states_count(fence=6, newest_fence=5, own_leads=True)
 
 
 def test_first_relay_passes_states_of_another_centre_on() -> None:
--- a/tests/membership/test_store_polling.py
+++ b/tests/membership/test_store_polling.py
@@ -5,9 +5,9 @@
 import pytest
 
 from limeshelf.membership.store_polling import (
-    PATIENCE_LIMIT_S,
-    PATIENCE_STEP_S,
-    patience_s,
+    OVERDUE_LIMIT_S,
+    OVERDUE_STEP_S,
+    overdue_limit_s,
     polls_store,
 )
 
@@ -17,8 +17,8 @@
     [
         (True, -1.0, True),
         (False, -1.0, False),
-        (False, 2 * PATIENCE_STEP_S, False),
-        (False, 2 * PATIENCE_STEP_S + 0.01, True),
+        (False, 2 * OVERDUE_STEP_S, False),
+        (False, 2 * OVERDUE_STEP_S + 0.01, True),
     ],
 )
 def test_store_is_asked_by_the_first_relay_or_when_copies_are_old(
@@ -28,7 +28,7 @@
     assert polls is expected
 
 
-def test_patience_rises_with_the_rank_up_to_a_limit() -> None:
-    assert patience_s(0) == 0.0
-    assert patience_s(1) < patience_s(2)
-    assert patience_s(1000) == PATIENCE_LIMIT_S
+def test_overdue_limit_rises_with_the_rank_up_to_a_limit() -> None:
+    assert overdue_limit_s(0) == 0.0
+    assert overdue_limit_s(1) < overdue_limit_s(2)
+    assert overdue_limit_s(1000) == OVERDUE_LIMIT_S
--- a/tests/programs/test_settings_watch.py
+++ b/tests/programs/test_settings_watch.py
@@ -34,12 +34,12 @@
 
 def test_changed_file_is_taken_over(tmp_path: Path) -> None:
     path, one, taken = watch(tmp_path)
-    one.look()
+    one.check()
     assert taken == []
     path.write_text(json.dumps({**DOCUMENT, 'seeds': ['10.0.0.9:1']}))
-    one.look()
+    one.check()
     assert [settings.seeds for settings in taken] == [['10.0.0.9:1']]
-    one.look()
+    one.check()
     assert len(taken) == 1
 
 
@@ -47,10 +47,10 @@
     path, one, taken = watch(tmp_path)
     for faulty in ('{', json.dumps({**DOCUMENT, 'grace_s': 'long'})):
         path.write_text(faulty)
-        one.look()
+        one.check()
     path.unlink()
-    one.look()
+    one.check()
     assert taken == []
     path.write_text(json.dumps(DOCUMENT))
-    one.look()
+    one.check()
     assert len(taken) == 1
--- a/tests/replicas/test_freshness.py
+++ b/tests/replicas/test_freshness.py
@@ -7,7 +7,7 @@
 from limeshelf.replicas.freshness import (
     PEER_LOAD_LIFE_S,
     REPORT_LIFE_S,
-    heartbeat_tells_holdings,
+    heartbeat_counts,
     is_late_heartbeat,
     is_late_report,
     peer_load_counts,
@@ -35,8 +35,8 @@
 
 
 def test_heartbeat_counts_when_the_report_is_old() -> None:
-    assert not heartbeat_tells_holdings(REPORT_LIFE_S)
-    assert heartbeat_tells_holdings(REPORT_LIFE_S + 0.01)
+    assert not heartbeat_counts(REPORT_LIFE_S)
+    assert heartbeat_counts(REPORT_LIFE_S + 0.01)
 
 
 def test_silent_peer_has_nothing_under_way() -> None:
