--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -36,7 +36,8 @@
 from limeshelf.standalone.routing.candidates import engine_candidates
 from limeshelf.standalone.routing.loads import UpstreamLoads
 from limeshelf.standalone.services.instances import Listed, ListedKind
-from standins.launcher import System, wait_until
+from standins.calls import wait_until
+from standins.launcher import System
 
 MODELS = (100, 400, 1600)
 REPLICAS = (260, 1050, 4200)
--- a/benchmarks/path.py
+++ b/benchmarks/path.py
@@ -10,7 +10,8 @@
 import time
 
 from benchmarks.processes import cpu_s, quantile, resident_bytes, results, start_client
-from standins.launcher import GIB, System, get, post, wait_until
+from standins.calls import get, post, wait_until
+from standins.launcher import GIB, System
 
 #: Load-generating processes: enough that they are not the limit. Chosen, not measured.
 CLIENTS = 3
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -9,7 +9,7 @@
 import time
 from typing import Any
 
-from standins.launcher import get, wait_until
+from standins.calls import get, wait_until
 from tests.features.environment import World
 from tests.support.history import faults_of, key_runs
 from tests.support.load import Load
--- a/demo/steps.py
+++ b/demo/steps.py
@@ -19,7 +19,7 @@
     SUMMARY_MODEL,
     configuration,
 )
-from standins.launcher import get, wait_until
+from standins.calls import get, wait_until
 
 if TYPE_CHECKING:
     from standins.launcher import System
--- a/standins/launcher.py
+++ b/standins/launcher.py
@@ -1,24 +1,21 @@
-"""Starts stand-ins and limeshelf programs as processes, for demo, tests and benchmarks."""
+"""A whole system of the own wire on this machine, for demo, tests and benchmarks.
+
+Owns the stand-ins and the limeshelf programs that it starts, each a process of its own.
+"""
 
 from __future__ import annotations
 
 import json
-import os
-import select
 import signal
-import subprocess
-import sys
 import tempfile
-import time
-import urllib.request
 from pathlib import Path
 from typing import Any
 
 import attrs
 
-HOST = '127.0.0.1'
-START_LIMIT_S = 30.0
-STOP_LIMIT_S = 20.0
+from standins.calls import get, post
+from standins.processes import HOST, STOP_LIMIT_S, Started
+
 GIB = 1 << 30
 PROGRAMS = ('entry', 'placer', 'admin')
 RUN_PROGRAM = {
@@ -27,44 +24,6 @@
 }
 
 
-@attrs.define
-class Started:
-    """A running process and the ports it told."""
-
-    name: str
-    process: subprocess.Popen[str]
-    ports: dict[str, Any]
-    log_path: Path
-
-    @property
-    def http(self) -> str:
-        """Return the base URL of its HTTP listener."""
-        return f'http://{HOST}:{self.ports["http_port"]}'
-
-    def address(self, port_name: str) -> str:
-        """Return ``ip:port`` of one of its listeners."""
-        return f'{HOST}:{self.ports[port_name]}'
-
-    def signal(self, number: int) -> None:
-        """Send a signal to this process, by its id."""
-        if self.process.poll() is None:
-            os.kill(self.process.pid, number)
-
-    def kill(self) -> None:
-        """Kill it and wait for its end."""
-        self.signal(signal.SIGKILL)
-        self.process.wait(STOP_LIMIT_S)
-
-    def stop(self) -> int:
-        """Stop it as planned; return its exit code."""
-        self.signal(signal.SIGTERM)
-        return self.process.wait(STOP_LIMIT_S)
-
-    def log(self) -> str:
-        """Return what it wrote to standard error."""
-        return self.log_path.read_text(errors='replace')
-
-
 @attrs.define
 class Instance:
     """One entry instance: its settings file and its three processes."""
@@ -86,8 +45,8 @@
 
 
 @attrs.define
-class Upstream:
-    """One stand-in of an upstream."""
+class ListedUpstream:
+    """A stand-in of an upstream and its line in the instance list."""
 
     upstream_id: str
     started: Started
@@ -115,7 +74,7 @@
         )
         self.gate = self._start('gate', '-m', 'standins', 'gate') if gates else None
         self._gate_ports: dict[str, list[int]] = {}
-        self.upstreams: dict[str, Upstream] = {}
+        self.upstreams: dict[str, ListedUpstream] = {}
         self.instances: dict[str, Instance] = {}
         self._changes = settings or {}
 
@@ -128,29 +87,10 @@
         self.close()
 
     def _start(self, name: str, *arguments: str) -> Started:
-        log_path = self.folder / f'{name}-{time.monotonic_ns()}.log'
-        with log_path.open('w') as log:
-            process = subprocess.Popen(
-                [sys.executable, *arguments],
-                stdout=subprocess.PIPE,
-                stderr=log,
-                text=True,
-                cwd=Path(__file__).parent.parent,
-            )
-        started = Started(name, process, {}, log_path)
+        started = Started.launch(self.folder, name, *arguments)
         self._all.append(started)
         return started
 
-    def _await_ports(self, started: Started) -> Started:
-        stdout = started.process.stdout
-        assert stdout is not None
-        readable, _, _ = select.select([stdout], [], [], START_LIMIT_S)
-        line = stdout.readline() if readable else ''
-        if not line:
-            raise SystemExit(f'{started.name} did not start:\n{started.log()}')
-        started.ports = json.loads(line)
-        return started
-
     def start_upstreams(
         self, engines: dict[str, list[dict[str, Any]]], plain: dict[str, list[str]]
     ) -> None:
@@ -159,8 +99,9 @@
         for data_centre, rows in engines.items():
             for number, options in enumerate(rows):
                 name = f'{data_centre}-engine{number}'
-                words = _words(options)
-                started = self._start(name, '-m', 'standins', 'engine', name, *words)
+                started = self._start(
+                    name, '-m', 'standins', 'engine', name, *_as_arguments(options)
+                )
                 line = {
                     'instance_id': name,
                     'kind': 'engine',
@@ -182,14 +123,14 @@
                 pending.append((started, line))
         self._await_platform()
         for started, line in pending:
-            self._await_ports(started)
+            started.await_ports()
             line['address'] = started.address('http_port')
-            self.upstreams[started.name] = Upstream(started.name, started, line)
+            self.upstreams[started.name] = ListedUpstream(started.name, started, line)
             self.list_instance(line)
 
     def _await_platform(self) -> None:
         if not self.platform.ports:
-            self._await_ports(self.platform)
+            self.platform.await_ports()
 
     def start_instances(self, counts: dict[str, int]) -> None:
         """Start entry instances, a number by data centre, and list them."""
@@ -222,7 +163,7 @@
     def await_started(self, instance: Instance) -> None:
         """Wait until all processes of *instance* listen."""
         for started in instance.programs.values():
-            self._await_ports(started)
+            started.await_ports()
 
     def list_entry(self, instance: Instance, state: str = 'live') -> None:
         """Put an entry instance into the instance list."""
@@ -245,7 +186,7 @@
         if self.gate is None:
             return address
         if not self.gate.ports:
-            self._await_ports(self.gate)
+            self.gate.await_ports()
         port = post(f'{self.gate.http}/_open', {'target': address})['port']
         self._gate_ports.setdefault(instance.data_centre, []).append(port)
         return f'{HOST}:{port}'
@@ -308,41 +249,12 @@
                 started.process.stdout.close()
 
 
-def _words(options: dict[str, Any]) -> list[str]:
-    words = []
+def _as_arguments(options: dict[str, Any]) -> list[str]:
+    arguments = []
     for name, value in options.items():
         option = name.replace('_', '-')
         if isinstance(value, bool):
-            words.append(f'--{option}' if value else f'--no-{option}')
+            arguments.append(f'--{option}' if value else f'--no-{option}')
         else:
-            words += [f'--{option}', str(value)]
-    return words
-
-
-def post(url: str, body: Any, method: str = 'POST') -> Any:
-    """Send JSON to a stand-in; return its JSON answer, if it has one."""
-    data = json.dumps(body).encode()
-    request = urllib.request.Request(url, data=data, method=method)
-    with urllib.request.urlopen(request, timeout=10) as answer:
-        reply = answer.read()
-    return json.loads(reply) if reply else None
-
-
-def get(url: str) -> Any:
-    """Return JSON from a stand-in or a program."""
-    with urllib.request.urlopen(url, timeout=10) as answer:
-        return json.loads(answer.read())
-
-
-def wait_until(check, limit_s: float = 20.0, pause_s: float = 0.05) -> float:
-    """Wait until *check* returns a true value; return the seconds that took."""
-    started_s = time.monotonic()
-    while True:
-        try:
-            if check():
-                return time.monotonic() - started_s
-        except OSError:
-            pass
-        if time.monotonic() - started_s > limit_s:
-            raise TimeoutError(f'{check} did not hold within {limit_s} s')
-        time.sleep(pause_s)
+            arguments += [f'--{option}', str(value)]
+    return arguments
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -14,7 +14,7 @@
 
 
 @attrs.define
-class TableRow:
+class StoredRow:
     """A stored row; the version outlives a deletion."""
 
     version: int = 0
@@ -25,7 +25,7 @@
     """Rows with versions; all writes of a transaction or none."""
 
     def __init__(self) -> None:
-        self.rows: dict[str, TableRow] = {}
+        self.rows: dict[str, StoredRow] = {}
 
     def add_routes(self, app: CentreRouter) -> None:
         """Add the service's paths."""
@@ -34,7 +34,7 @@
         app.router.add_post('/transact', self.transact)
 
     def _row(self, key: str) -> dict:
-        row = self.rows.get(key, TableRow())
+        row = self.rows.get(key, StoredRow())
         version = row.version if row.value is not None else 0
         return {'key': key, 'version': version, 'value': row.value}
 
@@ -60,7 +60,7 @@
             return web.json_response({'rows': failed}, status=409)
         versions = {}
         for write in body['writes']:
-            row = self.rows.setdefault(write['key'], TableRow())
+            row = self.rows.setdefault(write['key'], StoredRow())
             row.version += 1
             row.value = write['value']
             versions[write['key']] = row.version
--- a/tests/features/environment.py
+++ b/tests/features/environment.py
@@ -6,7 +6,8 @@
 import subprocess
 import sys
 
-from standins.launcher import GIB, System, get, wait_until
+from standins.calls import get, wait_until
+from standins.launcher import GIB, System
 
 MODELS = 6
 DOCUMENT = {
--- a/tests/features/steps/world_steps.py
+++ b/tests/features/steps/world_steps.py
@@ -9,7 +9,7 @@
 
 from behave import given, then, when
 
-from standins.launcher import get, post, wait_until
+from standins.calls import get, post, wait_until
 from tests.support.history import faults_of, key_runs, overcommits
 from tests.support.load import Load
 
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -14,7 +14,7 @@
 import time
 from collections.abc import Callable
 
-from standins.launcher import get, post, wait_until
+from standins.calls import get, post, wait_until
 from tests.features.environment import World
 from tests.support.history import faults_of, key_runs, overcommits
 from tests.support.load import Load
--- a/tests/standalone/programs/test_tls.py
+++ b/tests/standalone/programs/test_tls.py
@@ -12,7 +12,9 @@
 import pytest
 import trustme
 
-from standins.launcher import HOST, System, wait_until
+from standins.calls import wait_until
+from standins.launcher import System
+from standins.processes import HOST
 
 COMMAND = [sys.executable, '-c', 'from limeshelf.standalone.programs.cli import main; main()']
 
