--- a/limeshelf/standalone/experiment/centres.py
+++ b/limeshelf/standalone/experiment/centres.py
@@ -1,4 +1,8 @@
-"""One data centre of an experiment: its real placer and what its entries know."""
+"""One data centre of an experiment: its real placer and what its entries know.
+
+Owns the demand that has come since the placers were last sent it. Relies on the placer,
+the lease and the directory of the programs, over the simulated engines and the shared table.
+"""
 
 from __future__ import annotations
 
--- a/limeshelf/standalone/experiment/engine.py
+++ b/limeshelf/standalone/experiment/engine.py
@@ -1,4 +1,8 @@
-"""A model of an engine: continuous batching, prefix cache, memory and load times."""
+"""A model of an engine: continuous batching, prefix cache, memory and load times.
+
+Owns what the engine holds and the requests in it. Stands where a placer has the client of
+an engine; relies on the virtual clock.
+"""
 
 from __future__ import annotations
 
--- a/limeshelf/standalone/experiment/events.py
+++ b/limeshelf/standalone/experiment/events.py
@@ -1,4 +1,7 @@
-"""Actions on a virtual clock, run in the order of their times."""
+"""Actions on a virtual clock, run in the order of their times.
+
+Owns the actions to come, and moves the clock on; relies on nothing else.
+"""
 
 from __future__ import annotations
 
--- a/limeshelf/standalone/experiment/plan.py
+++ b/limeshelf/standalone/experiment/plan.py
@@ -1,4 +1,7 @@
-"""Which runs an experiment makes: read from JSON, checked like settings."""
+"""Which runs an experiment makes: read from JSON, checked like settings.
+
+Owns no state. Relies on the registered profiles and systems for the names in a plan.
+"""
 
 from __future__ import annotations
 
--- a/limeshelf/standalone/experiment/report.py
+++ b/limeshelf/standalone/experiment/report.py
@@ -1,4 +1,7 @@
-"""Sets the results of an experiment side by side, as means over the seeds."""
+"""Sets the results of an experiment side by side, as means over the seeds.
+
+Owns no state; relies on the results of the runs alone.
+"""
 
 from __future__ import annotations
 
--- a/limeshelf/standalone/experiment/requests.py
+++ b/limeshelf/standalone/experiment/requests.py
@@ -8,6 +8,8 @@
 
 from typing import TYPE_CHECKING, Any
 
+import attrs
+
 from limeshelf.errors import NotRun
 from limeshelf.standalone.admission.policies import AdmissionQuestion
 from limeshelf.standalone.config.document import PolicyKind
@@ -20,11 +22,12 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
+    from limeshelf.standalone.admission.policies import AdmissionPolicy
     from limeshelf.standalone.config.catalog import Target
     from limeshelf.standalone.config.holder import ConfigHolder
     from limeshelf.standalone.experiment.centres import Centre
     from limeshelf.standalone.experiment.engine import SimulatedEngine
-    from limeshelf.standalone.experiment.measures import RunResult
+    from limeshelf.standalone.experiment.measures import ClassCount, RunResult
     from limeshelf.standalone.experiment.workload import Arrival
     from limeshelf.util.clock import VirtualClock
 
@@ -108,28 +111,14 @@
         self, arrival: Arrival, centre: Centre, target: Target, candidates: list[Candidate]
     ) -> None:
         item_id = target.item.item_id
+        priority_class = target.deployment.priority_class
         routing = self._policies.routing(self._policy(PolicyKind.ROUTING, target))
         chosen = routing.choose(RouteQuestion(item_id, arrival.prefix_key), candidates)
-        priority_class = target.deployment.priority_class
         priority = self._policies.priority(self._policy(PolicyKind.PRIORITY, target))
         admission = self._policies.admission(self._policy(PolicyKind.ADMISSION, target))
-        centre.loads.started(chosen.upstream_id)
-        centre.waiting[item_id] = centre.waiting.get(item_id, 0) + 1
-
-        def first(work: Work, at_s: float) -> None:
-            seconds = at_s - work.arrived_s
-            centre.loads.learn(chosen.upstream_id, priority_class, seconds, chosen.running)
-            met = seconds <= target.deployment.first_token_target_s
-            admission.note_result(priority_class, met)
-
-        def done(work: Work, at_s: float) -> None:
-            centre.loads.ended(chosen.upstream_id)
-            centre.waiting[item_id] -= 1
-            if met_targets(
-                target.deployment, work.first_s, work.arrived_s, at_s, work.answer_tokens
-            ):
-                self._result.classes[priority_class.value].met += 1
-
+        count = self._result.classes[priority_class.value]
+        sent = _SentRequest(centre, target, chosen, admission, count)
+        sent.start()
         engine = self._engines[chosen.upstream_id]
         engine.add(
             Work(
@@ -139,8 +128,47 @@
                 arrival.answer_tokens,
                 arrival.prefix_key,
                 self._clock.now_s,
-                done=done,
-                first=first,
+                done=sent.end,
+                first=sent.take_first_token,
             )
         )
         self._wake(engine)
+
+
+@attrs.frozen
+class _SentRequest:
+    """A request at an engine: what its data centre learns of it, and its outcome.
+
+    :param count: of the request's class; the request is counted as met at its end.
+    """
+
+    centre: Centre
+    target: Target
+    chosen: Candidate
+    admission: AdmissionPolicy
+    count: ClassCount
+
+    def start(self) -> None:
+        """Count the request as in work."""
+        item_id = self.target.item.item_id
+        self.centre.loads.started(self.chosen.upstream_id)
+        self.centre.waiting[item_id] = self.centre.waiting.get(item_id, 0) + 1
+
+    def take_first_token(self, work: Work, at_s: float) -> None:
+        """Learn from the time of the first token, as an entry program does."""
+        deployment = self.target.deployment
+        took_s = at_s - work.arrived_s
+        self.centre.loads.learn(
+            self.chosen.upstream_id, deployment.priority_class, took_s, self.chosen.running
+        )
+        met = took_s <= deployment.first_token_target_s
+        self.admission.note_result(deployment.priority_class, met)
+
+    def end(self, work: Work, at_s: float) -> None:
+        """Count the request as ended, and whether it met its targets."""
+        self.centre.loads.ended(self.chosen.upstream_id)
+        self.centre.waiting[self.target.item.item_id] -= 1
+        if met_targets(
+            self.target.deployment, work.first_s, work.arrived_s, at_s, work.answer_tokens
+        ):
+            self.count.met += 1
--- a/limeshelf/standalone/experiment/simulation.py
+++ b/limeshelf/standalone/experiment/simulation.py
@@ -36,6 +36,18 @@
 WARM_UP_S = 240.0
 #: An engine is lost at this share of a failing run. Chosen, not measured.
 FAILURE_AT = 0.4
+#: Memory of an engine of the bound, against the profile's: room for all models at each.
+#: Chosen, not measured.
+UNLIMITED_FACTOR = 100
+
+
+@attrs.frozen
+class _Moves:
+    """Loads and unloads that all engines have taken since their start."""
+
+    loads: int
+    unloads: int
+    loaded_bytes: int
 
 
 class Simulation:
@@ -62,12 +74,7 @@
         self._duration_s = duration_s
         self._result = RunResult(system.name, profile.name, variant.value, seed, 0, duration_s)
         self._loop = asyncio.new_event_loop()
-        capacity = profile.engine_bytes * (100 if system.unlimited_memory else 1)
-        self._engines = {
-            f'{centre}{n}': SimulatedEngine(f'{centre}{n}', capacity, speed, clock)
-            for centre in profile.data_centres
-            for n in range(profile.engines_each)
-        }
+        self._engines = self._make_engines(speed)
         self._result.engines = len(self._engines)
         self._centres = self._make_centres()
         self._requests = RequestModel(
@@ -75,6 +82,16 @@
         )
         self._deploy()
 
+    def _make_engines(self, speed: EngineSpeed) -> dict[str, SimulatedEngine]:
+        capacity_bytes = self._profile.engine_bytes
+        if self._system.unlimited_memory:
+            capacity_bytes *= UNLIMITED_FACTOR
+        return {
+            f'{centre}{n}': SimulatedEngine(f'{centre}{n}', capacity_bytes, speed, self._clock)
+            for centre in self._profile.data_centres
+            for n in range(self._profile.engines_each)
+        }
+
     def _make_centres(self) -> dict[str, Centre]:
         table = MemoryTable()
         listed = [
@@ -108,18 +125,18 @@
             self._events.after(self._duration_s * FAILURE_AT, self._lose_engine)
         self._events.run_until(self._clock.now_s + self._duration_s + DEADLINE_S)
         after = self._moves()
-        self._result.loads = after[0] - before[0]
-        self._result.unloads = after[1] - before[1]
-        self._result.loaded_bytes = after[2] - before[2]
+        self._result.loads = after.loads - before.loads
+        self._result.unloads = after.unloads - before.unloads
+        self._result.loaded_bytes = after.loaded_bytes - before.loaded_bytes
         self._result.overcommitted = any(
             engine.max_used_bytes > engine.capacity_bytes for engine in self._engines.values()
         )
         self._loop.close()
         return self._result
 
-    def _moves(self) -> tuple[int, int, int]:
+    def _moves(self) -> _Moves:
         engines = self._engines.values()
-        return (
+        return _Moves(
             sum(engine.moves[OrderAction.LOAD] for engine in engines),
             sum(engine.moves[OrderAction.UNLOAD] for engine in engines),
             sum(engine.loaded_bytes for engine in engines),
--- a/limeshelf/standalone/experiment/table.py
+++ b/limeshelf/standalone/experiment/table.py
@@ -1,4 +1,7 @@
-"""A table service inside the process, for experiments."""
+"""A table service inside the process, for experiments.
+
+Owns the rows. Stands where the programs have the client of the table service.
+"""
 
 from __future__ import annotations
 
--- a/limeshelf/standalone/experiment/workload.py
+++ b/limeshelf/standalone/experiment/workload.py
@@ -1,4 +1,7 @@
-"""Workloads: seeded requests of two kinds of users, in several variants."""
+"""Workloads of the experiments: seeded requests of two kinds of users, in several variants.
+
+Owns the profiles of the users and the shape of their demand; relies on nothing but the seed.
+"""
 
 from __future__ import annotations
 
@@ -56,14 +59,49 @@
 SLJEME = Profile('sljeme', 20, 110, ('t', 'm', 'd'), 3, 320, 45.0, 0.67)
 PROFILES = {profile.name: profile for profile in (HINOKUNI, SLJEME)}
 
-#: Class of each model in turn, with mean prompt and answer length in tokens.
-KINDS = (
-    (PriorityClass.HIGH, 300, 120),
-    (PriorityClass.NORMAL, 100, 80),
-    (PriorityClass.LOW, 600, 160),
-    (PriorityClass.LOW, 500, 140),
-    (PriorityClass.NORMAL, 150, 100),
+
+@attrs.frozen
+class ModelUse:
+    """What a model is used for.
+
+    :param prompt_tokens: median length of a prompt.
+    :param answer_tokens: median length of an answer.
+    """
+
+    priority_class: PriorityClass
+    prompt_tokens: int
+    answer_tokens: int
+
+
+#: Uses of the models in turn. Chosen, not measured.
+MODEL_USES = (
+    ModelUse(PriorityClass.HIGH, 300, 120),
+    ModelUse(PriorityClass.NORMAL, 100, 80),
+    ModelUse(PriorityClass.LOW, 600, 160),
+    ModelUse(PriorityClass.LOW, 500, 140),
+    ModelUse(PriorityClass.NORMAL, 150, 100),
 )
+#: Size of the smallest model, in units of the smallest adapter, and how much each of the
+#: next ones adds until the sizes start again. Chosen, not measured.
+SMALLEST_MODEL_UNITS = 40
+MODEL_STEP_UNITS = 12
+MODEL_SIZES = 4
+#: Spread of the lengths: sigma of a log-normal distribution. Chosen, not measured.
+LENGTH_SIGMA = 0.5
+#: Shortest prompt and answer, in tokens. Chosen, not measured.
+MIN_PROMPT_TOKENS = 10
+MIN_ANSWER_TOKENS = 5
+#: Prompt beginnings of each model. Chosen, not measured.
+PREFIXES_EACH = 20
+#: Part of the run, 0 to 1, at which the demand shifts to the other models. Chosen, not
+#: measured.
+SHIFT_AT = 0.5
+#: Begin and end of the burst, as parts of the run. Chosen, not measured.
+BURST_FROM = 0.3
+BURST_UNTIL = 0.6
+#: Requests a second of all models together during a burst, against before. Chosen, not
+#: measured.
+BURST_RATE_FACTOR = 1.15
 #: Demand of the model that bursts, against its demand before. Chosen, not measured.
 BURST_FACTOR = 10.0
 #: Exponents of the demand by rank, in the skewed variant and in the others. Chosen, not
@@ -72,6 +110,8 @@
 MILD_SKEW = 0.6
 #: Times that the demand moves in an adversarial run. Chosen, not measured.
 PERIODS = 8
+#: Ranks by which it moves each time. Chosen, not measured.
+PERIOD_RANKS = 3
 
 
 @attrs.frozen
@@ -96,9 +136,9 @@
             Deployment(
                 f'm{n}',
                 '1',
-                40 + 12 * (n % 4),
+                SMALLEST_MODEL_UNITS + MODEL_STEP_UNITS * (n % MODEL_SIZES),
                 adapters=[Adapter(f'a{k}', 1) for k in range(each + (n < extra))],
-                priority_class=KINDS[n % len(KINDS)][0],
+                priority_class=MODEL_USES[n % len(MODEL_USES)].priority_class,
             )
             for n in range(profile.models)
         ],
@@ -116,7 +156,7 @@
     now_s = 0.0
     while True:
         weights = _weights(profile, variant, order, now_s / duration_s)
-        now_s += chance.expovariate(profile.rate_per_s * _factor(variant, now_s / duration_s))
+        now_s += chance.expovariate(profile.rate_per_s * _rate_factor(variant, now_s / duration_s))
         if now_s >= duration_s:
             return
         model = chance.choices(range(profile.models), weights)[0]
@@ -124,7 +164,7 @@
 
 
 def _arrival(profile: Profile, chance: random.Random, model: int, at_s: float) -> Arrival:
-    _, prompt, answer = KINDS[model % len(KINDS)]
+    use = MODEL_USES[model % len(MODEL_USES)]
     adapters = profile.adapters // profile.models
     number = min(int(chance.expovariate(1.0)), adapters - 1)
     return Arrival(
@@ -132,12 +172,16 @@
         f'm{model}',
         f'a{number}',
         chance.choice(profile.data_centres),
-        max(10, int(chance.lognormvariate(math.log(prompt), 0.5))),
-        max(5, int(chance.lognormvariate(math.log(answer), 0.5))),
-        f'm{model}/{chance.randrange(20)}',
+        max(MIN_PROMPT_TOKENS, _length_tokens(chance, use.prompt_tokens)),
+        max(MIN_ANSWER_TOKENS, _length_tokens(chance, use.answer_tokens)),
+        f'm{model}/{chance.randrange(PREFIXES_EACH)}',
     )
 
 
+def _length_tokens(chance: random.Random, median_tokens: int) -> int:
+    return int(chance.lognormvariate(math.log(median_tokens), LENGTH_SIGMA))
+
+
 def _weights(profile: Profile, variant: Variant, order: list[int], progress: float) -> list[float]:
     """Return the relative demand of each model at a time."""
     skew = SKEW if variant is Variant.SKEWED else MILD_SKEW
@@ -145,25 +189,25 @@
     for place, model in enumerate(_current(order, variant, progress)):
         weights[model] = (place + 1.0) ** -skew
     if variant is Variant.BURST and _bursts(progress):
-        # The tenfold model takes its burst on top of everybody's demand.
+        # The burst of the model comes on top of the demand for all.
         weights[order[-1]] *= BURST_FACTOR
     return weights
 
 
 def _current(order: list[int], variant: Variant, progress: float) -> list[int]:
     """Return the models, the most asked for first."""
-    if variant is Variant.SHIFT and progress >= 0.5:
+    if variant is Variant.SHIFT and progress >= SHIFT_AT:
         return order[::-1]
     if variant is Variant.ADVERSARIAL:
         # Demand moves to other models soon after a placement has followed it.
-        turn = int(progress * PERIODS) * 3 % len(order)
+        turn = int(progress * PERIODS) * PERIOD_RANKS % len(order)
         return order[turn:] + order[:turn]
     return order
 
 
 def _bursts(progress: float) -> bool:
-    return 0.3 <= progress < 0.6
+    return BURST_FROM <= progress < BURST_UNTIL
 
 
-def _factor(variant: Variant, progress: float) -> float:
-    return 1.15 if variant is Variant.BURST and _bursts(progress) else 1.0
+def _rate_factor(variant: Variant, progress: float) -> float:
+    return BURST_RATE_FACTOR if variant is Variant.BURST and _bursts(progress) else 1.0
