--- a/limeshelf/standalone/programs/admin.py
+++ b/limeshelf/standalone/programs/admin.py
@@ -1,4 +1,8 @@
-"""``limeshelf-admin``: the operator RPC of one instance."""
+"""``limeshelf-admin``: the operator RPC of one instance.
+
+Owns the order in which an admin process starts and stops. Relies on ``process`` for what
+all programs share, and on the package ``admin`` for the work.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +19,8 @@
 from limeshelf.standalone.admin.service import AdminService
 from limeshelf.standalone.membership.processes import ADMIN_PROGRAM
 from limeshelf.standalone.messages import Reach
-from limeshelf.standalone.programs.process import EXIT_OK, Process, ProgramService, run_program
+from limeshelf.standalone.programs.process import Process
+from limeshelf.standalone.programs.runner import EXIT_OK, ProgramService, run_program
 from limeshelf.standalone.services.weights import WeightStoreClient
 
 #: Time for running calls at a planned stop. Chosen, not measured.
--- a/limeshelf/standalone/programs/cli.py
+++ b/limeshelf/standalone/programs/cli.py
@@ -1,4 +1,8 @@
-"""``limeshelf``: the operator's command line."""
+"""``limeshelf``: the operator's command line.
+
+Owns no state: each command is one call to an admin program, whose reply is printed as a
+table or as JSON. Relies on ``cli_common`` for the call and for the exit codes.
+"""
 
 from __future__ import annotations
 
--- a/limeshelf/standalone/programs/cli_common.py
+++ b/limeshelf/standalone/programs/cli_common.py
@@ -1,4 +1,7 @@
-"""What the commands of ``limeshelf`` share: options, calls, outcomes, exit codes."""
+"""What the commands of ``limeshelf`` share: options, calls, outcomes, exit codes.
+
+Owns the exit codes; relies on the client of the operator RPC.
+"""
 
 from __future__ import annotations
 
@@ -16,12 +19,15 @@
 from limeshelf.standalone.programs.tables import print_json, print_line, print_table
 from limeshelf.util.identifiers import new_id
 
+#: Exit codes besides 0, and 2 for wrong use (docs/operators/configuration.rst).
 EXIT_UNREACHABLE = 1
 EXIT_INVALID = 3
 EXIT_CONFLICT = 4
 EXIT_UNDECIDED = 5
 EXIT_NOT_APPLIED = 6
 EXIT_NOT_FOUND = 7
+#: Changes that one line of the history names; the others are counted. Chosen, not measured.
+SHOWN_CHANGES = 4
 
 #: Exit code by result of a change.
 EXIT_BY_RESULT = {
@@ -118,5 +124,6 @@
 
 def _changes_text(changes: Any) -> str:
     names = [f'{"+" if c.entity else "-"}{c.section}/{c.name}' for c in changes]
-    shown = ' '.join(names[:4])
-    return shown if len(names) <= 4 else f'{shown} and {len(names) - 4} more'
+    shown = ' '.join(names[:SHOWN_CHANGES])
+    left_out = len(names) - SHOWN_CHANGES
+    return f'{shown} and {left_out} more' if left_out > 0 else shown
--- a/limeshelf/standalone/programs/cli_files.py
+++ b/limeshelf/standalone/programs/cli_files.py
@@ -1,4 +1,7 @@
-"""``limeshelf settings`` and ``limeshelf config``: check, describe and show documents."""
+"""``limeshelf settings`` and ``limeshelf config``: check, describe and show documents.
+
+Owns no state. ``settings`` needs no admin program; ``config`` asks one.
+"""
 
 from __future__ import annotations
 
--- a/limeshelf/standalone/programs/cli_policy.py
+++ b/limeshelf/standalone/programs/cli_policy.py
@@ -1,8 +1,11 @@
-"""``limeshelf policy``: swap, split and compare policies."""
+"""``limeshelf policy``: swap, split and compare policies.
+
+Owns no state. Relies on ``cli_common`` for the calls to the admin program.
+"""
 
 from __future__ import annotations
 
-from typing import Annotated
+from typing import Annotated, Any
 
 import typer
 
@@ -84,6 +87,13 @@
         print_json(reply)
         return
     print_line(f'{reply.answered} of {reply.listed} instances answered')
+    _print_figures(reply)
+    print_line('')
+    print_line(f'{policy_b} less {policy_a}, with 95 % intervals')
+    _print_differences(reply)
+
+
+def _print_figures(reply: Any) -> None:
     figures = [
         (
             f.policy,
@@ -97,8 +107,9 @@
     ]
     headings = ('policy', 'class', 'requests', 'refused', 'attainment', 'first token ms')
     print_table(headings, figures)
-    print_line('')
-    print_line(f'{policy_b} less {policy_a}, with 95 % intervals')
+
+
+def _print_differences(reply: Any) -> None:
     differences = [
         (
             d.priority_class,
--- a/limeshelf/standalone/programs/entry.py
+++ b/limeshelf/standalone/programs/entry.py
@@ -1,4 +1,8 @@
-"""``limeshelf-entry``: takes callers' requests and brings them to upstreams."""
+"""``limeshelf-entry``: takes callers' requests and sends them to upstreams.
+
+Owns the order in which an entry process starts and stops. Relies on ``process`` for what
+all programs share, and on the packages ``entry`` and ``membership`` for the work.
+"""
 
 from __future__ import annotations
 
@@ -21,10 +25,10 @@
 from limeshelf.standalone.membership.reach import ReachSender
 from limeshelf.standalone.membership.watch import UpstreamWatch
 from limeshelf.standalone.messages import Reach, SamplesQuery, SamplesReply
-from limeshelf.standalone.programs.process import (
+from limeshelf.standalone.programs.process import Process
+from limeshelf.standalone.programs.runner import (
     EXIT_CUT_OFF,
     EXIT_OK,
-    Process,
     ProgramService,
     run_program,
 )
--- a/limeshelf/standalone/programs/experiment.py
+++ b/limeshelf/standalone/programs/experiment.py
@@ -1,4 +1,7 @@
-"""``limeshelf-experiment``: compares policies on a virtual clock."""
+"""``limeshelf-experiment``: compares policies on a virtual clock.
+
+Owns no state: reads a plan, makes its runs and prints their table.
+"""
 
 from __future__ import annotations
 
@@ -16,6 +19,7 @@
 from limeshelf.standalone.experiment.report import HEADINGS, summarise, table_rows, to_json
 from limeshelf.standalone.programs.tables import print_line, print_table
 
+#: The plan cannot be read, or names what does not exist.
 EXIT_INVALID = 3
 
 
@@ -26,7 +30,7 @@
     output: Annotated[Path | None, typer.Option(help='Where results go as JSON.')] = None,
 ) -> None:
     """Run an experiment and print its table."""
-    # The placers' own lines would drown the table.
+    # The placers' own lines would hide the table.
     logging.set_verbosity(logging.ERROR)
     try:
         document = msgspec.json.decode(plan_file.read_bytes()) if plan_file else {}
--- a/limeshelf/standalone/programs/logs.py
+++ b/limeshelf/standalone/programs/logs.py
@@ -1,4 +1,7 @@
-"""Sets up absl logging: plain lines, or one JSON object a line."""
+"""Sets up absl logging: plain lines, or one JSON object a line.
+
+Owns nothing; the modules write ``key=value`` lines, which become the fields of an object.
+"""
 
 from __future__ import annotations
 
--- a/limeshelf/standalone/programs/placer.py
+++ b/limeshelf/standalone/programs/placer.py
@@ -1,4 +1,8 @@
-"""``limeshelf-placer``: decides which model sits in which memory."""
+"""``limeshelf-placer``: decides which model sits in which memory.
+
+Owns the order in which a placer process starts and stops. Relies on ``process`` for what
+all programs share, and on the packages ``lease`` and ``placement`` for the work.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +19,8 @@
 from limeshelf.standalone.messages import Demand
 from limeshelf.standalone.placement.anchors import AnchorBook
 from limeshelf.standalone.placement.placer import Placer
-from limeshelf.standalone.programs.process import EXIT_OK, Process, ProgramService, run_program
+from limeshelf.standalone.programs.process import Process
+from limeshelf.standalone.programs.runner import EXIT_OK, ProgramService, run_program
 from limeshelf.standalone.upstreams.pool import UpstreamPool
 from limeshelf.util.clock import boottime_s
 
--- a/limeshelf/standalone/programs/tables.py
+++ b/limeshelf/standalone/programs/tables.py
@@ -1,4 +1,7 @@
-"""Prints replies as tables for people or as JSON for programs."""
+"""Prints replies as tables for people or as JSON for programs.
+
+Owns nothing; the only place where the command line writes to standard output.
+"""
 
 from __future__ import annotations
 
