--- a/limeshelf/gateway/edge.py
+++ b/limeshelf/gateway/edge.py
@@ -113,6 +113,7 @@
         try:
             return await self._serve(request, boottime_s())
         except CallerGone:
+            # No line: the caller chose to go, which says nothing about a replica or us.
             return web.Response(status=STATUS_CALLER_GONE)
         finally:
             self.running -= 1
--- a/limeshelf/membership/registration.py
+++ b/limeshelf/membership/registration.py
@@ -73,12 +73,13 @@
         try:
             value = _values.decode(row.value)
         except msgspec.MsgspecError:
+            # The relays of its data centre still learn of the gateway by its digests.
             log_change('member_row_invalid', key=row.key)
             return
         self.members.add(value.address, value.data_centre, value.weight)
 
     def announce_leaving(self) -> None:
-        """Tell all other gateways that this one stops."""
+        """Send all other gateways the message that this one stops."""
         addresses = [member.address for member in self.members.others()]
         self.node.send_all(addresses, GatewayLeaving(self.instance_id))
 
--- a/limeshelf/membership/state_changes.py
+++ b/limeshelf/membership/state_changes.py
@@ -40,6 +40,7 @@
             async with asyncio.timeout(limit_s):
                 await self._pending.wait()
         except TimeoutError:
+            # The usual case: nothing changed, and the leader sends what is due anyway.
             return
         self._pending.clear()
         await asyncio.sleep(gap_s)
--- a/limeshelf/orders/attempts.py
+++ b/limeshelf/orders/attempts.py
@@ -1,6 +1,7 @@
 """How often an order is tried, and when its task is given up.
 
-Pure rules over a task and an outcome; :mod:`limeshelf.orders.task_runner` applies them.
+Owns these rules and their figures; relies on the task and the outcome alone.
+:mod:`limeshelf.orders.task_runner` applies them.
 """
 
 from __future__ import annotations
@@ -20,12 +21,12 @@
 #: not measured (commit a904fff).
 ADAPTER_POLL_S = 0.03
 MODEL_POLL_S = 0.25
-#: After an order about an adapter whose effect is open, the number of orders that
-#: a report tells counts from this time on. Reports are some 100 ms old; the rest is
+#: After an order about an adapter whose effect is open, the number of orders in a
+#: report counts from this time on. Reports are some 100 ms old; the rest is
 #: chosen, not measured (commit 07266d4).
 ADAPTER_SETTLE_S = 0.16
 #: A load of an adapter that has not come after this time is given up, and the
-#: unload of one. 2 s was too short while the weight store was crowded (commit
+#: unload of one. 2 s was too short while the weight store was overloaded (commit
 #: a656070: Sljeme fresh-0f45); 4 s is chosen, not measured.
 ADAPTER_LIMIT_S = 4.0
 #: An unload of a model waits for the calls that run on it; with a shorter wait,
--- a/limeshelf/orders/capacity.py
+++ b/limeshelf/orders/capacity.py
@@ -27,8 +27,8 @@
 class PossibleContents:
     """What may be in the memory of one replica at this moment.
 
-    :param held: models with their ready adapters, as this process knows them.
-    :param reported: the same as the last report told it. An answer that something is
+    :param held: models with their ready adapters, by reports and answers of the replica.
+    :param reported: the same by the last report. An answer that something is
         missing takes it out of *held* but frees no room
         (tests/orders/test_capacity.py::test_answer_of_a_replica_frees_no_room).
     :param loading: adapters that the last report lists as on their way; also one
--- a/limeshelf/orders/order.py
+++ b/limeshelf/orders/order.py
@@ -1,4 +1,7 @@
-"""Orders to replicas: what they say, how they are answered, and the port that sends them."""
+"""Orders to replicas: what they say, how they are answered, and the port that sends them.
+
+Owns these types alone; the adapter to the users' platform implements the port.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +18,7 @@
 
 
 class OrderKind(enum.StrEnum):
-    """What a replica is told to do."""
+    """What a replica is ordered to do."""
 
     LOAD = 'load'
     UNLOAD = 'unload'
@@ -45,6 +48,8 @@
     :param adapter: empty where the model itself is meant.
     :param expected_number: orders that the replica must have taken so far;
         with it, an order that comes late finds another number and has no effect.
+    :param holder: instance that holds the lease.
+    :param fence: of the term under which it orders.
     """
 
     kind: OrderKind
@@ -57,7 +62,7 @@
 
 @attrs.frozen
 class ReplicaOrderAnswer:
-    """The outcome of an order with the status that told it."""
+    """The outcome of an order, and the HTTP status from which it was read."""
 
     outcome: OrderOutcome
     status: int
--- a/limeshelf/orders/pending.py
+++ b/limeshelf/orders/pending.py
@@ -1,8 +1,8 @@
 """What is under way at one replica: the only owner of that state.
 
 Holds which loads are planned, sent or unconfirmed, which adapters are about to be
-unloaded, whether the replica answers polls and which fence it was shown. Others ask;
-they tell it what happened by the ``note_`` methods and by ``expect``.
+unloaded, whether the replica answers polls and which fence it was shown. Others
+report what happened by the ``note_`` methods and by ``expect``.
 Relies on the boot clock only.
 """
 
@@ -22,7 +22,7 @@
 #: A poll answered this long after the replica was claimed shows what came before the
 #: claim. Reports are some 100 ms old; the rest is chosen, not measured (commit 850fb59).
 REPORT_SETTLE_S = 0.2
-#: For this long a poll of our own counts as fresh. Orders by what a predecessor told
+#: For this long a poll of our own counts as fresh. Orders by what a predecessor sent
 #: overcommitted memory (commit 66026a6); the figure is chosen, not measured.
 FRESH_S = 1.5
 #: A replica that left this many polls in a row unanswered counts as lost. Chosen, not
@@ -146,7 +146,7 @@
     def is_fresh(self) -> bool:
         """Return whether this process itself saw lately what the replica does.
 
-        What a predecessor told may lack a load that is still under way.
+        What a predecessor sent may lack a load that is still under way.
         """
         settled_s = self._claimed_s + REPORT_SETTLE_S
         return boottime_s() - self._polled_s < FRESH_S and self._polled_s > settled_s
--- a/limeshelf/orders/sender.py
+++ b/limeshelf/orders/sender.py
@@ -32,7 +32,7 @@
     """Sends orders to replicas under the term in force, and polls them.
 
     :param holder: names this process's machine in orders.
-    :param config: returns the configuration in force, which tells what an engine bears.
+    :param config: returns the configuration in force, which says what an engine bears.
     """
 
     def __init__(
--- a/limeshelf/orders/task.py
+++ b/limeshelf/orders/task.py
@@ -1,6 +1,6 @@
 """What an order is about: a model or an adapter to load or to unload at a replica.
 
-Relies on the replica's holdings as the last report or answer told them.
+Owns nothing; relies on the replica's holdings, by its last report or answer.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
     """Something to load or unload at a replica; may take several orders.
 
     :param adapter: empty where the model itself is meant.
-    :param load_s: how long the load of a model likely takes; 0 for all else.
+    :param load_s: how long the load of a model likely takes, in seconds; 0 for all else.
     """
 
     kind: OrderKind
--- a/limeshelf/peers/link.py
+++ b/limeshelf/peers/link.py
@@ -64,6 +64,7 @@
             try:
                 await asyncio.wait_for(self._arrived.wait(), IDLE_S)
             except TimeoutError:
+                # The usual end of a link: nothing was to be sent for a while.
                 return None
         return self._frames.popleft()
 
--- a/limeshelf/peers/node.py
+++ b/limeshelf/peers/node.py
@@ -29,10 +29,12 @@
     Messages are one-way and may be lost; every exchange that needs certainty
     repeats itself periodically.
 
-    :param host: address to listen at, which peers are told.
+    :param host: address to listen at, which goes to peers with each message.
     :param port: TCP port; 0 takes a free one.
     :param data_centre: of this process, sent with each message.
     :ivar address: host and port where this process listens; empty before the start.
+    :ivar sent_bytes: in frames that a connection took, over all peers.
+    :ivar received_bytes: in frames that arrived, malformed ones included.
     :ivar dropped: frames that were queued for a peer and never sent.
     :ivar malformed: frames that arrived and are no messages of ours.
     """
@@ -119,6 +121,7 @@
             try:
                 handler(envelope)
             except LimeshelfError as error:
+                # One message that cannot be used must not keep the next ones out.
                 logging.warning('peers=handler_failed error=%r', error)
 
     async def _run_link(self, link: PeerLink) -> None:
--- a/limeshelf/platform/headers.py
+++ b/limeshelf/platform/headers.py
@@ -46,6 +46,9 @@
 MOST_URGENT = 0
 LEAST_URGENT = 9
 
+#: Characters of a malformed value that its error shows. Chosen, not measured.
+SHOWN_CHARS = 40
+
 #: Concern one connection only (RFC 9110, section 7.6.1), or are set anew.
 HOP_HEADERS = frozenset(
     {
@@ -72,7 +75,7 @@
     try:
         value = int(text)
     except ValueError:
-        raise InvalidRequest(name, f'not a whole number: {text[:40]!r}') from None
+        raise InvalidRequest(name, f'not a whole number: {text[:SHOWN_CHARS]!r}') from None
     if value < 0:
         raise InvalidRequest(name, 'below zero')
     return value
--- a/limeshelf/platform/orders.py
+++ b/limeshelf/platform/orders.py
@@ -2,7 +2,7 @@
 
 Owns the connections that carry them, apart from those of calls, so that an
 order never waits behind a call. Relies on :mod:`limeshelf.platform.replicas` to
-read a report. Retries nothing: the order queue decides what follows.
+read a report. Retries nothing: :mod:`limeshelf.orders.attempts` decides what follows.
 """
 
 from __future__ import annotations
@@ -30,9 +30,10 @@
 #: Chosen, not measured.
 CONNECTIONS_PER_REPLICA = 2
 
+STATUS_OK = 200
 #: What a replica's answer to an order means; any other status rejects the order.
 _OUTCOMES = {
-    200: OrderOutcome.HOLDS_ALREADY,
+    STATUS_OK: OrderOutcome.HOLDS_ALREADY,
     202: OrderOutcome.TAKEN,
     # Another order is under way, or the replica has taken another number of orders.
     409: OrderOutcome.BUSY_OR_STALE,
@@ -67,7 +68,7 @@
         :raises ReplicaSilent: no usable report came in time.
         """
         status, body = await self._call('GET', address, '/report', replica_id, None)
-        if status != 200:
+        if status != STATUS_OK:
             raise ReplicaSilent(replica_id)
         try:
             return read_report(body)
--- a/limeshelf/programs/settings_watch.py
+++ b/limeshelf/programs/settings_watch.py
@@ -53,6 +53,7 @@
                 async with asyncio.timeout(jittered_s(CHECK_INTERVAL_S)):
                     await self._asked.wait()
             except TimeoutError:
+                # The usual case: no signal came, and the file is due for a check.
                 pass
             else:
                 self._asked.clear()
--- a/limeshelf/replicas/directory.py
+++ b/limeshelf/replicas/directory.py
@@ -1,4 +1,4 @@
-"""All replicas that this gateway knows: their rows, reports and what they hold.
+"""All replicas: their rows, reports and what they hold, as they arrived here.
 
 Owns the :class:`~limeshelf.replicas.replica.Replica` of each incarnation, and wakes
 who waits for one to change. Relies on the adapter to read rows, on
@@ -204,6 +204,7 @@
             async with asyncio.timeout(max(0.0, limit_s)):
                 await self._changed.wait()
         except TimeoutError:
+            # Callers check for themselves what there is, changed or not.
             return
 
 
