--- a/limeshelf/gateway/lines.py
+++ b/limeshelf/gateway/lines.py
@@ -54,6 +54,9 @@
         report_age_ms=int((boottime_s() - replica.reported_s) * 1000),
         config=config_version or 0,
         suspended=suspended,
+        status=_status(result),
+        took_ms=int((state.since_arrival_s - state.waited_s) * 1000),
+        answer_started=state.answer.started,
     )
 
 
@@ -63,8 +66,16 @@
     return str(result.status) if isinstance(result, Delivered | NeverRan) else ''
 
 
+def _status(result: Result) -> int:
+    """Return the status of the replica's answer; 0 if there is none."""
+    if isinstance(result, WholeAnswer):
+        return result.facts.status
+    return result.status if isinstance(result, Delivered | NeverRan) else 0
+
+
 def log_overloaded(state: CallState, expected_wait_s: float, left_s: float) -> None:
     """Log that replicas hold what the call needs, but have no room for it in time."""
+    need = state.call.model_need
     log_request(
         'refused_overloaded',
         request=state.call.call_id,
@@ -72,6 +83,10 @@
         expected_wait_ms=int(expected_wait_s * 1000),
         left_ms=int(left_s * 1000),
         returned=state.returned,
+        model=need.model if need else '',
+        adapter=need.adapter if need else '',
+        waited_ms=int(state.since_arrival_s * 1000),
+        objective_ms=int(state.route.objective_s * 1000),
     )
 
 
@@ -86,6 +101,8 @@
         adapter=need.adapter if need else '',
         expected_wait_ms=int(expected_wait_s * 1000),
         left_ms=int(state.left_s * 1000),
+        waited_ms=int(state.since_arrival_s * 1000),
+        objective_ms=int(state.route.objective_s * 1000),
     )
 
 
--- /dev/null
+++ b/tests/gateway/test_lines.py
@@ -0,0 +1,86 @@
+"""A line about a call holds the inputs of the decision that it tells of."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import attrs
+import pytest
+
+from limeshelf.calls.call import ModelNeed
+from limeshelf.calls.wire import AnswerFacts
+from limeshelf.gateway import lines
+from limeshelf.gateway.exchange import Broken, BrokenBy, Delivered, NeverRan, Result, WholeAnswer
+from limeshelf.gateway.state import CallState
+from limeshelf.replicas.record import Holding, ReplicaRecord
+from limeshelf.replicas.replica import Load, Replica
+from tests.gateway.test_selection import ENGINE, state_of
+from tests.support.routes import make_route
+
+NEED = ModelNeed('m', 'a', 100, 50, 20, ())
+REPLICA = Replica(
+    ReplicaRecord('r0', 'lm', 'lm:0', 'z1', 4, False, None, (Holding('m'),), 1), {'m': frozenset()}
+)
+ANSWER = WholeAnswer(
+    AnswerFacts(504, 'c', True, False, False, False, None, (), None), b'', first_s=0.2
+)
+
+
+@pytest.fixture
+def written(monkeypatch: pytest.MonkeyPatch) -> dict[str, Any]:
+    """Return the fields of the last line, by their names."""
+    fields: dict[str, Any] = {}
+    monkeypatch.setattr(
+        lines, 'log_request', lambda event, **given: fields.update(given, event=event)
+    )
+    return fields
+
+
+def held_state(waited_s: float) -> CallState:
+    """Return a call that arrived *waited_s* ago, on a route with an objective of 2 s."""
+    state = state_of(ENGINE, NEED, route=make_route(objective_s=2.0))
+    call = attrs.evolve(state.call, arrived_s=state.call.arrived_s - waited_s)
+    return attrs.evolve(state, call=call)
+
+
+def check_wait(written: dict[str, Any], event: str) -> None:
+    assert written['event'] == event
+    assert (written['model'], written['adapter']) == ('m', 'a')
+    assert written['objective_ms'] == 2000
+    assert 500 <= written['waited_ms'] < 900
+
+
+def test_refusal_for_overload_names_the_model_and_the_bounds_of_the_wait(
+    written: dict[str, Any],
+) -> None:
+    lines.log_overloaded(held_state(0.5), 1.7, 9.0)
+    check_wait(written, 'refused_overloaded')
+    assert written['expected_wait_ms'] == 1700
+
+
+def test_refusal_for_lack_of_a_replica_tells_the_bounds_of_the_wait(
+    written: dict[str, Any],
+) -> None:
+    lines.log_no_replica(held_state(0.5), 0.25)
+    check_wait(written, 'refused_no_replica')
+    assert written['expected_wait_ms'] == 250
+
+
+@pytest.mark.parametrize(
+    ('result', 'status'),
+    [
+        (ANSWER, 504),
+        (Delivered(200, 0.1), 200),
+        (NeverRan(True, status=503), 503),
+        (NeverRan(False), 0),
+        (Broken(BrokenBy.TIME_OVER), 0),
+    ],
+)
+def test_attempt_tells_the_status_its_length_and_whether_the_answer_has_begun(
+    written: dict[str, Any], result: Result, status: int
+) -> None:
+    state = attrs.evolve(held_state(0.5), waited_s=0.1)
+    lines.log_attempt(state, REPLICA, Load(), result, False, 3)
+    assert written['status'] == status
+    assert 400 <= written['took_ms'] < 800
+    assert written['answer_started'] is False
