--- a/tests/docs/test_named_things.py
+++ b/tests/docs/test_named_things.py
@@ -49,14 +49,33 @@
     assert [name for name in names if f"'{name}'" not in SOURCE] == []
 
 
-def test_events_of_the_operations_page_are_written_somewhere() -> None:
+def operations_events() -> list[list[str]]:
+    """Return the events of each row of the operations page's table."""
     table = (ROOT / 'docs/OPERATIONS.md').read_text().split('| event | says |')[1]
     rows = table.split('\n\n')[0].splitlines()[2:]
-    events = [event for row in rows for event in re.findall(r'`(\w+)`', row.split('|')[1])]
+    return [re.findall(r'`(\w+)`', row.split('|')[1]) for row in rows]
+
+
+def test_events_of_the_operations_page_are_written_somewhere() -> None:
+    rows = operations_events()
+    events = [event for row in rows for event in row]
     assert len(events) > len(rows)
     assert [event for event in events if f"'{event}'" not in SOURCE] == []
 
 
+def test_every_event_is_on_the_operations_page() -> None:
+    listed = {event for row in operations_events() for event in row}
+    written = set(re.findall(r"(?:log_change|log_request|self\.change)\(\s*'(\w+)'", SOURCE))
+    assert written - listed == set()
+
+
+def test_prometheus_metrics_are_those_of_the_reference_page() -> None:
+    page = (ROOT / 'docs/reference/metrics.rst').read_text()
+    scrape = (ROOT / 'tests/forms/recorded/scrape.txt').read_text()
+    served = set(re.findall(r'^TYPE (\w+)', scrape, re.MULTILINE)) - {'limeshelf_some_gauge'}
+    assert set(re.findall(r'``(limeshelf_\w+)``', page)) == served
+
+
 def test_constants_of_the_decisions_stand_in_their_modules() -> None:
     text = (ROOT / 'docs/design/decisions.rst').read_text()
     missing = []
