--- a/limeshelf/admission/__init__.py
+++ b/limeshelf/admission/__init__.py
@@ -1,1 +1,1 @@
-"""What is held, refused and repeated, and when a caller is told to come back."""
+"""What is held, refused and repeated, and with which time to come back."""
--- a/limeshelf/admission/absent_model.py
+++ b/limeshelf/admission/absent_model.py
@@ -2,8 +2,9 @@
 
 Asked when no replica that may be used holds what the call needs, or, for a plain call,
 when its service has no replica. Holding is right only while the call can still be served
-in time; a refusal tells when the model is expected. What was refused before is held as
+in time; a refusal says when the model is expected. What was refused before is held as
 long as its caller waits: refusing it again costs more than serving it late (f5a28b7).
+Owns nothing; relies on :mod:`limeshelf.admission.patience` for how long a call may wait.
 """
 
 from __future__ import annotations
@@ -68,7 +69,7 @@
     """The call is refused; it comes back when the model is expected.
 
     :param expected_wait_s: until a replica can likely run it, in seconds.
-    :param retry_after_s: when the caller is told to come back, in seconds.
+    :param retry_after_s: the time to come back that the refusal states, in seconds.
     """
 
     expected_wait_s: float
@@ -93,7 +94,7 @@
 def _announcement_due(absent: AbsentModel) -> bool:
     """Return whether the leader has yet to say how long the model takes.
 
-    It hears of the need from the call that waits.
+    The call that waits is what reports the need to it.
     """
     limit_s = min(ANNOUNCE_S, ANNOUNCE_SHARE * absent.route.objective_s)
     return not absent.announced and absent.waited_s < limit_s
--- a/limeshelf/admission/come_back.py
+++ b/limeshelf/admission/come_back.py
@@ -1,4 +1,7 @@
-"""When a refused caller is told to come back, in seconds from now."""
+"""The time to come back that a refusal states, in seconds from now.
+
+Owns the rules alone: one function for each kind of refusal.
+"""
 
 from __future__ import annotations
 
@@ -15,6 +18,9 @@
 #: Sooner than this a caller comes back before anything has changed. Chosen in 07266d4,
 #: not measured.
 LEAST_COME_BACK_S = 0.2
+#: Part of the longest hold after which a caller comes back where no time is known, so
+#: that the next attempt can still be in time. Chosen in a904fff, not measured.
+REFUSED_HOLD_SHARE = 0.5
 #: Callers come back a little later than the model is expected: those that came back
 #: before were refused again (f5a28b7; the factor is chosen, not measured).
 READY_MARGIN = 1.1
@@ -42,8 +48,5 @@
 
 
 def after_refusals_s(route: Route) -> float:
-    """Return when to come back where nothing tells how long replicas go on refusing.
-
-    Half of what a call may be held for, so that the next attempt can still be in time.
-    """
-    return route.objective_s * HOLD_SHARE / 2
+    """Return when to come back where it is not known how long replicas go on refusing."""
+    return route.objective_s * HOLD_SHARE * REFUSED_HOLD_SHARE
--- a/limeshelf/admission/patience.py
+++ b/limeshelf/admission/patience.py
@@ -35,6 +35,7 @@
 def has_returned(route: Route, budget_s: float | None) -> bool:
     """Return whether the caller was likely refused before and has come back.
 
-    :param budget_s: how long the caller said it waits, in seconds; ``None`` if untold.
+    :param budget_s: how long the caller said it waits, in seconds; ``None`` if it said
+        nothing.
     """
     return budget_s is not None and budget_s < RETURNED_SHARE * route.timeout_s
--- a/limeshelf/admission/repeats.py
+++ b/limeshelf/admission/repeats.py
@@ -2,7 +2,8 @@
 
 A replica that said it did not run the call costs a refusal; one that ran it or may have
 run it costs a run. The budget of retries over all gateways is in
-:mod:`limeshelf.admission.retry_budget`.
+:mod:`limeshelf.admission.retry_budget`. Owns the rules alone; relies on the route, which
+says whether a call may run twice (:attr:`limeshelf.calls.routes.Route.repeatable`).
 """
 
 from __future__ import annotations
--- a/limeshelf/calls/call.py
+++ b/limeshelf/calls/call.py
@@ -60,7 +60,8 @@
     :param target: path and query exactly as received.
     :param headers: those that travel on, in their order and spelling.
     :param arrived_s: when its head was there, on the steady clock.
-    :param budget_s: how long the caller waits, in seconds; ``None`` if untold.
+    :param budget_s: how long the caller waits, in seconds; ``None`` if it
+        said nothing.
     :param model_need: ``None`` for a call to a plain service.
     :param last_event_id: the last event that the caller has, on resumption.
     """
--- a/limeshelf/calls/routes.py
+++ b/limeshelf/calls/routes.py
@@ -37,7 +37,8 @@
     :param timeout_s: the longest time that a call is held.
     :param objective_s: an answer within this time earns its full worth.
     :param pause_s: the longest pause between events that keeps a stream in time.
-    :param max_attempts: the most replicas that may run one call.
+    :param max_attempts: the most replicas that may run one call, the first one included;
+        of calls that are not :attr:`repeatable`, one may, whatever this says.
     :param priority: rank among the routes; 0 is the most urgent.
     :param resumable: whether a stream may go on at another replica.
     """
@@ -65,7 +66,7 @@
 
     @property
     def repeatable(self) -> bool:
-        """Return whether a call may run more than once."""
+        """Return whether a call may run more than once: a safe one, or a resumable stream."""
         return self.kind is CallKind.SAFE or (self.kind is CallKind.STREAM and self.resumable)
 
     def draw_service(self) -> str:
--- a/limeshelf/calls/wire.py
+++ b/limeshelf/calls/wire.py
@@ -34,7 +34,7 @@
 class AnswerFacts:
     """What the head of a replica's answer says.
 
-    :param call_id: the call that it answers, as the replica tells it.
+    :param call_id: the call that it answers, by its own header; ``None`` without one.
     :param stamped: whether it bears the replica's signature.
     :param encoded: whether the body was encoded on the way.
     :param not_run: the replica says that it did not run the call.
--- a/limeshelf/demand/meter.py
+++ b/limeshelf/demand/meter.py
@@ -2,7 +2,7 @@
 
 Owns this gateway's counts for each model and adapter, and the loads that the leader
 announced; ``membership`` sends the counts and fills in the announcements. Relies on the
-replicas' holdings as this gateway knows them.
+directory of replicas for what they hold.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 #: first path (commit a904fff), not measured.
 REPORT_AGAIN_S = 0.1
 #: A digest holds the keys that were asked for within this time. Chosen with the relays
-#: (commit 48b990a), where telling all keys was the cost; the figure is not measured.
+#: (commit 48b990a), where sending all keys was the cost; the figure is not measured.
 RECENT_S = 3.0
 
 
--- a/limeshelf/demand/totals.py
+++ b/limeshelf/demand/totals.py
@@ -1,7 +1,7 @@
 """What callers ask of models, summed up over all gateways.
 
 Owns the averaged demand for each key, which the leader plans by; every gateway keeps it,
-so that a new leader knows the demand. Relies on the counts that gateways send.
+so that a new leader has it. Relies on the counts that gateways send.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 #: Time constant of the longer average. Chosen with the planning by served calls (commit
 #: f8661d4), not measured.
 LASTING_MEMORY_S = 10.0
-#: Calls that a gateway counted before it was first heard are new up to this many; more
-#: began long ago. Chosen (commit f8661d4), not measured.
+#: Calls that a gateway counted before its first message came are new up to this many;
+#: more began long ago. Chosen (commit f8661d4), not measured.
 FIRST_CALLS = 3
 #: Two updates count as this far apart at the least, since rates divide by it. Chosen
 #: (commit a904fff), not measured.
@@ -70,7 +70,7 @@
     def __init__(self) -> None:
         self._counted: dict[tuple[str, ModelKey], _Counted] = {}
         self._running: dict[str, dict[ModelKey, int]] = {}
-        self._heard_s: dict[str, float] = {}
+        self._received_s: dict[str, float] = {}
         self._arrivals: dict[ModelKey, _Arrivals] = {}
         self._totals: dict[ModelKey, KeyTotals] = {}
         self._updated_s = boottime_s()
@@ -78,7 +78,7 @@
     def take(self, instance_id: str, demands: list[KeyDemand]) -> None:
         """Take the counts of one gateway; counts that fell began anew with its process."""
         now_s = boottime_s()
-        self._heard_s[instance_id] = now_s
+        self._received_s[instance_id] = now_s
         self._running[instance_id] = {demand.key: demand.running for demand in demands}
         for demand in demands:
             counted = self._counted.get((instance_id, demand.key))
@@ -143,5 +143,5 @@
         return sum(
             running.get(key, 0)
             for instance_id, running in self._running.items()
-            if now_s - self._heard_s[instance_id] < RATE_MEMORY_S
+            if now_s - self._received_s[instance_id] < RATE_MEMORY_S
         )
--- a/limeshelf/demand/waits.py
+++ b/limeshelf/demand/waits.py
@@ -12,7 +12,7 @@
 #: path (commit a904fff), not measured.
 ADAPTER_WAIT_S = 0.25
 #: How long a call to a plain service waits for a replica, and what the load of a model
-#: that the configuration does not know counts as. Chosen (commit a904fff), not measured.
+#: that the configuration does not name counts as. Chosen (commit a904fff), not measured.
 PLAIN_WAIT_S = 1.0
 #: Least wait for a load that was announced: one that is overdue is awaited this much
 #: longer, since calls refused shortly before the model was there came back and were
@@ -32,7 +32,7 @@
     :param announced_in_s: seconds until the model is there by the leader's
         announcement, below zero if overdue; ``None`` without one.
     :param load_s: duration of the model's load from the weight store; ``None`` if the
-        configuration does not know the model.
+        configuration does not name the model.
     """
 
     has_key: bool
--- a/limeshelf/dispatch/__init__.py
+++ b/limeshelf/dispatch/__init__.py
@@ -5,6 +5,6 @@
 applies: :mod:`~limeshelf.dispatch.requests` (order of service),
 :mod:`~limeshelf.dispatch.selector` (which replica), :mod:`~limeshelf.dispatch.limits` (how
 much one may read and hold), :mod:`~limeshelf.dispatch.refusal` (when to refuse). What they
-know of the replicas: :mod:`~limeshelf.dispatch.granted_load`,
+go by: :mod:`~limeshelf.dispatch.granted_load`,
 :mod:`~limeshelf.dispatch.prompt_blocks`, :mod:`~limeshelf.dispatch.reading_speed`.
 """
--- a/limeshelf/dispatch/prompt_blocks.py
+++ b/limeshelf/dispatch/prompt_blocks.py
@@ -1,7 +1,7 @@
 """Which blocks of prompts a replica has read lately, and so need not read again.
 
-Owns the time at which each block was last read at one replica; relies on nothing. The
-replica does not tell what it keeps, so this is a guess by age.
+Owns the time at which each block was last read at one replica; relies on nothing. Replicas
+do not report what they keep, so this is a guess by age.
 """
 
 from __future__ import annotations
--- a/limeshelf/dispatch/selector.py
+++ b/limeshelf/dispatch/selector.py
@@ -41,7 +41,7 @@
         self._holders: dict[ModelKey, list[Replica]] = {}
 
     def forget_holders(self) -> None:
-        """Look anew at who holds what; the holders found are kept until the next call."""
+        """Find the holders anew; those found are kept until the next call of this."""
         self._holders.clear()
 
     def load(self, replica: Replica) -> GrantedLoad:
--- a/limeshelf/feeds/joining.py
+++ b/limeshelf/feeds/joining.py
@@ -1,4 +1,4 @@
-"""Decides whether an update from a peer continues what is known of a table.
+"""Decides whether an update from a peer continues the copy of a table.
 
 An update holds the changes after one version of the store up to another. Updates may be
 lost, late, or come from a peer that is behind: only one that leaves no gap confirms that
@@ -15,7 +15,7 @@
     """How an update joins the known version.
 
     ``CONTINUES``: it leaves no gap, and its end is as new as what is known.
-    ``BEHIND``: the peer knows less; the update confirms nothing.
+    ``BEHIND``: the peer has less; the update confirms nothing.
     ``GAP``: changes before the update are missing and have to be asked for.
     """
 
--- a/limeshelf/feeds/table_copy.py
+++ b/limeshelf/feeds/table_copy.py
@@ -25,13 +25,13 @@
 class FollowRule:
     """How a table is followed.
 
-    The values in force stand in :mod:`limeshelf.programs.gateway`; these here are for a
-    table that nobody shares.
+    The values in force stand in :mod:`limeshelf.programs.followed_tables`; the defaults are
+    for a table that no peer shares (commit 48b990a; chosen, not measured).
 
-    :ivar wait_s: how long the store holds a call for changes.
-    :ivar pace_s: pause after changes, so that one call brings several.
-    :ivar stale_s: a copy that nobody has confirmed for longer is too old to go by, and
-        the store is asked.
+    :ivar wait_s: how long the store holds a call for changes, in seconds.
+    :ivar pace_s: pause after changes, in seconds, so that one call brings several.
+    :ivar stale_s: a copy that was not confirmed for longer, in seconds, is too old to go
+        by, and the store is asked.
     """
 
     wait_s: float = 8.0
@@ -50,7 +50,7 @@
     :ivar confirmed_s: when the store last confirmed that to somebody, on the clock of
         :func:`~limeshelf.util.clock.boottime_s`; 0 if never.
     :ivar needs_full_read: whether changes may be missing that the store no longer keeps,
-        so that only a read of the whole table tells which rows are there.
+        so that only a read of the whole table shows which rows are there.
     """
 
     def __init__(
--- a/limeshelf/lease/leadership.py
+++ b/limeshelf/lease/leadership.py
@@ -9,7 +9,7 @@
 finds the row in other hands, when a replica or a peer shows a higher fence, or at a stop.
 
 The lease of our own wire (:mod:`limeshelf.standalone.lease.keeper`) stays apart from
-this one. Its table tells no clock, so contenders watch the row for longer than a
+this one. Its table states no clock, so contenders watch the row for longer than a
 lease's life, and some of its upstreams check no fence, so the holder judges before it
 orders whether the lease still is valid.
 """
--- a/limeshelf/lease/row.py
+++ b/limeshelf/lease/row.py
@@ -1,9 +1,9 @@
 """The lease row in the platform's store: what it says, and when it may be taken.
 
-The row is free once its end has passed on the store's clock, which every answer tells,
-or if it names the contender itself: a holder whose answer was lost, or that starts
-again. Nobody needs to watch a row through a lease's life, and clocks of machines are
-not compared.
+Owns the form of the row. It is free once its end has passed on the store's clock, which
+each answer of the store has, or if it names the contender itself: a holder whose answer
+was lost, or that starts again. Nobody needs to watch a row through a lease's life, and
+clocks of machines are not compared.
 """
 
 from __future__ import annotations
--- a/limeshelf/membership/audience.py
+++ b/limeshelf/membership/audience.py
@@ -6,7 +6,7 @@
 digest             every gateway           relays of its data centre
 summary            every relay             gateways of its data centre
 bundle of digests  first relay             the leader; now and then relays of other
-                                           data centres, so that a new leader knows them
+                                           data centres, so that a new leader has them
 replica states     leader                  gateways of its data centre, relays of others
 the same, passed   first relay of another  gateways of its data centre
 on                 data centre
--- a/limeshelf/membership/leader.py
+++ b/limeshelf/membership/leader.py
@@ -1,4 +1,4 @@
-"""Which gateway leads, as far as this one knows, and so who dispatches calls.
+"""Which gateway leads by the latest messages, and so who dispatches calls.
 
 Owns the newest claim of another gateway to lead. Relies on
 :class:`~limeshelf.lease.leadership.Leadership` for whether this gateway leads itself,
@@ -24,7 +24,7 @@
 class LeaderView:
     """The leader by its latest message.
 
-    :param members: tell this gateway's own address and whether it is a relay.
+    :param members: have this gateway's own address and whether it is a relay.
     :param leadership: this gateway's own term, if it holds the lease.
     :ivar address: peer address of the gateway that claimed to lead last.
     :ivar fence: of its lease; 0 before any claim. Claims with a lower one are late.
--- a/limeshelf/membership/registration.py
+++ b/limeshelf/membership/registration.py
@@ -57,7 +57,7 @@
                 await store.write(MEMBER_TABLE, self.instance_id, value, None)
                 return
             except (PlatformUnavailable, PlatformUnknown, ConditionFailed) as error:
-                # Until the row is there, the others know this gateway from its digests.
+                # Until the row is there, relays learn of this gateway by its digests.
                 attempt += 1
                 if attempt == 1:
                     log_change('member_row_not_written', reason=repr(error))
--- a/limeshelf/placement/pace.py
+++ b/limeshelf/placement/pace.py
@@ -19,7 +19,7 @@
 class LoadPace:
     """Counts the loads that began in a sliding window.
 
-    A new holder of the lease does not know what its predecessor began, so it starts as if
+    A new holder of the lease has no count of what its predecessor began, so it starts as if
     all but one of the loads that fill the window had begun, evenly spread over it.
 
     :param window_s: length of the window over which the platform counts loads.
--- a/limeshelf/placement/planner.py
+++ b/limeshelf/placement/planner.py
@@ -76,7 +76,7 @@
 
     :param engine: what a replica of the service can hold.
     :param demands: the demand for each model.
-    :param first_copies: copies of each model that the leader found; they tell what was
+    :param first_copies: copies of each model that the leader found, which show what was
         busy before any call was seen.
     :param starved_s: for how long a model that is asked for has had no copy.
     """
--- a/limeshelf/placement/replica_watch.py
+++ b/limeshelf/placement/replica_watch.py
@@ -1,4 +1,4 @@
-"""What the leader knows of the replicas that it plans for.
+"""The replicas that the leader plans for: polls, claims and what they held at first.
 
 Polls them, claims those that have not noted the term's fence, remembers what each
 held when it was first seen, and describes them to the planner. Owns the times of the
@@ -29,7 +29,7 @@
 
 
 class ReplicaWatch:
-    """Polls the replicas of a leader and tells what the planner needs to know."""
+    """Polls the replicas of a leader and describes them to the planner."""
 
     def __init__(
         self,
@@ -53,7 +53,7 @@
         await asyncio.gather(*claims)
 
     def note_first_copies(self, service: str) -> None:
-        """Count what replicas hold when they are first seen; it tells what is busy."""
+        """Count what replicas hold when they are first seen; it shows what is busy."""
         copies = self._first_copies.setdefault(service, {})
         for replica in self._directory.of_service(service):
             if replica.replica_id in self._first_seen:
--- a/limeshelf/placement/survey.py
+++ b/limeshelf/placement/survey.py
@@ -1,7 +1,7 @@
 """Which copies stand where, counted once for a plan.
 
 Owns the view of replicas that planning works on, and the counts over it; each question of
-the planner is then a look-up, since the planner runs several times a second over tens of
+the planner then reads one count, since the planner runs several times a second over tens of
 replicas and models. Relies on the demand for each model.
 """
 
--- a/limeshelf/placement/worth.py
+++ b/limeshelf/placement/worth.py
@@ -1,7 +1,7 @@
 """What a copy of a model is worth, in calls a second that are served because it is there.
 
 Owns the rule, in three questions: what one more copy gains at a replica, what is lost
-with a copy that goes, and whether demand is still too low to tell. Relies on a survey of
+with a copy that goes, and whether demand is still too low to judge by. Relies on a survey of
 the copies. All figures are chosen: the rule as a whole was measured when it came (commit
 f8661d4, whole score: Hinokuni 0.572 to 0.983; Sljeme scale-1, one play: 0.59 to 0.91),
 its figures not by themselves. Where a later commit set a figure, the line names it.
@@ -47,7 +47,7 @@
 #: A data centre's only copy is worth this many times more: it serves on when the centre is
 #: cut off. Chosen (f8661d4).
 NEW_CENTRE_FACTOR = 1.2
-#: Calls a second, over all models, below which the copies found at the start tell what is
+#: Calls a second, over all models, below which the copies found at the start show what is
 #: busy. Chosen (f8661d4).
 QUIET_CALLS_PER_S = 3.0
 #: Worth, before any call, of the second copy found of a model; further ones are worth less
@@ -61,7 +61,7 @@
     """Judges the copies of one service's models.
 
     :param first_copies: copies of each model that the leader found at its start; before
-        any call they tell what is busy.
+        any call they show what is busy.
     :param starved_s: seconds for which each model that is asked for has had no copy.
     """
 
@@ -151,7 +151,7 @@
     def _can_wait_for_a_load(self, model: str) -> bool:
         """Return whether calls to a model can wait until it is loaded again.
 
-        Of a model that nobody has asked for yet, the copies found at the start tell: what
+        Of a model that nobody has asked for yet, the copies found at the start decide: what
         stood there is likely asked for by callers who cannot wait.
         """
         objective_s = self._survey.demand(model).objective_s
--- a/limeshelf/platform/configuration.py
+++ b/limeshelf/platform/configuration.py
@@ -48,7 +48,8 @@
     #: The only target where ``split`` is empty.
     service: str = ''
     split: list[_Target] = []
-    #: Replicas that one call may go to, the first one included.
+    #: Counted in replicas that ran the call or may have run it, the first one included; one
+    #: that refused it does not count.
     max_attempts: int = 1
     resumable: bool = False
     #: Longest pause between two events; one event may hold several tokens.
--- a/limeshelf/platform/store.py
+++ b/limeshelf/platform/store.py
@@ -49,7 +49,7 @@
     ver: int = 0
     #: In base64.
     value: str = ''
-    #: The row was deleted at this version; only the feed tells of it.
+    #: The row was deleted at this version; only the feed has such rows.
     gone: bool = False
 
 
--- a/limeshelf/replicas/replica.py
+++ b/limeshelf/replicas/replica.py
@@ -1,4 +1,4 @@
-"""One incarnation of a replica as this process knows it.
+"""One incarnation of a replica, with the state that this process keeps of it.
 
 Several packages write to it, each its own fields; the class names the owner of each.
 """
--- a/limeshelf/routing/chooser.py
+++ b/limeshelf/routing/chooser.py
@@ -1,6 +1,6 @@
 """Which replica a plain call goes to, and a call that names no model to a model service.
 
-Each gateway chooses by itself, from the loads that the gateways tell one another.
+Each gateway chooses by itself, from the loads that the gateways send one another.
 Model calls go through :mod:`limeshelf.dispatch` instead; no call falls back from there
 to here.
 Owns nothing; relies on the records, loads and health of
