--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -39,13 +39,17 @@
 from standins.calls import wait_until
 from standins.launcher import System
 
+#: Sizes measured; the largest of the first three are about those of docs/CAPACITY.md.
 MODELS = (100, 400, 1600)
 REPLICAS = (260, 1050, 4200)
 OWN_ENGINES = (20, 60, 180)
 INSTANCES = (2, 4, 8)
+#: Items ready on each engine. Chosen, not measured.
 ITEMS_PER_ENGINE = 8
 OUTPUT = Path(__file__).parent.parent / 'docs' / 'capacity-slopes.md'
+#: Time for a system to settle before it is watched. Chosen, not measured.
 SETTLE_S = 12.0
+#: Time that it is watched (docs/CAPACITY.md). Chosen, not measured.
 WATCH_S = 10.0
 
 
--- a/benchmarks/processes.py
+++ b/benchmarks/processes.py
@@ -26,8 +26,8 @@
 
 def start_client(url: str, kind: str, **options: float) -> subprocess.Popen[str]:
     """Start a client process."""
-    words = [word for name, value in options.items() for word in (f'--{name}', str(value))]
-    command = [sys.executable, '-m', 'benchmarks.client', url, kind, *words]
+    arguments = [part for name, value in options.items() for part in (f'--{name}', str(value))]
+    command = [sys.executable, '-m', 'benchmarks.client', url, kind, *arguments]
     return subprocess.Popen(command, stdout=subprocess.PIPE, text=True)
 
 
--- a/demo/steps.py
+++ b/demo/steps.py
@@ -46,7 +46,7 @@
 
     address: str
 
-    def run(self, *words: str) -> Any:
+    def run(self, *arguments: str) -> Any:
         """Return the JSON reply of a command that succeeds."""
         command = [
             sys.executable,
@@ -54,12 +54,12 @@
             'from limeshelf.standalone.programs.cli import main; main()',
         ]
         done = subprocess.run(
-            [*command, '--address', self.address, '--json', *words],
+            [*command, '--address', self.address, '--json', *arguments],
             capture_output=True,
             text=True,
             timeout=30,
         )
-        check(done.returncode == 0, f'limeshelf {" ".join(words)}: {done.stdout}{done.stderr}')
+        check(done.returncode == 0, f'limeshelf {" ".join(arguments)}: {done.stdout}{done.stderr}')
         return json.loads(done.stdout)
 
 
--- a/limeshelf/standalone/admin/service.py
+++ b/limeshelf/standalone/admin/service.py
@@ -79,7 +79,7 @@
         return commit_reply('apply', operation, outcome)
 
     async def Diff(self, request: Any, context: Any) -> Any:
-        """Tell what an apply would change."""
+        """Show what an apply would change."""
         catalog = self._config.catalog
         try:
             document = parse_document(request.document)
@@ -100,7 +100,7 @@
         return pb.ConfigurationReply(revision=catalog.revision, document=plain)
 
     async def Status(self, request: Any, context: Any) -> Any:
-        """Tell who has which revision, and what the upstreams hold."""
+        """Show who has which revision, and what the upstreams hold."""
         return pb.StatusReply(
             revision=self._config.revision,
             processes=self._process_rows(),
@@ -203,7 +203,7 @@
         )
 
     async def Explain(self, request: Any, context: Any) -> Any:
-        """Tell the decisions about a request or a model."""
+        """Show the decisions about a request or a model."""
         return pb.ExplainReply(lines=await self._queries.explain(request.subject))
 
 
--- a/limeshelf/standalone/lease/keeper.py
+++ b/limeshelf/standalone/lease/keeper.py
@@ -171,7 +171,8 @@
         try:
             outcome = await self._table.transact(conditions, writes)
         except PlatformUnknown:
-            # Taken or not, the row now tells: the next step reads it.
+            # Whether the lease was taken stands in the row, which is read now or by the
+            # next step.
             self._observed = None
             row = await self._table.read(self.lease_key)
             if not _is(row, self._holder_id, epoch):
--- a/limeshelf/standalone/placement/eviction.py
+++ b/limeshelf/standalone/placement/eviction.py
@@ -1,6 +1,6 @@
 """Chooses which further replicas an engine unloads to make memory free for a model.
 
-Relies on the view of the round only. What it names is a wish: the unload gate
+Relies on the view of the round only. What it returns is a proposal: the unload gate
 (:mod:`limeshelf.standalone.placement.gate`) judges each unload again.
 """
 
--- a/limeshelf/standalone/placement/order_check.py
+++ b/limeshelf/standalone/placement/order_check.py
@@ -26,7 +26,7 @@
 def check_order(
     order: Order, epoch: int | None, unix_s: float, checks_fence: bool, lease_is_valid: bool
 ) -> OrderCheck:
-    """Return whether *order* may go out as far as the lease and the clock tell.
+    """Return whether *order* may go out by what the lease and the clock say.
 
     An engine that checks the fence refuses a deposed holder by itself, so the last holder
     may order it while the table is out of reach. One that checks none gets orders only
--- a/limeshelf/standalone/programs/logs.py
+++ b/limeshelf/standalone/programs/logs.py
@@ -16,7 +16,7 @@
 
 
 class JsonFormatter(std_logging.Formatter):
-    """Writes a line as JSON; ``key=value`` words become fields."""
+    """Writes a line as JSON; ``key=value`` pairs become fields."""
 
     def format(self, record: std_logging.LogRecord) -> str:
         """Return the JSON text of *record*."""
@@ -27,8 +27,8 @@
             'module': record.module,
             'message': message,
         }
-        for word in message.split(' '):
-            name, mark, value = word.partition('=')
+        for part in message.split(' '):
+            name, mark, value = part.partition('=')
             if mark and name.isidentifier():
                 line.setdefault(name, value)
         return msgspec.json.encode(line).decode()
--- a/limeshelf/standalone/revisions/store.py
+++ b/limeshelf/standalone/revisions/store.py
@@ -79,7 +79,8 @@
 
 @dataclass(frozen=True)
 class Undecided:
-    """The platform did not answer; asking again with the same operation id tells."""
+    """The platform did not answer; repeating the call with the same
+    operation id shows whether it was committed."""
 
 
 @dataclass(frozen=True)
--- a/standins/gate.py
+++ b/standins/gate.py
@@ -7,6 +7,7 @@
 import msgspec
 from aiohttp import web
 
+#: Largest piece that a relay passes on at once. Chosen, not measured.
 PIECE_BYTES = 64 << 10
 
 
--- a/standins/processes.py
+++ b/standins/processes.py
@@ -15,7 +15,7 @@
 import attrs
 
 HOST = '127.0.0.1'
-#: Time that a process has to tell its ports. Chosen, not measured.
+#: Time that a process has to print its ports. Chosen, not measured.
 START_LIMIT_S = 30.0
 #: Time that a process has to end after a signal. Chosen, not measured.
 STOP_LIMIT_S = 20.0
@@ -23,7 +23,7 @@
 
 @attrs.define
 class Started:
-    """A running process and the ports it told."""
+    """A running process and the ports it printed."""
 
     name: str
     process: subprocess.Popen[str]
--- a/standins/users_platform/replica.py
+++ b/standins/users_platform/replica.py
@@ -67,6 +67,18 @@
     transport.abort()
 
 
+def _answer_headers(call_id: str, fault: Fault) -> dict[str, str]:
+    """Return the headers of an answer, wrong in the way that *fault* says."""
+    headers = {'Limeshelf-Attempt-Id': call_id, 'Limeshelf-Server-Stamp': f's.{call_id}'}
+    if fault is Fault.FOREIGN:
+        headers['Limeshelf-Attempt-Id'] = 'another'
+    if fault is Fault.UNSIGNED:
+        del headers['Limeshelf-Server-Stamp']
+    if fault is Fault.ENCODED:
+        headers['Content-Encoding'] = 'x-odd'
+    return headers
+
+
 class ReplicaStandIn:
     """One incarnation of a replica.
 
@@ -258,13 +270,7 @@
         if fault is Fault.RESET_FIRST:
             _reset(request.transport)
             return web.Response()
-        headers = {'Limeshelf-Attempt-Id': call_id, 'Limeshelf-Server-Stamp': f's.{call_id}'}
-        if fault is Fault.FOREIGN:
-            headers['Limeshelf-Attempt-Id'] = 'another'
-        if fault is Fault.UNSIGNED:
-            del headers['Limeshelf-Server-Stamp']
-        if fault is Fault.ENCODED:
-            headers['Content-Encoding'] = 'x-odd'
+        headers = _answer_headers(call_id, fault)
         if fault is Fault.ERROR:
             return web.Response(status=500, headers=headers, body=b'failed')
         if fault is Fault.RESET_UNFRAMED:
--- a/standins/users_platform/store.py
+++ b/standins/users_platform/store.py
@@ -35,7 +35,7 @@
 
 
 class StoreStandIn:
-    """Keeps rows in memory and answers as the platform's page tells."""
+    """Keeps rows in memory and answers as the platform's store does."""
 
     def __init__(self) -> None:
         self.faults = StoreFaults()
--- a/tests/support/load.py
+++ b/tests/support/load.py
@@ -23,8 +23,11 @@
 if TYPE_CHECKING:
     from standins.launcher import System
 
+#: Pause between two checks of readiness by the balancer. Chosen, not measured.
 POLL_S = 0.1
+#: Tokens of each streamed answer. Chosen, not measured.
 STREAM_TOKENS = 12
+#: A call without an end for this long counts as dropped. Chosen, not measured.
 ANSWER_LIMIT_S = 20.0
 
 
