--- a/limeshelf/feeds/joining.py
+++ b/limeshelf/feeds/joining.py
@@ -14,7 +14,7 @@
 class Joint(enum.Enum):
     """How an update joins the known version.
 
-    ``CONTINUES``: it leaves no gap, and its end is as new as what is known.
+    ``CONTINUES``: it leaves no gap, and its end is as new as the copy.
     ``BEHIND``: the peer has less; the update confirms nothing.
     ``GAP``: changes before the update are missing and have to be asked for.
     """
--- a/limeshelf/gateway/answer.py
+++ b/limeshelf/gateway/answer.py
@@ -44,13 +44,13 @@
         """Send a whole answer."""
 
     def abort(self) -> None:
-        """Break the connection off, so that the answer never looks whole."""
+        """Reset the connection, so that the caller cannot take the answer for whole."""
 
 
 class HttpAnswer:
     """An answer on an HTTP connection.
 
-    :param closing: whether the caller is told to close the connection.
+    :param closing: whether the answer closes the caller's connection.
     :ivar response: ``None`` until the head is out.
     """
 
@@ -102,7 +102,7 @@
             raise CallerGone from None
 
     def abort(self) -> None:
-        """Break the connection off, so that the answer never looks whole."""
+        """Reset the connection, so that the caller cannot take the answer for whole."""
         transport = self._request.transport
         if transport is not None:
             transport.abort()
--- a/limeshelf/gateway/learning.py
+++ b/limeshelf/gateway/learning.py
@@ -1,7 +1,7 @@
-"""What the result of one attempt teaches about its replica.
+"""What the result of one attempt says about its replica.
 
 The rule (:func:`lesson_of`) is separate from its application (:func:`apply`) to the
-replica's health and to what the directory believes of it.
+replica's health and to the directory.
 """
 
 from __future__ import annotations
@@ -65,7 +65,7 @@
 
 
 def lesson_of(result: Result, to_engine: bool) -> Lesson:
-    """Return what *result* teaches.
+    """Return what *result* says about the replica.
 
     :param to_engine: whether the call was for a model; a plain replica that does not
         take a call for itself must be another incarnation.
--- a/limeshelf/gateway/selection.py
+++ b/limeshelf/gateway/selection.py
@@ -2,7 +2,8 @@
 
 Calls to models are dispatched by one gateway for all of them
 (:mod:`limeshelf.dispatch`); plain calls are routed here, by cost
-(:mod:`limeshelf.routing`). Owns nothing.
+(:mod:`limeshelf.routing`). Owns nothing; relies on the directory for replicas that left
+or are suspended here.
 """
 
 from __future__ import annotations
@@ -33,12 +34,12 @@
     grant: Grant | None
 
     def note_first(self) -> None:
-        """Say that the first event is there."""
+        """Report to the dispatcher that the first event came."""
         if self.grant is not None:
             self.grant.read()
 
     def note_end(self) -> None:
-        """Say that the attempt is over, or that there is none."""
+        """Report to the dispatcher that the attempt is over, or that there is none."""
         if self.grant is not None:
             self.grant.ended()
 
@@ -69,7 +70,7 @@
         replica = self.directory.get(answered.replica_id)
         if replica is not None and replica.takes_calls:
             return Selected(replica, answered)
-        # The dispatcher has not heard yet that the replica leaves.
+        # The dispatcher has no report yet that the replica leaves.
         answered.ended()
         state.excluded.add(answered.replica_id)
         return NoHolder()
--- a/limeshelf/gateway/settling.py
+++ b/limeshelf/gateway/settling.py
@@ -103,7 +103,7 @@
 ) -> Ending:
     """Return how a call ends that is sent to no further replica.
 
-    :param retry_after_s: when to come back, in seconds; ``None`` where nothing tells
+    :param retry_after_s: when to come back, in seconds; ``None`` where nothing says
         when a replica will take the call.
     """
     if progress.answer_started:
--- a/limeshelf/membership/members.py
+++ b/limeshelf/membership/members.py
@@ -1,8 +1,8 @@
 """Which gateways there are, in all data centres, and which of them are relays.
 
 Owns the table of gateways and when each last sent a message. Relies on the rules in
-:mod:`~limeshelf.membership.relays` and :mod:`~limeshelf.membership.silence`; what it
-knows comes from rows of the store, the seeds of the settings and messages.
+:mod:`~limeshelf.membership.relays` and :mod:`~limeshelf.membership.silence`; gateways come
+from rows of the store, the seeds of the settings and messages.
 """
 
 from __future__ import annotations
--- a/limeshelf/membership/registration.py
+++ b/limeshelf/membership/registration.py
@@ -1,4 +1,4 @@
-"""Makes this gateway known to the others, and takes in which others there are.
+"""Records this gateway for the others, and takes in which others there are.
 
 Owns nothing; writes this gateway's row in the store, and keeps the table of gateways
 up to date from the rows of the others and from their notice that they stop.
--- a/limeshelf/membership/row_exchange.py
+++ b/limeshelf/membership/row_exchange.py
@@ -81,7 +81,7 @@
                 self._ask_another()
 
     def _ask_another(self) -> None:
-        # At a start nobody has sent anything yet; the seeds may know.
+        # At a start nobody has sent anything yet; the seeds may have rows.
         members = self.members.active() or self.members.others()
         if members:
             versions = {name: copy.version for name, copy in self.copies.items()}
--- a/limeshelf/programs/gateway.py
+++ b/limeshelf/programs/gateway.py
@@ -44,7 +44,7 @@
 #: Pause between two steps of renewing or contending for the lease. Commit a904fff;
 #: chosen, not measured.
 LEAD_STEP_S = 0.3
-#: A starting process checks at least this often whether it knows enough. Commit
+#: A starting process checks at least this often for a configuration and replicas. Commit
 #: ef19c20; chosen, not measured.
 READY_CHECK_S = 0.1
 
@@ -62,7 +62,7 @@
     parts: GatewayParts
 
     async def start(self) -> None:
-        """Listen at once; call ourselves ready when a configuration is in force."""
+        """Listen at once; ready only when a configuration and a replica are there."""
         settings = self.settings
         self.tasks = TaskSet()
         node = PeerNode(settings.ip, settings.peer_port, settings.data_centre)
--- a/limeshelf/programs/parts.py
+++ b/limeshelf/programs/parts.py
@@ -1,4 +1,4 @@
-"""The parts of a gateway and who depends on whom; nothing here decides or waits.
+"""The parts of a gateway and which relies on which; nothing here decides or waits.
 
 Each part is made after those it needs, in the order of the imports: configuration,
 replicas, membership, dispatch, placement, then the path of a call on top.
--- a/limeshelf/replicas/__init__.py
+++ b/limeshelf/replicas/__init__.py
@@ -1,9 +1,9 @@
 """The replicas of all services: what they say, what they hold, how they do.
 
-* ``directory``: which ones there are; ``replica``: what is known of one.
+* ``directory``: which ones there are; ``replica``: the state kept of one.
 * ``record``: what a replica says of itself; ``freshness``: which statement counts.
 * ``loads``: calls that other gateways have under way there.
-* ``health``: when one is suspended; ``penalties``: what speaks against one.
+* ``health``: when one is suspended; ``penalties``: what adds to the cost of one.
 * ``connections`` and ``pool``: the connections that calls go over, and probes.
 
 Why a replica gets no calls, in the order in which the causes are checked: it is gone or
--- a/limeshelf/replicas/penalties.py
+++ b/limeshelf/replicas/penalties.py
@@ -1,4 +1,4 @@
-"""What speaks against a replica whatever its load: another data centre, and failures.
+"""What adds to a replica's cost whatever its load: another data centre, and failures.
 
 Shared by both rules that choose a replica, :mod:`limeshelf.routing.chooser` for plain
 calls and :mod:`limeshelf.dispatch.selector` for model calls, so that a replica that
@@ -24,7 +24,7 @@
 
 
 def with_penalties(load_cost: float, replica: Replica, data_centre: str) -> float:
-    """Return the cost of a replica's load plus what speaks against it at any load.
+    """Return the cost of a replica's load plus what it costs at any load.
 
     :param load_cost: in units of one replica's whole capacity, as is the result.
     :param data_centre: of the gateway that the call came to.
--- a/limeshelf/routing/chooser.py
+++ b/limeshelf/routing/chooser.py
@@ -27,9 +27,10 @@
 SUSPENDED_COST = 50.0
 #: Cost of a request that waits at the replica, in slots. Chosen, not measured (a904fff).
 QUEUED_COST = 1.0
-#: A report older than this says nothing about the replica's queue any more. Chosen, not
-#: measured (a904fff).
-REPORT_LIFE_S = 1.5
+#: The queue in a report that is older than this counts as empty. Chosen, not measured
+#: (a904fff); what it holds counts for longer (``REPORT_LIFE_S`` of
+#: :mod:`limeshelf.replicas.freshness`).
+QUEUED_LIFE_S = 1.5
 
 
 @attrs.frozen
@@ -98,6 +99,6 @@
 
 def _queued_at(replica: Replica) -> int:
     report = replica.report
-    if report is None or boottime_s() - replica.reported_s > REPORT_LIFE_S:
+    if report is None or boottime_s() - replica.reported_s > QUEUED_LIFE_S:
         return 0
     return report.queued
--- a/tests/routing/test_chooser.py
+++ b/tests/routing/test_chooser.py
@@ -12,7 +12,7 @@
 from limeshelf.replicas.health import Failure
 from limeshelf.replicas.record import ReplicaRecord, ReplicaReport
 from limeshelf.replicas.replica import Replica
-from limeshelf.routing.chooser import REPORT_LIFE_S, Chooser, PlainLoad
+from limeshelf.routing.chooser import QUEUED_LIFE_S, Chooser, PlainLoad
 from limeshelf.util.clock import VirtualClock, virtual_clock
 
 WEB = ServiceSpec('web', 50, None)
@@ -87,5 +87,5 @@
     directory = directory_of('z1', 'z1')
     directory.take_report('r0', ReplicaReport((), False, 0, queued=3))
     assert chosen(directory, MODELS) == {'r1'}
-    clock.advance(REPORT_LIFE_S + 0.1)
+    clock.advance(QUEUED_LIFE_S + 0.1)
     assert chosen(directory, MODELS) == {'r0', 'r1'}
