--- a/limeshelf/dispatch/grants.py
+++ b/limeshelf/dispatch/grants.py
@@ -56,7 +56,7 @@
 class Grant:
     """A replica that the call may be sent to.
 
-    Whoever gets it has to call :meth:`ended` once, whatever becomes of the call;
+    Whoever gets it has to call :meth:`report_ended` once, whatever becomes of the call;
     otherwise the dispatcher counts the call at the replica until its time is over.
 
     :ivar replica_id: where the call goes.
@@ -67,12 +67,12 @@
     _report: Callable[[DispatchProgress], None]
     _was_read: bool = False
 
-    def read(self) -> None:
+    def report_read(self) -> None:
         """Report that the first event came, so that the prompt was read."""
         if not self._was_read:
             self._was_read = True
             self._report(DispatchProgress(self.request_id, Stage.READ))
 
-    def ended(self) -> None:
+    def report_ended(self) -> None:
         """Report that the call is no longer at the replica."""
         self._report(DispatchProgress(self.request_id, Stage.ENDED))
--- a/limeshelf/gateway/edge.py
+++ b/limeshelf/gateway/edge.py
@@ -61,12 +61,12 @@
     :ivar running: requests under way.
     """
 
-    def __init__(self, pipeline: Pipeline, wire: CallWire, figures: GatewayMetrics) -> None:
+    def __init__(self, pipeline: Pipeline, wire: CallWire, metrics: GatewayMetrics) -> None:
         self.phase = GatewayPhase.STARTING
         self.running = 0
         self._pipeline = pipeline
         self._wire = wire
-        self._figures = figures
+        self._metrics = metrics
         self._servers: list[web.Server] = []
         self._runners: list[web.ServerRunner] = []
         self._busy: set[object] = set()
@@ -138,7 +138,7 @@
         response = answer.response
         if response is None:
             return self._answer(call.call_id, STATUS_BAD_GATEWAY)
-        self._figures.observe_call(response.status, boottime_s() - arrived_s)
+        self._metrics.observe_call(response.status, boottime_s() - arrived_s)
         return response
 
     def _answer(
@@ -148,7 +148,7 @@
         response = web.Response(status=status, headers=dict(headers))
         if self._closing:
             response.force_close()
-        self._figures.observe_call(status, 0.0)
+        self._metrics.observe_call(status, 0.0)
         return response
 
     def end_idle_connections(self) -> None:
--- a/limeshelf/gateway/pipeline.py
+++ b/limeshelf/gateway/pipeline.py
@@ -198,7 +198,7 @@
         )
         connections = self._pool.connections(replica, state.service)
         exchange = Exchange(
-            call, connections, self._wire, state.answer, state.splitter, selected.note_first
+            call, connections, self._wire, state.answer, state.splitter, selected.note_first_event
         )
         replica.own.calls += 1
         replica.own.tokens += tokens
--- a/limeshelf/gateway/selection.py
+++ b/limeshelf/gateway/selection.py
@@ -33,15 +33,15 @@
     replica: Replica
     grant: Grant | None
 
-    def note_first(self) -> None:
+    def note_first_event(self) -> None:
         """Report to the dispatcher that the first event came."""
         if self.grant is not None:
-            self.grant.read()
+            self.grant.report_read()
 
     def note_end(self) -> None:
         """Report to the dispatcher that the attempt is over, or that there is none."""
         if self.grant is not None:
-            self.grant.ended()
+            self.grant.report_ended()
 
 
 Selection = Selected | NoRoom | NoHolder
@@ -71,7 +71,7 @@
         if replica is not None and replica.takes_calls:
             return Selected(replica, answered)
         # The dispatcher has no report yet that the replica leaves.
-        answered.ended()
+        answered.report_ended()
         state.excluded.add(answered.replica_id)
         return NoHolder()
 
--- a/limeshelf/orders/__init__.py
+++ b/limeshelf/orders/__init__.py
@@ -7,7 +7,7 @@
 * an adapter that makes room for another (:mod:`limeshelf.placement.adapters`): no line
   but ``order``; the load that it makes room for follows it at that replica;
 * a claim, which unloads what is not there to show the term's fence
-  (:func:`~limeshelf.orders.task.harmless_task`): no line.
+  (:func:`~limeshelf.orders.task.claim_task`): no line.
 
 The fence in the ``order`` line is that of the ``term_begun`` line of who ordered.
 """
--- a/limeshelf/orders/sender.py
+++ b/limeshelf/orders/sender.py
@@ -15,7 +15,7 @@
 from limeshelf.orders.capacity import PossibleContents, RoomCheck, check_room
 from limeshelf.orders.order import OrderKind, OrderOutcome, ReplicaOrder, ReplicaSilent
 from limeshelf.orders.pending import PendingOrders
-from limeshelf.orders.task import OrderTask, harmless_task
+from limeshelf.orders.task import OrderTask, claim_task
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -81,7 +81,7 @@
         term = self._leadership.term
         if term is None or not await self.poll(replica):
             return
-        task = harmless_task(replica, engine)
+        task = claim_task(replica, engine)
         order = self._order_for(replica, task, term.fence)
         try:
             answer = await self._wire.order(replica.record.address, replica.replica_id, order)
--- a/limeshelf/orders/task.py
+++ b/limeshelf/orders/task.py
@@ -58,11 +58,11 @@
         return held if self.kind is OrderKind.LOAD else not held
 
 
-def harmless_task(replica: Replica, engine: EngineSpec) -> OrderTask:
-    """Return the unload of something that exists and that a replica does not hold.
+def claim_task(replica: Replica, engine: EngineSpec) -> OrderTask:
+    """Return the order of a claim: the unload of something that a replica does not hold.
 
-    A replica cannot take an order about what does not exist, so whether it notes
-    the fence of one is open.
+    It names something that exists: a replica cannot take an order about what does not, so
+    whether it notes the fence of one is open.
     """
     loading = set(replica.report.loading) if replica.report else set()
     for model, spec in engine.models.items():
--- a/limeshelf/platform/orders.py
+++ b/limeshelf/platform/orders.py
@@ -18,7 +18,7 @@
 from limeshelf.platform.replicas import read_report
 from limeshelf.platform.sessions import open_session
 from limeshelf.replicas.record import ReplicaReport
-from limeshelf.util.sockets import forgetting_socket
+from limeshelf.util.sockets import reset_on_close_socket
 
 #: Longest time for a new connection. Chosen, not measured.
 CONNECT_S = 0.4
@@ -113,7 +113,7 @@
     def _open(self) -> aiohttp.ClientSession:
         if self._session is None:
             self._session = open_session(
-                CONNECT_S, IDLE_S, forgetting_socket, CONNECTIONS_PER_REPLICA
+                CONNECT_S, IDLE_S, reset_on_close_socket, CONNECTIONS_PER_REPLICA
             )
         return self._session
 
--- a/limeshelf/platform/store.py
+++ b/limeshelf/platform/store.py
@@ -21,7 +21,7 @@
 from limeshelf.errors import PlatformUnavailable, PlatformUnknown
 from limeshelf.feeds.rows import ConditionFailed, HistoryGone, Page, Row
 from limeshelf.platform.sessions import open_session
-from limeshelf.util.sockets import lasting_socket
+from limeshelf.util.sockets import keepalive_socket
 
 #: Name of the store in errors and log lines.
 STORE = 'store'
@@ -207,7 +207,7 @@
 
     def _open(self) -> aiohttp.ClientSession:
         if self._session is None:
-            self._session = open_session(CONNECT_S, IDLE_S, lasting_socket)
+            self._session = open_session(CONNECT_S, IDLE_S, keepalive_socket)
         return self._session
 
     async def close(self) -> None:
--- a/limeshelf/replicas/connections.py
+++ b/limeshelf/replicas/connections.py
@@ -18,7 +18,7 @@
 from yarl import URL
 
 from limeshelf.util.http import without_silent_retry
-from limeshelf.util.sockets import lasting_socket
+from limeshelf.util.sockets import keepalive_socket
 
 if TYPE_CHECKING:
     from limeshelf.calls.call import Call
@@ -91,7 +91,7 @@
         self.address = address
         self._wire = wire
         self._connector = aiohttp.TCPConnector(
-            limit=limit, keepalive_timeout=IDLE_S, socket_factory=lasting_socket
+            limit=limit, keepalive_timeout=IDLE_S, socket_factory=keepalive_socket
         )
         make: Any = functools.partial(StrictResponseHandler, loop=asyncio.get_running_loop())
         self._connector._factory = make
--- a/limeshelf/util/sockets.py
+++ b/limeshelf/util/sockets.py
@@ -23,7 +23,7 @@
 _DROP_AT_CLOSE = struct.pack('ii', 1, 0)
 
 
-def lasting_socket(address_info: Any) -> socket.socket:
+def keepalive_socket(address_info: Any) -> socket.socket:
     """Return a stream socket that does not hang behind a cut.
 
     :param address_info: as :func:`socket.getaddrinfo` returns it; the socket
@@ -41,14 +41,14 @@
     return made
 
 
-def forgetting_socket(address_info: Any) -> socket.socket:
-    """Return a lasting socket whose close drops what has not been sent.
+def reset_on_close_socket(address_info: Any) -> socket.socket:
+    """Return a :func:`keepalive_socket` whose close drops what has not been sent.
 
     The system would send it when a cut heals, and an order that was given up must
     not arrive then.
 
-    :param address_info: as for :func:`lasting_socket`.
+    :param address_info: as for :func:`keepalive_socket`.
     """
-    made = lasting_socket(address_info)
+    made = keepalive_socket(address_info)
     made.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _DROP_AT_CLOSE)
     return made
--- a/tests/dispatch/test_client.py
+++ b/tests/dispatch/test_client.py
@@ -83,9 +83,9 @@
     assert isinstance(grant, Grant)
     assert grant.replica_id == 'r0'
     assert wire.stages() == []
-    grant.read()
-    grant.read()
-    grant.ended()
+    grant.report_read()
+    grant.report_read()
+    grant.report_ended()
     assert wire.stages() == [('g1', Stage.READ), ('g1', Stage.ENDED)]
 
 
@@ -151,7 +151,7 @@
     assert isinstance(grant, Grant)
     assert wire.queries() == ['g1', 'g2']
     assert wire.stages() == [('g1', Stage.ENDED)]
-    grant.ended()
+    grant.report_ended()
     assert wire.stages()[-1] == ('g2', Stage.ENDED)
 
 
--- a/tests/gateway/test_selection.py
+++ b/tests/gateway/test_selection.py
@@ -72,7 +72,7 @@
     selected = await selector_of(wire).select(state_of(ENGINE, NEED))
     assert isinstance(selected, Selected)
     assert selected.replica.replica_id == 'r0'
-    selected.note_first()
+    selected.note_first_event()
     selected.note_end()
     assert [stage for _, stage in wire.stages()] == [Stage.READ, Stage.ENDED]
 
