--- a/limeshelf/calls/call.py
+++ b/limeshelf/calls/call.py
@@ -23,6 +23,7 @@
     """A part of a prompt that several calls may share.
 
     :param part_id: names the part's content; calls that share the part share the id.
+    :param tokens: of the part.
     """
 
     part_id: str
@@ -34,6 +35,7 @@
     """What a replica must hold, and has to do, for a call to a model.
 
     :param adapter: empty where the model itself is asked for.
+    :param prompt_tokens: of the whole prompt.
     :param output_tokens: the most that will be generated.
     :param likely_tokens: the caller's guess at the generated tokens.
     """
--- a/limeshelf/calls/routes.py
+++ b/limeshelf/calls/routes.py
@@ -23,7 +23,10 @@
 
 @attrs.frozen
 class WeightedService:
-    """One target of a route with its share of the route's calls."""
+    """One target of a route.
+
+    :param weight: share of the route's calls, in proportion to the other weights.
+    """
 
     service: str
     weight: float
@@ -139,6 +142,7 @@
     configuration is there, and its library takes one idle time, for good.
 
     :param header_bytes: request line and header fields together.
+    :param body_bytes: largest body.
     :param header_timeout_s: from the first byte of a head to its end.
     :param idle_timeout_s: without a request.
     """
--- a/limeshelf/dispatch/granted_load.py
+++ b/limeshelf/dispatch/granted_load.py
@@ -30,7 +30,7 @@
 
 
 class GrantedReading(NamedTuple):
-    """Reading that was granted at a moment of the steady clock."""
+    """Reading that was granted, and when on the steady clock."""
 
     granted_s: float
     read_ms: float
--- a/limeshelf/dispatch/grants.py
+++ b/limeshelf/dispatch/grants.py
@@ -1,4 +1,7 @@
-"""What a model call asks the dispatcher for, and the answers that the call can get."""
+"""What a model call asks the dispatcher for, and the answers that the call can get.
+
+Owns these types alone; the dispatcher relies on each grant to report its end.
+"""
 
 from __future__ import annotations
 
@@ -19,6 +22,7 @@
 class GrantRequest:
     """What a call asks the dispatcher for.
 
+    :param priority: of the route; 0 is the most urgent.
     :param objective_s: time left until the first event is late.
     :param left_s: time until the caller gives up waiting for the first event.
     :param pause_s: longest pause between events that keeps the answer in time.
--- a/limeshelf/dispatch/limits.py
+++ b/limeshelf/dispatch/limits.py
@@ -5,6 +5,7 @@
 in any window of time as long as the bearable pause between two events has to stay below
 that pause less the steps. Bounding only what is read at one moment left 160 of some 560
 streams of Sljeme's quiet day with longer pauses, the window left 49 (3aa41f2).
+Owns these rules alone; relies on :mod:`limeshelf.dispatch.granted_load` for the sums.
 """
 
 from __future__ import annotations
--- a/limeshelf/dispatch/messages.py
+++ b/limeshelf/dispatch/messages.py
@@ -39,6 +39,7 @@
     """A block of a prompt that other calls may share.
 
     :param part_id: names the block's content.
+    :param tokens: of the block.
     """
 
     part_id: str
--- a/limeshelf/dispatch/refusal.py
+++ b/limeshelf/dispatch/refusal.py
@@ -3,6 +3,8 @@
 A caller that would be served too late is better refused early, with the time to come
 back. One that was refused before is rather served late than refused again, so it may wait
 as long as its caller does (f5a28b7).
+Owns the rule alone; the position in the queue is counted by
+:mod:`limeshelf.dispatch.dispatcher`.
 """
 
 from __future__ import annotations
@@ -39,7 +41,7 @@
 
 @attrs.frozen
 class WaitEstimate:
-    """How long a queued request likely waits, and how long it may."""
+    """How long a queued request likely waits, and how long it may, in milliseconds."""
 
     expected_ms: float
     bearable_ms: float
--- a/limeshelf/feeds/table_copy.py
+++ b/limeshelf/feeds/table_copy.py
@@ -98,7 +98,9 @@
     def take_update(self, rows: Iterable[Row], after: int, upto: int, age_s: float) -> Joint:
         """Take a peer's update with the changes after one version up to another.
 
-        :param age_s: how long ago the store confirmed them to the peer.
+        :param after: version of the store after which all changes are in the update.
+        :param upto: version of the store up to which they are.
+        :param age_s: how long ago the store confirmed them to the peer, in seconds.
         :return: how it joins what was known.
         """
         self.take(rows)
--- a/limeshelf/gateway/answer.py
+++ b/limeshelf/gateway/answer.py
@@ -51,6 +51,7 @@
     """An answer on an HTTP connection.
 
     :param closing: whether the answer closes the caller's connection.
+    :ivar started: see :class:`Answer`.
     :ivar response: ``None`` until the head is out.
     """
 
--- a/limeshelf/gateway/body.py
+++ b/limeshelf/gateway/body.py
@@ -1,4 +1,7 @@
-"""Reads a caller's request whole, within the limits of the configuration in force."""
+"""Reads a caller's request whole, within the limits of the configuration in force.
+
+Owns the statuses that name a limit; relies on the listener, which bounds each field.
+"""
 
 from __future__ import annotations
 
--- a/limeshelf/gateway/events.py
+++ b/limeshelf/gateway/events.py
@@ -22,7 +22,10 @@
 
 @dataclass(eq=False)
 class EventTooLong(LimeshelfError):
-    """An event grew beyond its bound without an end."""
+    """An event grew beyond its bound without an end.
+
+    :param size_bytes: what of it has come.
+    """
 
     size_bytes: int
 
--- a/limeshelf/lease/leadership.py
+++ b/limeshelf/lease/leadership.py
@@ -46,6 +46,7 @@
 class Term:
     """One holding of the lease.
 
+    :ivar fence: rises with each term, whoever holds it.
     :ivar renewed_s: when the row was last written, on the boot clock; a moment before
         the write was sent.
     :ivar row_version: the store's version of that write.
--- a/limeshelf/membership/member.py
+++ b/limeshelf/membership/member.py
@@ -29,6 +29,7 @@
 class Member:
     """A gateway, by its peer address; times are on this machine's steady clock.
 
+    :ivar weight: see :class:`MemberValue`; 0 until it is known.
     :ivar last_message_s: when a message of it last came; 0 if never, or if it stopped.
     :ivar last_retry_s: when it was last sent something while it was silent.
     :ivar relay_since_s: since when it has ranked as a relay; 0 while it does not. A
--- a/limeshelf/membership/messages.py
+++ b/limeshelf/membership/messages.py
@@ -41,6 +41,7 @@
     :ivar queued: calls that wait there.
     :ivar running: calls that run there.
     :ivar memory_used: tokens of accelerator memory that cannot be evicted.
+    :ivar leaving: it takes no new calls.
     """
 
     replica_id: str
--- a/limeshelf/metrics/event_log.py
+++ b/limeshelf/metrics/event_log.py
@@ -30,6 +30,7 @@
     """Writes the events of one process.
 
     :param descriptor: file descriptor of the output; ``None`` writes nothing.
+    :ivar instance_id: stands in each line; empty until the log is opened.
     :ivar dropped: lines left out since the count was last written.
     """
 
--- a/limeshelf/orders/capacity.py
+++ b/limeshelf/orders/capacity.py
@@ -4,6 +4,7 @@
 report lists, what is on its way by that report, and each load that was sent and has
 not been seen to arrive or to be void. What is merely planned does not count: its
 own load is checked before it goes out.
+Owns the rule alone; relies on :mod:`limeshelf.orders.pending` for loads that were sent.
 """
 
 from __future__ import annotations
@@ -74,7 +75,9 @@
 
     :param used_mb: weights and adapters together, in megabytes; models that the
         configuration no longer names count as nothing.
+    :param capacity_mb: room for weights and adapters together, in megabytes.
     :param adapters: adapters of all models.
+    :param adapter_places: adapters that a replica holds at once.
     """
 
     used_mb: float
--- a/limeshelf/orders/task_runner.py
+++ b/limeshelf/orders/task_runner.py
@@ -1,7 +1,8 @@
 """Carries out tasks at a replica, one after the other, until they are done or given up.
 
-Keeps marked what is on its way meanwhile. Relies on the order sender for each order,
-and on :mod:`limeshelf.orders.attempts` for what follows an outcome and how long to wait.
+Owns nothing; marks in the pending orders what is on its way meanwhile. Relies on
+the order sender for each order, and on :mod:`limeshelf.orders.attempts` for what follows an
+outcome and how long to wait.
 """
 
 from __future__ import annotations
--- a/limeshelf/placement/move_runner.py
+++ b/limeshelf/placement/move_runner.py
@@ -1,6 +1,7 @@
 """Turns the planner's moves into orders and sees them through.
 
-Marks at once what a move brings and takes away, so that the next plan counts it.
+Owns nothing; marks at once what a move brings and takes away, so that the next plan
+counts it.
 Relies on the task runner, whose order sender checks the room before each load.
 """
 
--- a/limeshelf/replicas/replica.py
+++ b/limeshelf/replicas/replica.py
@@ -13,7 +13,11 @@
 
 @attrs.define
 class Load:
-    """Calls under way at a replica, and the tokens of memory that they likely fill."""
+    """What is under way at a replica.
+
+    :ivar calls: calls under way.
+    :ivar tokens: tokens of its memory that they likely fill.
+    """
 
     calls: int = 0
     tokens: int = 0
--- a/limeshelf/settings/gateway.py
+++ b/limeshelf/settings/gateway.py
@@ -1,5 +1,7 @@
 """Settings of a gateway process, checked before anything starts.
 
+Owns their classes and ranges; relies on :mod:`limeshelf.settings.structure` for types.
+
 The deploy file's template (``deploy/settings.json.in``) has a value for each; names
 and types are recorded in tests/forms/test_settings.py.
 """
