--- a/limeshelf/demand/totals.py
+++ b/limeshelf/demand/totals.py
@@ -11,9 +11,12 @@
 from limeshelf.demand.keys import KeyDemand, ModelKey
 from limeshelf.util.clock import boottime_s
 
-#: Time constant of the averaged rates, and how long the calls under way at a gateway
-#: that went silent still count. Chosen with the first path (commit a904fff), not measured.
+#: Time constant of the averaged rates. Chosen with the first path (commit a904fff), not
+#: measured.
 RATE_MEMORY_S = 2.5
+#: How long the calls under way at a gateway that went silent still count. Chosen (commit
+#: a904fff), not measured.
+RUNNING_LIFE_S = 2.5
 #: Time constant of the longer average. Chosen with the planning by served calls (commit
 #: f8661d4), not measured.
 LASTING_MEMORY_S = 10.0
@@ -143,5 +146,5 @@
         return sum(
             running.get(key, 0)
             for instance_id, running in self._running.items()
-            if now_s - self._received_s[instance_id] < RATE_MEMORY_S
+            if now_s - self._received_s[instance_id] < RUNNING_LIFE_S
         )
--- a/limeshelf/demand/waits.py
+++ b/limeshelf/demand/waits.py
@@ -11,9 +11,12 @@
 #: How long an adapter takes at a replica that holds its model. Chosen with the first
 #: path (commit a904fff), not measured.
 ADAPTER_WAIT_S = 0.25
-#: How long a call to a plain service waits for a replica, and what the load of a model
-#: that the configuration does not name counts as. Chosen (commit a904fff), not measured.
+#: How long a call to a plain service waits for a replica. Chosen (commit a904fff), not
+#: measured.
 PLAIN_WAIT_S = 1.0
+#: What the load of a model that the configuration does not name counts as. Chosen (commit
+#: a904fff), not measured.
+UNNAMED_LOAD_S = 1.0
 #: Least wait for a load that was announced: one that is overdue is awaited this much
 #: longer, since calls refused shortly before the model was there came back and were
 #: refused again (commit f5a28b7). Chosen, not measured.
@@ -54,5 +57,5 @@
         return ADAPTER_WAIT_S
     if outlook.announced_in_s is not None:
         return max(OVERDUE_WAIT_S, outlook.announced_in_s)
-    load_s = PLAIN_WAIT_S if outlook.load_s is None else outlook.load_s
+    load_s = UNNAMED_LOAD_S if outlook.load_s is None else outlook.load_s
     return ORDER_WAIT_S + load_s
--- a/limeshelf/orders/attempts.py
+++ b/limeshelf/orders/attempts.py
@@ -25,6 +25,8 @@
 #: report counts from this time on. Reports are some 100 ms old; the rest is
 #: chosen, not measured (commit 07266d4).
 ADAPTER_SETTLE_S = 0.16
+#: The same after an order about a whole model. Chosen, not measured.
+MODEL_SETTLE_S = 0.25
 #: A load of an adapter that has not come after this time is given up, and the
 #: unload of one. 2 s was too short while the weight store was overloaded (commit
 #: a656070: Sljeme fresh-0f45); 4 s is chosen, not measured.
@@ -84,4 +86,4 @@
 
 def settle_interval_s(task: OrderTask) -> float:
     """Return the seconds after an open order from which a report counts."""
-    return ADAPTER_SETTLE_S if task.adapter else MODEL_POLL_S
+    return ADAPTER_SETTLE_S if task.adapter else MODEL_SETTLE_S
--- a/limeshelf/programs/gateway.py
+++ b/limeshelf/programs/gateway.py
@@ -47,6 +47,8 @@
 #: A starting process checks at least this often for a configuration and replicas. Commit
 #: ef19c20; chosen, not measured.
 READY_CHECK_S = 0.1
+#: Threads for what would block the loop. Commit a904fff; chosen, not measured.
+THREADS = 2
 
 
 class Gateway(Service):
@@ -146,13 +148,14 @@
 
 def _run_gateway(settings: GatewaySettings, path: Path) -> int:
     event_log.open(settings.instance_id)
+    # What exists at the start is not walked again by each full collection (99f364e).
     gc.collect()
     gc.freeze()
     service = Gateway(settings=settings, settings_path=path)
     with entrypoint(
         service,
         log_config=False,
-        pool_size=2,
+        pool_size=THREADS,
         catch_signals=(),
         loop_factory=uvloop.new_event_loop,
     ) as loop:
@@ -184,6 +187,7 @@
 
 def main() -> None:
     """Run the console script."""
+    # Before the first loop: uvloop makes io_uring calls otherwise (commit 523fb1e).
     os.environ['UV_USE_IO_URING'] = '0'
     typer.run(run)
 
