--- a/limeshelf/feeds/joining.py
+++ b/limeshelf/feeds/continuity.py
@@ -11,8 +11,8 @@
 import enum
 
 
-class Joint(enum.Enum):
-    """How an update joins the known version.
+class Continuity(enum.Enum):
+    """How an update continues the copy.
 
     ``CONTINUES``: it leaves no gap, and its end is as new as the copy.
     ``BEHIND``: the peer has less; the update confirms nothing.
@@ -24,10 +24,13 @@
     GAP = 'gap'
 
 
-def joint_of(after: int, upto: int, known: int) -> Joint:
-    """Decide how the changes after one version up to another join the known version."""
+def continuity_of(after: int, upto: int, known: int) -> Continuity:
+    """Decide how the changes after one version up to another continue a copy.
+
+    :param known: version up to which the copy is complete.
+    """
     if after > known:
         # A newer row must not hide that an earlier one is missing
         # (tests/membership/test_row_exchange.py::test_lost_update_is_asked_for).
-        return Joint.GAP
-    return Joint.CONTINUES if upto >= known else Joint.BEHIND
+        return Continuity.GAP
+    return Continuity.CONTINUES if upto >= known else Continuity.BEHIND
--- a/limeshelf/feeds/table_copy.py
+++ b/limeshelf/feeds/table_copy.py
@@ -11,7 +11,7 @@
 
 import attrs
 
-from limeshelf.feeds.joining import Joint, joint_of
+from limeshelf.feeds.continuity import Continuity, continuity_of
 from limeshelf.feeds.rows import Row
 from limeshelf.util.clock import boottime_s
 
@@ -95,21 +95,21 @@
                 self._rows[row.key] = row
                 self._listener(row)
 
-    def take_update(self, rows: Iterable[Row], after: int, upto: int, age_s: float) -> Joint:
+    def take_update(self, rows: Iterable[Row], after: int, upto: int, age_s: float) -> Continuity:
         """Take a peer's update with the changes after one version up to another.
 
         :param after: version of the store after which all changes are in the update.
         :param upto: version of the store up to which they are.
         :param age_s: how long ago the store confirmed them to the peer, in seconds.
-        :return: how it joins what was known.
+        :return: how it continues the copy.
         """
         self.take(rows)
-        joint = joint_of(after, upto, self.version)
-        if joint is Joint.CONTINUES:
+        continuity = continuity_of(after, upto, self.version)
+        if continuity is Continuity.CONTINUES:
             self.version = upto
             self.note_confirmed(boottime_s() - age_s)
             self.needs_full_read = False
-        return joint
+        return continuity
 
     def take_changes(self, page: Page) -> None:
         """Take what the store says has changed after the known version."""
--- a/limeshelf/membership/digest_exchange.py
+++ b/limeshelf/membership/digest_exchange.py
@@ -3,7 +3,7 @@
 Each gateway sends a digest to the relays of its data centre; relays sum the digests up
 for the others. Owns the digests and the sum that came; passes loads on to the directory
 of replicas, demand to the totals and claims to lead to the view of the leader. Who is
-sent what stands in :mod:`~limeshelf.membership.audience`.
+sent what stands in :mod:`~limeshelf.membership.receivers`.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 import attrs
 
-from limeshelf.membership import audience
+from limeshelf.membership import receivers
 from limeshelf.membership.digests import DigestBook, sum_loads
 from limeshelf.membership.messages import DigestBundle, FleetSummary, GatewayDigest, ReplicaLoad
 from limeshelf.metrics.event_log import log_change
@@ -113,14 +113,14 @@
         own_loads = [load for load in own.loads if load.calls]
         loads = sum_loads([*self._book.loads(), *own_loads])
         summary = FleetSummary(self.gateway_count, loads)
-        self.node.send_all(audience.own_centre(self.members), summary)
+        self.node.send_all(receivers.own_centre(self.members), summary)
 
     def _send_bundle(self, own: GatewayDigest) -> None:
         """Pass the digests of this data centre on to the leader and other relays."""
         digests = [own, *self._book.fresh(self.members.own.data_centre)]
         leader = self.leader.address if self.leader.is_active and not self.leader.is_self else None
-        receivers = audience.of_bundle(self.members, leader, self._digest_count)
-        self.node.send_all(receivers, DigestBundle(digests))
+        addresses = receivers.of_bundle(self.members, leader, self._digest_count)
+        self.node.send_all(addresses, DigestBundle(digests))
 
     def _take_digest(self, envelope: Envelope) -> None:
         digest: GatewayDigest = envelope.message
--- a/limeshelf/membership/row_exchange.py
+++ b/limeshelf/membership/row_exchange.py
@@ -13,9 +13,9 @@
 
 import attrs
 
-from limeshelf.feeds.joining import Joint
+from limeshelf.feeds.continuity import Continuity
 from limeshelf.feeds.rows import Row
-from limeshelf.membership import audience
+from limeshelf.membership import receivers
 from limeshelf.membership.messages import RowsQuery, TableRow, TableUpdate, TableUpdates
 from limeshelf.membership.store_polling import overdue_limit_s, polls_store
 from limeshelf.util.backoff import jittered_s
@@ -68,7 +68,7 @@
             self._send_to_own_centre([_update_of(copy, after)])
 
     def _send_to_own_centre(self, updates: list[TableUpdate]) -> None:
-        self.node.send_all(audience.own_centre(self.members), TableUpdates(updates))
+        self.node.send_all(receivers.own_centre(self.members), TableUpdates(updates))
 
     async def run(self) -> None:
         """As first relay, send how new the rows are; while they are stale, ask others."""
@@ -107,8 +107,8 @@
                 # A table that only another version of the gateway follows.
                 continue
             rows = [Row(row.key, row.value, row.version, row.gone) for row in update.rows]
-            joint = copy.take_update(rows, update.after, update.upto, update.age_ms / 1000)
-            if joint is Joint.GAP:
+            continuity = copy.take_update(rows, update.after, update.upto, update.age_ms / 1000)
+            if continuity is Continuity.GAP:
                 missing[update.table] = copy.version
         if missing:
             self.node.send(envelope.sender, RowsQuery(missing))
--- a/limeshelf/membership/state_exchange.py
+++ b/limeshelf/membership/state_exchange.py
@@ -1,7 +1,7 @@
 """Sends the other gateways, while this one leads, what replicas hold and what is loading.
 
 Owns the highest fence under which states were taken. Relies on the directory of replicas, where
-states go, and on :mod:`~limeshelf.membership.audience` for who is sent them.
+states go, and on :mod:`~limeshelf.membership.receivers` for who is sent them.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 import attrs
 
-from limeshelf.membership import audience
+from limeshelf.membership import receivers
 from limeshelf.membership.messages import AwaitedLoad, ReplicaStates
 from limeshelf.membership.states import report_of, state_of
 from limeshelf.util.clock import boottime_s
@@ -94,7 +94,7 @@
             for key, ready_s in self.meter.announced_s.items()
         ]
         message = ReplicaStates(self.leadership.fence, states, awaited, whole)
-        self.node.send_all(audience.of_states(self.members), message)
+        self.node.send_all(receivers.of_states(self.members), message)
 
     def _take_states(self, envelope: Envelope) -> None:
         message: ReplicaStates = envelope.message
@@ -107,8 +107,8 @@
             return
         self._newest_fence = message.fence
         self.leader.note_claim(envelope.sender, message.fence)
-        receivers = audience.of_forwarded_states(self.members, envelope.data_centre)
-        self.node.forward_all(receivers, envelope)
+        addresses = receivers.of_forwarded_states(self.members, envelope.data_centre)
+        self.node.forward_all(addresses, envelope)
         for state in message.states:
             self.directory.take_report(state.replica_id, report_of(state))
         now_s = boottime_s()
--- a/tests/feeds/test_table_copy.py
+++ b/tests/feeds/test_table_copy.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from limeshelf.feeds.joining import Joint
+from limeshelf.feeds.continuity import Continuity
 from limeshelf.feeds.rows import Page, Row
 from limeshelf.feeds.table_copy import FollowRule, TableCopy
 from limeshelf.util.clock import boottime_s, virtual_clock
@@ -30,10 +30,10 @@
     with virtual_clock() as clock:
         copy = copy_of()
         clock.advance(3.0)
-        assert copy.take_update([], 7, 8, 1.0) is Joint.CONTINUES
+        assert copy.take_update([], 7, 8, 1.0) is Continuity.CONTINUES
         assert (copy.version, copy.age_s) == (8, 1.0)
         # An older confirmation takes nothing back.
-        assert copy.take_update([], 7, 8, 2.0) is Joint.CONTINUES
+        assert copy.take_update([], 7, 8, 2.0) is Continuity.CONTINUES
         assert copy.age_s == 1.0
 
 
@@ -41,7 +41,7 @@
     with virtual_clock() as clock:
         copy = copy_of()
         clock.advance(3.0)
-        assert copy.take_update([Row('a', b'1', 9)], 8, 9, 0.0) is Joint.GAP
+        assert copy.take_update([Row('a', b'1', 9)], 8, 9, 0.0) is Continuity.GAP
         assert [row.key for row in copy.rows()] == ['a']
         assert (copy.version, copy.age_s) == (7, 3.0)
 
--- a/tests/membership/test_audience.py
+++ b/tests/membership/test_receivers.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from limeshelf.membership import audience
+from limeshelf.membership import receivers
 from limeshelf.membership.member import Member
 from limeshelf.membership.members import Members
 from limeshelf.util.clock import virtual_clock
@@ -22,19 +22,19 @@
 
 def test_states_go_to_the_own_centre_and_to_relays_elsewhere() -> None:
     with virtual_clock():
-        assert audience.of_states(two_centres('a2')) == ['a1', 'a3', 'b1', 'b2']
+        assert receivers.of_states(two_centres('a2')) == ['a1', 'a3', 'b1', 'b2']
 
 
 def test_states_of_another_centre_are_passed_on_by_the_first_relay() -> None:
     with virtual_clock():
-        assert audience.of_forwarded_states(two_centres('a1'), 'c2') == ['a2', 'a3']
-        assert audience.of_forwarded_states(two_centres('a1'), 'c1') == []
-        assert audience.of_forwarded_states(two_centres('a2'), 'c2') == []
+        assert receivers.of_forwarded_states(two_centres('a1'), 'c2') == ['a2', 'a3']
+        assert receivers.of_forwarded_states(two_centres('a1'), 'c1') == []
+        assert receivers.of_forwarded_states(two_centres('a2'), 'c2') == []
 
 
 def test_bundles_go_to_the_leader_and_each_second_time_elsewhere() -> None:
     with virtual_clock():
         members = two_centres('a1')
-        assert audience.of_bundle(members, 'b3', 1) == ['b3']
-        assert audience.of_bundle(members, 'b3', 2) == ['b1', 'b2', 'b3']
-        assert audience.of_bundle(members, None, 1) == []
+        assert receivers.of_bundle(members, 'b3', 1) == ['b3']
+        assert receivers.of_bundle(members, 'b3', 2) == ['b1', 'b2', 'b3']
+        assert receivers.of_bundle(members, None, 1) == []
