--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -38,10 +38,6 @@
         off = max(abs(cost - base - each * size) for size, cost in points)
         return cls(what, size_unit, cost_unit, points, base, each, off / max(map(abs, costs)))
 
-    def at(self, size: float) -> float:
-        """Return the cost at *size*."""
-        return self.base + self.each * size
-
     def row(self) -> str:
         """Return the slope as a row of a Markdown table."""
         points = ', '.join(f'{size:g}: {cost:.4g}' for size, cost in self.points)
--- a/limeshelf/standalone/config/holder.py
+++ b/limeshelf/standalone/config/holder.py
@@ -31,7 +31,6 @@
         #: Recent changes by revision, for peers that are a little behind.
         self._recent: dict[int, list[Change]] = {}
         self._listeners: list[Callable[[Catalog], None]] = []
-        self.refused = 0
 
     #: Revisions of changes kept for peers; older peers get the whole document. Chosen,
     #: not measured.
@@ -53,7 +52,6 @@
         :raises StaleRevision: when it does not extend the revision in force.
         """
         if revision <= self.revision:
-            self.refused += 1
             return False
         if based_on != self.revision:
             raise StaleRevision(self.revision, based_on)
@@ -66,7 +64,6 @@
     def take_snapshot(self, revision: int, document: Document) -> bool:
         """Put a whole document in force if *revision* is higher; say whether."""
         if revision <= self.revision:
-            self.refused += 1
             return False
         self._recent.clear()
         self._swap(Catalog.from_document(revision, document))
--- a/limeshelf/standalone/placement/gate.py
+++ b/limeshelf/standalone/placement/gate.py
@@ -22,10 +22,9 @@
     unloads of one round cannot count on each other's replica.
     """
 
-    def __init__(self, view: PlacementView, anchors: AnchorBook, data_centre: str) -> None:
+    def __init__(self, view: PlacementView, anchors: AnchorBook) -> None:
         self._view = view
         self._anchors = anchors
-        self._data_centre = data_centre
         self._removed: set[tuple[str, str]] = set()
 
     def may_unload(self, item_id: str, upstream_id: str) -> bool:
--- a/limeshelf/standalone/placement/ledger.py
+++ b/limeshelf/standalone/placement/ledger.py
@@ -39,8 +39,7 @@
     :param checks_fence: whether the engine refuses old epochs and numbers.
     """
 
-    def __init__(self, upstream_id: str, checks_fence: bool) -> None:
-        self.upstream_id = upstream_id
+    def __init__(self, checks_fence: bool) -> None:
         self.checks_fence = checks_fence
         self.report: EngineReport | None = None
         self.open_orders: list[OpenOrder] = []
--- a/limeshelf/standalone/placement/placer.py
+++ b/limeshelf/standalone/placement/placer.py
@@ -138,7 +138,7 @@
         worker = EngineWorker(
             upstream,
             self._pool,
-            Ledger(upstream_id, upstream.listed.checks_fence),
+            Ledger(upstream.listed.checks_fence),
             self._lease,
             IntentLog(self._table, self._lease, upstream_id),
             self._settings,
@@ -155,7 +155,7 @@
             return
         self.demand.advance(now_s)
         view = self._view_builder.build(now_s, self.workers)
-        gate = UnloadGate(view, self._anchors, self._data_centre)
+        gate = UnloadGate(view, self._anchors)
         for move in self._current_planner().plan(view):
             await self._carry_out(move, gate)
         await self._drop_old_anchors()
--- a/standins/__main__.py
+++ b/standins/__main__.py
@@ -66,7 +66,7 @@
     tokens_per_write: int = 1,
     checks_fence: bool = True,
 ) -> None:
-    """Run a model engine."""
+    """Run a model engine; its name only shows in the list of processes."""
     model = EngineModel(
         capacity_bytes,
         slots,
@@ -77,7 +77,7 @@
         checks_fence,
         tokens_per_write,
     )
-    _run(engine_app(Engine(name, model)), port)
+    _run(engine_app(Engine(model)), port)
 
 
 @program.command()
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -70,8 +70,7 @@
 class Engine:
     """One engine and the records that tests read."""
 
-    def __init__(self, name: str, model: EngineModel) -> None:
-        self.name = name
+    def __init__(self, model: EngineModel) -> None:
         self.model = model
         self.order_faults = OrderFaults()
         self.stream_faults = StreamFaults()
--- a/tests/mutate.py
+++ b/tests/mutate.py
@@ -124,7 +124,7 @@
     Mutation(
         'a lower revision is taken',
         'standalone/config/holder.py',
-        '        if revision <= self.revision:\n            self.refused += 1\n            return False\n        self._recent.clear()',
+        '        if revision <= self.revision:\n            return False\n        self._recent.clear()',
         '        self._recent.clear()',
         'tests/standalone/revisions',
     ),
--- a/tests/standalone/placement/test_gate.py
+++ b/tests/standalone/placement/test_gate.py
@@ -42,7 +42,7 @@
 
 def test_anchor_stays_and_a_spare_replica_may_go() -> None:
     seen = view(engine('u0', 'm@1'), engine('u1', 'm@1'))
-    gate = UnloadGate(seen, anchored(('u0', TableFault.NONE)), 'x')
+    gate = UnloadGate(seen, anchored(('u0', TableFault.NONE)))
     assert not gate.may_unload('m@1', 'u0')
     assert gate.may_unload('m@1', 'u1')
 
@@ -51,26 +51,26 @@
     """The table has the anchor at u1 by now, and its old holder may unload."""
     seen = view(engine('u0', 'm@1'), engine('u1', 'm@1'))
     book = anchored(('u0', TableFault.NONE), ('u1', TableFault.LOST_AFTER))
-    assert not UnloadGate(seen, book, 'x').may_unload('m@1', 'u1')
+    assert not UnloadGate(seen, book).may_unload('m@1', 'u1')
 
 
 def test_write_that_is_still_on_its_way_counts_too() -> None:
     seen = view(engine('u0', 'm@1'), engine('u1', 'm@1'))
     book = anchored(('u0', TableFault.NONE), ('u1', TableFault.LATE))
     asyncio.run(book.refresh())
-    assert not UnloadGate(seen, book, 'x').may_unload('m@1', 'u1')
+    assert not UnloadGate(seen, book).may_unload('m@1', 'u1')
 
 
 def test_nothing_goes_before_the_anchors_were_read() -> None:
     table = FakeTable()
     book = AnchorBook(table, LeaseKeeper(table, 'x', 'p', 3.0), 'x')
     seen = view(engine('u0', 'm@1'), engine('u1', 'm@1'))
-    assert not UnloadGate(seen, book, 'x').may_unload('m@1', 'u1')
+    assert not UnloadGate(seen, book).may_unload('m@1', 'u1')
 
 
 def test_two_unloads_of_one_round_do_not_count_on_each_other() -> None:
     seen = view(engine('u0', 'm@1'), engine('u1', 'm@1'), engine('u2', 'm@1'), min_replicas=2)
-    gate = UnloadGate(seen, anchored(('u0', TableFault.NONE)), 'x')
+    gate = UnloadGate(seen, anchored(('u0', TableFault.NONE)))
     assert gate.may_unload('m@1', 'u1')
     assert not gate.may_unload('m@1', 'u2')
 
@@ -79,6 +79,5 @@
     gate = UnloadGate(
         view(engine('u0'), engine('u1', 'm@1'), engine('u2', 'm@1')),
         anchored(('u0', TableFault.NONE)),
-        'x',
     )
     assert not gate.may_unload('m@1', 'u1')
--- a/tests/standalone/placement/test_load_check.py
+++ b/tests/standalone/placement/test_load_check.py
@@ -13,7 +13,7 @@
 
 def ledger(*held: HeldItem) -> Ledger:
     """Return the ledger of an engine of ten bytes after one report."""
-    made = Ledger('u0', checks_fence=True)
+    made = Ledger(checks_fence=True)
     used_bytes = sum(item.total_bytes for item in held)
     made.take_report(EngineReport('b', 1, 10, used_bytes, 0, 0, False, 1, 1, list(held)), 0.0)
     return made
@@ -34,7 +34,7 @@
 
 
 def test_nothing_is_loaded_before_the_first_report() -> None:
-    assert check_load(BASE, Ledger('u0', True), 0, 9) is LoadCheck.NO_MEMORY
+    assert check_load(BASE, Ledger(checks_fence=True), 0, 9) is LoadCheck.NO_MEMORY
 
 
 def test_adapter_waits_for_its_base() -> None:
--- a/tests/standalone/placement/test_memory_machine.py
+++ b/tests/standalone/placement/test_memory_machine.py
@@ -77,7 +77,7 @@
             settings.lease_s,
             clock=lambda: self.clock.now_s,
         )
-        ledger = Ledger('u', self.checks_fence)
+        ledger = Ledger(self.checks_fence)
         pool = OraclePool({'u': self.engine})
         intents = IntentLog(self.table, lease, 'u')
         metrics = Metrics(MetricsSettings(), 'test')
--- a/tests/standalone/placement/test_rollout.py
+++ b/tests/standalone/placement/test_rollout.py
@@ -49,6 +49,6 @@
 
 
 def test_gate_lets_old_spares_go_and_keeps_the_last_old_copy() -> None:
-    gate = UnloadGate(full_view(), anchored(('u0', TableFault.NONE)), 'x')
+    gate = UnloadGate(full_view(), anchored(('u0', TableFault.NONE)))
     assert gate.may_unload('m@1', 'u1')
     assert not gate.may_unload('m@1', 'u0')
--- a/tests/support/entry.py
+++ b/tests/support/entry.py
@@ -93,7 +93,7 @@
 @contextlib.asynccontextmanager
 async def entry_world(**entry_settings: Any):
     """Give a serving entry server with two engines and two plain services."""
-    engines = {n: Engine(n, EngineModel(first_token_s=0.0, token_s=0.0)) for n in ENGINES}
+    engines = {n: Engine(EngineModel(first_token_s=0.0, token_s=0.0)) for n in ENGINES}
     services = {n: PlainService(n, 0.0) for n in SERVICES}
     upstreams = UpstreamDirectory('x', 3600.0)
     runners, listed = {}, []
