--- a/tests/docs/test_named_things.py
+++ b/tests/docs/test_named_things.py
@@ -13,6 +13,8 @@
 ROOT = Path(__file__).parents[2]
 PACKAGE = ROOT / 'limeshelf'
 PAGES = ('architecture.rst', 'design/decisions.rst')
+OWN_WIRE = 'design/decisions_own_wire.rst'
+NAMED_MODULES = (*PAGES, OWN_WIRE)
 SOURCE = '\n'.join(path.read_text() for path in sorted(PACKAGE.rglob('*.py')))
 
 
@@ -22,7 +24,7 @@
     return re.findall(rf':{role}:`([^`]+)`', text)
 
 
-@pytest.mark.parametrize('page', PAGES)
+@pytest.mark.parametrize('page', NAMED_MODULES)
 def test_modules_exist(page: str) -> None:
     sources = named(page, 'source')
     missing = [name for name in sources if not (PACKAGE / name).exists()]
@@ -30,7 +32,7 @@
     assert missing == []
 
 
-@pytest.mark.parametrize('page', PAGES)
+@pytest.mark.parametrize('page', NAMED_MODULES)
 def test_tests_exist(page: str) -> None:
     missing = [name for name in named(page, 'test') if not (ROOT / 'tests' / name).exists()]
     assert missing == []
@@ -76,8 +78,9 @@
     assert set(re.findall(r'``(limeshelf_\w+)``', page)) == served
 
 
-def test_constants_of_the_decisions_stand_in_their_modules() -> None:
-    text = (ROOT / 'docs/design/decisions.rst').read_text()
+@pytest.mark.parametrize('page', ['design/decisions.rst', OWN_WIRE])
+def test_constants_of_the_decisions_stand_in_their_modules(page: str) -> None:
+    text = (ROOT / 'docs' / page).read_text()
     missing = []
     for row in text.split('   * - ')[1:]:
         modules = re.findall(r':source:`([^`]+)`', row)
