--- a/limeshelf/replicas/health.py
+++ b/limeshelf/replicas/health.py
@@ -80,7 +80,7 @@
     suspended_until_s: float = 0.0
     awaits_probe: bool = False
     _failures_in_a_row: int = 0
-    _pauses: int = 0
+    _pause_s: float = 0.0
 
     def is_suspended(self) -> bool:
         """Return whether the replica gets no call at this moment if there is another."""
@@ -102,7 +102,7 @@
         """Note an answer that is no failure."""
         self.failing_share += NEWEST_SHARE * (0.0 - self.failing_share)
         self._failures_in_a_row = 0
-        self._pauses = 0
+        self._pause_s = 0.0
         self.suspended_until_s = 0.0
         self.awaits_probe = False
 
@@ -122,6 +122,5 @@
         return not was_suspended
 
     def _pause(self) -> None:
-        pause_s = min(SUSPEND_LIMIT_S, SUSPEND_BASE_S * 2**self._pauses)
-        self._pauses += 1
-        self.suspended_until_s = boottime_s() + pause_s
+        self._pause_s = min(SUSPEND_LIMIT_S, 2 * self._pause_s or SUSPEND_BASE_S)
+        self.suspended_until_s = boottime_s() + self._pause_s
--- a/tests/replicas/test_health.py
+++ b/tests/replicas/test_health.py
@@ -98,3 +98,14 @@
     assert health.failing_share == pytest.approx(NEWEST_SHARE)
     health.succeeded()
     assert health.failing_share == pytest.approx(NEWEST_SHARE * (1 - NEWEST_SHARE))
+
+
+def test_replica_out_of_reach_for_long_is_still_probed(clock: VirtualClock) -> None:
+    """The pause was doubled without a bound: after 1024 probes it no longer was a float."""
+    health = ReplicaHealth()
+    health.failed(Failure.NO_CONNECTION)
+    for _ in range(1100):
+        clock.advance(SUSPEND_LIMIT_S)
+        assert health.probe_due
+        health.probed(reached=False)
+    assert not health.probe_due
