--- a/limeshelf/standalone/admin/client.py
+++ b/limeshelf/standalone/admin/client.py
@@ -1,4 +1,8 @@
-"""Client side of the operator RPC."""
+"""Client side of the operator RPC.
+
+Owns no state: each call opens a connection and closes it. Relies on the schema that
+``limeshelf/admin`` holds.
+"""
 
 from __future__ import annotations
 
@@ -20,7 +24,7 @@
 
 @attrs.frozen
 class Connection:
-    """Where the admin program listens, and how to speak to it.
+    """Where the admin program listens, and which token and certificates it wants.
 
     :param ca_file: certificates to trust; none for a plain connection.
     """
--- a/limeshelf/standalone/admin/operations.py
+++ b/limeshelf/standalone/admin/operations.py
@@ -70,6 +70,18 @@
     based_on: int
 
 
+@attrs.frozen
+class PolicySplit:
+    """Two policies between which the traffic is divided.
+
+    :param share_b_ratio: part of the traffic that policy B decides, 0 to 1.
+    """
+
+    policy_a: str
+    policy_b: str
+    share_b_ratio: float
+
+
 @dataclass(frozen=True)
 class Rejected:
     """The document has faults; nothing was sent to the platform."""
@@ -142,7 +154,7 @@
         return await self._commit(operation, attrs.evolve(now, deployments=changed))
 
     async def split_traffic(
-        self, operation: Operation, kind: str, split: tuple[str, str, float] | None
+        self, operation: Operation, kind: str, split: PolicySplit | None
     ) -> OperationOutcome:
         """Divide the traffic between two policies; ``None`` ends it."""
         try:
@@ -152,7 +164,15 @@
         now = self._config.catalog.document
         splits = [s for s in now.splits if s.kind is not policy_kind]
         if split is not None:
-            splits.append(Split(f'{kind}-split', policy_kind, *split))
+            splits.append(
+                Split(
+                    f'{kind}-split',
+                    policy_kind,
+                    split.policy_a,
+                    split.policy_b,
+                    split.share_b_ratio,
+                )
+            )
         return await self._commit(operation, attrs.evolve(now, splits=splits))
 
     async def drain_upstream(
--- a/limeshelf/standalone/admin/replies.py
+++ b/limeshelf/standalone/admin/replies.py
@@ -1,4 +1,7 @@
-"""Translates the outcomes of operations into the messages of the operator RPC."""
+"""Translates the outcomes of operations into the messages of the operator RPC.
+
+Owns no state; the only place that fills in the replies to changes.
+"""
 
 from __future__ import annotations
 
--- a/limeshelf/standalone/admin/server.py
+++ b/limeshelf/standalone/admin/server.py
@@ -1,4 +1,8 @@
-"""Listens for operators: gRPC with a token and TLS as the settings say."""
+"""Listens for operators: gRPC with a token and TLS as the settings say.
+
+Owns the listener, the check of the token and the certificate in use. Relies on the
+service for the answers.
+"""
 
 from __future__ import annotations
 
--- a/limeshelf/standalone/admin/service.py
+++ b/limeshelf/standalone/admin/service.py
@@ -9,6 +9,7 @@
 
 from typing import TYPE_CHECKING, Any
 
+import attrs
 import grpc
 import msgspec
 
@@ -16,7 +17,7 @@
 from limeshelf.admin import admin_pb2_grpc
 from limeshelf.errors import InvalidDocument, PlatformUnavailable, PlatformUnknown
 from limeshelf.standalone.admin.comparison import gather
-from limeshelf.standalone.admin.operations import Operation, parse_document
+from limeshelf.standalone.admin.operations import Operation, PolicySplit, parse_document
 from limeshelf.standalone.admin.replies import (
     changes_message,
     commit_reply,
@@ -47,6 +48,14 @@
 CENTRE_SILENT_S = 15.0
 
 
+@attrs.frozen
+class _CentreRevisions:
+    """Which process of a data centre has which revision, as last heard."""
+
+    heard_s: float
+    revisions: dict[str, int]
+
+
 class AdminService(admin_pb2_grpc.AdminServicer):  # type: ignore[misc]
     """Answers operators' calls."""
 
@@ -65,12 +74,12 @@
         self._store = store
         self._processes = processes
         self._upstreams = upstreams
-        self._reach: dict[str, tuple[float, dict[str, int]]] = {}
+        self._reach: dict[str, _CentreRevisions] = {}
 
     def take_reach(self, envelope: Envelope) -> None:
         """Take in the revisions of another data centre."""
         reach: Reach = envelope.message
-        self._reach[reach.data_centre] = (boottime_s(), reach.revisions)
+        self._reach[reach.data_centre] = _CentreRevisions(boottime_s(), reach.revisions)
 
     async def Apply(self, request: Any, context: Any) -> Any:
         """Put a whole configuration in force."""
@@ -111,15 +120,14 @@
         )
 
     def _process_rows(self) -> list[Any]:
-        own_centre = self._processes.own.data_centre
-        known = {**self._reach, own_centre: (boottime_s(), centre_revisions(self._processes))}
-        highest = max(
-            [self._config.revision, *(r for _, rows in known.values() for r in rows.values())]
-        )
+        own = _CentreRevisions(boottime_s(), centre_revisions(self._processes))
+        known = {**self._reach, self._processes.own.data_centre: own}
+        all_revisions = [r for centre in known.values() for r in centre.revisions.values()]
+        highest = max([self._config.revision, *all_revisions])
         rows = []
-        for data_centre, (heard_s, revisions) in sorted(known.items()):
-            heard = boottime_s() - heard_s < CENTRE_SILENT_S
-            for process, revision in sorted(revisions.items()):
+        for data_centre, centre in sorted(known.items()):
+            heard = boottime_s() - centre.heard_s < CENTRE_SILENT_S
+            for process, revision in sorted(centre.revisions.items()):
                 row = pb.ProcessStatus(
                     process=process,
                     data_centre=data_centre,
@@ -168,7 +176,7 @@
         operation = _operation(request.operation)
         split = None
         if not request.remove:
-            split = (request.policy_a, request.policy_b, request.share_b_ratio)
+            split = PolicySplit(request.policy_a, request.policy_b, request.share_b_ratio)
         outcome = await self._operations.split_traffic(operation, request.kind, split)
         return commit_reply('split-traffic', operation, outcome)
 
--- a/limeshelf/standalone/config/holder.py
+++ b/limeshelf/standalone/config/holder.py
@@ -1,6 +1,6 @@
 """The configuration in force in one process; it never goes back.
 
-Owns the catalog in force and the recent changes. Relies on whoever brings revisions:
+Owns the catalog in force and the recent changes. Relies on its callers for revisions:
 :mod:`limeshelf.standalone.revisions.sync` and the admin program.
 """
 
--- a/limeshelf/standalone/entry/model_attempts.py
+++ b/limeshelf/standalone/entry/model_attempts.py
@@ -48,7 +48,7 @@
 
 
 class ModelAttempts:
-    """Brings one model request to its whole answer or its final outcome."""
+    """Takes one model request to its whole answer or its final outcome."""
 
     def __init__(
         self, context: EntryContext, catalog: Catalog, request: ModelRequest, target: Target
--- a/limeshelf/standalone/membership/upstreams.py
+++ b/limeshelf/standalone/membership/upstreams.py
@@ -1,7 +1,7 @@
 """Which upstreams may get work, and what they hold.
 
-Owns the last state of each upstream and the boots that said that they leave. Relies on
-the instance list and on states that are brought to it.
+Owns the last state of each upstream and the boots that announced to leave. Relies on
+the instance list and on states that it is given.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 class Upstream:
     """One upstream as this process knows it.
 
-    :param left_boot_ids: boots that said that they leave; they get no new work
+    :param left_boot_ids: boots that announced to leave; they get no new work
         whatever the list says.
     :param heard_s: when the last state arrived, on the boot clock.
     :param avoid_until_s: no new work before, after a failed connection.
--- a/limeshelf/standalone/membership/watch.py
+++ b/limeshelf/standalone/membership/watch.py
@@ -110,7 +110,7 @@
                 self._take(await self._probe(upstream))
                 failed = 0
             except LimeshelfError:
-                # A single lost report tells nothing; the directory logs the change of state.
+                # A single lost report decides nothing; the directory logs the change of state.
                 failed += 1
                 if failed >= FAILED_PROBES:
                     self._take(unreachable_state(upstream))
--- a/limeshelf/standalone/messages.py
+++ b/limeshelf/standalone/messages.py
@@ -1,6 +1,6 @@
 """Messages between the processes of limeshelf's own wire.
 
-Owns the fields of each message; ``limeshelf.peers`` brings them from process to process.
+Owns the fields of each message; ``limeshelf.peers`` carries them between processes.
 """
 
 from __future__ import annotations
@@ -92,7 +92,7 @@
 @add_message('leaving')
 @attrs.frozen
 class LeavingNotice:
-    """An upstream said that it leaves, or refused work because it does."""
+    """An upstream announced that it leaves, or refused work because it does."""
 
     upstream_id: str
     boot_id: str
--- a/limeshelf/standalone/placement/anchors.py
+++ b/limeshelf/standalone/placement/anchors.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, Any
 
 import attrs
 from absl import logging
@@ -18,7 +18,7 @@
 
 if TYPE_CHECKING:
     from limeshelf.standalone.lease.keeper import LeaseKeeper
-    from limeshelf.standalone.services.table import TableClient
+    from limeshelf.standalone.services.table import TableClient, TransactOutcome
 
 ANCHOR_PREFIX = 'anchor/'
 #: One row for each data centre, written with each change of an anchor, so that
@@ -124,20 +124,14 @@
         """
         before = self._anchors.get(model)
         based_on = before.row_version if before else 0
-        key = f'{ANCHOR_PREFIX}{model}'
         value = {
             'upstream_id': upstream_id,
             'data_centre': self._data_centre,
             'handoff': handoff,
         }
-        conditions = [
-            Condition(key, based_on),
-            Condition(self._lease.epoch_key, self._lease.epoch_version),
-        ]
         self._unconfirmed.setdefault(model, {})[upstream_id] = based_on
         try:
-            writes = [Write(key, value), self._change_write]
-            outcome = await self._table.transact(conditions, writes)
+            outcome = await self._write(model, based_on, value)
         except PlatformUnavailable:
             # No effect; the placer logs the move as not made and plans it again.
             self._unconfirmed[model].pop(upstream_id, None)
@@ -150,7 +144,7 @@
         if not isinstance(outcome, Committed):
             return False
         self._anchors[model] = Anchor(
-            model, upstream_id, self._data_centre, outcome.versions[key], handoff
+            model, upstream_id, self._data_centre, outcome.versions[_key_of(model)], handoff
         )
         logging.info('anchor=%s state=at upstream=%s handoff=%s', model, upstream_id, handoff)
         return True
@@ -160,17 +154,10 @@
         before = self._anchors.get(model)
         if before is None:
             return True
-        key = f'{ANCHOR_PREFIX}{model}'
         try:
-            outcome = await self._table.transact(
-                [
-                    Condition(key, before.row_version),
-                    Condition(self._lease.epoch_key, self._lease.epoch_version),
-                ],
-                [Write(key, None), self._change_write],
-            )
+            outcome = await self._write(model, before.row_version, None)
         except (PlatformUnavailable, PlatformUnknown) as error:
-            # The next round drops it: an anchor without a deployment harms nothing.
+            # The next round drops it: an anchor without a deployment has no effect.
             logging.log_every_n_seconds(
                 logging.WARNING, 'anchor=%s state=not_dropped error=%r', OUTAGE_LOG_S, model, error
             )
@@ -180,6 +167,24 @@
             return True
         return False
 
+    async def _write(
+        self, model: str, based_on: int, value: dict[str, Any] | None
+    ) -> TransactOutcome:
+        """Write the row of *model* under the epoch that is held; ``None`` deletes it.
+
+        :param based_on: version of the row that the write is conditional on.
+        """
+        key = _key_of(model)
+        conditions = [
+            Condition(key, based_on),
+            Condition(self._lease.epoch_key, self._lease.epoch_version),
+        ]
+        return await self._table.transact(conditions, [Write(key, value), self._change_write])
+
+
+def _key_of(model: str) -> str:
+    return f'{ANCHOR_PREFIX}{model}'
+
 
 def _anchor_of(row: VersionedRow) -> Anchor:
     value = row.value or {}
--- a/limeshelf/standalone/placement/demand.py
+++ b/limeshelf/standalone/placement/demand.py
@@ -1,6 +1,7 @@
 """Demand for each item, smoothed, from what the entry instances report.
 
-Owns the latest report of each entry instance and the mean of each model.
+Owns the latest report of each entry instance and the mean of each model; relies on the
+caller for the time.
 """
 
 from __future__ import annotations
@@ -30,11 +31,19 @@
     used_s: float = float('-inf')
 
 
+@attrs.frozen
+class _Report:
+    """Requests in flight or refused by model, as one entry instance last counted them."""
+
+    taken_s: float
+    waiting: dict[str, int]
+
+
 class DemandBook:
     """Keeps the demand of all models of one data centre and the whole."""
 
     def __init__(self) -> None:
-        self._latest: dict[str, tuple[float, dict[str, int]]] = {}
+        self._latest: dict[str, _Report] = {}
         self._models: dict[str, _Smoothed] = {}
         self._item_used_s: dict[str, float] = {}
 
@@ -47,16 +56,16 @@
             if item.arrived:
                 self._item_used_s[item.item_id] = now_s
                 self._models.setdefault(model, _Smoothed(0.0, now_s)).used_s = now_s
-        self._latest[demand.instance_id] = (now_s, waiting)
+        self._latest[demand.instance_id] = _Report(now_s, waiting)
 
     def advance(self, now_s: float) -> None:
         """Move all means to *now_s*."""
         totals: dict[str, int] = {}
-        for instance_id, (taken_s, waiting) in list(self._latest.items()):
-            if now_s - taken_s > REPORT_LIFE_S:
+        for instance_id, report in list(self._latest.items()):
+            if now_s - report.taken_s > REPORT_LIFE_S:
                 del self._latest[instance_id]
                 continue
-            for model, count in waiting.items():
+            for model, count in report.waiting.items():
                 totals[model] = totals.get(model, 0) + count
         for model in totals.keys() | self._models.keys():
             smoothed = self._models.setdefault(model, _Smoothed(0.0, now_s))
--- a/limeshelf/standalone/services/outages.py
+++ b/limeshelf/standalone/services/outages.py
@@ -3,5 +3,5 @@
 from __future__ import annotations
 
 #: Least pause between two lines of one place about an outage: its calls come up to some
-#: times a second, and one line tells as much. Chosen, not measured.
+#: times a second, and one line is enough. Chosen, not measured.
 OUTAGE_LOG_S = 10.0
--- a/limeshelf/standalone/upstreams/engine.py
+++ b/limeshelf/standalone/upstreams/engine.py
@@ -30,7 +30,7 @@
 
 
 class HttpEngineClient:
-    """Speaks JSON over HTTP, with one line of JSON for each token."""
+    """Sends JSON over HTTP and reads one line of JSON for each token."""
 
     def __init__(self, upstream_id: str, address: str, session: aiohttp.ClientSession) -> None:
         self.upstream_id = upstream_id
