--- a/tests/admission/test_come_back.py
+++ b/tests/admission/test_come_back.py
@@ -1,4 +1,4 @@
-"""Times to come back that refused callers are told."""
+"""Times to come back in the answers to refused callers."""
 
 from __future__ import annotations
 
--- a/tests/orders/test_capacity.py
+++ b/tests/orders/test_capacity.py
@@ -68,19 +68,19 @@
 
 
 def test_answer_of_a_replica_frees_no_room() -> None:
-    """A call was told that its model is missing; the replica's report says otherwise."""
+    """A call got the answer that its model is missing; the replica's report says otherwise."""
 
-    def told_missing(directory: ReplicaDirectory, replica: Replica) -> None:
+    def answer_model_missing(directory: ReplicaDirectory, replica: Replica) -> None:
         directory.forget_holding(replica, 'm2', '')
 
     full = ReplicaReport((Holding('m1'), Holding('m2')), False, 1)
-    assert not fits(Loadable('m3'), full, happen=told_missing)
+    assert not fits(Loadable('m3'), full, happen=answer_model_missing)
 
-    def told_adapter_missing(directory: ReplicaDirectory, replica: Replica) -> None:
+    def answer_adapter_missing(directory: ReplicaDirectory, replica: Replica) -> None:
         directory.forget_holding(replica, 'm1', 'a1')
 
     places_full = ReplicaReport(holding('a1', 'a2'), False, 1)
-    assert not fits(Loadable('m1', 'a3'), places_full, happen=told_adapter_missing)
+    assert not fits(Loadable('m1', 'a3'), places_full, happen=answer_adapter_missing)
 
 
 def test_adapter_that_was_unloaded_by_an_order_frees_its_place() -> None:
--- a/tests/replicas/test_connections.py
+++ b/tests/replicas/test_connections.py
@@ -1,4 +1,4 @@
-"""How a connection to a replica ended, as the transport tells it."""
+"""How a connection to a replica ended, as the transport reports it."""
 
 from __future__ import annotations
 
--- a/tests/standalone/claims/test_claims_machine.py
+++ b/tests/standalone/claims/test_claims_machine.py
@@ -21,7 +21,7 @@
 
 
 class ClaimsMachine(RuleBasedStateMachine):
-    """The upstream counts its runs for each key; a call told not run never ran."""
+    """The upstream counts its runs for each key; a call answered as not run never ran."""
 
     def __init__(self) -> None:
         super().__init__()
--- a/tests/standalone/entry/test_models.py
+++ b/tests/standalone/entry/test_models.py
@@ -95,7 +95,7 @@
     run(case())
 
 
-def test_no_engine_at_all_is_told_not_run_at_once() -> None:
+def test_request_without_any_engine_is_answered_not_run_at_once() -> None:
     async def case() -> None:
         async with entry_world() as made:
             for name in ENGINES:
--- a/tests/standalone/entry/test_plain.py
+++ b/tests/standalone/entry/test_plain.py
@@ -1,4 +1,4 @@
-"""Plain calls: told not run means not run, and at most once."""
+"""Plain calls: the answer not run means that it did not run, and at most once."""
 
 from __future__ import annotations
 
@@ -122,7 +122,7 @@
     run(case())
 
 
-def test_told_not_run_frees_the_key() -> None:
+def test_answer_not_run_frees_the_key() -> None:
     async def case() -> None:
         async with entry_world() as made:
             for service in made.services.values():
@@ -166,7 +166,7 @@
     run(case())
 
 
-def test_claims_down_is_told_not_run_at_once() -> None:
+def test_keyed_call_is_answered_not_run_at_once_while_claims_are_down() -> None:
     async def case() -> None:
         async with entry_world() as made:
             made.table.down = True
--- a/tests/standalone/membership/test_upstreams.py
+++ b/tests/standalone/membership/test_upstreams.py
@@ -1,4 +1,4 @@
-"""The index of holders stays in step with what the upstreams say they hold."""
+"""The index of holders stays in step with what the upstreams report to hold."""
 
 from __future__ import annotations
 
--- a/tests/standalone/revisions/test_revisions_machine.py
+++ b/tests/standalone/revisions/test_revisions_machine.py
@@ -1,4 +1,4 @@
-"""Configuration never reverts: operators race, answers get lost, peers tell out of order."""
+"""Configuration never reverts: operators race, answers get lost, peers answer out of order."""
 
 from __future__ import annotations
 
--- a/tests/support/history.py
+++ b/tests/support/history.py
@@ -67,18 +67,20 @@
         for call in history
         if call.outcome == 'completed' and not call.whole
     ]
-    faults += [f'no outcome told: {call}' for call in history if call.outcome == 'untold']
+    faults += [
+        f'no outcome in the answer: {call}' for call in history if call.outcome == 'missing'
+    ]
     faults += [f'{key} ran {n} times' for key, n in runs.items() if key and n > 1]
-    told: dict[str, set[str]] = {}
+    outcomes_by_key: dict[str, set[str]] = {}
     for call in history:
         if call.key:
-            told.setdefault(call.key, set()).add(call.outcome)
-    for key, outcomes in told.items():
+            outcomes_by_key.setdefault(call.key, set()).add(call.outcome)
+    for key, outcomes in outcomes_by_key.items():
         ran = runs.get(key, 0) > 0
         if outcomes == {'not_run'} and ran:
-            faults.append(f'{key} was told not run and ran')
+            faults.append(f'{key} was answered as not run and ran')
         if 'completed' in outcomes and not ran:
-            faults.append(f'{key} was told completed and did not run')
+            faults.append(f'{key} was answered as completed and did not run')
     return faults + revision_faults(history)
 
 
--- a/tests/support/load.py
+++ b/tests/support/load.py
@@ -154,7 +154,7 @@
         )
 
         def judge(answer: Answer, text: str) -> None:
-            answer.outcome = answer.headers.get('X-Limeshelf-Outcome', 'untold')
+            answer.outcome = answer.headers.get('X-Limeshelf-Outcome', 'missing')
             answer.whole = answer.outcome != 'completed' or json.loads(text)['echo'] == key
 
         await self._send(session, instance, request, judge)
@@ -180,7 +180,7 @@
             if answer.status == 200:
                 answer.outcome, answer.whole = judge_stream(text, caller, prompt, self._max_tokens)
             else:
-                answer.outcome = answer.headers.get('X-Limeshelf-Outcome', 'untold')
+                answer.outcome = answer.headers.get('X-Limeshelf-Outcome', 'missing')
                 answer.whole = True
                 answer.reason = json.loads(text)['error']['code']
 
--- a/tests/support/test_history.py
+++ b/tests/support/test_history.py
@@ -27,13 +27,13 @@
     ('calls', 'runs'),
     [
         ([attrs.evolve(CALL, whole=False)], {'k': 1}),
-        ([attrs.evolve(CALL, outcome='untold')], {'k': 1}),
+        ([attrs.evolve(CALL, outcome='missing')], {'k': 1}),
         ([CALL], {'k': 2}),
         ([CALL], {}),
         ([attrs.evolve(CALL, outcome='not_run')], {'k': 1}),
         ([CALL, attrs.evolve(CALL, started_s=3.0, ended_s=4.0, revision=2)], {'k': 1}),
     ],
-    ids=['not-whole', 'untold', 'ran-twice', 'never-ran', 'ran-though-not-run', 'step-back'],
+    ids=['not-whole', 'missing', 'ran-twice', 'never-ran', 'ran-though-not-run', 'step-back'],
 )
 def test_broken_promise_is_found(calls: list[Call], runs: dict[str, int]) -> None:
     assert len(faults_of(calls, runs)) == 1
@@ -51,5 +51,5 @@
 def test_cut_stream_is_dropped_unless_it_says_so() -> None:
     assert judge_stream(stream(f'{MARK}.0 ', end=''), 'c', 'hello', 2) == ('dropped', True)
     error = f'data: {json.dumps({"error": {"outcome": "may_have_run"}})}\n\n'
-    told = stream(f'{MARK}.0 ', end=error)
-    assert judge_stream(told, 'c', 'hello', 2) == ('may_have_run', True)
+    broken = stream(f'{MARK}.0 ', end=error)
+    assert judge_stream(broken, 'c', 'hello', 2) == ('may_have_run', True)
