--- a/limeshelf/admission/repeats.py
+++ b/limeshelf/admission/repeats.py
@@ -40,7 +40,7 @@
 def reason_not_to_send(refusals: int, left_s: float) -> RefusalReason | None:
     """Return why a call is not sent to any further replica, or ``None`` if it is.
 
-    :param refusals: replicas that said they did not run it.
+    :param refusals: replicas that did not run it: they said so, or were not reached in time.
     :param left_s: until the call's time is over, in seconds.
     """
     if is_too_late(left_s):
--- a/limeshelf/programs/parts.py
+++ b/limeshelf/programs/components.py
@@ -1,8 +1,8 @@
-"""The parts of a gateway and which relies on which; nothing here decides or waits.
+"""The components of a gateway and which relies on which; nothing here decides or waits.
 
 Each part is made after those it needs, in the order of the imports: configuration,
 replicas, membership, dispatch, placement, then the path of a call on top.
-Owns nothing beyond the parts themselves.
+Owns nothing beyond the components themselves.
 """
 
 from __future__ import annotations
@@ -50,7 +50,7 @@
     return RetryRule(retries.ratio, retries.slack, retries.window_s)
 
 
-class GatewayParts:
+class GatewayComponents:
     """Everything that one gateway consists of, wired.
 
     :param node: listens already, since its address names this gateway.
--- a/limeshelf/programs/gateway.py
+++ b/limeshelf/programs/gateway.py
@@ -1,7 +1,7 @@
 """``limeshelf-gateway``: takes calls, and places models while it holds the lease.
 
 Owns the process: settings, background tasks, readiness and the planned stop. Relies on
-:mod:`limeshelf.programs.parts`, which wires what the gateway consists of.
+:mod:`limeshelf.programs.components`, which wires what the gateway consists of.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 from limeshelf.metrics.event_log import event_log, log_change
 from limeshelf.metrics.prometheus import MetricsServer
 from limeshelf.peers.node import PeerNode
-from limeshelf.programs.parts import GatewayParts, retry_rule
+from limeshelf.programs.components import GatewayComponents, retry_rule
 from limeshelf.programs.settings_watch import SettingsWatch
 from limeshelf.settings.gateway import GatewaySettings, load_gateway_settings
 from limeshelf.util.backoff import jittered_s
@@ -55,13 +55,13 @@
     """One gateway process.
 
     :ivar settings_path: where the settings were read; ``None`` where nobody changes them.
-    :ivar parts: there once the process has started.
+    :ivar components: there once the process has started.
     """
 
     settings: GatewaySettings
     settings_path: Path | None = None
     watch: SettingsWatch | None = None
-    parts: GatewayParts
+    components: GatewayComponents
 
     async def start(self) -> None:
         """Listen at once; ready only when a configuration and a replica are there."""
@@ -69,27 +69,27 @@
         self.tasks = TaskSet()
         node = PeerNode(settings.ip, settings.peer_port, settings.data_centre)
         await node.start()
-        self.parts = GatewayParts(settings, node, self.tasks)
-        self.parts.take_messages()
-        await self.parts.edge.start(settings.calls_address, settings.readiness_address)
-        self.metrics_server = MetricsServer(self.parts.metrics)
+        self.components = GatewayComponents(settings, node, self.tasks)
+        self.components.take_messages()
+        await self.components.edge.start(settings.calls_address, settings.readiness_address)
+        self.metrics_server = MetricsServer(self.components.metrics)
         await self.metrics_server.start(settings.ip, settings.figures_port)
         self._start_tasks()
         log_change('started', ip=settings.ip, data_centre=settings.data_centre, pid=os.getpid())
 
     def _start_tasks(self) -> None:
-        parts = self.parts
-        for follower in parts.followers:
+        components = self.components
+        for follower in components.followers:
             self.tasks.keep(follower.run, f'follow-{follower.copy.table}')
-        self.tasks.keep(parts.digests.run, 'digests')
-        self.tasks.keep(parts.states.run, 'states')
-        self.tasks.keep(parts.rows.run, 'rows')
-        self.tasks.keep(parts.registration.write_row, 'register', parts.store)
-        self.tasks.keep(parts.dispatch.run, 'dispatch')
+        self.tasks.keep(components.digests.run, 'digests')
+        self.tasks.keep(components.states.run, 'states')
+        self.tasks.keep(components.rows.run, 'rows')
+        self.tasks.keep(components.registration.write_row, 'register', components.store)
+        self.tasks.keep(components.dispatch.run, 'dispatch')
         self.tasks.keep(self._lead, 'lead')
-        self.tasks.keep(parts.placement.run, 'placement')
-        self.tasks.keep(parts.pool.sweep, 'sweep', parts.directory)
-        self.tasks.keep(parts.pool.probe, 'probe', parts.directory)
+        self.tasks.keep(components.placement.run, 'placement')
+        self.tasks.keep(components.pool.sweep, 'sweep', components.directory)
+        self.tasks.keep(components.pool.probe, 'probe', components.directory)
         self.tasks.keep(self._become_ready, 'ready')
         if self.settings_path is not None:
             self.watch = SettingsWatch(self.settings_path, self.settings, self._take_settings)
@@ -97,10 +97,10 @@
 
     def _take_settings(self, settings: GatewaySettings) -> None:
         self.settings = settings
-        self.parts.budgets.change_rule(retry_rule(settings))
-        self.parts.store.change_address(settings.store_address)
-        self.parts.members.own.weight = settings.weight
-        self.parts.add_seeds(settings)
+        self.components.budgets.change_rule(retry_rule(settings))
+        self.components.store.change_address(settings.store_address)
+        self.components.members.own.weight = settings.weight
+        self.components.add_seeds(settings)
 
     def reload(self) -> None:
         """Read the settings again, as a signal asks for."""
@@ -108,30 +108,32 @@
             self.watch.check_now()
 
     async def _become_ready(self) -> None:
-        directory = self.parts.directory
-        while self.parts.in_force.config is None or not directory.all():
+        directory = self.components.directory
+        while self.components.in_force.config is None or not directory.all():
             await directory.wait_for_change(READY_CHECK_S)
-        self.parts.edge.enter(GatewayPhase.SERVING)
+        self.components.edge.enter(GatewayPhase.SERVING)
 
     async def _lead(self) -> None:
-        parts = self.parts
+        components = self.components
         while True:
             await asyncio.sleep(jittered_s(LEAD_STEP_S))
-            parts.budgets.gateways = parts.pool.gateways = parts.digests.gateway_count
-            if parts.leadership.term is None and not parts.leader.may_contend():
+            components.budgets.gateways = components.pool.gateways = (
+                components.digests.gateway_count
+            )
+            if components.leadership.term is None and not components.leader.may_contend():
                 continue
-            await parts.leadership.step()
+            await components.leadership.step()
 
     async def drain(self) -> int:
         """Stop as planned; return the exit code."""
-        edge = self.parts.edge
+        edge = self.components.edge
         began_s = boottime_s()
         edge.enter(GatewayPhase.NOTICE)
-        await self.parts.leadership.release()
-        self.parts.registration.announce_leaving()
+        await self.components.leadership.release()
+        self.components.registration.announce_leaving()
         await asyncio.sleep(NOTICE_S)
         edge.enter(GatewayPhase.DRAINING)
-        self.parts.pipeline.refuse_waiting()
+        self.components.pipeline.refuse_waiting()
         end_s = began_s + self.settings.grace_s * LAST_SHARE
         while edge.running and boottime_s() < end_s:
             edge.end_idle_connections()
@@ -142,7 +144,7 @@
     async def stop(self, exception: Exception | None = None) -> None:
         """Close everything."""
         await self.tasks.close()
-        await self.parts.close()
+        await self.components.close()
         await self.metrics_server.close()
 
 
--- a/tests/forms/test_http.py
+++ b/tests/forms/test_http.py
@@ -125,7 +125,7 @@
         found.append(line(case, answer.status, answer.headers, answer.body))
 
     async def note_phase(phase: str) -> None:
-        edge = world.gateway.parts.edge
+        edge = world.gateway.components.edge
         edge.phase = type(edge.phase)(phase)
         url = f'http://127.0.0.1:{world.readiness_port}/readyz'
         async with world.caller.get(url) as answer:
@@ -134,7 +134,7 @@
 
     no_service = route('lost', 'unsafe', 'lost')
     world.configure(configuration(2, route('unsafe', 'unsafe', 'app'), no_service))
-    await world.until(lambda: world.gateway.parts.pipeline.config.version == 2)
+    await world.until(lambda: world.gateway.components.pipeline.config.version == 2)
     await note('unknown route', '/other')
     await note('no such service', '/lost/x')
     await note('no attempt id', '/unsafe/x', Limeshelf_Attempt_Id='')
@@ -146,7 +146,7 @@
         await note_phase(phase)
     await note('draining', '/unsafe/x')
     await note_phase('serving')
-    world.gateway.parts.in_force.config = None
+    world.gateway.components.in_force.config = None
     await note('no configuration', '/unsafe/x')
 
 
--- a/tests/gateway/test_edge.py
+++ b/tests/gateway/test_edge.py
@@ -20,7 +20,7 @@
         assert head.startswith(b'HTTP/1.1 200')
         length = int(head.lower().split(b'content-length: ')[1].split(b'\r\n')[0])
         await reader.readexactly(length)
-        world.gateway.parts.edge.end_idle_connections()
+        world.gateway.components.edge.end_idle_connections()
         async with asyncio.timeout(1):
             assert await reader.read() == b''
         writer.close()
@@ -61,12 +61,12 @@
     async def scenario(world: GatewayWorld) -> None:
         for replica in world.plain:
             world.store.drop('servers', replica.replica_id)
-        await world.until(lambda: not world.gateway.parts.directory.of_service('app'))
+        await world.until(lambda: not world.gateway.components.directory.of_service('app'))
         world.configure(configuration(2, route('long', 'unsafe', 'app', LatencySloMs=60000)))
-        await world.until(lambda: world.gateway.parts.pipeline.config.version == 2)
+        await world.until(lambda: world.gateway.components.pipeline.config.version == 2)
         task = asyncio.create_task(world.call('/long/x'))
-        await world.until(lambda: world.gateway.parts.pipeline._waiting)
-        world.gateway.parts.pipeline.refuse_waiting()
+        await world.until(lambda: world.gateway.components.pipeline._waiting)
+        world.gateway.components.pipeline.refuse_waiting()
         answer = await task
         assert answer.status == 503
         assert 'Retry-After' in answer.headers
@@ -89,7 +89,7 @@
 
     async def scenario(world: GatewayWorld) -> None:
         world.configure(configuration(2, HeaderTimeoutMs=200, IdleTimeoutMs=400))
-        await world.until(lambda: world.gateway.parts.pipeline.config.version == 2)
+        await world.until(lambda: world.gateway.components.pipeline.config.version == 2)
         half_a_head, whole_call = REQUEST[:40], REQUEST
         assert await ends(world, half_a_head)
         assert await ends(world, whole_call)
--- a/tests/gateway/test_path.py
+++ b/tests/gateway/test_path.py
@@ -149,7 +149,7 @@
             replica.fault = Fault.ENDLESS_EVENT
         with pytest.raises(aiohttp.ClientError):
             await world.generate()
-        known = world.gateway.parts.directory.of_service(ENGINE)
+        known = world.gateway.components.directory.of_service(ENGINE)
         assert [replica.health.failing_share > 0 for replica in known].count(True) == 1
 
     run(scenario)
@@ -191,7 +191,7 @@
 def test_time_over_ends_a_call_at_its_route_limit() -> None:
     async def scenario(world: GatewayWorld) -> None:
         world.configure(configuration(2, route('slow', 'unsafe', PLAIN, TimeoutMs=300)))
-        await world.until(lambda: world.gateway.parts.pipeline.config.version == 2)
+        await world.until(lambda: world.gateway.components.pipeline.config.version == 2)
         for replica in world.plain:
             replica.fault = Fault.SILENT
         answer = await world.call('/slow/x')
@@ -215,15 +215,15 @@
 def test_configuration_follows_and_never_goes_back() -> None:
     async def scenario(world: GatewayWorld) -> None:
         world.configure(configuration(3, route('new', 'safe', PLAIN)))
-        await world.until(lambda: world.gateway.parts.pipeline.config.version == 3)
+        await world.until(lambda: world.gateway.components.pipeline.config.version == 3)
         assert (await world.call('/new/x')).status == 200
         assert (await world.call('/safe/x')).status == 404
         world.configure(configuration(2))
         await asyncio.sleep(0.1)
-        assert world.gateway.parts.pipeline.config.version == 3
+        assert world.gateway.components.pipeline.config.version == 3
         world.store.put('op', 'config', 'bm8gSlNPTg==')
         await asyncio.sleep(0.1)
-        assert world.gateway.parts.pipeline.config.version == 3
+        assert world.gateway.components.pipeline.config.version == 3
 
     run(scenario)
 
@@ -231,7 +231,7 @@
 def test_leaving_replica_gets_no_new_call() -> None:
     async def scenario(world: GatewayWorld) -> None:
         world.announce(world.plain[0], 'draining', beat=2)
-        await world.until(lambda: len(world.gateway.parts.directory.of_service(PLAIN)) == 1)
+        await world.until(lambda: len(world.gateway.components.directory.of_service(PLAIN)) == 1)
         # A late heartbeat from before says ready again.
         world.announce(world.plain[0], 'ready', beat=1)
         await asyncio.sleep(0.05)
@@ -265,12 +265,14 @@
 
 def test_model_without_a_copy_is_loaded_and_served() -> None:
     async def scenario(world: GatewayWorld) -> None:
-        await world.until(lambda: world.gateway.parts.leadership.fence > 0)
+        await world.until(lambda: world.gateway.components.leadership.fence > 0)
         await world.until(
             lambda: any('m3' in replica.models for replica in world.engines), limit_s=8
         )
         await world.until(
-            lambda: any(r.holds('m3') for r in world.gateway.parts.directory.of_service(ENGINE))
+            lambda: any(
+                r.holds('m3') for r in world.gateway.components.directory.of_service(ENGINE)
+            )
         )
         assert (await world.generate(model='m3')).status == 200
 
@@ -313,13 +315,13 @@
         await world.until(
             lambda: all(
                 r.record.address == address
-                for r in world.gateway.parts.directory.of_service(PLAIN)
+                for r in world.gateway.components.directory.of_service(PLAIN)
             )
         )
         answer = await world.call('/unsafe/x', Limeshelf_Deadline_Ms=deadline_ms)
         assert answer.status == 503
         assert float(answer.headers['Retry-After']) >= 0
-        replicas = world.gateway.parts.directory.of_service(PLAIN)
+        replicas = world.gateway.components.directory.of_service(PLAIN)
         assert all(replica.health.awaits_probe for replica in replicas)
         for one in [deaf, *fillers]:
             one.close()
@@ -329,7 +331,7 @@
 
 async def leave_one_plain_replica(world: GatewayWorld) -> None:
     world.announce(world.plain[1], 'draining', beat=2)
-    await world.until(lambda: len(world.gateway.parts.directory.of_service(PLAIN)) == 1)
+    await world.until(lambda: len(world.gateway.components.directory.of_service(PLAIN)) == 1)
 
 
 def test_time_over_on_a_kept_connection_promises_nothing() -> None:
@@ -352,7 +354,7 @@
         document = configuration(2)
         document['Services'][1]['MaxConns'] = LEAST_CONNECTIONS
         world.configure(document)
-        await world.until(lambda: world.gateway.parts.pipeline.config.version == 2)
+        await world.until(lambda: world.gateway.components.pipeline.config.version == 2)
         await leave_one_plain_replica(world)
         world.plain[0].fault = Fault.SILENT
         holders = [asyncio.create_task(world.call('/unsafe/x')) for _ in range(LEAST_CONNECTIONS)]
@@ -367,7 +369,7 @@
         assert len(world.plain[0].runs) == LEAST_CONNECTIONS
         assert (lines[0]['result'], lines[0]['detail']) == ('NotSent', 'time_over')
         assert not lines[0]['suspended']
-        replica = world.gateway.parts.directory.of_service(PLAIN)[0]
+        replica = world.gateway.components.directory.of_service(PLAIN)[0]
         assert not replica.health.is_suspended()
         assert replica.health.failing_share == 0
         for holder in holders:
--- a/tests/platform/test_names.py
+++ b/tests/platform/test_names.py
@@ -29,4 +29,4 @@
         for path in PACKAGE.rglob('*.py')
         if path.parent.name != 'platform' and 'limeshelf.platform' in path.read_text()
     }
-    assert importers == {'programs/followed_tables.py', 'programs/parts.py'}
+    assert importers == {'programs/followed_tables.py', 'programs/components.py'}
--- a/tests/support/gateway.py
+++ b/tests/support/gateway.py
@@ -188,7 +188,7 @@
                     if answer.status == 200:
                         break
                 await asyncio.sleep(0.02)
-            while len(self.gateway.parts.directory.all()) < len(self.plain + self.engines):
+            while len(self.gateway.components.directory.all()) < len(self.plain + self.engines):
                 await asyncio.sleep(0.02)
 
     async def call(
@@ -224,7 +224,7 @@
         A term's fence comes first. Until the engines are claimed under it, and a poll
         has shown what came before the claim, the adapter planner places nothing.
         """
-        parts = self.gateway.parts
+        parts = self.gateway.components
         fence = parts.leadership.fence
         engines = parts.directory.of_service(ENGINE)
         pending = [parts.placement._sender.pending(replica) for replica in engines]
