--- a/limeshelf/programs/components.py
+++ b/limeshelf/programs/components.py
@@ -1,6 +1,6 @@
 """The components of a gateway and which relies on which; nothing here decides or waits.
 
-Each part is made after those it needs, in the order of the imports: configuration,
+Each is made after those it needs, in the order of the imports: configuration,
 replicas, membership, dispatch, placement, then the path of a call on top.
 Owns nothing beyond the components themselves.
 """
