--- a/limeshelf/standalone/config/catalog.py
+++ b/limeshelf/standalone/config/catalog.py
@@ -1,6 +1,7 @@
 """A document indexed for the questions that requests and placers ask.
 
-Immutable: a request keeps one catalog from its start to its end.
+Immutable: a request keeps one catalog from its start to its end. Relies on the document
+alone; :mod:`limeshelf.standalone.config.holder` holds the one in force.
 """
 
 from __future__ import annotations
--- a/limeshelf/standalone/entry/answers.py
+++ b/limeshelf/standalone/entry/answers.py
@@ -38,6 +38,7 @@
     RefusalReason.DEADLINE_TOO_SHORT: 504,
     RefusalReason.KEY_REUSED: 422,
 }
+#: HTTP status of an answer without one by reason: not run, and may have run.
 NOT_RUN_STATUS = 503
 MAY_HAVE_RUN_STATUS = 502
 
--- a/limeshelf/standalone/experiment/engine.py
+++ b/limeshelf/standalone/experiment/engine.py
@@ -34,6 +34,7 @@
 class EngineSpeed:
     """Parameters of the engine model, stated in every report of an experiment.
 
+    :param slots: requests that the engine works on at one time.
     :param step_s: time of a batch step that generates a token for each request.
     :param step_each_s: added for each request in the batch.
     :param prefill_each_s: added to a step for each prompt token that joins.
@@ -41,6 +42,8 @@
     :param cache_entries: prefixes that the cache holds.
     :param load_each_s: time to load one unit of memory.
     :param report_lag_s: age of reports.
+
+    The defaults are chosen, not measured; docs/design/experiments.rst states them.
     """
 
     slots: int = 32
--- a/limeshelf/standalone/experiment/systems.py
+++ b/limeshelf/standalone/experiment/systems.py
@@ -1,6 +1,7 @@
 """The sets of policies that an experiment sets side by side: its "systems".
 
-The names are those of plans and tables (docs/design/experiments.rst).
+Owns the names, which are those of plans and tables (docs/design/experiments.rst). Relies on
+the registries of the policies.
 """
 
 from __future__ import annotations
--- a/limeshelf/standalone/lease/keeper.py
+++ b/limeshelf/standalone/lease/keeper.py
@@ -173,20 +173,24 @@
         except PlatformUnknown:
             # Whether the lease was taken stands in the row, which is read now or by the
             # next step.
-            self._observed = None
-            row = await self._table.read(self.lease_key)
-            if not _is(row, self._holder_id, epoch):
-                return
-            epoch_row = await self._table.read(self.epoch_key)
-            # Between the two reads a successor may have written the epoch row;
-            # its version must never pass for ours.
-            if _is(epoch_row, self._holder_id, epoch):
-                self._take(epoch, started_s, row.version, epoch_row.version)
+            await self._settle_lost_answer(epoch, started_s)
             return
         if isinstance(outcome, Committed):
             versions = outcome.versions
             self._take(epoch, started_s, versions[self.lease_key], versions[self.epoch_key])
 
+    async def _settle_lost_answer(self, epoch: int, started_s: float) -> None:
+        """Take the lease if its rows show that the write without an answer took it."""
+        self._observed = None
+        row = await self._table.read(self.lease_key)
+        if not _is(row, self._holder_id, epoch):
+            return
+        epoch_row = await self._table.read(self.epoch_key)
+        # Between the two reads a successor may have written the epoch row;
+        # its version must never pass for ours.
+        if _is(epoch_row, self._holder_id, epoch):
+            self._take(epoch, started_s, row.version, epoch_row.version)
+
     def _take(self, epoch: int, started_s: float, lease_version: int, epoch_version: int) -> None:
         self.held = HeldLease(epoch, started_s + self._lease_s)
         self._lease_version = lease_version
--- a/limeshelf/standalone/placement/policies.py
+++ b/limeshelf/standalone/placement/policies.py
@@ -152,7 +152,6 @@
     """
 
     #: Of the same seven settings these moved least (commit 63f6844).
-
     GAP_LOAD: ClassVar[float] = 24.0
     SETTLE_S: ClassVar[float] = 120.0
     IDLE_S: ClassVar[float] = 120.0
--- a/limeshelf/standalone/services/instances.py
+++ b/limeshelf/standalone/services/instances.py
@@ -1,4 +1,8 @@
-"""The list of live and leaving instances; it lags behind the truth."""
+"""The list of live and leaving instances; it lags behind the truth.
+
+Owns no state; :mod:`limeshelf.standalone.membership.listing` keeps what was read. Relies on
+``services.http`` for the exchange.
+"""
 
 from __future__ import annotations
 
@@ -23,7 +27,7 @@
 
 
 class ListedState(enum.StrEnum):
-    """What the list says of an instance."""
+    """The state of an instance in the list."""
 
     LIVE = 'live'
     LEAVING = 'leaving'
--- a/limeshelf/standalone/services/objects.py
+++ b/limeshelf/standalone/services/objects.py
@@ -1,4 +1,8 @@
-"""The object store: whole values under a key."""
+"""The object store: whole values under a key.
+
+Owns no state; the store holds the snapshots of the configuration. Relies on
+``services.http`` for the exchange.
+"""
 
 from __future__ import annotations
 
--- a/limeshelf/standalone/services/outages.py
+++ b/limeshelf/standalone/services/outages.py
@@ -1,4 +1,7 @@
-"""How often a lasting outage of a platform service is written to the log."""
+"""How often a lasting outage of a platform service is written to the log.
+
+Owns the one figure that all modules use which go on through an outage.
+"""
 
 from __future__ import annotations
 
--- a/limeshelf/standalone/services/table.py
+++ b/limeshelf/standalone/services/table.py
@@ -1,6 +1,7 @@
 """The transactional table service: rows with versions, conditional writes.
 
-Owns no state; the rows belong to the modules that write them.
+Owns no state; the rows belong to the modules that write them. Relies on
+``services.http`` for the exchange.
 """
 
 from __future__ import annotations
--- a/limeshelf/standalone/services/weights.py
+++ b/limeshelf/standalone/services/weights.py
@@ -1,4 +1,8 @@
-"""The weight store: which weights exist and how large they are."""
+"""The weight store: which weights exist and how large they are.
+
+Owns no state; the admin program checks the sizes of new models against it. Relies on
+``services.http`` for the exchange.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +21,7 @@
 
 @attrs.frozen
 class Manifest:
-    """What the store says of one item."""
+    """What the store has of one item."""
 
     item_id: str
     weights_bytes: int
--- a/limeshelf/standalone/upstreams/messages.py
+++ b/limeshelf/standalone/upstreams/messages.py
@@ -38,7 +38,7 @@
 
 @attrs.frozen
 class EngineReport:
-    """What an engine says of itself; it may be some seconds old.
+    """The report of an engine on itself; it may be some seconds old.
 
     :param boot_id: changes when the engine restarts and so holds nothing.
     :param sequence: grows with each report of one boot.
@@ -133,7 +133,7 @@
 
 @attrs.frozen
 class PlainReport:
-    """What a plain service says of itself."""
+    """The report of a plain service on itself."""
 
     boot_id: str
     sequence: int
--- a/limeshelf/standalone/upstreams/pool.py
+++ b/limeshelf/standalone/upstreams/pool.py
@@ -1,7 +1,7 @@
 """Clients of all upstreams, made when first used, over shared sessions.
 
 Owns the two sessions of a process: one keeps connections, the other uses a fresh one
-for each call that may not be repeated.
+for each call that may not be repeated. Relies on ``engine`` and ``plain`` for the clients.
 """
 
 from __future__ import annotations
