--- a/limeshelf/standalone/placement/gate.py
+++ b/limeshelf/standalone/placement/gate.py
@@ -42,6 +42,13 @@
             self._removed.add((item_id, upstream_id))
         return allowed
 
+    def has_unloaded(self, model: str, upstream_id: str) -> bool:
+        """Return whether a part of *model* was unloaded from the own engine in this round."""
+        return any(
+            model_of(item_id) == model and holder == upstream_id
+            for item_id, holder in self._removed
+        )
+
     def _is_spare(self, unit: UnitView, item_id: str, upstream_id: str) -> bool:
         if self._anchors.may_be_anchored(unit.model, upstream_id):
             return False
--- a/limeshelf/standalone/placement/placer.py
+++ b/limeshelf/standalone/placement/placer.py
@@ -174,10 +174,7 @@
 
     async def _carry_out(self, move: Move, gate: UnloadGate) -> None:
         if move.kind in (MoveKind.ANCHOR, MoveKind.HANDOFF):
-            done = await self._anchors.put(
-                move.model, move.upstream_id, handoff=move.kind is MoveKind.HANDOFF
-            )
-            self._record(move, 'made' if done else 'not_made')
+            await self._carry_out_anchor(move, gate)
             return
         worker = self.workers.get(move.upstream_id)
         if worker is None or not worker.is_ready:
@@ -189,6 +186,14 @@
         else:
             self._unload(move, worker, gate)
 
+    async def _carry_out_anchor(self, move: Move, gate: UnloadGate) -> None:
+        # Planned by what stood there before this round's unloads
+        # (tests/standalone/placement/test_reachable_scenarios.py).
+        done = not gate.has_unloaded(move.model, move.upstream_id) and await self._anchors.put(
+            move.model, move.upstream_id, handoff=move.kind is MoveKind.HANDOFF
+        )
+        self._record(move, 'made' if done else 'not_made')
+
     def _load(self, move: Move, worker: EngineWorker) -> None:
         item = move.item
         running = sum(other.ledger.loading_count() for other in self.workers.values())
