--- a/limeshelf/standalone/entry/claimed.py
+++ b/limeshelf/standalone/entry/claimed.py
@@ -104,19 +104,19 @@
             outcome=outcome,
         )
 
-    async def _send(self, prepared: PreparedCall) -> WholeAnswer:
+    async def _send(self, prepared: PreparedCall) -> PlainAnswer:
         """Send until one replica takes the call; read its whole answer.
 
         A claimed call is treated as not repeatable, whatever its route says:
         only refusals and failed connections lead to another replica.
         """
         once = attrs.evolve(prepared, repeatable=False)
-        attempts: PlainAttempts[WholeAnswer] = PlainAttempts(self._context, once)
-        return await attempts.send(WholeAnswerReceiver())
+        attempts: PlainAttempts[PlainAnswer] = PlainAttempts(self._context, once)
+        return await attempts.send(PlainAnswerReceiver())
 
 
 @attrs.frozen
-class WholeAnswer:
+class PlainAnswer:
     """An upstream's answer, read to its end."""
 
     status: int
@@ -129,18 +129,18 @@
         return KeptAnswer(self.status, content_type, _kept_text(self.body))
 
 
-class WholeAnswerReceiver:
+class PlainAnswerReceiver:
     """Reads an answer to its end; the caller gets nothing before."""
 
-    async def receive(self, answer: aiohttp.ClientResponse) -> WholeAnswer:
+    async def receive(self, answer: aiohttp.ClientResponse) -> PlainAnswer:
         """Return the whole answer."""
-        return WholeAnswer(answer.status, answer.headers.copy(), await answer.read())
+        return PlainAnswer(answer.status, answer.headers.copy(), await answer.read())
 
     def cut(self) -> None:
         """Cut nothing: the caller has no part of an answer that broke."""
 
 
-def _answered(whole: WholeAnswer, prepared: PreparedCall) -> web.Response:
+def _answered(whole: PlainAnswer, prepared: PreparedCall) -> web.Response:
     answer = web.Response(
         status=whole.status, body=whole.body, headers=passable_headers(whole.headers)
     )
--- a/limeshelf/standalone/placement/demand.py
+++ b/limeshelf/standalone/placement/demand.py
@@ -32,7 +32,7 @@
 
 
 @attrs.frozen
-class _Report:
+class _ReportedWaiting:
     """Requests in flight or refused by model, as one entry instance last counted them."""
 
     taken_s: float
@@ -43,7 +43,7 @@
     """Keeps the demand of all models of one data centre and the whole."""
 
     def __init__(self) -> None:
-        self._latest: dict[str, _Report] = {}
+        self._latest: dict[str, _ReportedWaiting] = {}
         self._models: dict[str, _Smoothed] = {}
         self._item_used_s: dict[str, float] = {}
 
@@ -56,7 +56,7 @@
             if item.arrived:
                 self._item_used_s[item.item_id] = now_s
                 self._models.setdefault(model, _Smoothed(0.0, now_s)).used_s = now_s
-        self._latest[demand.instance_id] = _Report(now_s, waiting)
+        self._latest[demand.instance_id] = _ReportedWaiting(now_s, waiting)
 
     def advance(self, now_s: float) -> None:
         """Move all means to *now_s*."""
