--- a/limeshelf/dispatch/__init__.py
+++ b/limeshelf/dispatch/__init__.py
@@ -1,13 +1,15 @@
-"""Which replica a model call goes to, and when: one gateway a data centre decides it.
+"""Dispatch of model calls: one gateway per data centre grants its replicas to calls.
 
-Reading order: :mod:`~limeshelf.dispatch.client` asks (:mod:`~limeshelf.dispatch.owners` and
-:mod:`~limeshelf.dispatch.fallback` say whom), :mod:`~limeshelf.dispatch.dispatcher` queues
-(:mod:`~limeshelf.dispatch.queue`) and grants (:mod:`~limeshelf.dispatch.granted`). The rules that
-it applies: :mod:`~limeshelf.dispatch.requests` (order of service),
-:mod:`~limeshelf.dispatch.selector` (which replica), :mod:`~limeshelf.dispatch.limits` (how much
-one may read and hold), :mod:`~limeshelf.dispatch.pace` (the turns at one that takes only so many
-calls a second; :mod:`~limeshelf.dispatch.turns` asks for those that no grant brings),
-:mod:`~limeshelf.dispatch.refusal` (when to refuse). What they go by:
-:mod:`~limeshelf.dispatch.granted_load`, :mod:`~limeshelf.dispatch.prompt_blocks`,
+Reading order: :mod:`~limeshelf.dispatch.client` requests a replica from the gateway selected by
+:mod:`~limeshelf.dispatch.owners` and :mod:`~limeshelf.dispatch.fallback`.
+:mod:`~limeshelf.dispatch.dispatcher` queues requests (:mod:`~limeshelf.dispatch.queue`) and
+grants replicas (:mod:`~limeshelf.dispatch.granted`).
+
+Its rules are in :mod:`~limeshelf.dispatch.requests` (order of service),
+:mod:`~limeshelf.dispatch.selector` (which replica), :mod:`~limeshelf.dispatch.limits` (prefill
+time and memory per replica), :mod:`~limeshelf.dispatch.pace` (permits of replicas that limit
+their calls per second; :mod:`~limeshelf.dispatch.turns` requests those that do not come with a
+grant) and :mod:`~limeshelf.dispatch.refusal` (when to refuse). They use the estimates in
+:mod:`~limeshelf.dispatch.granted_load`, :mod:`~limeshelf.dispatch.prompt_blocks` and
 :mod:`~limeshelf.demand.reading_speed`.
 """
--- a/limeshelf/dispatch/client.py
+++ b/limeshelf/dispatch/client.py
@@ -1,10 +1,11 @@
-"""Gets a replica for a model call from the owners of replicas that hold what it needs.
+"""Requests replicas for model calls from the gateways that grant them.
 
-Asks one owner (:mod:`limeshelf.dispatch.owners` says which), another one where it refuses,
-and again while the request is queued, so that a new owner learns of it. Where an owner is
-silent, the dispatcher of this process stands in.
-Owns how far each request of this process has come with the owners; relies on
-:mod:`limeshelf.dispatch.exchange` for the messages, which may get lost.
+Each query goes to one owner (see :mod:`limeshelf.dispatch.owners`), to another one if the first
+refuses, and is sent again while the request is queued, so that a new owner receives it too. If an
+owner does not answer, the dispatcher of this process grants instead.
+
+Owns the state of each pending request of this process. Messages are sent through
+:mod:`limeshelf.dispatch.exchange` and may be lost.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
     Stage,
     VerdictKind,
 )
-from limeshelf.dispatch.owners import OwnerChooser, replicas_of
+from limeshelf.dispatch.owners import OwnerSelector, replicas_of
 from limeshelf.dispatch.pending import PendingRequest
 from limeshelf.membership.member import LOCAL
 from limeshelf.metrics.event_log import log_change
@@ -35,25 +36,25 @@
 
     from limeshelf.dispatch.exchange import DispatchExchange
     from limeshelf.dispatch.grants import GrantRequest
-    from limeshelf.dispatch.owners import Grantor
+    from limeshelf.dispatch.owners import DispatchTarget
     from limeshelf.replicas.directory import ReplicaDirectory
 
-#: A queued request is sent again this often, so that a new dispatcher learns of it; four times
-#: within the dispatcher's ``UNASKED_LIFE_S``.
-ASK_AGAIN_S = 0.25
-#: One that waits at an owner is taken to another one after this long, while there are some that
-#: were not asked: time for one try of the queue there. A request has its place in any queue by
-#: when it is late, so it loses nothing by that.
-HOP_S = 0.02
-#: Owners that are asked for one call before it is refused.
+#: A queued request is sent again at this interval, so that a new dispatcher receives it too. A
+#: quarter of the dispatcher's ``QUEUED_TTL_S``.
+RESEND_INTERVAL_S = 0.25
+#: A request queued at one owner moves on to an owner that was not asked yet after this long, which
+#: is enough for one pass over the first owner's queue. Moving costs the request nothing, because
+#: queues are ordered by due time rather than by arrival.
+NEXT_OWNER_DELAY_S = 0.02
+#: Owners asked for one call before it is refused.
 MAX_OWNERS_ASKED = 3
 
 
 class DispatchClient:
-    """Asks the owners of replicas.
+    """Requests replicas from the gateways that own them.
 
-    :param owner_of: returns the owner of a data centre's replicas, as
-        :class:`~limeshelf.dispatch.owners.OwnerChooser` takes it.
+    :param owner_of: returns the owner of a data centre's replicas; see
+        :class:`~limeshelf.dispatch.owners.OwnerSelector`.
     :param data_centre: of this process.
     """
 
@@ -67,91 +68,102 @@
         self._exchange = exchange
         self._data_centre = data_centre
         self._fallback = Fallback()
-        self._owners = OwnerChooser(directory, self._fallback, owner_of, data_centre)
+        self._owners = OwnerSelector(directory, self._fallback, owner_of, data_centre)
 
     async def ask(self, request: GrantRequest) -> Grant | NoRoom | NoHolder:
-        """Return a grant, or why there is none.
+        """Return a grant, or the reason why there is none.
 
-        Returns by the time that the request has left; then there is no room.
+        Returns :class:`~limeshelf.dispatch.grants.NoRoom` once the time left for the request is
+        over.
         """
         now_s = boottime_s()
         pending = PendingRequest(request, now_s + request.left_s, now_s + request.objective_s)
         try:
-            return await self._settle(pending)
+            return await self._query_owners(pending)
         finally:
             self._withdraw(pending)
 
-    async def _settle(self, pending: PendingRequest) -> Grant | NoRoom | NoHolder:
-        """Ask one owner after the other, and again, until one grants or time is over."""
-        while boottime_s() < pending.ends_s:
+    async def _query_owners(self, pending: PendingRequest) -> Grant | NoRoom | NoHolder:
+        """Query owners in turn until one grants the request or its deadline passes."""
+        while boottime_s() < pending.deadline_s:
             candidates = self._candidates(pending)
             if not candidates:
                 return pending.refusal()
-            chosen = self._choose(candidates, pending)
-            self._ask(pending, chosen, candidates)
+            chosen = self._choose_owner(candidates, pending)
+            self._send_query(pending, chosen, candidates)
             verdict = await self._final_verdict(pending, candidates)
             if verdict is None:
                 continue
             if verdict.kind is VerdictKind.GRANTED:
                 return self._grant(pending, verdict)
-            self._note_refused(pending, verdict)
+            self._record_refusal(pending, verdict)
         return NoRoom(wait_s=pending.request.objective_s)
 
-    def _choose(self, candidates: list[Grantor], pending: PendingRequest) -> Grantor:
-        """Return whom to ask: all that may have room in turn, then the one of least wait."""
-        if pending.asked not in pending.queued_s:
-            return self._owners.choose(candidates, pending.asked)
+    def _choose_owner(
+        self, candidates: list[DispatchTarget], pending: PendingRequest
+    ) -> DispatchTarget:
+        """Return the target of the next query.
+
+        Each owner is tried once; when all have queued the request, it stays at the one that
+        expects the shortest wait.
+        """
+        if pending.current_owner not in pending.queued_waits_s:
+            return self._owners.choose(candidates, pending.current_owner)
         others = pending.not_queued_at(candidates)
         if others:
             return self._owners.choose(others, None)
-        best = min(candidates, key=lambda one: pending.queued_s[one.address])
-        # From there, all others are asked again after a while.
-        pending.queued_s.clear()
-        pending.stays = True
+        best = min(candidates, key=lambda target: pending.queued_waits_s[target.address])
+        # After a while at this owner, all the others are asked again.
+        pending.queued_waits_s.clear()
+        pending.is_pinned = True
         return best
 
-    def _candidates(self, pending: PendingRequest) -> list[Grantor]:
-        """Return who may still grant a request."""
-        if len(pending.waits_s) >= MAX_OWNERS_ASKED:
+    def _candidates(self, pending: PendingRequest) -> list[DispatchTarget]:
+        """Return the gateways that may still grant the request."""
+        if len(pending.refused_waits_s) >= MAX_OWNERS_ASKED:
             return []
         candidates = self._owners.candidates(pending.request, boottime_s())
-        return [one for one in candidates if one.address not in pending.waits_s]
+        return [target for target in candidates if target.address not in pending.refused_waits_s]
 
-    def _ask(self, pending: PendingRequest, chosen: Grantor, candidates: list[Grantor]) -> None:
-        if chosen.address != pending.asked:
+    def _send_query(
+        self, pending: PendingRequest, chosen: DispatchTarget, candidates: list[DispatchTarget]
+    ) -> None:
+        if chosen.address != pending.current_owner:
             self._withdraw(pending)
-            pending.asked = chosen.address
+            pending.current_owner = chosen.address
             pending.request_id = new_id('t')
-            self._exchange.await_verdicts(pending)
+            self._exchange.subscribe(pending)
         excluded = set(pending.request.excluded)
         if chosen.address == LOCAL:
-            excluded |= replicas_of(one for one in candidates if one is not chosen)
+            excluded |= replicas_of(target for target in candidates if target is not chosen)
         self._exchange.send_query(chosen.address, self._query(pending, excluded))
 
     async def _final_verdict(
-        self, pending: PendingRequest, candidates: list[Grantor]
+        self, pending: PendingRequest, candidates: list[DispatchTarget]
     ) -> DispatchVerdict | None:
-        """Return the final verdict on a query, or ``None`` if it is time to ask again."""
+        """Return the final verdict on a query, or ``None`` when it is time to query again."""
         verdict = await self._first_verdict(pending)
         while verdict is not None and verdict.kind is VerdictKind.QUEUED:
-            assert pending.asked is not None
-            pending.queued_s[pending.asked] = verdict.wait_ms / 1000
-            goes_on = not pending.stays and len(candidates) > 1
-            verdict = await pending.next_verdict(HOP_S if goes_on else ASK_AGAIN_S)
-        pending.stays = False
+            assert pending.current_owner is not None
+            pending.queued_waits_s[pending.current_owner] = verdict.wait_ms / 1000
+            may_move = not pending.is_pinned and len(candidates) > 1
+            verdict = await pending.next_verdict(
+                NEXT_OWNER_DELAY_S if may_move else RESEND_INTERVAL_S
+            )
+        pending.is_pinned = False
         return verdict
 
     async def _first_verdict(self, pending: PendingRequest) -> DispatchVerdict | None:
         verdict = await pending.next_verdict(ANSWER_TIMEOUT_S)
-        if verdict is None and pending.asked:
-            self._fallback.note_silence(pending.asked, boottime_s())
-            log_change('dispatcher_silent', dispatcher=pending.asked, avoided_s=AVOID_S)
+        if verdict is None and pending.current_owner:
+            self._fallback.record_timeout(pending.current_owner, boottime_s())
+            log_change('dispatcher_silent', dispatcher=pending.current_owner, avoided_s=AVOID_S)
         return verdict
 
     def _grant(self, pending: PendingRequest, verdict: DispatchVerdict) -> Grant:
-        owner = pending.asked
+        owner = pending.current_owner
         assert owner is not None
-        self._forget(pending)
+        self._stop_listening(pending)
         return Grant(
             pending.request_id,
             verdict.replica_id,
@@ -159,25 +171,27 @@
             has_turn=verdict.has_turn,
         )
 
-    def _note_refused(self, pending: PendingRequest, verdict: DispatchVerdict) -> None:
-        """Note a verdict after which its sender has forgotten the request."""
-        assert pending.asked is not None
+    def _record_refusal(self, pending: PendingRequest, verdict: DispatchVerdict) -> None:
+        """Record a final refusal, after which the owner no longer has the request."""
+        assert pending.current_owner is not None
         is_absent = verdict.kind is VerdictKind.ABSENT
-        pending.waits_s[pending.asked] = math.inf if is_absent else verdict.wait_ms / 1000
-        self._forget(pending)
+        pending.refused_waits_s[pending.current_owner] = (
+            math.inf if is_absent else verdict.wait_ms / 1000
+        )
+        self._stop_listening(pending)
 
     def _withdraw(self, pending: PendingRequest) -> None:
-        """Take the request back from who was asked last."""
-        if pending.asked is not None:
+        """Cancel the request at the owner that was asked last."""
+        if pending.current_owner is not None:
             ended = DispatchProgress(pending.request_id, Stage.ENDED)
-            self._exchange.send_progress(pending.asked, ended)
-            self._forget(pending)
+            self._exchange.send_progress(pending.current_owner, ended)
+            self._stop_listening(pending)
 
-    def _forget(self, pending: PendingRequest) -> None:
-        """Take no more verdicts of who was asked last."""
-        self._exchange.forget(pending)
+    def _stop_listening(self, pending: PendingRequest) -> None:
+        """Ignore further verdicts on the current request id."""
+        self._exchange.unsubscribe(pending)
         pending.verdicts = asyncio.Queue()
-        pending.asked = None
+        pending.current_owner = None
 
     def _query(self, pending: PendingRequest, excluded: set[str]) -> DispatchQuery:
         request = pending.request
@@ -189,8 +203,8 @@
             prompt_tokens=need.prompt_tokens,
             likely_tokens=need.likely_tokens,
             priority=request.priority,
-            objective_ms=int((pending.late_s - now_s) * 1000),
-            left_ms=int((pending.ends_s - now_s) * 1000),
+            objective_ms=int((pending.due_s - now_s) * 1000),
+            left_ms=int((pending.deadline_s - now_s) * 1000),
             pause_ms=int(request.pause_s * 1000),
             data_centre=self._data_centre,
             # The last block ends the prompt, so no other call shares it.
--- a/limeshelf/dispatch/dispatcher.py
+++ b/limeshelf/dispatch/dispatcher.py
@@ -1,12 +1,13 @@
-"""Grants the replicas of a data centre to model calls, and queues or refuses the others.
-
-One gateway of a data centre grants its replicas for all, because gateways that choose on
-their own do not see what the others send (score of a quiet day: 0.61 before, 1.00 after).
-Owns the queue and the granted requests; a dispatcher that starts anew learns of the
-queued ones as they are asked for again, and of the granted ones by the loads that the
-gateways report. Relies on the rules in :mod:`limeshelf.dispatch.selector`,
-:mod:`limeshelf.dispatch.refusal` and :mod:`limeshelf.dispatch.requests`, and on gateways
-to report the end of each request.
+"""Grants the replicas of a data centre to model calls, and queues or refuses other calls.
+
+One gateway grants the replicas of a data centre on behalf of all gateways, because gateways that
+choose independently do not see the calls that the others send (score of a quiet-day run: 0.61 with
+independent choice, 1.00 with one dispatcher).
+
+Owns the queue and the granted requests. After a restart, the queue is rebuilt from the queries
+that gateways send again, and granted requests are known from the loads that gateways report. The
+rules are in :mod:`limeshelf.dispatch.selector`, :mod:`limeshelf.dispatch.refusal` and
+:mod:`limeshelf.dispatch.requests`. Gateways must report the end of each request.
 """
 
 from __future__ import annotations
@@ -38,25 +39,25 @@
     from limeshelf.replicas.directory import ReplicaDirectory
     from limeshelf.replicas.replica import Replica
 
-#: Requests for a model or adapter that find no replica in one pass over the queue before the
-#: rest are skipped.
+#: A pass over the queue skips the remaining requests for a model or adapter after this many of
+#: them found no replica.
 MAX_MISSES = 3
-#: A queued request whose gateway does not ask again within this time is dropped. Four times the
-#: client's ``ASK_AGAIN_S``.
-UNASKED_LIFE_S = 1.0
+#: A queued request is dropped if its gateway does not send it again within this time. Four times
+#: the client's ``RESEND_INTERVAL_S``.
+QUEUED_TTL_S = 1.0
 
 
 class Dispatcher:
-    """Grants replicas to the requests of gateways.
+    """Grants replicas to the requests of all gateways.
 
     :param config: returns the configuration in force, ``None`` before the first.
-    :param answer: sends a verdict to the gateway at a peer address, or to this process
-        where that is empty.
-    :param owner_of: returns the owner of a data centre's replicas, as
-        :class:`~limeshelf.dispatch.owners.OwnerChooser` takes it.
+    :param answer: sends a verdict to the gateway at a peer address; the empty address is this
+        process.
+    :param owner_of: returns the owner of a data centre's replicas; see
+        :class:`~limeshelf.dispatch.owners.OwnerSelector`.
     :param data_centre: of this process.
-    :param paces: the turns at replicas that take only so many calls a second.
-    :ivar speed: how fast prompts are read, as this process has seen it.
+    :param paces: rate limiters of the replicas that limit their calls per second.
+    :ivar speed: prefill speed of each model, as measured by this process.
     """
 
     def __init__(
@@ -77,12 +78,12 @@
         self._selector = HolderSelector(directory, self.speed, owner_of, data_centre, self._paces)
 
     @property
-    def waiting(self) -> int:
-        """Return how many requests are queued."""
+    def queue_length(self) -> int:
+        """Return the number of queued requests."""
         return len(self._queue)
 
-    def take_query(self, query: DispatchQuery, asker: str) -> None:
-        """Take a new request, or one that is asked for again, and answer it."""
+    def handle_query(self, query: DispatchQuery, requester: str) -> None:
+        """Answer a query for a new request, or for one that was sent again."""
         now_s = boottime_s()
         granted = self._granted.get(query.ticket_id)
         if granted is not None:
@@ -90,43 +91,44 @@
             return
         request = self._queue.get(query.ticket_id)
         if request is None:
-            request = QueuedRequest.from_query(query, asker, now_s)
+            request = QueuedRequest.from_query(query, requester, now_s)
             self._queue.add(request)
-        request.asked_s = now_s
-        if now_s > request.ends_s:
-            # tests/dispatch/test_dispatcher.py::
-            # test_request_asked_for_again_after_its_time_takes_no_room
+        request.last_query_s = now_s
+        if now_s > request.deadline_s:
+            # Otherwise an expired request would be granted and hold its slot; see
+            # test_expired_request_that_is_sent_again_takes_no_slot in
+            # tests/dispatch/test_dispatcher.py.
             self._queue.remove(request.request_id)
             return
-        self._end_overdue(now_s)
-        self._selector.forget_holders()
+        self._expire_grants(now_s)
+        self._selector.clear_holder_cache()
         if self._is_next(request, now_s):
             self._try_grant(request, now_s)
         if query.ticket_id in self._queue:
             self._answer_queued(request)
 
-    def take_progress(self, progress: DispatchProgress) -> None:
-        """Take how far a request has come; the next pump lets others in."""
+    def handle_progress(self, progress: DispatchProgress) -> None:
+        """Record the progress of a request; freed capacity is granted in the next queue pass."""
         if progress.stage is Stage.ENDED:
             self._queue.remove(progress.ticket_id)
-            granted = self._granted.end(progress.ticket_id)
+            granted = self._granted.finish(progress.ticket_id)
             if granted is not None:
-                self._selector.load(granted.replica).remove(granted)
+                self._selector.load_of(granted.replica).remove(granted)
         else:
             granted = self._granted.get(progress.ticket_id)
             if granted is not None:
-                self._note_read(granted)
+                self._end_prefill(granted)
 
-    def pump(self) -> None:
-        """Grant what can be granted, the most urgent first.
+    def process_queue(self) -> None:
+        """Grant what can be granted, the most urgent requests first.
 
-        Where the first requests for a model found no room, the others for it hardly will;
-        so each pass gives up on a model after :data:`MAX_MISSES`.
+        If the first requests for a model find no replica, the others for it are unlikely to, so
+        each pass skips a model after :data:`MAX_MISSES` failures.
         """
         now_s = boottime_s()
-        self._queue.drop_stale(now_s, UNASKED_LIFE_S)
-        self._end_overdue(now_s)
-        self._selector.forget_holders()
+        self._queue.drop_stale(now_s, QUEUED_TTL_S)
+        self._expire_grants(now_s)
+        self._selector.clear_holder_cache()
         misses: dict[ModelKey, int] = {}
         for request in self._queue.in_order(now_s):
             key = request.query.key
@@ -136,60 +138,63 @@
                 misses[key] = misses.get(key, 0) + 1
 
     def _is_next(self, request: QueuedRequest, now_s: float) -> bool:
-        """Return whether no more urgent request is queued that its holders could take."""
+        """Return whether no more urgent request competes for the same replicas."""
         urgency = request.urgency(now_s)
-        return not any(one.urgency(now_s) < urgency for one in self._rival_shares(request))
+        return not any(
+            other.urgency(now_s) < urgency for other in self._competing_requests(request)
+        )
 
-    def _rival_shares(self, request: QueuedRequest) -> dict[QueuedRequest, float]:
-        """Return the queued requests that holders of this one could take, itself included.
+    def _competing_requests(self, request: QueuedRequest) -> dict[QueuedRequest, float]:
+        """Return the queued requests that compete for the request's holders, itself included.
 
-        With each goes the share of its own holders that these are: a call for a model without
-        an adapter may go to any of its replicas, one for an adapter to few.
+        The value is the share of a competing request's holders that could also serve this one: a
+        call for a model without an adapter may go to any replica of the model, one for an adapter
+        only to a few.
         """
         key = request.query.key
         shares: dict[ModelKey, float] = {}
-        rivals = {}
-        for one in self._queue.of_model(key.model):
-            other = one.query.key
+        competing = {}
+        for queued in self._queue.of_model(key.model):
+            other = queued.query.key
             if other not in shares:
-                shares[other] = self._selector.common_share(key, other)
+                shares[other] = self._selector.shared_holder_fraction(key, other)
             if shares[other]:
-                rivals[one] = shares[other]
-        return rivals
+                competing[queued] = shares[other]
+        return competing
 
     def _answer_queued(self, request: QueuedRequest) -> None:
-        """Answer a request that got no replica now: absent, refused or queued."""
-        self._selector.forget_holders()
+        """Answer a request that was not granted now: absent, refused or queued."""
+        self._selector.clear_holder_cache()
         holders = self._selector.holders(request)
         if not holders:
             self._queue.remove(request.request_id)
             self._send(request, VerdictKind.ABSENT)
             return
-        wait = self._estimate(request, holders)
+        wait = self._estimate_wait(request, holders)
         if wait.is_too_long:
             self._queue.remove(request.request_id)
             self._send(request, VerdictKind.REFUSED, int(wait.expected_ms))
             return
         self._send(request, VerdictKind.QUEUED, int(wait.expected_ms))
 
-    def _estimate(self, request: QueuedRequest, holders: list[Replica]) -> WaitEstimate:
+    def _estimate_wait(self, request: QueuedRequest, holders: list[Replica]) -> WaitEstimate:
         now_s = boottime_s()
         query = request.query
         model, urgency = query.key.model, request.urgency(now_s)
         ahead = {
-            one: share
-            for one, share in self._rival_shares(request).items()
-            if one.urgency(now_s) <= urgency
+            queued: share
+            for queued, share in self._competing_requests(request).items()
+            if queued.urgency(now_s) <= urgency
         }
         ahead_ms = sum(
-            share * self.speed.read_ms(model, one.query.prompt_tokens)
-            for one, share in ahead.items()
+            share * self.speed.read_ms(model, queued.query.prompt_tokens)
+            for queued, share in ahead.items()
         )
         position = QueuePosition(
             ahead_ms, len(holders), query.objective_ms, query.left_ms, query.returned
         )
-        turn_s = self._paces.queue_wait_s(holders, math.ceil(sum(ahead.values())), now_s)
-        return estimate_wait(position).at_least(turn_s * MS_PER_S)
+        permit_wait_s = self._paces.queue_wait_s(holders, math.ceil(sum(ahead.values())), now_s)
+        return estimate_wait(position).at_least(permit_wait_s * MS_PER_S)
 
     def _try_grant(self, request: QueuedRequest, now_s: float) -> bool:
         config = self._config()
@@ -204,48 +209,48 @@
 
     def _grant(self, request: QueuedRequest, replica: Replica, now_s: float) -> None:
         query = request.query
-        load = self._selector.load(replica)
-        unread_tokens = load.blocks.unread_tokens(query, boottime_s())
+        load = self._selector.load_of(replica)
+        uncached_tokens = load.cached_blocks.uncached_tokens(query, boottime_s())
         granted = GrantedRequest(
             query,
-            request.asker,
-            request.ends_s,
+            request.requester,
+            request.deadline_s,
             replica,
-            unread_tokens,
-            read_ms=self.speed.read_ms(query.key.model, unread_tokens),
+            uncached_tokens,
+            prefill_ms=self.speed.read_ms(query.key.model, uncached_tokens),
             granted_s=now_s,
-            has_turn=self._takes_turn(replica, now_s),
+            has_permit=self._try_take_permit(replica, now_s),
         )
         load.add(granted)
         self._queue.remove(request.request_id)
         self._granted.add(granted)
         self._send_grant(granted)
 
-    def _takes_turn(self, replica: Replica, now_s: float) -> bool:
-        """Take the turn that a grant needs; return whether one was needed and taken here."""
+    def _try_take_permit(self, replica: Replica, now_s: float) -> bool:
+        """Take a rate permit for a grant; return whether it was needed and issued here."""
         if replica.backpressure.rate_per_s is None:
             return False
-        turn = self._paces.try_take(replica, 0.0, now_s)
-        return turn is not None and turn.is_granted
+        permit = self._paces.try_acquire(replica, 0.0, now_s)
+        return permit is not None and permit.is_granted
 
-    def _note_read(self, granted: GrantedRequest) -> None:
-        if granted.read_alone:
+    def _end_prefill(self, granted: GrantedRequest) -> None:
+        if granted.prefilled_alone:
             first_event_ms = granted.elapsed_ms(boottime_s())
-            self.speed.learn(granted.query.key.model, granted.unread_tokens, first_event_ms)
-        self._selector.load(granted.replica).end_reading(granted)
+            self.speed.learn(granted.query.key.model, granted.uncached_tokens, first_event_ms)
+        self._selector.load_of(granted.replica).end_prefill(granted)
 
-    def _end_overdue(self, now_s: float) -> None:
-        """Count no longer what was granted to gateways that have likely gone."""
-        for granted in self._granted.end_overdue(now_s):
-            self._selector.load(granted.replica).remove(granted)
+    def _expire_grants(self, now_s: float) -> None:
+        """Stop counting expired grants, whose gateways have probably stopped."""
+        for granted in self._granted.pop_expired(now_s):
+            self._selector.load_of(granted.replica).remove(granted)
 
     def _send(self, request: QueuedRequest, kind: VerdictKind, wait_ms: int = 0) -> None:
         verdict = DispatchVerdict(request.request_id, kind, '', wait_ms)
-        self._answer(request.asker, verdict)
+        self._answer(request.requester, verdict)
 
     def _send_grant(self, granted: GrantedRequest) -> None:
         replica_id = granted.replica.replica_id
         verdict = DispatchVerdict(
-            granted.request_id, VerdictKind.GRANTED, replica_id, has_turn=granted.has_turn
+            granted.request_id, VerdictKind.GRANTED, replica_id, has_turn=granted.has_permit
         )
-        self._answer(granted.asker, verdict)
+        self._answer(granted.requester, verdict)
--- a/limeshelf/dispatch/exchange.py
+++ b/limeshelf/dispatch/exchange.py
@@ -1,7 +1,7 @@
-"""Carries queries, verdicts and progress between gateways, and runs this one's own dispatcher.
+"""Carries dispatch messages between gateways, and runs the dispatcher of this process.
 
-Owns the dispatcher of this process, and who here waits for verdicts. Relies on the connections
-to peers for the messages in :mod:`limeshelf.dispatch.messages`, which may get lost.
+Owns the dispatcher of this process and the requests that wait for verdicts here. Messages
+(:mod:`limeshelf.dispatch.messages`) go over the peer connections and may be lost.
 """
 
 from __future__ import annotations
@@ -23,20 +23,20 @@
     from limeshelf.peers.node import PeerNode
     from limeshelf.replicas.directory import ReplicaDirectory
 
-#: The own queue is tried this often while requests wait in it, because time alone makes room
-#: too. Trying also an empty one woke each gateway 67 times a second, half of all that an idle
-#: gateway did.
-PUMP_INTERVAL_S = 0.015
+#: Interval between passes over the queue while requests wait in it: capacity also becomes free
+#: with time alone. Passes over an empty queue woke each gateway 67 times a second, half of all
+#: wake-ups of an idle gateway.
+QUEUE_INTERVAL_S = 0.015
 
 
 class DispatchExchange:
-    """Sends and takes the messages of dispatching; what is sent to this process stays here.
+    """Sends and receives dispatch messages; those addressed to this process stay local.
 
     :param config: returns the configuration in force, ``None`` before the first.
-    :param owner_of: returns the owner of a data centre's replicas, as
-        :class:`~limeshelf.dispatch.owners.OwnerChooser` takes it.
+    :param owner_of: returns the owner of a data centre's replicas; see
+        :class:`~limeshelf.dispatch.owners.OwnerSelector`.
     :param data_centre: of this process.
-    :param paces: as :class:`~limeshelf.dispatch.dispatcher.Dispatcher` takes it.
+    :param paces: see :class:`~limeshelf.dispatch.dispatcher.Dispatcher`.
     """
 
     def __init__(
@@ -52,68 +52,68 @@
             directory, config, self._send_verdict, owner_of, data_centre, paces
         )
         self._node = node
-        self._waiting: dict[str, PendingRequest] = {}
-        self._queued = asyncio.Event()
+        self._pending: dict[str, PendingRequest] = {}
+        self._queue_filled = asyncio.Event()
 
     def start(self) -> None:
-        """Take messages."""
-        self._node.add_handler(DispatchQuery, self._take_query)
-        self._node.add_handler(DispatchVerdict, self._take_verdict)
-        self._node.add_handler(DispatchProgress, self._take_progress)
+        """Register the message handlers."""
+        self._node.add_handler(DispatchQuery, self._on_query)
+        self._node.add_handler(DispatchVerdict, self._on_verdict)
+        self._node.add_handler(DispatchProgress, self._on_progress)
 
     async def run(self) -> None:
-        """Try the own queue again and again while requests wait in it, until cancelled."""
+        """Process the queue periodically while requests wait in it, until cancelled."""
         while True:
-            await self._queued.wait()
-            self._queued.clear()
-            while self.dispatcher.waiting:
-                await asyncio.sleep(PUMP_INTERVAL_S)
-                self.dispatcher.pump()
+            await self._queue_filled.wait()
+            self._queue_filled.clear()
+            while self.dispatcher.queue_length:
+                await asyncio.sleep(QUEUE_INTERVAL_S)
+                self.dispatcher.process_queue()
 
-    def await_verdicts(self, pending: PendingRequest) -> None:
-        """Give a request the verdicts that come for its id from now on."""
-        self._waiting[pending.request_id] = pending
+    def subscribe(self, pending: PendingRequest) -> None:
+        """Deliver the verdicts for a request's current id to it from now on."""
+        self._pending[pending.request_id] = pending
 
-    def forget(self, pending: PendingRequest) -> None:
-        """Take no more verdicts for a request."""
-        del self._waiting[pending.request_id]
+    def unsubscribe(self, pending: PendingRequest) -> None:
+        """Stop delivering verdicts to a request."""
+        del self._pending[pending.request_id]
 
     def send_query(self, owner: str, query: DispatchQuery) -> None:
         """Send a query to the owner of replicas."""
         if owner == LOCAL:
-            self._take(query, LOCAL)
+            self._handle_query(query, LOCAL)
         else:
             self._node.send(owner, query)
 
     def send_progress(self, owner: str, progress: DispatchProgress) -> None:
-        """Tell the owner of replicas how far a request has come."""
+        """Report the progress of a request to the owner of its replica."""
         if owner == LOCAL:
-            self.dispatcher.take_progress(progress)
+            self.dispatcher.handle_progress(progress)
         else:
             self._node.send(owner, progress)
 
-    def _send_verdict(self, asker: str, verdict: DispatchVerdict) -> None:
-        if asker == LOCAL:
+    def _send_verdict(self, requester: str, verdict: DispatchVerdict) -> None:
+        if requester == LOCAL:
             self.deliver(verdict)
         else:
-            self._node.send(asker, verdict)
+            self._node.send(requester, verdict)
 
     def deliver(self, verdict: DispatchVerdict) -> None:
-        """Hand a verdict to the request that waits for it, if any still does."""
-        pending = self._waiting.get(verdict.ticket_id)
+        """Pass a verdict to the request it belongs to, if that is still pending."""
+        pending = self._pending.get(verdict.ticket_id)
         if pending is not None:
             pending.verdicts.put_nowait(verdict)
 
-    def _take(self, query: DispatchQuery, asker: str) -> None:
-        self.dispatcher.take_query(query, asker)
-        if self.dispatcher.waiting:
-            self._queued.set()
+    def _handle_query(self, query: DispatchQuery, requester: str) -> None:
+        self.dispatcher.handle_query(query, requester)
+        if self.dispatcher.queue_length:
+            self._queue_filled.set()
 
-    def _take_query(self, envelope: Envelope) -> None:
-        self._take(envelope.message, envelope.sender)
+    def _on_query(self, envelope: Envelope) -> None:
+        self._handle_query(envelope.message, envelope.sender)
 
-    def _take_verdict(self, envelope: Envelope) -> None:
+    def _on_verdict(self, envelope: Envelope) -> None:
         self.deliver(envelope.message)
 
-    def _take_progress(self, envelope: Envelope) -> None:
-        self.dispatcher.take_progress(envelope.message)
+    def _on_progress(self, envelope: Envelope) -> None:
+        self.dispatcher.handle_progress(envelope.message)
--- a/limeshelf/dispatch/grants.py
+++ b/limeshelf/dispatch/grants.py
@@ -1,6 +1,6 @@
-"""What a model call asks the dispatcher for, and the answers that the call can get.
+"""What a model call requests from the dispatcher, and the results it can get.
 
-Owns these types alone; the dispatcher relies on each grant to report its end.
+Owns only these types. The dispatcher relies on each grant to report its end.
 """
 
 from __future__ import annotations
@@ -20,15 +20,15 @@
 
 @attrs.frozen
 class GrantRequest:
-    """What a call asks the dispatcher for.
+    """A call's request for a replica.
 
     :param priority: of the route; 0 is the most urgent.
     :param objective_s: time left until the first event is late.
-    :param left_s: time until the caller gives up waiting for the first event.
-    :param pause_s: longest pause between events that keeps the answer in time.
-    :param excluded: ids of replicas that refused or failed this call, or that this
-        gateway cannot reach.
-    :param returned: the caller was refused before and has come back.
+    :param left_s: time left until the caller gives up waiting for the first event.
+    :param pause_s: longest pause between events within the latency objective.
+    :param excluded: ids of replicas that refused or failed this call, or that this gateway cannot
+        reach.
+    :param returned: the caller retries after a refusal.
     """
 
     key: ModelKey
@@ -48,9 +48,9 @@
 
 @attrs.frozen
 class NoRoom:
-    """Some replicas hold what the call needs, but none would have room in time.
+    """Some replicas hold what the call needs, but none is expected to have capacity in time.
 
-    :param wait_s: time until one likely has room.
+    :param wait_s: estimated time until one has capacity.
     """
 
     wait_s: float
@@ -60,25 +60,25 @@
 class Grant:
     """A replica that the call may be sent to.
 
-    Whoever gets it has to call :meth:`report_ended` once, whatever becomes of the call;
-    otherwise the dispatcher counts the call at the replica until its time is over.
+    The receiver must call :meth:`report_ended` once, whatever the outcome of the call; otherwise
+    the dispatcher counts the call at the replica until the grant expires.
 
-    :ivar replica_id: where the call goes.
-    :ivar has_turn: a turn at a replica that takes only so many calls a second goes with it.
+    :ivar replica_id: the replica to send the call to.
+    :ivar has_turn: the grant includes a rate permit of the replica.
     """
 
     request_id: str
     replica_id: str
     _report: Callable[[DispatchProgress], None]
     has_turn: bool = False
-    _was_read: bool = False
+    _prefill_reported: bool = False
 
     def report_read(self) -> None:
-        """Report that the first event came, so that the prompt was read."""
-        if not self._was_read:
-            self._was_read = True
+        """Report the first event, which shows that the prefill has finished."""
+        if not self._prefill_reported:
+            self._prefill_reported = True
             self._report(DispatchProgress(self.request_id, Stage.READ))
 
     def report_ended(self) -> None:
-        """Report that the call is no longer at the replica."""
+        """Report that the replica no longer runs the call."""
         self._report(DispatchProgress(self.request_id, Stage.ENDED))
--- a/limeshelf/dispatch/limits.py
+++ b/limeshelf/dispatch/limits.py
@@ -1,34 +1,37 @@
-"""How much a replica may read, and hold, at once.
-
-Reading a prompt holds up every stream of the replica's batch. An event takes as long as
-its steps and what is read between them, whichever step that falls in. So what is granted
-in any window of time as long as the bearable pause between two events has to stay below
-that pause less the steps. Bounding only what is read at one moment left 160 of some 560
-streams of a quiet day with longer pauses, the window left 49.
-Owns these rules alone; relies on :mod:`limeshelf.dispatch.granted_load` for the sums.
+"""Limits on the prefill time and the memory that calls may use on a replica at once.
+
+A prefill delays every stream in the replica's batch, and the pause between two events of a stream
+is the sum of its decode steps and the prefills between them, whichever step these fall in. So the
+prefill time granted within any window as long as the allowed pause must stay below that pause
+minus the decode steps. Limiting only the prefills in progress at one moment left longer pauses in
+160 of about 560 streams of the quiet-day run; limiting the window left them in 49.
+
+Owns these rules only; :mod:`limeshelf.dispatch.granted_load` keeps the sums.
 """
 
 from __future__ import annotations
 
 import attrs
 
-#: Part of the bearable pause, less the steps of an event, that reading may take.
-READING_SHARE = 0.84
-#: Length of the window in bearable pauses: a replica may begin to read later than granted.
+#: Share of the allowed pause, minus the decode steps of an event, that prefills may take.
+PREFILL_SHARE = 0.84
+#: Length of the window in allowed pauses; above 1 because a replica may start a prefill later than
+#: it was granted.
 WINDOW_PAUSES = 1.15
-#: A step of a replica's batch in which nothing is read. See ``FIRST_EVENT_OVERHEAD_MS`` for the
-#: figures of steps that differ.
-PLAIN_STEP_MS = 12.0
-#: Part of a replica's memory that calls may fill before others wait.
-MEMORY_SHARE = 0.9
+#: Duration of a batch step without prefill. See ``FIRST_EVENT_OVERHEAD_MS`` in
+#: :mod:`limeshelf.demand.reading_speed` for the other estimates of step time, which measure
+#: something else.
+DECODE_STEP_MS = 12.0
+#: Share of a replica's memory that calls may fill before further calls wait.
+USABLE_MEMORY_SHARE = 0.9
 
 
 @attrs.frozen
-class ReadingWindow:
-    """What a replica may read within any stretch of time of a given length.
+class PrefillWindow:
+    """The prefill time that a replica may be granted within a sliding window.
 
-    :param span_s: length of the stretch.
-    :param limit_ms: reading that may be granted within it.
+    :param span_s: length of the window.
+    :param limit_ms: prefill time that may be granted within it.
     """
 
     span_s: float
@@ -37,35 +40,35 @@
     @classmethod
     def from_pause(
         cls, pause_ms: int, steps_per_event: int, granted_share: float
-    ) -> ReadingWindow:
+    ) -> PrefillWindow:
         """Return the window of a request.
 
-        :param pause_ms: longest pause between events that keeps its answer in time.
-        :param steps_per_event: steps of the batch between two events of a stream.
-        :param granted_share: part of the reading, 0 to 1, that this process may grant.
+        :param pause_ms: longest pause between events within the latency objective.
+        :param steps_per_event: decode steps between two events of a stream.
+        :param granted_share: share of the prefill capacity, 0 to 1, that this process may grant.
         """
-        steps_ms = PLAIN_STEP_MS * steps_per_event
-        limit_ms = READING_SHARE * granted_share * max(0.0, pause_ms - steps_ms)
+        steps_ms = DECODE_STEP_MS * steps_per_event
+        limit_ms = PREFILL_SHARE * granted_share * max(0.0, pause_ms - steps_ms)
         return cls(WINDOW_PAUSES * pause_ms / 1000, limit_ms)
 
-    def admits(self, granted_ms: float, read_ms: float) -> bool:
-        """Return whether a replica may read one more prompt now.
+    def admits(self, granted_prefill_ms: float, prefill_ms: float) -> bool:
+        """Return whether one more prefill may be granted now.
 
-        A prompt that is longer than the limit by itself is read where nothing else is.
+        A prompt that exceeds the limit by itself is admitted if no other prefill is in the window.
 
-        :param granted_ms: reading granted there within the window.
-        :param read_ms: of the new prompt.
+        :param granted_prefill_ms: prefill time granted at the replica within the window.
+        :param prefill_ms: estimated prefill time of the new prompt.
         """
-        return not granted_ms or granted_ms + read_ms <= self.limit_ms
+        return not granted_prefill_ms or granted_prefill_ms + prefill_ms <= self.limit_ms
 
 
 @attrs.frozen
 class Occupancy:
-    """What calls hold of a replica.
+    """The slots and memory of a replica that calls occupy.
 
-    :param calls: under way.
-    :param tokens: that they likely fill of its memory.
-    :param slots: calls that the replica runs at once.
+    :param calls: calls in progress.
+    :param tokens: estimated tokens that these occupy in its memory.
+    :param slots: calls that the replica runs concurrently.
     :param memory_tokens: size of its memory.
     """
 
@@ -75,7 +78,7 @@
     memory_tokens: int
 
     def admits(self, tokens: int) -> bool:
-        """Return whether a call of so many tokens may be added; a lone one always may."""
+        """Return whether a call of *tokens* tokens fits; on an idle replica it always does."""
         if self.calls >= self.slots:
             return False
-        return not self.calls or self.tokens + tokens <= MEMORY_SHARE * self.memory_tokens
+        return not self.calls or self.tokens + tokens <= USABLE_MEMORY_SHARE * self.memory_tokens
--- a/limeshelf/dispatch/messages.py
+++ b/limeshelf/dispatch/messages.py
@@ -1,7 +1,8 @@
-"""Messages between a gateway that serves a call and the one that dispatches calls.
+"""Messages between a gateway that serves a call and the gateway that dispatches it.
 
-What they call a ticket is a request elsewhere, and their parts are blocks of the prompt;
-the names of encoded fields stay as they are.
+Encoded names must not change, so some fields differ from the terms used elsewhere: a *ticket* is a
+request, a *turn* is a rate permit, *parts* are prompt blocks, and the stage *read* means that the
+prefill has finished.
 """
 
 from __future__ import annotations
@@ -16,10 +17,10 @@
 
 
 class VerdictKind(enum.StrEnum):
-    """What the dispatcher decided on a request.
+    """Decision of the dispatcher on a request.
 
-    Granted, absent (no replica that is not excluded holds what it needs) and refused are
-    final; a queued one gets another verdict later.
+    Granted, absent (no replica that is not excluded holds what the request needs) and refused are
+    final. A queued request gets another verdict later.
     """
 
     GRANTED = 'granted'
@@ -29,7 +30,7 @@
 
 
 class Stage(enum.StrEnum):
-    """How far a request has come: its prompt was read, or it is over or withdrawn."""
+    """Progress of a request: its prefill has finished, or it has ended or was withdrawn."""
 
     READ = 'read'
     ENDED = 'ended'
@@ -38,8 +39,8 @@
 class SharedPart(msgspec.Struct, array_like=True):
     """A block of a prompt that other calls may share.
 
-    :param part_id: names the block's content.
-    :param tokens: of the block.
+    :param part_id: identifies the content of the block.
+    :param tokens: in the block.
     """
 
     part_id: str
@@ -49,20 +50,20 @@
 @add_message('dispatch-query')
 @attrs.frozen
 class DispatchQuery:
-    """Asks for a replica for a call; asking again with the same id changes nothing.
+    """Requests a replica for a call; repeating it with the same id has no further effect.
 
-    :param ticket_id: id of the request, given by the asking gateway.
+    :param ticket_id: id of the request, chosen by the requesting gateway.
     :param prompt_tokens: of the whole prompt, shared blocks included.
-    :param likely_tokens: the caller's guess at the generated tokens.
+    :param likely_tokens: estimate by the caller of the tokens to generate.
     :param priority: of the route; 0 is the most urgent.
     :param objective_ms: time left until the first event is late.
     :param left_ms: time left until the caller gives up.
-    :param pause_ms: longest pause between events that keeps an answer in time.
-    :param data_centre: of the asking gateway.
+    :param pause_ms: longest pause between events within the latency objective.
+    :param data_centre: of the requesting gateway.
     :param parts: blocks at the head of the prompt that other calls may share, in order.
-    :param excluded: ids of replicas that refused or failed this call, or that the asking
+    :param excluded: ids of replicas that refused or failed this call, or that the requesting
         gateway cannot reach.
-    :param returned: the caller was refused before and has come back.
+    :param returned: the caller retries after a refusal.
     """
 
     ticket_id: str
@@ -82,11 +83,11 @@
 @add_message('dispatch-verdict')
 @attrs.frozen
 class DispatchVerdict:
-    """Answers a query, now or when a replica has room.
+    """Answers a query, immediately or once a replica has capacity.
 
-    :param replica_id: where the call goes; empty unless granted.
-    :param wait_ms: time until a replica likely has room, where it is refused or queued.
-    :param has_turn: whether a turn at the replica goes with a grant.
+    :param replica_id: the replica to send the call to; empty unless granted.
+    :param wait_ms: estimated time until a replica has capacity, if refused or queued.
+    :param has_turn: whether the grant includes a rate permit of the replica.
     """
 
     ticket_id: str
@@ -99,14 +100,14 @@
 @add_message('turn-query')
 @attrs.frozen
 class TurnQuery:
-    """Asks the pacer of a replica for a turn of one call there.
-
-    :param query_id: given by the asking gateway.
-    :param born_ms: when the replica started, in milliseconds since 1970; ``None`` where it does
-        not say so.
-    :param rate_per_s: calls a second that it takes, as the asker knows it.
-    :param heard_ms_ago: how long ago an answer last named that rate.
-    :param patience_ms: how long the call can wait for its turn.
+    """Requests a rate permit for one call from the pacer of a replica.
+
+    :param query_id: chosen by the requesting gateway.
+    :param born_ms: start time of the replica, in milliseconds since 1970; ``None`` if the replica
+        does not report it.
+    :param rate_per_s: rate limit of the replica, as known to the requesting gateway.
+    :param heard_ms_ago: time since the replica last reported that limit.
+    :param patience_ms: longest time that the call can wait for its permit.
     """
 
     query_id: str
@@ -120,9 +121,10 @@
 @add_message('turn-verdict')
 @attrs.frozen
 class TurnVerdict:
-    """Answers a query.
+    """Answers a permit query.
 
-    :param wait_ms: until the call may go; where it may not, until another one likely may.
+    :param wait_ms: time until the call may be sent; if not granted, estimated time until a permit
+        is available.
     """
 
     query_id: str
@@ -133,7 +135,7 @@
 @add_message('dispatch-progress')
 @attrs.frozen
 class DispatchProgress:
-    """Reports that a granted request's prompt was read, or that a request is over."""
+    """Reports that the prefill of a granted request has finished, or that a request has ended."""
 
     ticket_id: str
     stage: Stage
--- a/limeshelf/dispatch/owners.py
+++ b/limeshelf/dispatch/owners.py
@@ -1,15 +1,14 @@
-"""Which gateway grants the calls at a replica, and which one a call asks.
-
-The replicas of a data centre have one owner, a gateway there, which alone grants their
-slots and reading; so what a grant has to know exactly is known exactly, and no process
-carries the calls of the whole fleet. A call goes to one of the owners of replicas that hold
-what it needs: the own data centre's, or another one drawn at random, whichever has the less
-loaded replica by what gateways last reported. While an owner does not answer, or none is
-known, each gateway grants a part of those replicas by itself
-(:mod:`limeshelf.dispatch.fallback`).
-
-Owns nothing. Relies on the view of the owners that the program gives, and on the directory
-for holders and loads.
+"""Selects the gateway that a call asks for a replica.
+
+The replicas of a data centre have one owner, a gateway in that data centre, which alone grants
+their slots and prefill time. So the state that a grant depends on is exact, and no process
+dispatches the calls of the whole fleet. A call asks one of the owners whose replicas hold what it
+needs: the owner of the own data centre or another one picked at random, whichever has the less
+loaded replica according to the latest reports. While an owner is unknown or does not answer, each
+gateway grants part of those replicas by itself (:mod:`limeshelf.dispatch.fallback`).
+
+Owns no state. The owners come from the membership view of the process, holders and loads from the
+replica directory.
 """
 
 from __future__ import annotations
@@ -29,18 +28,18 @@
     from limeshelf.replicas.directory import ReplicaDirectory
     from limeshelf.replicas.replica import Replica
 
-#: Owners that are compared for a call. The reports are up to half a second old, so the best of
-#: all would be everybody's.
-CHOICES = 2
+#: Number of owners compared for a call. Load reports are up to half a second old, so if all owners
+#: were compared, every gateway would pick the same one.
+OWNERS_COMPARED = 2
 
 
 @attrs.frozen
-class Grantor:
-    """Who may grant a call, with the replicas that it would grant.
+class DispatchTarget:
+    """A gateway that may grant a call, and the replicas that it may grant.
 
     :param address: peer address, :data:`~limeshelf.membership.member.LOCAL` for this process.
-    :param is_owner: whether it owns these replicas, or stands in for an owner that is not
-        known or does not answer.
+    :param is_owner: whether it owns these replicas; otherwise it replaces an owner that is unknown
+        or does not answer.
     """
 
     address: str
@@ -48,18 +47,17 @@
     replicas: list[Replica]
 
 
-def replicas_of(candidates: Iterable[Grantor]) -> set[str]:
-    """Return the ids of all replicas that some may grant."""
-    return {replica.replica_id for one in candidates for replica in one.replicas}
+def replicas_of(candidates: Iterable[DispatchTarget]) -> set[str]:
+    """Return the ids of all replicas of some targets."""
+    return {replica.replica_id for target in candidates for replica in target.replicas}
 
 
 @attrs.frozen
-class OwnerChooser:
-    """Chooses the owner that a call asks.
+class OwnerSelector:
+    """Selects the target of a call's query.
 
     :param owner_of: returns the peer address of the owner of a data centre's replicas,
-        :data:`~limeshelf.membership.member.LOCAL` for this process, ``None`` where none is
-        known.
+        :data:`~limeshelf.membership.member.LOCAL` for this process, ``None`` if none is known.
     :param data_centre: of this process.
     """
 
@@ -68,14 +66,14 @@
     owner_of: Callable[[str], str | None]
     data_centre: str
 
-    def candidates(self, request: GrantRequest, now_s: float) -> list[Grantor]:
-        """Return who may grant a call, each with the replicas that hold what it needs."""
-        found: dict[tuple[str, bool], Grantor] = {}
+    def candidates(self, request: GrantRequest, now_s: float) -> list[DispatchTarget]:
+        """Return the gateways that may grant a call, with the replicas that hold what it needs."""
+        found: dict[tuple[str, bool], DispatchTarget] = {}
         for replica in self._holders(request):
             owner = self.owner_of(replica.record.data_centre)
             address = self.fallback.choose(owner, now_s)
             key = (address, address == owner)
-            found.setdefault(key, Grantor(*key, [])).replicas.append(replica)
+            found.setdefault(key, DispatchTarget(*key, [])).replicas.append(replica)
         return list(found.values())
 
     def _holders(self, request: GrantRequest) -> list[Replica]:
@@ -86,35 +84,36 @@
             if replica.holds(key.model, key.adapter) and replica.replica_id not in request.excluded
         ]
 
-    def choose(self, candidates: list[Grantor], current: str | None) -> Grantor:
-        """Return whom to ask.
+    def choose(self, candidates: list[DispatchTarget], current: str | None) -> DispatchTarget:
+        """Return the target of the next query.
 
-        Nobody stands in for a silent owner while another one may grant the call: behind a
-        cut its replicas are as silent as it is.
+        An unresponsive owner is not replaced while another owner may grant the call: during a
+        network partition its replicas are probably unreachable too.
 
-        :param candidates: one at least.
-        :param current: who was asked last; it stays so while it is among the candidates.
+        :param candidates: at least one.
+        :param current: address that was asked last; it is kept while it is among the candidates.
         """
-        candidates = [one for one in candidates if one.is_owner] or candidates
+        candidates = [target for target in candidates if target.is_owner] or candidates
         for candidate in candidates:
             if candidate.address == current:
                 return candidate
-        return min(self._two_of(candidates), key=self._cost)
+        return min(self._sample(candidates), key=self._cost)
 
-    def _two_of(self, candidates: list[Grantor]) -> list[Grantor]:
-        """Return the owner of the own data centre, if it is there, and others up to two.
+    def _sample(self, candidates: list[DispatchTarget]) -> list[DispatchTarget]:
+        """Return the owner of this process's data centre, if a candidate, and random others.
 
-        Drawn at random, so that gateways that see the same loads do not all ask one owner.
+        Returns two candidates at most. The choice is random so that gateways with the same view do
+        not all ask one owner.
         """
-        own = [one for one in candidates if self._is_near(one)][:1]
-        others = [one for one in candidates if one not in own]
-        return own + random.sample(others, min(CHOICES - len(own), len(others)))
+        own = [target for target in candidates if self._is_in_own_data_centre(target)][:1]
+        others = [target for target in candidates if target not in own]
+        return own + random.sample(others, min(OWNERS_COMPARED - len(own), len(others)))
 
-    def _is_near(self, candidate: Grantor) -> bool:
+    def _is_in_own_data_centre(self, candidate: DispatchTarget) -> bool:
         return candidate.replicas[0].record.data_centre == self.data_centre
 
-    def _cost(self, candidate: Grantor) -> float:
-        """Return the cost of the least loaded replica, by what gateways last reported."""
+    def _cost(self, candidate: DispatchTarget) -> float:
+        """Return the cost of the least loaded replica, according to the latest reports."""
         return min(
             with_penalties(
                 self.directory.load_of(replica).calls / max(1, replica.record.slots),
--- a/limeshelf/dispatch/pending.py
+++ b/limeshelf/dispatch/pending.py
@@ -1,7 +1,7 @@
-"""One request of this process for a replica, until it has its final verdict.
+"""A request of this process for a replica, until its final verdict.
 
-Owns which owners were asked and what they said, and the verdicts that came and were not taken
-yet; :mod:`limeshelf.dispatch.client` asks.
+Owns the record of queried owners and their answers, and the verdicts that were received but not
+processed yet. :mod:`limeshelf.dispatch.client` sends the queries.
 """
 
 from __future__ import annotations
@@ -20,33 +20,33 @@
 
     from limeshelf.dispatch.grants import GrantRequest
     from limeshelf.dispatch.messages import DispatchVerdict
-    from limeshelf.dispatch.owners import Grantor
+    from limeshelf.dispatch.owners import DispatchTarget
 
 
 @attrs.define(eq=False)
 class PendingRequest:
     """A request without a final verdict.
 
-    :ivar late_s: on the steady clock, when the first event is late.
-    :ivar ends_s: when the caller gives up.
-    :ivar request_id: by which it is known to the gateway that was asked last. Each has
-        another one, so that a late verdict of one is not taken for that of the next.
-    :ivar asked: who was asked last; ``None`` if nobody has it in a queue.
-    :ivar waits_s: those that refused it, with the time until they likely have room;
-        infinite where they hold nothing that the call can use.
-    :ivar queued_s: those that were asked and had no room yet, with the wait that they
-        expected; forgotten once all have been asked, so that they are asked again.
-    :ivar stays: it waits where the wait is shortest, since all were asked.
+    :ivar due_s: time on the boot clock after which the first event is late.
+    :ivar deadline_s: time on the boot clock at which the caller gives up.
+    :ivar request_id: id known to the owner asked last. Each owner gets another id, so that a late
+        verdict of one is not mistaken for a verdict of the next.
+    :ivar current_owner: address of the owner asked last; ``None`` if no owner has the request.
+    :ivar refused_waits_s: by address of the owners that refused, the estimated time until they
+        have capacity; infinite if they hold nothing that the call can use.
+    :ivar queued_waits_s: by address of the owners that queued the request, the wait that they
+        estimated. Cleared once all have been asked, so that they are asked again.
+    :ivar is_pinned: all owners were asked, so the request waits at the one with the shortest wait.
     """
 
     request: GrantRequest
-    ends_s: float
-    late_s: float
+    deadline_s: float
+    due_s: float
     request_id: str = ''
-    asked: str | None = None
-    waits_s: dict[str, float] = attrs.field(factory=dict)
-    queued_s: dict[str, float] = attrs.field(factory=dict)
-    stays: bool = False
+    current_owner: str | None = None
+    refused_waits_s: dict[str, float] = attrs.field(factory=dict)
+    queued_waits_s: dict[str, float] = attrs.field(factory=dict)
+    is_pinned: bool = False
     verdicts: asyncio.Queue[DispatchVerdict] = attrs.field(factory=asyncio.Queue)
 
     async def next_verdict(self, limit_s: float) -> DispatchVerdict | None:
@@ -57,11 +57,11 @@
         except TimeoutError:
             return None
 
-    def not_queued_at(self, candidates: Iterable[Grantor]) -> list[Grantor]:
-        """Return those that have not queued the request since all were asked last."""
-        return [one for one in candidates if one.address not in self.queued_s]
+    def not_queued_at(self, candidates: Iterable[DispatchTarget]) -> list[DispatchTarget]:
+        """Return the targets that have not queued the request since all were last asked."""
+        return [target for target in candidates if target.address not in self.queued_waits_s]
 
     def refusal(self) -> NoRoom | NoHolder:
-        """Return why nobody grants it: all who may have refused it, or there is none."""
-        wait_s = min(self.waits_s.values(), default=math.inf)
+        """Return why there is no grant: all owners refused, or no replica is available."""
+        wait_s = min(self.refused_waits_s.values(), default=math.inf)
         return NoRoom(wait_s) if math.isfinite(wait_s) else NoHolder()
--- a/limeshelf/dispatch/queue.py
+++ b/limeshelf/dispatch/queue.py
@@ -1,8 +1,7 @@
 """The requests that wait at one dispatcher, by model.
 
-Owns the queued requests. Relies on their order of service
-(:mod:`limeshelf.dispatch.requests`). Kept by model, because each query asks how its request
-stands among those for the same one.
+Owns the queued requests; their order is defined in :mod:`limeshelf.dispatch.requests`. Indexed by
+model, because each query needs the position of its request among those for the same model.
 """
 
 from __future__ import annotations
@@ -33,13 +32,13 @@
         return self._by_id.get(request_id)
 
     def add(self, request: QueuedRequest) -> None:
-        """Queue a request."""
+        """Add a request to the queue."""
         self._by_id[request.request_id] = request
         model = request.query.key.model
         self._by_model.setdefault(model, {})[request.request_id] = request
 
     def remove(self, request_id: str) -> None:
-        """Take a request out; nothing if it is not queued."""
+        """Remove a request; no effect if it is not queued."""
         request = self._by_id.pop(request_id, None)
         if request is None:
             return
@@ -55,17 +54,17 @@
 
     def in_order(self, now_s: float) -> list[QueuedRequest]:
         """Return all requests, the most urgent first."""
-        return sorted(self._by_id.values(), key=lambda one: one.urgency(now_s))
+        return sorted(self._by_id.values(), key=lambda request: request.urgency(now_s))
 
-    def drop_stale(self, now_s: float, unasked_life_s: float) -> None:
-        """Drop the requests whose time is over, or that their gateways ask for no more.
+    def drop_stale(self, now_s: float, ttl_s: float) -> None:
+        """Drop requests past their deadline and those that their gateways no longer send.
 
-        :param unasked_life_s: time after which a gateway must have asked again.
+        :param ttl_s: time within which a gateway must have sent the request again.
         """
         stale = [
             request_id
             for request_id, request in self._by_id.items()
-            if now_s > request.ends_s or now_s - request.asked_s > unasked_life_s
+            if now_s > request.deadline_s or now_s - request.last_query_s > ttl_s
         ]
         for request_id in stale:
             self.remove(request_id)
--- a/limeshelf/dispatch/requests.py
+++ b/limeshelf/dispatch/requests.py
@@ -1,8 +1,9 @@
-"""Requests that the dispatcher holds, queued or granted, and in which order they are served.
+"""Queued and granted requests of the dispatcher, and the order in which they are served.
 
-In time before late, since a late one earns little; then by the priority of the route;
-then the one whose first event is due earliest.
-Owns nothing; relies on the queries of :mod:`limeshelf.dispatch.messages`.
+Requests in time come before late ones, which are worth little; then by the priority of the route;
+then the earliest due time first.
+
+Owns no state; built from the queries of :mod:`limeshelf.dispatch.messages`.
 """
 
 from __future__ import annotations
@@ -15,73 +16,73 @@
     from limeshelf.dispatch.messages import DispatchQuery
     from limeshelf.replicas.replica import Replica
 
-#: Place in the order of service, the lowest first: whether the request is late, the
-#: priority of its route (0 is the most urgent), and when it is late. A bare tuple, because
-#: each query compares it with the whole queue of a busy model.
+#: Sort key of the service order, lowest first: whether the request is late, the priority of its
+#: route (0 is the most urgent), and its due time. A plain tuple for speed, because each query
+#: compares it with the whole queue of a busy model.
 Urgency = tuple[bool, int, float]
 
 
 @attrs.define(eq=False)
 class QueuedRequest:
-    """A request that waits for a replica; times are on the steady clock.
+    """A request that waits for a replica; times are on the boot clock.
 
-    :ivar asker: peer address of its gateway; empty for this process.
-    :ivar asked_s: when its gateway last asked.
-    :ivar late_s: when its first event is late.
-    :ivar ends_s: when its caller gives up.
+    :ivar requester: peer address of its gateway; empty for this process.
+    :ivar last_query_s: time of the last query for it.
+    :ivar due_s: time after which its first event is late.
+    :ivar deadline_s: time at which its caller gives up.
     """
 
     query: DispatchQuery
-    asker: str
-    asked_s: float
-    late_s: float
-    ends_s: float
+    requester: str
+    last_query_s: float
+    due_s: float
+    deadline_s: float
 
     @classmethod
-    def from_query(cls, query: DispatchQuery, asker: str, now_s: float) -> QueuedRequest:
+    def from_query(cls, query: DispatchQuery, requester: str, now_s: float) -> QueuedRequest:
         """Return the request of a query that arrived at *now_s*."""
         late_s = now_s + query.objective_ms / 1000
-        return cls(query, asker, now_s, late_s, now_s + query.left_ms / 1000)
+        return cls(query, requester, now_s, late_s, now_s + query.left_ms / 1000)
 
     @property
     def request_id(self) -> str:
-        """Return the id that its gateway gave it."""
+        """Return the id chosen by the gateway."""
         return self.query.ticket_id
 
     def urgency(self, now_s: float) -> Urgency:
-        """Return its place in the order of service at a moment."""
-        return (now_s > self.late_s, self.query.priority, self.late_s)
+        """Return the position in the order of service at *now_s*."""
+        return (now_s > self.due_s, self.query.priority, self.due_s)
 
 
 @attrs.define(eq=False)
 class GrantedRequest:
     """A request that was granted a replica and has not ended.
 
-    :ivar unread_tokens: prompt tokens that the replica had to read.
-    :ivar read_ms: how long that likely takes.
-    :ivar granted_s: on the steady clock.
-    :ivar read_alone: no other prompt was read there at the same time.
-    :ivar has_turn: a turn at the replica goes with the grant.
+    :ivar uncached_tokens: prompt tokens that the replica had to prefill.
+    :ivar prefill_ms: estimated time that this takes.
+    :ivar granted_s: time of the grant on the boot clock.
+    :ivar prefilled_alone: no other prefill was in progress there at the same time.
+    :ivar has_permit: the grant includes a rate permit of the replica.
     """
 
     query: DispatchQuery
-    asker: str
-    ends_s: float
+    requester: str
+    deadline_s: float
     replica: Replica
-    unread_tokens: int
-    read_ms: float
+    uncached_tokens: int
+    prefill_ms: float
     granted_s: float
-    read_alone: bool = True
-    has_turn: bool = False
+    prefilled_alone: bool = True
+    has_permit: bool = False
 
     @property
     def request_id(self) -> str:
-        """Return the id that its gateway gave it."""
+        """Return the id chosen by the gateway."""
         return self.query.ticket_id
 
     @property
     def tokens(self) -> int:
-        """Return the tokens of the replica's memory that it likely fills."""
+        """Return the estimated tokens that it occupies in the replica's memory."""
         return self.query.prompt_tokens + self.query.likely_tokens
 
     def elapsed_ms(self, now_s: float) -> float:
--- a/limeshelf/dispatch/selector.py
+++ b/limeshelf/dispatch/selector.py
@@ -1,21 +1,22 @@
-"""Which replica a model call goes to.
-
-Among the replicas that hold what the call needs and are not suspended (or among all
-holders, where all are suspended), and that may read and hold it now
-(:mod:`limeshelf.dispatch.limits`) and have a turn for it (:mod:`limeshelf.dispatch.pace`), the
-one with the least to read, to run and to hold.
-Owns what granted requests take of each replica, and the holders of each model until the
-next :meth:`~HolderSelector.forget_holders`; relies on
-:mod:`limeshelf.replicas.directory` for records, holdings, health and reported loads.
+"""Selects the replica for a model call.
+
+Candidates hold what the call needs, are not suspended (unless all holders are), have enough free
+prefill time, slots and memory (:mod:`limeshelf.dispatch.limits`) and have a rate permit available
+(:mod:`limeshelf.dispatch.pace`). Among these the one with the least load is selected, counting
+prefill, running calls and memory.
+
+Owns the load that granted requests put on each replica, and a cache of the holders of each model,
+valid until the next :meth:`~HolderSelector.clear_holder_cache`. Records, held models, health and
+reported loads come from :mod:`limeshelf.replicas.directory`.
 """
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
-from limeshelf.dispatch.fallback import reading_share
+from limeshelf.dispatch.fallback import prefill_share
 from limeshelf.dispatch.granted_load import GrantedLoad
-from limeshelf.dispatch.limits import Occupancy, ReadingWindow
+from limeshelf.dispatch.limits import Occupancy, PrefillWindow
 from limeshelf.dispatch.pace import ReplicaPaces
 from limeshelf.membership.member import LOCAL
 from limeshelf.replicas.penalties import with_penalties
@@ -35,13 +36,13 @@
 
 
 class HolderSelector:
-    """Chooses among the replicas that hold a model, by what granted requests take of them.
+    """Selects among the replicas that hold a model, by the load of granted requests.
 
-    :param owner_of: returns the owner of a data centre's replicas, as
-        :class:`~limeshelf.dispatch.owners.OwnerChooser` takes it.
+    :param owner_of: returns the owner of a data centre's replicas; see
+        :class:`~limeshelf.dispatch.owners.OwnerSelector`.
     :param data_centre: of this process.
-    :param paces: the turns at replicas that take only so many calls a second.
-    :ivar loads: what granted requests take, by start of the replica.
+    :param paces: rate limiters of the replicas that limit their calls per second.
+    :ivar loads: load of granted requests, by start of the replica.
     """
 
     def __init__(
@@ -60,37 +61,39 @@
         self._paces = paces or ReplicaPaces(owner_of)
         self._holders: dict[ModelKey, list[Replica]] = {}
 
-    def forget_holders(self) -> None:
-        """Find the holders anew; those found are kept until the next call of this."""
+    def clear_holder_cache(self) -> None:
+        """Look up holders again on the next use."""
         self._holders.clear()
 
-    def load(self, replica: Replica) -> GrantedLoad:
-        """Return what granted requests take of a replica."""
+    def load_of(self, replica: Replica) -> GrantedLoad:
+        """Return the load that granted requests put on a replica."""
         return self.loads.setdefault(replica.start, GrantedLoad())
 
     def holders(self, request: QueuedRequest) -> list[Replica]:
-        """Return the replicas that may take a call, but for those that it excludes.
+        """Return the replicas that may serve a request, without those that it excludes.
 
-        Other gateways ask for the replicas of this data centre. Calls of this process name
-        as excluded whatever is not to be granted here.
+        Other gateways request only replicas of this data centre. Requests of this process exclude
+        the replicas that must not be granted here.
         """
         query = request.query
         holders = self._holders_of(query.key)
-        if request.asker != LOCAL:
-            holders = [one for one in holders if one.record.data_centre == self._data_centre]
-        return [one for one in holders if one.replica_id not in query.excluded]
+        if request.requester != LOCAL:
+            holders = [
+                replica for replica in holders if replica.record.data_centre == self._data_centre
+            ]
+        return [replica for replica in holders if replica.replica_id not in query.excluded]
 
-    def common_share(self, key: ModelKey, other: ModelKey) -> float:
-        """Return the share of the holders of *other* that also hold *key*.
+    def shared_holder_fraction(self, key: ModelKey, other: ModelKey) -> float:
+        """Return the fraction of the holders of *other* that also hold *key*.
 
-        0 where no replica could take a call for either.
+        0 if no replica holds either.
         """
         if key == other:
             return 1.0
         holders = self._holders_of(other)
         if not holders:
             return 0.0
-        return sum(one.holds(key.model, key.adapter) for one in holders) / len(holders)
+        return sum(replica.holds(key.model, key.adapter) for replica in holders) / len(holders)
 
     def _holders_of(self, key: ModelKey) -> list[Replica]:
         holders = self._holders.get(key)
@@ -103,7 +106,7 @@
         return holders
 
     def choose(self, request: QueuedRequest, engine: EngineSpec) -> Replica | None:
-        """Return the replica that takes a call best now, ``None`` if none has room."""
+        """Return the best replica for a call now, ``None`` if none has capacity."""
         holders = self.holders(request)
         healthy = [replica for replica in holders if not replica.health.is_suspended()]
         best: Replica | None = None
@@ -114,32 +117,34 @@
                 best, best_cost = replica, cost
         return best
 
-    def _window(self, replica: Replica, query: DispatchQuery, engine: EngineSpec) -> ReadingWindow:
-        share = reading_share(self._owner_of(replica.record.data_centre))
-        return ReadingWindow.from_pause(query.pause_ms, engine.event_tokens, share)
+    def _window(self, replica: Replica, query: DispatchQuery, engine: EngineSpec) -> PrefillWindow:
+        share = prefill_share(self._owner_of(replica.record.data_centre))
+        return PrefillWindow.from_pause(query.pause_ms, engine.event_tokens, share)
 
     def _cost_if_admitted(
         self, replica: Replica, query: DispatchQuery, engine: EngineSpec
     ) -> float | None:
-        """Return what the call costs at a replica, ``None`` if that has no room for it."""
-        load = self.load(replica)
+        """Return the cost of the call at a replica, ``None`` if that has no capacity for it."""
+        load = self.load_of(replica)
         now_s = boottime_s()
         if self._paces.wait_s(replica, now_s) > 0:
             return None
-        load.end_overdue_reading(now_s)
+        load.expire_prefills(now_s)
         window = self._window(replica, query, engine)
-        read_ms = self._speed.read_ms(query.key.model, load.blocks.unread_tokens(query, now_s))
-        if not window.admits(load.read_ms_since(now_s - window.span_s), read_ms):
+        read_ms = self._speed.read_ms(
+            query.key.model, load.cached_blocks.uncached_tokens(query, now_s)
+        )
+        if not window.admits(load.prefill_ms_since(now_s - window.span_s), read_ms):
             return None
         occupancy = self._occupancy(replica, load, engine)
         if not occupancy.admits(query.prompt_tokens + query.likely_tokens):
             return None
-        cost = call_cost(load.reading_ms + read_ms, query.pause_ms, occupancy)
+        cost = call_cost(load.total_prefill_ms + read_ms, query.pause_ms, occupancy)
         return with_penalties(cost, replica, query.data_centre)
 
     def _occupancy(self, replica: Replica, load: GrantedLoad, engine: EngineSpec) -> Occupancy:
-        # What the gateways report covers calls that another process granted: the
-        # dispatcher before this one, or a gateway that granted by itself.
+        # Gateways also report calls that another process granted: the previous dispatcher, or a
+        # gateway that used its fallback.
         reported = self._directory.load_of(replica)
         return Occupancy(
             max(load.calls, reported.calls),
@@ -149,13 +154,13 @@
         )
 
 
-def call_cost(reading_ms: float, pause_ms: int, occupancy: Occupancy) -> float:
-    """Return what a call costs at a replica, each resource in units of all there is of it.
+def call_cost(prefill_ms: float, pause_ms: int, occupancy: Occupancy) -> float:
+    """Return the cost of a call at a replica, each resource as a fraction of its total.
 
-    :param reading_ms: of all that is being read there, the call's own prompt included.
-    :param pause_ms: longest pause between events that keeps the call's answer in time.
+    :param prefill_ms: estimated duration of all prefills in progress, this call's included.
+    :param pause_ms: longest pause between events within the call's latency objective.
     :param occupancy: without the call.
     """
-    cost = reading_ms / max(1, pause_ms)
+    cost = prefill_ms / max(1, pause_ms)
     cost += occupancy.calls / max(1, occupancy.slots)
     return cost + occupancy.tokens / max(1, occupancy.memory_tokens)
--- a/limeshelf/dispatch/turns.py
+++ b/limeshelf/dispatch/turns.py
@@ -1,10 +1,11 @@
-"""Gets turns for calls at replicas that take only so many calls a second.
+"""Acquires rate permits for calls to replicas that limit their calls per second.
 
-Asks the pacer of the replica (:mod:`limeshelf.dispatch.pace`), and is it for others. Where the
-pacer is silent or unknown there is no turn: whatever each gateway might take by itself, all of
-them together would take that many times.
-Owns when the next turns are, as pacers said; relies on :mod:`limeshelf.peers.questions` for the
-messages.
+Sends permit queries to the pacer of a replica (:mod:`limeshelf.dispatch.pace`), and answers them
+if this process is the pacer. There is no permit if the pacer is unknown or does not answer,
+because permits issued by every gateway on its own would add up to a multiple of the rate.
+
+Owns the times of the next permits, as reported by pacers. Messages are sent through
+:mod:`limeshelf.peers.questions`.
 """
 
 from __future__ import annotations
@@ -31,15 +32,15 @@
     from limeshelf.replicas.replica import Replica
     from limeshelf.replicas.starts import ReplicaStart
 
-#: No pacer is known or answers.
+#: Result if no pacer is known or the pacer does not answer.
 _NO_PACER = Turn(False, AVOID_S)
 
 
 @attrs.frozen
-class _NextTurn:
-    """When the next turn at a replica is, as its pacer said.
+class _NextPermit:
+    """When the next permit for a replica is available, as its pacer reported.
 
-    :ivar rate_per_s: of the replica then; at another rate it comes at another time.
+    :ivar rate_per_s: rate limit of the replica at that time; the entry is void at another rate.
     :ivar at_s: on the boot clock.
     """
 
@@ -48,7 +49,7 @@
 
 
 class TurnExchange:
-    """Asks for turns, and gives them."""
+    """Requests rate permits, and issues them to other gateways."""
 
     def __init__(
         self,
@@ -61,64 +62,66 @@
         self._directory = directory
         self._notices = notices
         self._paces = paces
-        self._questions: Questions[Turn] = Questions(node, _log_silent)
-        self._next_turns: dict[ReplicaStart, _NextTurn] = {}
+        self._questions: Questions[Turn] = Questions(node, _log_timeout)
+        self._next_permits: dict[ReplicaStart, _NextPermit] = {}
 
     def start(self) -> None:
-        """Take messages."""
-        self._node.add_handler(TurnQuery, self._take_query)
-        self._node.add_handler(TurnVerdict, self._take_verdict)
+        """Register the message handlers."""
+        self._node.add_handler(TurnQuery, self._on_query)
+        self._node.add_handler(TurnVerdict, self._on_verdict)
 
-    async def get(self, replica: Replica, patience_s: float) -> Turn:
-        """Return a turn once it has come, or that there is none in time.
+    async def get(self, replica: Replica, max_wait_s: float) -> Turn:
+        """Wait for a permit and return it, or return that none is available in time.
 
-        :param patience_s: how long the call can wait for it, in seconds.
+        :param max_wait_s: longest time that the call can wait for it, in seconds.
         """
         rate_per_s = replica.backpressure.rate_per_s
-        known = self._next_turns.get(replica.start)
+        known = self._next_permits.get(replica.start)
         if known is not None and known.rate_per_s == rate_per_s:
             wait_s = known.at_s - boottime_s()
-            if wait_s > patience_s:
+            if wait_s > max_wait_s:
                 return Turn(False, wait_s)
-        turn = await self._ask(replica, patience_s)
-        if not turn.is_granted:
-            self._next_turns[replica.start] = _NextTurn(rate_per_s, boottime_s() + turn.wait_s)
-        elif turn.wait_s:
-            await asyncio.sleep(turn.wait_s)
-        return turn
-
-    async def _ask(self, replica: Replica, patience_s: float) -> Turn:
+        permit = await self._request(replica, max_wait_s)
+        if not permit.is_granted:
+            self._next_permits[replica.start] = _NextPermit(
+                rate_per_s, boottime_s() + permit.wait_s
+            )
+        elif permit.wait_s:
+            await asyncio.sleep(permit.wait_s)
+        return permit
+
+    async def _request(self, replica: Replica, max_wait_s: float) -> Turn:
         pacer = self._paces.pacer_of(replica)
         if pacer is None or self._questions.is_avoided(pacer):
             return _NO_PACER
         if pacer == LOCAL:
-            return self._paces.try_take(replica, patience_s, boottime_s()) or _NO_PACER
-        query = _query_of(replica, patience_s)
+            return self._paces.try_acquire(replica, max_wait_s, boottime_s()) or _NO_PACER
+        query = _query_of(replica, max_wait_s)
         return await self._questions.ask(pacer, query.query_id, query) or _NO_PACER
 
-    def _take_query(self, envelope: Envelope) -> None:
+    def _on_query(self, envelope: Envelope) -> None:
         query: TurnQuery = envelope.message
-        turn = self._give(query)
-        verdict = TurnVerdict(query.query_id, turn.is_granted, int(turn.wait_s * MS_PER_S))
+        permit = self._issue(query)
+        verdict = TurnVerdict(query.query_id, permit.is_granted, int(permit.wait_s * MS_PER_S))
         self._node.send(envelope.sender, verdict)
 
-    def _give(self, query: TurnQuery) -> Turn:
+    def _issue(self, query: TurnQuery) -> Turn:
         replica = self._directory.get(query.replica_id)
         if replica is None or replica.known_start.born_ms != query.born_ms:
             return _NO_PACER
-        # The asker may have heard of the rate before this process did.
+        # The requesting gateway may know a newer rate than this process.
         heard_s = boottime_s() - query.heard_ms_ago / MS_PER_S
         self._notices.take_rate_of_peer(replica, query.rate_per_s, heard_s)
-        patience_s = query.patience_ms / MS_PER_S
-        return self._paces.try_take(replica, patience_s, boottime_s()) or _NO_PACER
+        max_wait_s = query.patience_ms / MS_PER_S
+        return self._paces.try_acquire(replica, max_wait_s, boottime_s()) or _NO_PACER
 
-    def _take_verdict(self, envelope: Envelope) -> None:
+    def _on_verdict(self, envelope: Envelope) -> None:
         verdict: TurnVerdict = envelope.message
-        turn = Turn(verdict.granted, verdict.wait_ms / MS_PER_S)
-        self._questions.answer(verdict.query_id, turn)
+        permit = Turn(verdict.granted, verdict.wait_ms / MS_PER_S)
+        self._questions.answer(verdict.query_id, permit)
 
 
-def _query_of(replica: Replica, patience_s: float) -> TurnQuery:
+def _query_of(replica: Replica, max_wait_s: float) -> TurnQuery:
     backpressure = replica.backpressure
     return TurnQuery(
         query_id=new_id('u'),
@@ -126,9 +129,9 @@
         born_ms=replica.known_start.born_ms,
         rate_per_s=backpressure.rate_per_s or 0.0,
         heard_ms_ago=int((boottime_s() - backpressure.heard_s) * MS_PER_S),
-        patience_ms=int(patience_s * MS_PER_S),
+        patience_ms=int(max_wait_s * MS_PER_S),
     )
 
 
-def _log_silent(address: str) -> None:
+def _log_timeout(address: str) -> None:
     log_change('pacer_silent', pacer=address, avoided_s=AVOID_S)
--- a/tests/dispatch/test_dispatcher_machine.py
+++ b/tests/dispatch/test_dispatcher_machine.py
@@ -1,8 +1,8 @@
-"""An owner's grants while messages are lost, doubled and late, and owners change.
+"""Dispatcher invariants under lost, repeated and late messages and changing owners.
 
-Two gateways of one data centre may hold themselves for the owner of its replicas at the same
-time, since each goes by its own view. Gateways ask either, lose its verdicts and their own
-reports, and end at any moment.
+Two gateways of one data centre may both consider themselves the owner of its replicas, since each
+follows its own membership view. Requests may be sent to either, verdicts and progress reports may
+be lost, and requests may end at any time.
 """
 
 from __future__ import annotations
@@ -22,8 +22,8 @@
 
 from limeshelf.calls.routes import EngineSpec, ServiceSpec
 from limeshelf.demand.keys import ModelKey
-from limeshelf.dispatch.dispatcher import UNASKED_LIFE_S, Dispatcher
-from limeshelf.dispatch.granted import GRANT_SLACK_S
+from limeshelf.dispatch.dispatcher import QUEUED_TTL_S, Dispatcher
+from limeshelf.dispatch.granted import GRANT_GRACE_S
 from limeshelf.dispatch.messages import (
     DispatchProgress,
     DispatchQuery,
@@ -50,9 +50,9 @@
 
 @attrs.define
 class Owner:
-    """A gateway that may hold itself for the owner, with what it answered."""
+    """A gateway that may consider itself the owner, with the verdicts that it sent."""
 
-    believes_itself: bool = True
+    is_owner_in_own_view: bool = True
     verdicts: dict[str, DispatchVerdict] = attrs.field(factory=dict)
     directory: ReplicaDirectory = attrs.field(init=False)
     dispatcher: Dispatcher = attrs.field(init=False)
@@ -68,20 +68,20 @@
         self.dispatcher = Dispatcher(
             self.directory,
             lambda: config,
-            self._take_verdict,
-            lambda data_centre: LOCAL if self.believes_itself else 'other',
+            self._record_verdict,
+            lambda data_centre: LOCAL if self.is_owner_in_own_view else 'other',
             'z1',
         )
 
-    def _take_verdict(self, asker: str, verdict: DispatchVerdict) -> None:
+    def _record_verdict(self, requester: str, verdict: DispatchVerdict) -> None:
         self.verdicts[verdict.ticket_id] = verdict
 
     def calls(self) -> int:
         return sum(load.calls for load in self.dispatcher._selector.loads.values())
 
 
-class Owners(RuleBasedStateMachine):
-    """Requests that are asked for at two owners."""
+class TwoOwnersMachine(RuleBasedStateMachine):
+    """Requests sent to two gateways that may both act as owner."""
 
     @initialize()
     def begin(self) -> None:
@@ -116,71 +116,71 @@
         request_id = f't{len(self.asked)}'
         self.asked[request_id] = (owner, self.clock.now_s + LEFT_S)
         query = self.query(request_id, LEFT_S)
-        self.owners[owner].dispatcher.take_query(query, 'peer')
+        self.owners[owner].dispatcher.handle_query(query, 'peer')
 
-    @rule(place=st.integers(0, 20))
-    def ask_again(self, place: int) -> None:
-        waiting = [one for one in self.asked if one not in self.ended]
-        if waiting:
-            request_id = waiting[place % len(waiting)]
+    @rule(index=st.integers(0, 20))
+    def ask_again(self, index: int) -> None:
+        unfinished = [name for name in self.asked if name not in self.ended]
+        if unfinished:
+            request_id = unfinished[index % len(unfinished)]
             owner, ends_s = self.asked[request_id]
             query = self.query(request_id, ends_s - self.clock.now_s)
-            self.owners[owner].dispatcher.take_query(query, 'peer')
+            self.owners[owner].dispatcher.handle_query(query, 'peer')
 
-    @rule(place=st.integers(0, 20), stage=st.sampled_from(Stage), lost=st.booleans())
-    def report(self, place: int, stage: Stage, lost: bool) -> None:
+    @rule(index=st.integers(0, 20), stage=st.sampled_from(Stage), lost=st.booleans())
+    def report(self, index: int, stage: Stage, lost: bool) -> None:
         if not self.asked:
             return
-        request_id = list(self.asked)[place % len(self.asked)]
+        request_id = list(self.asked)[index % len(self.asked)]
         if stage is Stage.ENDED:
             self.ended.add(request_id)
         if not lost:
             owner = self.owners[self.asked[request_id][0]]
-            owner.dispatcher.take_progress(DispatchProgress(request_id, stage))
+            owner.dispatcher.handle_progress(DispatchProgress(request_id, stage))
 
-    @rule(owner=st.integers(0, 1), believes_itself=st.booleans())
-    def change_owner(self, owner: int, believes_itself: bool) -> None:
-        self.owners[owner].believes_itself = believes_itself
+    @rule(owner=st.integers(0, 1), is_owner_in_own_view=st.booleans())
+    def change_owner(self, owner: int, is_owner_in_own_view: bool) -> None:
+        self.owners[owner].is_owner_in_own_view = is_owner_in_own_view
 
     @rule(seconds=st.sampled_from([0.015, 0.1, 0.5, 1.5]))
     def wait(self, seconds: float) -> None:
         self.clock.advance(seconds)
         for owner in self.owners:
-            owner.dispatcher.pump()
+            owner.dispatcher.process_queue()
 
     @invariant()
-    def no_owner_grants_more_than_the_slots(self) -> None:
+    def grants_never_exceed_slots(self) -> None:
         for owner in getattr(self, 'owners', []):
             for load in owner.dispatcher._selector.loads.values():
                 assert 0 <= load.calls <= SLOTS
                 assert load.tokens == load.calls * 350
-                assert (load.reading_ms > 0) == bool(load.reading)
+                assert (load.total_prefill_ms > 0) == bool(load.prefilling)
 
     @invariant()
-    def what_is_granted_is_counted_until_its_end(self) -> None:
+    def granted_requests_are_counted_until_they_end(self) -> None:
         for owner in getattr(self, 'owners', []):
             granted = owner.dispatcher._granted._by_id
             assert owner.calls() == len(granted)
             assert not granted.keys() & set(owner.dispatcher._queue._by_id)
 
     @invariant()
-    def whoever_asks_has_an_answer(self) -> None:
+    def every_query_is_answered(self) -> None:
         for request_id, (owner, _) in getattr(self, 'asked', {}).items():
             assert request_id in self.owners[owner].verdicts
 
     @rule()
-    def all_is_free_in_the_end(self) -> None:
-        """However much was lost."""
-        self.clock.advance(LEFT_S + GRANT_SLACK_S + UNASKED_LIFE_S)
+    def all_capacity_is_released_after_expiry(self) -> None:
+        """Holds regardless of how many reports were lost."""
+        self.clock.advance(LEFT_S + GRANT_GRACE_S + QUEUED_TTL_S)
         for owner in self.owners:
-            owner.dispatcher.pump()
+            owner.dispatcher.process_queue()
             assert owner.calls() == 0
-            assert owner.dispatcher.waiting == 0
+            assert owner.dispatcher.queue_length == 0
         self.ended.update(self.asked)
 
     @rule()
     def queued_request_is_granted_once_there_is_room(self) -> None:
-        self.all_is_free_in_the_end()
+        self.all_capacity_is_released_after_expiry()
         self.ask(0)
         request_id = list(self.asked)[-1]
         assert self.owners[0].verdicts[request_id].kind is VerdictKind.GRANTED
@@ -188,5 +188,5 @@
 
 def test_grants_of_two_owners() -> None:
     run_state_machine_as_test(
-        Owners, settings=settings(max_examples=80, stateful_step_count=40, deadline=None)
+        TwoOwnersMachine, settings=settings(max_examples=80, stateful_step_count=40, deadline=None)
     )
--- a/tests/dispatch/test_idle.py
+++ b/tests/dispatch/test_idle.py
@@ -1,4 +1,4 @@
-"""What a gateway without calls costs."""
+"""Cost of an idle gateway."""
 
 from __future__ import annotations
 
@@ -10,25 +10,25 @@
 
 
 class CountingDispatcher:
-    """Counts how often its queue is tried."""
+    """Counts the passes over its queue."""
 
     def __init__(self) -> None:
-        self.pumps = 0
-        self.waiting = 0
+        self.passes = 0
+        self.queue_length = 0
 
-    def take_query(self, query: Any, asker: str) -> None:
-        self.waiting += 1
+    def handle_query(self, query: Any, requester: str) -> None:
+        self.queue_length += 1
 
-    def pump(self) -> None:
-        self.pumps += 1
-        if self.pumps == 3:
-            self.waiting = 0
+    def process_queue(self) -> None:
+        self.passes += 1
+        if self.passes == 3:
+            self.queue_length = 0
 
 
-def test_empty_queue_is_not_tried() -> None:
-    """Before: 67 times a second, by each gateway."""
+def test_empty_queue_is_not_processed() -> None:
+    """Guards against periodic passes over an empty queue, 67 per second in each gateway."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         node: Any = None
         directory = ReplicaDirectory(lambda replica_id, value: None)  # type: ignore[arg-type]
         exchange = DispatchExchange(node, directory, lambda: None, lambda: None, 'c1')
@@ -36,14 +36,14 @@
         exchange.dispatcher = dispatcher
         running = asyncio.create_task(exchange.run())
         await asyncio.sleep(0.1)
-        assert dispatcher.pumps == 0
+        assert dispatcher.passes == 0
         query: Any = object()
-        exchange._take(query, 'peer')
+        exchange._handle_query(query, 'peer')
         async with asyncio.timeout(5.0):
-            while dispatcher.waiting:
+            while dispatcher.queue_length:
                 await asyncio.sleep(0.01)
         await asyncio.sleep(0.1)
-        assert dispatcher.pumps == 3
+        assert dispatcher.passes == 3
         running.cancel()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
--- a/tests/dispatch/test_prompt_blocks.py
+++ b/tests/dispatch/test_prompt_blocks.py
@@ -1,4 +1,4 @@
-"""Prompt blocks that a replica need not read again."""
+"""Estimates of the prompt blocks that a replica has cached."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from limeshelf.demand.keys import ModelKey
 from limeshelf.dispatch.messages import DispatchQuery, SharedPart
-from limeshelf.dispatch.prompt_blocks import BLOCK_LIFE_S, BLOCKS_KEPT, PromptBlocks
+from limeshelf.dispatch.prompt_blocks import BLOCK_TTL_S, MAX_BLOCKS, PromptBlocks
 
 NOW_S = 1000.0
 QUERY = DispatchQuery(
@@ -26,10 +26,10 @@
 )
 
 
-def read(*queries: DispatchQuery) -> PromptBlocks:
+def prefilled(*queries: DispatchQuery) -> PromptBlocks:
     blocks = PromptBlocks()
     for query in queries:
-        blocks.note_read(query, NOW_S)
+        blocks.record_prefill(query, NOW_S)
     return blocks
 
 
@@ -37,39 +37,39 @@
     return attrs.evolve(QUERY, **changes)
 
 
-def test_new_prompt_is_read_whole() -> None:
-    assert read().unread_tokens(QUERY, NOW_S) == 1000
+def test_unknown_prompt_is_prefilled_whole() -> None:
+    assert prefilled().uncached_tokens(QUERY, NOW_S) == 1000
 
 
-def test_blocks_that_were_read_are_saved() -> None:
-    assert read(QUERY).unread_tokens(QUERY, NOW_S) == 300
+def test_cached_blocks_are_subtracted() -> None:
+    assert prefilled(QUERY).uncached_tokens(QUERY, NOW_S) == 300
 
 
-def test_blocks_behind_an_unknown_one_are_read_again() -> None:
+def test_blocks_after_an_uncached_one_do_not_count() -> None:
     query = changed(parts=[SharedPart('new', 400), SharedPart('q', 300)])
-    assert read(QUERY).unread_tokens(query, NOW_S) == 1000
+    assert prefilled(QUERY).uncached_tokens(query, NOW_S) == 1000
 
 
 def test_blocks_belong_to_a_model_and_adapter() -> None:
     query = changed(key=ModelKey('lm', 'm', 'one'))
-    assert read(QUERY).unread_tokens(query, NOW_S) == 1000
+    assert prefilled(QUERY).uncached_tokens(query, NOW_S) == 1000
 
 
-def test_blocks_are_forgotten_with_age() -> None:
-    blocks = read(QUERY)
-    assert blocks.unread_tokens(QUERY, NOW_S + BLOCK_LIFE_S) == 300
-    assert blocks.unread_tokens(QUERY, NOW_S + BLOCK_LIFE_S + 0.1) == 1000
+def test_blocks_expire() -> None:
+    blocks = prefilled(QUERY)
+    assert blocks.uncached_tokens(QUERY, NOW_S + BLOCK_TTL_S) == 300
+    assert blocks.uncached_tokens(QUERY, NOW_S + BLOCK_TTL_S + 0.1) == 1000
 
 
-def test_prompt_of_known_blocks_alone_has_a_token_to_read() -> None:
+def test_fully_cached_prompt_has_one_uncached_token() -> None:
     query = changed(prompt_tokens=700)
-    assert read(query).unread_tokens(query, NOW_S) == 1
+    assert prefilled(query).uncached_tokens(query, NOW_S) == 1
 
 
-def test_the_blocks_read_longest_ago_give_room() -> None:
-    many = changed(parts=[SharedPart(f'n{number}', 1) for number in range(BLOCKS_KEPT - 1)])
+def test_least_recently_prefilled_blocks_are_evicted() -> None:
+    many = changed(parts=[SharedPart(f'n{number}', 1) for number in range(MAX_BLOCKS - 1)])
     first = changed(parts=[SharedPart('p', 400)])
     second = changed(parts=[SharedPart('q', 300)])
-    blocks = read(first, second, first, many)
-    assert blocks.unread_tokens(first, NOW_S) == 600
-    assert blocks.unread_tokens(second, NOW_S) == 1000
+    blocks = prefilled(first, second, first, many)
+    assert blocks.uncached_tokens(first, NOW_S) == 600
+    assert blocks.uncached_tokens(second, NOW_S) == 1000
--- a/tests/dispatch/test_selector.py
+++ b/tests/dispatch/test_selector.py
@@ -1,4 +1,4 @@
-"""Which replica a model call goes to."""
+"""Selection of a replica for a model call."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from limeshelf.calls.routes import EngineSpec
 from limeshelf.demand.keys import ModelKey
 from limeshelf.demand.reading_speed import ReadingSpeed
-from limeshelf.dispatch.granted_load import GrantedReading
+from limeshelf.dispatch.granted_load import GrantedPrefill
 from limeshelf.dispatch.limits import Occupancy
 from limeshelf.dispatch.messages import DispatchQuery
 from limeshelf.dispatch.requests import QueuedRequest
@@ -48,7 +48,7 @@
     return found
 
 
-def chosen(selector: HolderSelector, asker: str = LOCAL, **changes: Any) -> str | None:
+def chosen(selector: HolderSelector, requester: str = LOCAL, **changes: Any) -> str | None:
     fields: dict[str, Any] = {
         'ticket_id': 'a',
         'key': ModelKey('lm', 'm'),
@@ -63,7 +63,7 @@
         'excluded': [],
         **changes,
     }
-    request = QueuedRequest.from_query(DispatchQuery(**fields), asker, boottime_s())
+    request = QueuedRequest.from_query(DispatchQuery(**fields), requester, boottime_s())
     made = selector.choose(request, ENGINE)
     return made.replica_id if made is not None else None
 
@@ -85,7 +85,7 @@
     assert chosen(selector) == 'r1'
 
 
-def test_suspended_replica_is_taken_only_when_all_are() -> None:
+def test_suspended_replica_is_selected_only_if_all_are() -> None:
     selector = selector_of('z1', 'z1')
     replica(selector, 'r1').own.calls = 3
     replica(selector, 'r0').health.failed(Failure.NO_CONNECTION)
@@ -94,7 +94,7 @@
     assert chosen(selector) == 'r0'
 
 
-def test_full_replicas_take_nothing() -> None:
+def test_full_replica_is_not_selected() -> None:
     selector = selector_of('z1')
     replica(selector, 'r0').own.calls = 4
     assert chosen(selector) is None
@@ -108,15 +108,15 @@
 
 def test_other_gateways_are_granted_the_replicas_of_this_data_centre_alone() -> None:
     selector = selector_of('z2', 'z1')
-    assert chosen(selector, asker='peer', data_centre='z2') == 'r1'
-    assert chosen(selector_of('z2'), asker='peer') is None
+    assert chosen(selector, requester='peer', data_centre='z2') == 'r1'
+    assert chosen(selector_of('z2'), requester='peer') is None
 
 
-def test_replica_of_another_owner_is_granted_a_part_of_its_reading() -> None:
-    """A prompt that a whole replica reads beside others is too much for a part of one."""
+def test_replica_of_another_owner_is_granted_only_part_of_its_prefill_capacity() -> None:
+    """A prompt that the owner would admit exceeds the fallback share."""
     for owner, second in ((LOCAL, 'r0'), ('g1', None)):
         selector = selector_of('z1')
         selector._owner_of = lambda data_centre, owner=owner: owner  # type: ignore[misc]
-        load = selector.load(replica(selector, 'r0'))
-        load._recent.append(GrantedReading(boottime_s(), 60.0))
+        load = selector.load_of(replica(selector, 'r0'))
+        load._history.append(GrantedPrefill(boottime_s(), 60.0))
         assert chosen(selector) == second
--- a/tests/dispatch/test_turns.py
+++ b/tests/dispatch/test_turns.py
@@ -1,4 +1,4 @@
-"""Turns are asked of the pacer; nobody goes without one."""
+"""Permits are requested from the pacer, and no call is sent without one."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 from limeshelf.replicas.replica import Replica
 from limeshelf.util.clock import boottime_s
 
-PACER, ASKER = '10.0.0.1:7001', '10.0.0.2:7001'
+PACER, CLIENT = '10.0.0.1:7001', '10.0.0.2:7001'
 
 
 @attrs.define
 class Node:
-    """One end of a network of two; messages arrive at once, unless *is_cut*."""
+    """One of two connected peer nodes; messages arrive at once, unless *is_cut*."""
 
     address: str
     nodes: dict[str, Node] = attrs.field(factory=dict)
@@ -50,86 +50,86 @@
     replica = directory.get('r-1')
     assert replica is not None
     paces = ReplicaPaces(lambda data_centre: owner)
-    turns = TurnExchange(node, directory, NoticeTaker(directory), paces)
-    turns.start()
-    return turns, replica
+    permits = TurnExchange(node, directory, NoticeTaker(directory), paces)
+    permits.start()
+    return permits, replica
 
 
 @attrs.define
-class Two:
-    """A pacer, and a gateway that asks it."""
+class PacerAndClient:
+    """A pacer, and a gateway that requests permits from it."""
 
     nodes: dict[str, Node]
-    asker: TurnExchange
-    at_asker: Replica
-    at_pacer: Replica
+    client: TurnExchange
+    replica_at_client: Replica
+    replica_at_pacer: Replica
 
 
-def two() -> Two:
+def pacer_and_client() -> PacerAndClient:
     nodes: dict[str, Node] = {}
-    nodes.update({address: Node(address, nodes) for address in (PACER, ASKER)})
-    _, at_pacer = gateway_at(nodes[PACER], LOCAL)
-    asker, at_asker = gateway_at(nodes[ASKER], PACER)
-    at_asker.backpressure.note_rate(2.0, boottime_s())
-    return Two(nodes, asker, at_asker, at_pacer)
-
-
-def test_pacer_learns_the_rate_by_the_question_for_a_turn() -> None:
-    async def play() -> None:
-        world = two()
-        assert (await world.asker.get(world.at_asker, 0.0)).is_granted
-        assert world.at_pacer.backpressure.rate_per_s == 2.0
-
-    asyncio.run(play())
-
-
-def test_next_turn_is_not_asked_for_before_its_time() -> None:
-    async def play() -> None:
-        world = two()
-        await world.asker.get(world.at_asker, 0.0)
-        turn = await world.asker.get(world.at_asker, 0.0)
-        assert not turn.is_granted
-        assert 0.5 < turn.wait_s <= 1.0
-        asked = world.nodes[ASKER].sent
-        assert not (await world.asker.get(world.at_asker, 0.0)).is_granted
-        assert world.nodes[ASKER].sent == asked
-        # Another rate brings it at another time.
-        world.at_asker.backpressure.note_rate(20.0, boottime_s())
-        await world.asker.get(world.at_asker, 0.0)
-        assert world.nodes[ASKER].sent == asked + 1
-
-    asyncio.run(play())
-
-
-def test_pacer_that_has_heard_that_the_rate_ended_lets_the_call_go() -> None:
-    async def play() -> None:
-        world = two()
-        world.at_pacer.backpressure.note_no_rate(boottime_s() + 1.0)
+    nodes.update({address: Node(address, nodes) for address in (PACER, CLIENT)})
+    _, replica_at_pacer = gateway_at(nodes[PACER], LOCAL)
+    client, replica_at_client = gateway_at(nodes[CLIENT], PACER)
+    replica_at_client.backpressure.note_rate(2.0, boottime_s())
+    return PacerAndClient(nodes, client, replica_at_client, replica_at_pacer)
+
+
+def test_pacer_takes_the_rate_from_the_permit_query() -> None:
+    async def scenario() -> None:
+        pair = pacer_and_client()
+        assert (await pair.client.get(pair.replica_at_client, 0.0)).is_granted
+        assert pair.replica_at_pacer.backpressure.rate_per_s == 2.0
+
+    asyncio.run(scenario())
+
+
+def test_no_query_is_sent_before_the_next_permit_is_due() -> None:
+    async def scenario() -> None:
+        pair = pacer_and_client()
+        await pair.client.get(pair.replica_at_client, 0.0)
+        permit = await pair.client.get(pair.replica_at_client, 0.0)
+        assert not permit.is_granted
+        assert 0.5 < permit.wait_s <= 1.0
+        asked = pair.nodes[CLIENT].sent
+        assert not (await pair.client.get(pair.replica_at_client, 0.0)).is_granted
+        assert pair.nodes[CLIENT].sent == asked
+        # At another rate, the next permit is due at another time.
+        pair.replica_at_client.backpressure.note_rate(20.0, boottime_s())
+        await pair.client.get(pair.replica_at_client, 0.0)
+        assert pair.nodes[CLIENT].sent == asked + 1
+
+    asyncio.run(scenario())
+
+
+def test_pacer_that_knows_of_no_rate_limit_grants_at_once() -> None:
+    async def scenario() -> None:
+        pair = pacer_and_client()
+        pair.replica_at_pacer.backpressure.note_no_rate(boottime_s() + 1.0)
         for _ in range(3):
-            assert await world.asker.get(world.at_asker, 0.0) == Turn(True, 0.0)
+            assert await pair.client.get(pair.replica_at_client, 0.0) == Turn(True, 0.0)
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_no_turn_without_a_pacer_that_answers() -> None:
-    async def play() -> None:
-        world = two()
-        world.nodes[PACER].is_cut = True
-        assert await world.asker.get(world.at_asker, 1.0) == Turn(False, AVOID_S)
-        nobody, replica = gateway_at(world.nodes[ASKER], None)
+def test_no_permit_without_a_responding_pacer() -> None:
+    async def scenario() -> None:
+        pair = pacer_and_client()
+        pair.nodes[PACER].is_cut = True
+        assert await pair.client.get(pair.replica_at_client, 1.0) == Turn(False, AVOID_S)
+        without_pacer, replica = gateway_at(pair.nodes[CLIENT], None)
         replica.backpressure.note_rate(2.0, boottime_s())
-        assert await nobody.get(replica, 1.0) == Turn(False, AVOID_S)
+        assert await without_pacer.get(replica, 1.0) == Turn(False, AVOID_S)
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_gateway_that_is_no_pacer_gives_none() -> None:
-    async def play() -> None:
+def test_gateway_that_is_not_the_pacer_issues_no_permit() -> None:
+    async def scenario() -> None:
         nodes: dict[str, Node] = {}
-        nodes.update({address: Node(address, nodes) for address in (PACER, ASKER)})
+        nodes.update({address: Node(address, nodes) for address in (PACER, CLIENT)})
         gateway_at(nodes[PACER], 'somebody else')
-        asker, replica = gateway_at(nodes[ASKER], PACER)
+        client, replica = gateway_at(nodes[CLIENT], PACER)
         replica.backpressure.note_rate(2.0, boottime_s())
-        assert not (await asker.get(replica, 0.0)).is_granted
+        assert not (await client.get(replica, 0.0)).is_granted
 
-    asyncio.run(play())
+    asyncio.run(scenario())
