--- a/limeshelf/routing/__init__.py
+++ b/limeshelf/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Which replica a plain call goes to; each gateway decides it by itself."""
+"""Selection of a replica for plain calls, by each gateway on its own."""
--- a/limeshelf/routing/chooser.py
+++ b/limeshelf/routing/chooser.py
@@ -1,10 +1,9 @@
-"""Which replica a plain call goes to, and a call that names no model to a model service.
+"""Selects the replica for a plain call, or for a call to a model service that names no model.
 
-Each gateway chooses by itself, from the loads that the gateways send one another.
-Model calls go through :mod:`limeshelf.dispatch` instead; no call falls back from there
-to here.
-Owns nothing; relies on the records, loads and health of
-:mod:`limeshelf.replicas.directory`.
+Each gateway selects on its own, from the loads that gateways report to one another. Model calls go
+through :mod:`limeshelf.dispatch` instead and never fall back to this module.
+
+Owns no state. Records, loads and health come from :mod:`limeshelf.replicas.directory`.
 """
 
 from __future__ import annotations
@@ -22,24 +21,24 @@
     from limeshelf.replicas.directory import ReplicaDirectory
     from limeshelf.replicas.replica import Replica
 
-#: Cost of a suspended replica, in whole replicas: above what any load costs, so that one is
-#: tried only where all are suspended.
+#: Additional cost of a suspended replica, in units of a replica's whole capacity. Higher than any
+#: load, so that suspended replicas are tried only if all are suspended.
 SUSPENDED_COST = 50.0
-#: Cost of a request that waits at the replica, in slots.
+#: Cost of a request queued at the replica, in slots.
 QUEUED_COST = 1.0
-#: The queue in a report that is older than this counts as empty. What it holds counts for
-#: longer (``REPORT_LIFE_S`` of :mod:`limeshelf.replicas.freshness`).
-QUEUED_LIFE_S = 1.5
+#: The queue length in a report older than this counts as zero. The held models in a report are
+#: valid for longer (``REPORT_LIFE_S`` of :mod:`limeshelf.replicas.freshness`).
+QUEUE_REPORT_TTL_S = 1.5
 
 
 @attrs.frozen
 class PlainLoad:
-    """What the calls of all gateways take of a replica.
+    """The load that the calls of all gateways put on a replica.
 
-    :param calls: under way.
-    :param slots: calls that the replica runs at once.
-    :param memory_share: of its accelerator memory that is taken; 0 without one.
-    :param queued: requests that wait at the replica itself.
+    :param calls: calls in progress.
+    :param slots: calls that the replica runs concurrently.
+    :param memory_share: share of its accelerator memory in use; 0 without an accelerator.
+    :param queued: requests queued at the replica itself.
     """
 
     calls: int
@@ -56,7 +55,7 @@
 
 @attrs.define
 class Chooser:
-    """Chooses among the replicas of a service.
+    """Selects among the replicas of a service.
 
     :param data_centre: of this process.
     """
@@ -65,9 +64,9 @@
     data_centre: str
 
     def choose(self, service: ServiceSpec, excluded: frozenset[str]) -> Replica | None:
-        """Return the cheapest replica of a service, any of them where several are alike.
+        """Return the cheapest replica of a service; a random one of several with equal cost.
 
-        One that asked this gateway for a pause gets none, whatever else there is.
+        Replicas that asked this gateway to pause are never selected.
 
         :param excluded: ids of replicas that refused or failed this call.
         """
@@ -77,9 +76,9 @@
             if replica.replica_id not in excluded and not replica.backpressure.is_paused
         ]
         costs = [(self._cost(replica, service), replica) for replica in replicas]
-        # Gateways that see the same loads must not all choose the same replica.
+        # Gateways that see the same loads must not all select the same replica.
         random.shuffle(costs)
-        cheapest = min(costs, key=lambda cost: cost[0], default=None)
+        cheapest = min(costs, key=lambda entry: entry[0], default=None)
         return cheapest[1] if cheapest is not None else None
 
     def _cost(self, replica: Replica, service: ServiceSpec) -> float:
@@ -94,12 +93,12 @@
         if engine is None or not engine.memory_tokens:
             return PlainLoad(load.calls, slots)
         return PlainLoad(
-            load.calls, slots, load.tokens / engine.memory_tokens, _queued_at(replica)
+            load.calls, slots, load.tokens / engine.memory_tokens, _reported_queue(replica)
         )
 
 
-def _queued_at(replica: Replica) -> int:
+def _reported_queue(replica: Replica) -> int:
     report = replica.report
-    if report is None or boottime_s() - replica.reported_s > QUEUED_LIFE_S:
+    if report is None or boottime_s() - replica.reported_s > QUEUE_REPORT_TTL_S:
         return 0
     return report.queued
--- a/tests/routing/test_chooser.py
+++ b/tests/routing/test_chooser.py
@@ -1,4 +1,4 @@
-"""Choice of a replica for a plain call."""
+"""Selection of a replica for a plain call."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from limeshelf.replicas.health import Failure
 from limeshelf.replicas.record import ReplicaRecord, ReplicaReport
 from limeshelf.replicas.replica import Replica
-from limeshelf.routing.chooser import QUEUED_LIFE_S, Chooser, PlainLoad
+from limeshelf.routing.chooser import QUEUE_REPORT_TTL_S, Chooser, PlainLoad
 from limeshelf.util.clock import VirtualClock, virtual_clock
 
 WEB = ServiceSpec('web', 50, None)
@@ -41,20 +41,20 @@
 
 
 def chosen(directory: ReplicaDirectory, service: ServiceSpec = WEB, *excluded: str) -> set[str]:
-    """Return the replicas that 40 choices in a row fall on."""
+    """Return the replicas selected in 40 consecutive choices."""
     chooser = Chooser(directory, 'z1')
-    made = [chooser.choose(service, frozenset(excluded)) for _ in range(40)]
-    return {one.replica_id for one in made if one is not None}
+    selected = [chooser.choose(service, frozenset(excluded)) for _ in range(40)]
+    return {replica.replica_id for replica in selected if replica is not None}
 
 
-def test_cost_is_the_fuller_of_slots_and_memory_and_what_waits() -> None:
+def test_cost_is_the_higher_of_slots_and_memory_plus_the_queue() -> None:
     assert PlainLoad(calls=1, slots=4).cost == 0.25
     assert PlainLoad(calls=1, slots=4, memory_share=0.5).cost == 0.5
     assert PlainLoad(calls=1, slots=4, memory_share=0.5, queued=2).cost == 1.0
     assert PlainLoad(calls=2, slots=0).cost == 2.0
 
 
-def test_replicas_alike_share_the_calls(clock: VirtualClock) -> None:
+def test_equally_loaded_replicas_share_the_calls(clock: VirtualClock) -> None:
     assert chosen(directory_of('z1', 'z1')) == {'r0', 'r1'}
 
 
@@ -64,7 +64,7 @@
     assert chosen(directory) == {'r1'}
 
 
-def test_own_data_centre_goes_first_until_it_has_a_call_more(clock: VirtualClock) -> None:
+def test_own_data_centre_is_preferred_at_equal_load(clock: VirtualClock) -> None:
     directory = directory_of('z1', 'z2')
     assert chosen(directory) == {'r0'}
     replica(directory, 'r0').own.calls = 1
@@ -79,13 +79,13 @@
     assert chosen(directory, WEB, 'r0') == {'r1'}
 
 
-def test_no_replica_is_left(clock: VirtualClock) -> None:
+def test_no_replica_if_all_are_excluded(clock: VirtualClock) -> None:
     assert chosen(directory_of('z1'), WEB, 'r0') == set()
 
 
-def test_queue_at_a_replica_counts_while_the_report_is_young(clock: VirtualClock) -> None:
+def test_reported_queue_counts_until_the_report_expires(clock: VirtualClock) -> None:
     directory = directory_of('z1', 'z1')
     directory.take_report('r0', ReplicaReport((), False, 0, queued=3))
     assert chosen(directory, MODELS) == {'r1'}
-    clock.advance(QUEUED_LIFE_S + 0.1)
+    clock.advance(QUEUE_REPORT_TTL_S + 0.1)
     assert chosen(directory, MODELS) == {'r0', 'r1'}
