--- a/limeshelf/admission/__init__.py
+++ b/limeshelf/admission/__init__.py
@@ -1,1 +1,1 @@
-"""What is held, refused and repeated, and with which time to come back."""
+"""Which calls are held, refused and retried, and the Retry-After of refusals."""
--- a/limeshelf/admission/absent_model.py
+++ b/limeshelf/admission/absent_model.py
@@ -1,10 +1,11 @@
-"""Whether a call waits for a replica that can run it, or is refused at once.
+"""Decides whether a call waits for a replica that can run it, or is refused at once.
 
-Asked when no replica that may be used holds what the call needs, or, for a plain call,
-when its service has no replica. Holding is right only while the call can still be served
-in time; a refusal says when the model is expected. What was refused before is held as
-long as its caller waits: refusing it again costs more than serving it late.
-Owns nothing; relies on :mod:`limeshelf.admission.patience` for how long a call may wait.
+Applies when no available replica holds what the call needs or, for a plain call, when its service
+has no replica. A call is held only while it can still be served in time; a refusal states when the
+model is expected. A call that was refused before is held as long as its caller waits, because
+refusing it again costs more than serving it late.
+
+Owns no state; :mod:`limeshelf.admission.patience` defines how long a call may wait.
 """
 
 from __future__ import annotations
@@ -18,26 +19,26 @@
 if TYPE_CHECKING:
     from limeshelf.calls.routes import Route
 
-#: Pause before a waiting call asks for a replica again; changes wake it earlier.
-RECHECK_S = 0.05
-#: Time in which the leader says when an absent model will be there, at the most this share of
-#: the objective, so that a refusal still comes early.
-ANNOUNCE_S = 0.5
-ANNOUNCE_SHARE = 0.2
+#: Interval at which a held call requests a replica again; a change of replicas wakes it earlier.
+RECHECK_INTERVAL_S = 0.05
+#: Time allowed for the leader to announce when a missing model will be loaded, and its upper limit
+#: as a share of the objective, which keeps a refusal early.
+ANNOUNCEMENT_TIMEOUT_S = 0.5
+ANNOUNCEMENT_OBJECTIVE_SHARE = 0.2
 
 
 @dataclass(frozen=True)
 class AbsentModel:
-    """A call without a replica that can run it now.
+    """A call for which no replica is available now.
 
-    :param expected_wait_s: until a replica likely can, in seconds; 0 where one holds
+    :param expected_wait_s: estimated time until a replica can run it, in seconds; 0 if one holds
         what the call needs, but refused it.
-    :param waited_s: since the call arrived, in seconds.
-    :param left_s: until the call's time is over, in seconds.
-    :param returned: the caller was refused before and has come back.
-    :param announced: the leader has said when the model will be there.
-    :param excluded: replicas of this call are left out because of what they answered.
-    :param answer_started: a part of the answer is with the caller already.
+    :param waited_s: time since the call arrived, in seconds.
+    :param left_s: time left for the call, in seconds.
+    :param returned: the caller retries after a refusal.
+    :param announced: the leader has announced when the model will be loaded.
+    :param excluded: some replicas are excluded because of their answers to this call.
+    :param answer_started: part of the answer was already sent to the caller.
     """
 
     route: Route
@@ -52,10 +53,10 @@
 
 @dataclass(frozen=True)
 class Hold:
-    """The call waits, and asks for a replica again.
+    """The call waits, then requests a replica again.
 
-    :param wait_s: until it asks again, in seconds, unless a change comes earlier.
-    :param retry_excluded: replicas that refused it are asked again too.
+    :param wait_s: time until the next request, in seconds; changes end it earlier.
+    :param retry_excluded: replicas that refused the call are tried again too.
     """
 
     wait_s: float
@@ -64,10 +65,10 @@
 
 @dataclass(frozen=True)
 class RefuseUntilReady:
-    """The call is refused; it comes back when the model is expected.
+    """The call is refused until the model is expected.
 
-    :param expected_wait_s: until a replica can likely run it, in seconds.
-    :param retry_after_s: the time to come back that the refusal states, in seconds.
+    :param expected_wait_s: estimated time until a replica can run it, in seconds.
+    :param retry_after_s: delay for the retry that the refusal states, in seconds.
     """
 
     expected_wait_s: float
@@ -75,16 +76,16 @@
 
 
 def decide_absent(absent: AbsentModel) -> Hold | RefuseUntilReady:
-    """Return whether the call is held."""
+    """Return whether the call is held or refused."""
     retry_excluded = absent.excluded and absent.expected_wait_s <= 0
-    # All that could run it refused; they may take it a little later.
-    wait_s = RECHECK_S if retry_excluded else absent.expected_wait_s
-    if absent.answer_started or _announcement_due(absent) or wait_s <= _bearable_s(absent):
-        return Hold(min(RECHECK_S, absent.left_s), retry_excluded)
+    # All replicas that could run it refused; they may accept it a little later.
+    wait_s = RECHECK_INTERVAL_S if retry_excluded else absent.expected_wait_s
+    if absent.answer_started or _announcement_due(absent) or wait_s <= _max_wait_s(absent):
+        return Hold(min(RECHECK_INTERVAL_S, absent.left_s), retry_excluded)
     return RefuseUntilReady(wait_s, come_back.when_ready_s(wait_s, absent.left_s))
 
 
-def _bearable_s(absent: AbsentModel) -> float:
+def _max_wait_s(absent: AbsentModel) -> float:
     """Return how much longer the call may be held, in seconds."""
     if absent.returned:
         return patience_left_s(absent.route, absent.waited_s)
@@ -94,9 +95,9 @@
 
 
 def _announcement_due(absent: AbsentModel) -> bool:
-    """Return whether the leader has yet to say how long the model takes.
+    """Return whether to wait for the leader to announce how long the load takes.
 
-    The call that waits is what reports the need to it.
+    The held call itself is what reports the demand to the leader.
     """
-    limit_s = min(ANNOUNCE_S, ANNOUNCE_SHARE * absent.route.objective_s)
+    limit_s = min(ANNOUNCEMENT_TIMEOUT_S, ANNOUNCEMENT_OBJECTIVE_SHARE * absent.route.objective_s)
     return not absent.announced and absent.waited_s < limit_s
