--- a/limeshelf/admission/come_back.py
+++ b/limeshelf/admission/come_back.py
@@ -1,6 +1,6 @@
-"""The time to come back that a refusal states, in seconds from now.
+"""Delays that refusals state for the retry (Retry-After), in seconds.
 
-Owns the rules alone: one function for each kind of refusal.
+Owns the rules only: one function for each kind of refusal.
 """
 
 from __future__ import annotations
@@ -10,59 +10,60 @@
 if TYPE_CHECKING:
     from limeshelf.calls.routes import Route
 
-#: Callers heed a time to come back up to this share of the time that they have left
-#: (the platform's page on requests: a third).
-COME_BACK_SHARE = 0.33
-#: Sooner than this a caller comes back before anything has changed.
+#: Callers respect a delay of up to this share of the time that they have left (a third, according
+#: to the platform's page on requests).
+MAX_RETRY_AFTER_SHARE = 0.33
+#: After a shorter delay, a caller retries before anything has changed.
 LEAST_COME_BACK_S = 0.2
-#: Part of the objective after which a caller comes back where no time is known, so that the
-#: next attempt can still be in time.
+#: Share of the objective used as the delay if no better estimate is known, so that the next
+#: attempt can still be in time.
 REFUSED_OBJECTIVE_SHARE = 0.3
-#: Callers come back a little later than the model is expected: those that came back before were
-#: refused again.
-READY_MARGIN = 1.1
-#: Another gateway takes the call at once.
+#: Factor on the estimated load time: callers that retried before the model was loaded were refused
+#: again.
+LOAD_TIME_MARGIN = 1.1
+#: Another gateway accepts the call at once.
 STOPPING_COME_BACK_S = 0.05
-#: The configuration and the replicas come within about a second of the start.
+#: The configuration and the replicas are received within about a second of the start.
 NOT_READY_COME_BACK_S = 0.5
 
-#: A gateway that is cut off does not know until when; another one takes the call sooner than
-#: this one would.
+#: An isolated gateway cannot estimate when its connection returns; another gateway accepts the
+#: call sooner.
 CONFIG_TOO_OLD_COME_BACK_S = 0.3
 
-#: A relay that fell silent is replaced within 1.2 s, and another gateway may hear one.
+#: A relay that stopped responding is replaced within 1.2 s, and another gateway may reach one.
 LIMIT_UNKNOWN_COME_BACK_S = 0.3
 
 
 def after_wait_s(expected_wait_s: float, left_s: float) -> float:
-    """Return when to come back where a replica has room after *expected_wait_s*.
+    """Return the delay if a replica has capacity after *expected_wait_s*.
 
     :param left_s: time that the caller has left, in seconds.
     """
-    return min(max(LEAST_COME_BACK_S, expected_wait_s), left_s * COME_BACK_SHARE)
+    return min(max(LEAST_COME_BACK_S, expected_wait_s), left_s * MAX_RETRY_AFTER_SHARE)
 
 
 def when_room_s(queue_wait_s: float, copy_in_s: float | None, left_s: float) -> float:
-    """Return when to come back where the replicas that hold the model are overloaded.
+    """Return the delay if the replicas that hold the model are overloaded.
 
-    They stay so until a further copy is there, so a shorter time would only be refused again.
+    They remain overloaded until another copy is loaded, so a caller that retries earlier would
+    only be refused again.
 
-    :param queue_wait_s: until the queue has room by itself, in seconds.
-    :param copy_in_s: until a copy on its way is there, in seconds; ``None`` without one.
+    :param queue_wait_s: time until the queue has capacity by itself, in seconds.
+    :param copy_in_s: time until a copy being loaded is ready, in seconds; ``None`` without one.
     :param left_s: time that the caller has left, in seconds.
     """
-    ready_s = max(0.0, copy_in_s or 0.0) * READY_MARGIN
+    ready_s = max(0.0, copy_in_s or 0.0) * LOAD_TIME_MARGIN
     return after_wait_s(max(queue_wait_s, ready_s), left_s)
 
 
 def when_ready_s(expected_wait_s: float, left_s: float) -> float:
-    """Return when to come back where the model is there after *expected_wait_s*.
+    """Return the delay if the model is loaded after *expected_wait_s*.
 
     :param left_s: time that the caller has left, in seconds.
     """
-    return after_wait_s(expected_wait_s * READY_MARGIN, left_s)
+    return after_wait_s(expected_wait_s * LOAD_TIME_MARGIN, left_s)
 
 
 def after_refusals_s(route: Route) -> float:
-    """Return when to come back where it is not known how long replicas go on refusing."""
+    """Return the delay if it is not known how long replicas will keep refusing."""
     return route.objective_s * REFUSED_OBJECTIVE_SHARE
--- a/tests/admission/test_come_back.py
+++ b/tests/admission/test_come_back.py
@@ -1,4 +1,4 @@
-"""Times to come back in the answers to refused callers."""
+"""Delays that refusals state for the retry."""
 
 from __future__ import annotations
 
@@ -9,27 +9,27 @@
 
 
 @pytest.mark.parametrize(
-    ('wait_s', 'left_s', 'told_s'), [(1.0, 9.0, 1.0), (0.05, 9.0, 0.2), (5.0, 9.0, 2.97)]
+    ('wait_s', 'left_s', 'retry_after_s'), [(1.0, 9.0, 1.0), (0.05, 9.0, 0.2), (5.0, 9.0, 2.97)]
 )
-def test_when_there_is_room_but_no_later_than_callers_heed(
-    wait_s: float, left_s: float, told_s: float
+def test_delay_is_the_wait_within_the_limits_that_callers_respect(
+    wait_s: float, left_s: float, retry_after_s: float
 ) -> None:
-    assert come_back.after_wait_s(wait_s, left_s) == pytest.approx(told_s)
+    assert come_back.after_wait_s(wait_s, left_s) == pytest.approx(retry_after_s)
 
 
 @pytest.mark.parametrize(
-    ('copy_in_s', 'told_s'), [(None, 0.5), (-1.0, 0.5), (0.2, 0.5), (2.0, 2.2), (8.0, 2.97)]
+    ('copy_in_s', 'retry_after_s'), [(None, 0.5), (-1.0, 0.5), (0.2, 0.5), (2.0, 2.2), (8.0, 2.97)]
 )
-def test_overloaded_replicas_have_room_once_a_further_copy_is_there(
-    copy_in_s: float | None, told_s: float
+def test_delay_for_overload_covers_the_load_of_another_copy(
+    copy_in_s: float | None, retry_after_s: float
 ) -> None:
-    assert come_back.when_room_s(0.5, copy_in_s, 9.0) == pytest.approx(told_s)
+    assert come_back.when_room_s(0.5, copy_in_s, 9.0) == pytest.approx(retry_after_s)
 
 
-def test_a_little_after_the_model_is_expected() -> None:
+def test_delay_for_a_load_exceeds_its_estimate() -> None:
     assert come_back.when_ready_s(1.0, 9.0) == pytest.approx(1.1)
     assert come_back.when_ready_s(5.0, 9.0) == pytest.approx(2.97)
 
 
-def test_in_time_for_another_attempt_after_refusals() -> None:
+def test_delay_after_refusals_leaves_time_for_another_attempt() -> None:
     assert come_back.after_refusals_s(make_route(objective_s=2.0)) == pytest.approx(0.6)
