--- a/limeshelf/admission/patience.py
+++ b/limeshelf/admission/patience.py
@@ -1,7 +1,7 @@
-"""How long a call may wait for its first byte.
+"""Limits on how long a call may wait for its first byte.
 
-Two times bound a wait: the route's objective, within which an answer is in time, and
-the caller's patience, after which nobody listens. Relies on the route alone.
+A wait is limited by the objective of the route, after which the answer would be late, and by the
+patience of the caller, after which it gives up. Depends on the route only.
 """
 
 from __future__ import annotations
@@ -11,18 +11,18 @@
 if TYPE_CHECKING:
     from limeshelf.calls.routes import Route
 
-#: Share of the objective that a call may wait for a model which no replica holds; the rest is
-#: left for the answer itself.
+#: Share of the objective that a call may wait for a model that no replica holds; the rest is left
+#: for the answer itself.
 HOLD_SHARE = 0.6
-#: Where the time of a load is known, no more than this is left for the answer, however long the
+#: If the load time is known, at most this much time is reserved for the answer, however long the
 #: objective is.
-ANSWER_LIMIT_S = 0.5
-#: Share of the caller's patience after which a waiting call is refused, so that the refusal
-#: still finds it.
+MAX_ANSWER_RESERVE_S = 0.5
+#: Share of the caller's patience after which a held call is refused, so that the refusal arrives
+#: before the caller gives up.
 PATIENCE_SHARE = 0.85
 #: A caller that allows less than this share of the route's time-out has spent the rest on an
 #: earlier attempt.
-RETURNED_SHARE = 0.97
+FULL_BUDGET_SHARE = 0.97
 
 
 def hold_left_s(route: Route, waited_s: float) -> float:
@@ -31,8 +31,8 @@
 
 
 def announced_left_s(route: Route, waited_s: float) -> float:
-    """Return how much longer a call may wait for a load that the leader announced, in seconds."""
-    answer_s = min(ANSWER_LIMIT_S, (1.0 - HOLD_SHARE) * route.objective_s)
+    """Return how much longer a call may wait for an announced load, in seconds."""
+    answer_s = min(MAX_ANSWER_RESERVE_S, (1.0 - HOLD_SHARE) * route.objective_s)
     return route.objective_s - answer_s - waited_s
 
 
@@ -42,9 +42,8 @@
 
 
 def has_returned(route: Route, budget_s: float | None) -> bool:
-    """Return whether the caller was likely refused before and has come back.
+    """Return whether the call is probably a retry after a refusal.
 
-    :param budget_s: how long the caller said it waits, in seconds; ``None`` if it said
-        nothing.
+    :param budget_s: time that the caller said it waits, in seconds; ``None`` if it did not say.
     """
-    return budget_s is not None and budget_s < RETURNED_SHARE * route.timeout_s
+    return budget_s is not None and budget_s < FULL_BUDGET_SHARE * route.timeout_s
--- a/tests/admission/test_patience.py
+++ b/tests/admission/test_patience.py
@@ -1,4 +1,4 @@
-"""Who has come back after a refusal, and how long callers may wait."""
+"""Detection of retried calls, and limits on how long calls may wait."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 @pytest.mark.parametrize(
     ('budget_s', 'returned'), [(None, False), (10.0, False), (9.71, False), (9.69, True)]
 )
-def test_less_time_than_the_route_gives_tells_a_returned_caller(
+def test_call_with_less_time_than_its_route_counts_as_a_retry(
     budget_s: float | None, returned: bool
 ) -> None:
     assert has_returned(make_route(), budget_s) is returned
 
 
-def test_hold_ends_well_before_the_objective_and_patience_before_the_caller() -> None:
+def test_wait_limits_end_before_the_objective_and_the_patience() -> None:
     route = make_route(objective_s=2.0)
     assert hold_left_s(route, 0.2) == pytest.approx(1.0)
     assert route.patience_s == 8.0
