--- a/tests/admission/test_repeats.py
+++ b/tests/admission/test_repeats.py
@@ -1,4 +1,4 @@
-"""What may be sent again, and the time that an attempt gets."""
+"""Rules for retries, and the time limit of an attempt."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
         (5, 0.03, RefusalReason.DEADLINE_TOO_SHORT),
     ],
 )
-def test_sent_until_time_or_refusals_are_used_up(
+def test_sent_until_time_or_refusals_are_exhausted(
     refusals: int, left_s: float, reason: RefusalReason | None
 ) -> None:
     assert reason_not_to_send(refusals, left_s) is reason
 
 
-def test_only_what_is_repeatable_runs_again_as_often_as_its_route_allows() -> None:
+def test_only_repeatable_calls_run_again_up_to_the_limit_of_the_route() -> None:
     assert may_run_again(make_route(), 1, 1.0)
     assert may_run_again(RESUMABLE, 1, 1.0)
     assert not may_run_again(make_route(), 2, 1.0)
