--- a/limeshelf/admission/retry_budget.py
+++ b/limeshelf/admission/retry_budget.py
@@ -1,7 +1,7 @@
-"""How many retries of a service this gateway may make, of those allowed to all gateways.
+"""Limits this gateway's retries to its share of the retries allowed to all gateways.
 
-Owns one budget a service. A call earns a share of a retry; beside that, all gateways
-together have an allowance a window, of which each takes an equal part.
+Owns one budget per service. Each call earns a fraction of a retry; in addition, all gateways
+together have an allowance per window, which they share equally.
 """
 
 from __future__ import annotations
@@ -10,17 +10,17 @@
 
 from limeshelf.util.clock import boottime_s
 
-#: Share of the allowance that is used; the rest covers clocks and gateways that count one
-#: another late.
+#: Share of the allowance that is used; the rest covers clock differences and gateways that notice
+#: a change of the number of gateways late.
 USED_SHARE = 0.7
 
 
 @attrs.frozen
 class RetryRule:
-    """What all gateways together may repeat, from the settings.
+    """Limit on the retries of all gateways together, from the settings.
 
-    :param ratio: retries for each call.
-    :param slack: retries beyond that in a window.
+    :param ratio: retries per call.
+    :param slack: additional retries per window.
     :param window_s: length of the window, in seconds.
     """
 
@@ -31,59 +31,59 @@
 
 @attrs.define
 class RetryBudget:
-    """This gateway's part of the retries of one service.
+    """This gateway's share of the retries of one service.
 
-    :param gateways: gateways that share the allowance, this one among them; ``None`` while that
-        is not known. Then nothing of it is used: a gateway that starts knows nobody, and so do
-        all that start with it.
+    :param gateways: number of gateways that share the allowance, this one included; ``None`` while
+        unknown. In that case the allowance is not used: a starting gateway does not know the
+        others, and neither do those that start at the same time.
     """
 
     rule: RetryRule
     gateways: int | None = None
-    _saved: float = 0.0
+    _balance: float = 0.0
     _updated_s: float = attrs.field(factory=boottime_s)
 
     def __attrs_post_init__(self) -> None:
-        self._saved = self._half_part()
+        self._balance = self._half_share()
 
     def note_call(self) -> None:
-        """Count a call, which earns a part of a retry."""
+        """Count a call, which earns a fraction of a retry."""
         self._refill()
-        self._saved = min(self._limit(), self._saved + self.rule.ratio * USED_SHARE)
+        self._balance = min(self._limit(), self._balance + self.rule.ratio * USED_SHARE)
 
     def try_retry(self) -> bool:
-        """Take one retry if the budget holds one."""
+        """Spend one retry if the budget allows it; return whether it did."""
         self._refill()
-        if self._saved < 1.0:
+        if self._balance < 1.0:
             return False
-        self._saved -= 1.0
+        self._balance -= 1.0
         return True
 
-    def _half_part(self) -> float:
-        """Return half of this gateway's part of a window's allowance.
+    def _half_share(self) -> float:
+        """Return half of this gateway's share of the allowance of a window.
 
-        One half may be saved up and the other flows in during a window, so no window
-        sees more than the whole part.
+        Half may accumulate and the other half is added during a window, so no window exceeds the
+        whole share.
         """
         if self.gateways is None:
             return 0.0
         return USED_SHARE * self.rule.slack / self.gateways / 2
 
     def _limit(self) -> float:
-        return max(1.0, self._half_part())
+        return max(1.0, self._half_share())
 
     def _refill(self) -> None:
         now_s = boottime_s()
-        per_s = self._half_part() / self.rule.window_s
-        self._saved = min(self._limit(), self._saved + (now_s - self._updated_s) * per_s)
+        per_s = self._half_share() / self.rule.window_s
+        self._balance = min(self._limit(), self._balance + (now_s - self._updated_s) * per_s)
         self._updated_s = now_s
 
 
 class RetryBudgets:
     """The budgets of all services, under the rule in force.
 
-    :ivar gateways: gateways that share each allowance, this one among them; ``None`` while that
-        is not known.
+    :ivar gateways: number of gateways that share each allowance, this one included; ``None`` while
+        unknown.
     """
 
     def __init__(self, rule: RetryRule) -> None:
@@ -100,7 +100,7 @@
         return budget
 
     def change_rule(self, rule: RetryRule) -> None:
-        """Let another rule bound the retries from now on; budgets begin anew."""
+        """Apply another rule from now on; budgets are reset if it differs."""
         if rule != self._rule:
             self._rule = rule
             self._by_service.clear()
--- a/tests/admission/test_retry_budget.py
+++ b/tests/admission/test_retry_budget.py
@@ -1,4 +1,4 @@
-"""Retries of one gateway stay below its part of what all gateways may repeat."""
+"""Retries of one gateway stay within its share of the retries allowed to all gateways."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
     return sum(budget.try_retry() for _ in range(tries))
 
 
-def test_window_holds_no_more_than_this_gateways_part() -> None:
+def test_retries_in_a_window_stay_within_this_gateways_share() -> None:
     with virtual_clock() as clock:
         budget = RetryBudget(RULE, gateways=5)
         allowed = retries(budget)
@@ -31,7 +31,7 @@
         assert retries(budget) == 1
 
 
-def test_budgets_are_kept_by_service_and_begin_anew_with_another_rule() -> None:
+def test_budgets_are_separate_per_service_and_reset_by_another_rule() -> None:
     with virtual_clock():
         budgets = RetryBudgets(RULE)
         budgets.gateways = 1
@@ -44,7 +44,7 @@
         assert retries(budgets.of('a')) == 35
 
 
-def test_part_shrinks_with_more_gateways() -> None:
+def test_share_shrinks_with_more_gateways() -> None:
     with virtual_clock():
         budgets = RetryBudgets(RULE)
         budgets.gateways = 1
@@ -54,7 +54,7 @@
         assert retries(budgets.of('a')) == 1
 
 
-def test_nothing_of_the_allowance_is_used_while_nobody_knows_who_shares_it() -> None:
+def test_allowance_is_not_used_while_the_number_of_gateways_is_unknown() -> None:
     with virtual_clock() as clock:
         budget = RetryBudgets(RULE).of('a')
         clock.advance(RULE.window_s)
