--- a/limeshelf/dispatch/client.py
+++ b/limeshelf/dispatch/client.py
@@ -168,7 +168,7 @@
             pending.request_id,
             verdict.replica_id,
             lambda progress: self._exchange.send_progress(owner, progress),
-            has_turn=verdict.has_turn,
+            has_permit=verdict.has_turn,
         )
 
     def _record_refusal(self, pending: PendingRequest, verdict: DispatchVerdict) -> None:
--- a/limeshelf/dispatch/dispatcher.py
+++ b/limeshelf/dispatch/dispatcher.py
@@ -24,8 +24,8 @@
     Stage,
     VerdictKind,
 )
-from limeshelf.dispatch.pace import ReplicaPaces
 from limeshelf.dispatch.queue import RequestQueue
+from limeshelf.dispatch.rate_limiter import ReplicaRateLimiters
 from limeshelf.dispatch.refusal import QueuePosition, WaitEstimate, estimate_wait
 from limeshelf.dispatch.requests import GrantedRequest, QueuedRequest
 from limeshelf.dispatch.selector import HolderSelector
@@ -56,7 +56,7 @@
     :param owner_of: returns the owner of a data centre's replicas; see
         :class:`~limeshelf.dispatch.owners.OwnerSelector`.
     :param data_centre: of this process.
-    :param paces: rate limiters of the replicas that limit their calls per second.
+    :param limiters: rate limiters of the replicas that limit their calls per second.
     :ivar speed: prefill speed of each model, as measured by this process.
     """
 
@@ -67,15 +67,17 @@
         answer: Callable[[str, DispatchVerdict], None],
         owner_of: Callable[[str], str | None],
         data_centre: str,
-        paces: ReplicaPaces | None = None,
+        limiters: ReplicaRateLimiters | None = None,
     ) -> None:
         self.speed = ReadingSpeed()
         self._config = config
         self._answer = answer
         self._queue = RequestQueue()
         self._granted = GrantedRequests()
-        self._paces = paces or ReplicaPaces(owner_of)
-        self._selector = HolderSelector(directory, self.speed, owner_of, data_centre, self._paces)
+        self._limiters = limiters or ReplicaRateLimiters(owner_of)
+        self._selector = HolderSelector(
+            directory, self.speed, owner_of, data_centre, self._limiters
+        )
 
     @property
     def queue_length(self) -> int:
@@ -193,7 +195,7 @@
         position = QueuePosition(
             ahead_ms, len(holders), query.objective_ms, query.left_ms, query.returned
         )
-        permit_wait_s = self._paces.queue_wait_s(holders, math.ceil(sum(ahead.values())), now_s)
+        permit_wait_s = self._limiters.queue_wait_s(holders, math.ceil(sum(ahead.values())), now_s)
         return estimate_wait(position).at_least(permit_wait_s * MS_PER_S)
 
     def _try_grant(self, request: QueuedRequest, now_s: float) -> bool:
@@ -230,7 +232,7 @@
         """Take a rate permit for a grant; return whether it was needed and issued here."""
         if replica.backpressure.rate_per_s is None:
             return False
-        permit = self._paces.try_acquire(replica, 0.0, now_s)
+        permit = self._limiters.try_acquire(replica, 0.0, now_s)
         return permit is not None and permit.is_granted
 
     def _end_prefill(self, granted: GrantedRequest) -> None:
--- a/limeshelf/dispatch/exchange.py
+++ b/limeshelf/dispatch/exchange.py
@@ -17,8 +17,8 @@
     from collections.abc import Callable
 
     from limeshelf.calls.routes import ServingConfig
-    from limeshelf.dispatch.pace import ReplicaPaces
     from limeshelf.dispatch.pending import PendingRequest
+    from limeshelf.dispatch.rate_limiter import ReplicaRateLimiters
     from limeshelf.peers.codec import Envelope
     from limeshelf.peers.node import PeerNode
     from limeshelf.replicas.directory import ReplicaDirectory
@@ -36,7 +36,7 @@
     :param owner_of: returns the owner of a data centre's replicas; see
         :class:`~limeshelf.dispatch.owners.OwnerSelector`.
     :param data_centre: of this process.
-    :param paces: see :class:`~limeshelf.dispatch.dispatcher.Dispatcher`.
+    :param limiters: see :class:`~limeshelf.dispatch.dispatcher.Dispatcher`.
     """
 
     def __init__(
@@ -46,10 +46,10 @@
         config: Callable[[], ServingConfig | None],
         owner_of: Callable[[str], str | None],
         data_centre: str,
-        paces: ReplicaPaces | None = None,
+        limiters: ReplicaRateLimiters | None = None,
     ) -> None:
         self.dispatcher = Dispatcher(
-            directory, config, self._send_verdict, owner_of, data_centre, paces
+            directory, config, self._send_verdict, owner_of, data_centre, limiters
         )
         self._node = node
         self._pending: dict[str, PendingRequest] = {}
--- a/limeshelf/dispatch/grants.py
+++ b/limeshelf/dispatch/grants.py
@@ -64,13 +64,13 @@
     the dispatcher counts the call at the replica until the grant expires.
 
     :ivar replica_id: the replica to send the call to.
-    :ivar has_turn: the grant includes a rate permit of the replica.
+    :ivar has_permit: the grant includes a rate permit of the replica.
     """
 
     request_id: str
     replica_id: str
     _report: Callable[[DispatchProgress], None]
-    has_turn: bool = False
+    has_permit: bool = False
     _prefill_reported: bool = False
 
     def report_read(self) -> None:
--- a/limeshelf/dispatch/messages.py
+++ b/limeshelf/dispatch/messages.py
@@ -99,7 +99,7 @@
 
 @add_message('turn-query')
 @attrs.frozen
-class TurnQuery:
+class PermitQuery:
     """Requests a rate permit for one call from the pacer of a replica.
 
     :param query_id: chosen by the requesting gateway.
@@ -120,7 +120,7 @@
 
 @add_message('turn-verdict')
 @attrs.frozen
-class TurnVerdict:
+class PermitVerdict:
     """Answers a permit query.
 
     :param wait_ms: time until the call may be sent; if not granted, estimated time until a permit
--- a/limeshelf/dispatch/turns.py
+++ b/limeshelf/dispatch/permits.py
@@ -1,8 +1,8 @@
 """Acquires rate permits for calls to replicas that limit their calls per second.
 
-Sends permit queries to the pacer of a replica (:mod:`limeshelf.dispatch.pace`), and answers them
-if this process is the pacer. There is no permit if the pacer is unknown or does not answer,
-because permits issued by every gateway on its own would add up to a multiple of the rate.
+Sends permit queries to the pacer of a replica (:mod:`limeshelf.dispatch.rate_limiter`), and
+answers them if this process is the pacer. There is no permit if the pacer is unknown or does not
+answer, because permits issued by every gateway on its own would add up to a multiple of the rate.
 
 Owns the times of the next permits, as reported by pacers. Messages are sent through
 :mod:`limeshelf.peers.questions`.
@@ -15,8 +15,8 @@
 
 import attrs
 
-from limeshelf.dispatch.messages import TurnQuery, TurnVerdict
-from limeshelf.dispatch.pace import Turn
+from limeshelf.dispatch.messages import PermitQuery, PermitVerdict
+from limeshelf.dispatch.rate_limiter import RatePermit
 from limeshelf.membership.member import LOCAL
 from limeshelf.metrics.event_log import log_change
 from limeshelf.peers.questions import AVOID_S, Questions
@@ -24,7 +24,7 @@
 from limeshelf.util.identifiers import new_id
 
 if TYPE_CHECKING:
-    from limeshelf.dispatch.pace import ReplicaPaces
+    from limeshelf.dispatch.rate_limiter import ReplicaRateLimiters
     from limeshelf.peers.codec import Envelope
     from limeshelf.peers.node import PeerNode
     from limeshelf.replicas.directory import ReplicaDirectory
@@ -33,7 +33,7 @@
     from limeshelf.replicas.starts import ReplicaStart
 
 #: Result if no pacer is known or the pacer does not answer.
-_NO_PACER = Turn(False, AVOID_S)
+_NO_PACER = RatePermit(False, AVOID_S)
 
 
 @attrs.frozen
@@ -48,7 +48,7 @@
     at_s: float
 
 
-class TurnExchange:
+class PermitExchange:
     """Requests rate permits, and issues them to other gateways."""
 
     def __init__(
@@ -56,21 +56,21 @@
         node: PeerNode,
         directory: ReplicaDirectory,
         notices: NoticeTaker,
-        paces: ReplicaPaces,
+        limiters: ReplicaRateLimiters,
     ) -> None:
         self._node = node
         self._directory = directory
         self._notices = notices
-        self._paces = paces
-        self._questions: Questions[Turn] = Questions(node, _log_timeout)
+        self._limiters = limiters
+        self._questions: Questions[RatePermit] = Questions(node, _log_timeout)
         self._next_permits: dict[ReplicaStart, _NextPermit] = {}
 
     def start(self) -> None:
         """Register the message handlers."""
-        self._node.add_handler(TurnQuery, self._on_query)
-        self._node.add_handler(TurnVerdict, self._on_verdict)
+        self._node.add_handler(PermitQuery, self._on_query)
+        self._node.add_handler(PermitVerdict, self._on_verdict)
 
-    async def get(self, replica: Replica, max_wait_s: float) -> Turn:
+    async def acquire(self, replica: Replica, max_wait_s: float) -> RatePermit:
         """Wait for a permit and return it, or return that none is available in time.
 
         :param max_wait_s: longest time that the call can wait for it, in seconds.
@@ -80,7 +80,7 @@
         if known is not None and known.rate_per_s == rate_per_s:
             wait_s = known.at_s - boottime_s()
             if wait_s > max_wait_s:
-                return Turn(False, wait_s)
+                return RatePermit(False, wait_s)
         permit = await self._request(replica, max_wait_s)
         if not permit.is_granted:
             self._next_permits[replica.start] = _NextPermit(
@@ -90,22 +90,22 @@
             await asyncio.sleep(permit.wait_s)
         return permit
 
-    async def _request(self, replica: Replica, max_wait_s: float) -> Turn:
-        pacer = self._paces.pacer_of(replica)
+    async def _request(self, replica: Replica, max_wait_s: float) -> RatePermit:
+        pacer = self._limiters.pacer_of(replica)
         if pacer is None or self._questions.is_avoided(pacer):
             return _NO_PACER
         if pacer == LOCAL:
-            return self._paces.try_acquire(replica, max_wait_s, boottime_s()) or _NO_PACER
+            return self._limiters.try_acquire(replica, max_wait_s, boottime_s()) or _NO_PACER
         query = _query_of(replica, max_wait_s)
         return await self._questions.ask(pacer, query.query_id, query) or _NO_PACER
 
     def _on_query(self, envelope: Envelope) -> None:
-        query: TurnQuery = envelope.message
+        query: PermitQuery = envelope.message
         permit = self._issue(query)
-        verdict = TurnVerdict(query.query_id, permit.is_granted, int(permit.wait_s * MS_PER_S))
+        verdict = PermitVerdict(query.query_id, permit.is_granted, int(permit.wait_s * MS_PER_S))
         self._node.send(envelope.sender, verdict)
 
-    def _issue(self, query: TurnQuery) -> Turn:
+    def _issue(self, query: PermitQuery) -> RatePermit:
         replica = self._directory.get(query.replica_id)
         if replica is None or replica.known_start.born_ms != query.born_ms:
             return _NO_PACER
@@ -113,17 +113,17 @@
         heard_s = boottime_s() - query.heard_ms_ago / MS_PER_S
         self._notices.take_rate_of_peer(replica, query.rate_per_s, heard_s)
         max_wait_s = query.patience_ms / MS_PER_S
-        return self._paces.try_acquire(replica, max_wait_s, boottime_s()) or _NO_PACER
+        return self._limiters.try_acquire(replica, max_wait_s, boottime_s()) or _NO_PACER
 
     def _on_verdict(self, envelope: Envelope) -> None:
-        verdict: TurnVerdict = envelope.message
-        permit = Turn(verdict.granted, verdict.wait_ms / MS_PER_S)
+        verdict: PermitVerdict = envelope.message
+        permit = RatePermit(verdict.granted, verdict.wait_ms / MS_PER_S)
         self._questions.answer(verdict.query_id, permit)
 
 
-def _query_of(replica: Replica, max_wait_s: float) -> TurnQuery:
+def _query_of(replica: Replica, max_wait_s: float) -> PermitQuery:
     backpressure = replica.backpressure
-    return TurnQuery(
+    return PermitQuery(
         query_id=new_id('u'),
         replica_id=replica.replica_id,
         born_ms=replica.known_start.born_ms,
--- a/limeshelf/dispatch/pace.py
+++ b/limeshelf/dispatch/rate_limiter.py
@@ -32,8 +32,8 @@
 #: that all possible replacements of an owner use together, as the owner may be active. In both
 #: cases the total is at most one and a half times the rate.
 REDUCED_RATE_SHARE = 0.5
-#: Time in seconds during which a pacer counts as new.
-NEW_FOR_S = 4.0
+#: Time in seconds during which a new pacer uses the reduced rate.
+REDUCED_RATE_PERIOD_S = 4.0
 #: Permits for this much time, in seconds, may accumulate in addition to the next one. Calls arrive
 #: unevenly, so without it a permit that is not used when it becomes available would be lost.
 BURST_S = 0.25
@@ -43,7 +43,7 @@
 
 
 @attrs.frozen
-class Turn:
+class RatePermit:
     """Whether and when a call may be sent to a replica.
 
     :param wait_s: time until it may be sent; if not granted, estimated time until a permit is
@@ -93,7 +93,7 @@
         self._rate_per_s = rate_per_s
 
 
-class ReplicaPaces:
+class ReplicaRateLimiters:
     """Rate limiters of the replicas for which this process is the pacer.
 
     :param owner_of: returns the owner of a data centre's replicas; see
@@ -145,23 +145,23 @@
         next_s = min(self.wait_s(replica, now_s) for replica in replicas)
         return next_s + (calls - 1) / rate_per_s
 
-    def try_acquire(self, replica: Replica, max_wait_s: float, now_s: float) -> Turn | None:
+    def try_acquire(self, replica: Replica, max_wait_s: float, now_s: float) -> RatePermit | None:
         """Issue the next permit for a replica, if it is available soon enough.
 
         :param max_wait_s: longest time that the call can wait for it, in seconds.
         :returns: ``None`` if another process issues the permits of this replica.
         """
         if replica.backpressure.rate_per_s is None:
-            return Turn(True, 0.0)
+            return RatePermit(True, 0.0)
         permitted_per_s = self._permitted_rate_per_s(replica, now_s)
         if permitted_per_s is None:
             return None
         limiter = self._limiter(replica, now_s)
         wait_s = limiter.wait_s(permitted_per_s, now_s)
         if wait_s > max_wait_s:
-            return Turn(False, wait_s)
+            return RatePermit(False, wait_s)
         limiter.acquire(permitted_per_s, now_s + wait_s)
-        return Turn(True, wait_s)
+        return RatePermit(True, wait_s)
 
     def _permitted_rate_per_s(self, replica: Replica, now_s: float) -> float | None:
         """Return the permits per second that this process issues; ``None`` if it issues none."""
@@ -177,7 +177,7 @@
             # Each of the other owners may consider itself the replacement.
             others = len(set(self._data_centres()) - {replica_centre})
             return REDUCED_RATE_SHARE / max(1, others)
-        is_new = now_s < self._limiter(replica, now_s).started_s + NEW_FOR_S
+        is_new = now_s < self._limiter(replica, now_s).started_s + REDUCED_RATE_PERIOD_S
         return REDUCED_RATE_SHARE if is_new else 1.0
 
     def _limiter(self, replica: Replica, now_s: float) -> RateLimiter:
--- a/limeshelf/dispatch/selector.py
+++ b/limeshelf/dispatch/selector.py
@@ -2,8 +2,8 @@
 
 Candidates hold what the call needs, are not suspended (unless all holders are), have enough free
 prefill time, slots and memory (:mod:`limeshelf.dispatch.limits`) and have a rate permit available
-(:mod:`limeshelf.dispatch.pace`). Among these the one with the least load is selected, counting
-prefill, running calls and memory.
+(:mod:`limeshelf.dispatch.rate_limiter`). Among these the one with the least load is selected,
+counting prefill, running calls and memory.
 
 Owns the load that granted requests put on each replica, and a cache of the holders of each model,
 valid until the next :meth:`~HolderSelector.clear_holder_cache`. Records, held models, health and
@@ -17,7 +17,7 @@
 from limeshelf.dispatch.fallback import prefill_share
 from limeshelf.dispatch.granted_load import GrantedLoad
 from limeshelf.dispatch.limits import Occupancy, PrefillWindow
-from limeshelf.dispatch.pace import ReplicaPaces
+from limeshelf.dispatch.rate_limiter import ReplicaRateLimiters
 from limeshelf.membership.member import LOCAL
 from limeshelf.replicas.penalties import with_penalties
 from limeshelf.util.clock import boottime_s
@@ -41,7 +41,7 @@
     :param owner_of: returns the owner of a data centre's replicas; see
         :class:`~limeshelf.dispatch.owners.OwnerSelector`.
     :param data_centre: of this process.
-    :param paces: rate limiters of the replicas that limit their calls per second.
+    :param limiters: rate limiters of the replicas that limit their calls per second.
     :ivar loads: load of granted requests, by start of the replica.
     """
 
@@ -51,14 +51,14 @@
         speed: ReadingSpeed,
         owner_of: Callable[[str], str | None],
         data_centre: str,
-        paces: ReplicaPaces | None = None,
+        limiters: ReplicaRateLimiters | None = None,
     ) -> None:
         self.loads: dict[ReplicaStart, GrantedLoad] = {}
         self._directory = directory
         self._speed = speed
         self._owner_of = owner_of
         self._data_centre = data_centre
-        self._paces = paces or ReplicaPaces(owner_of)
+        self._limiters = limiters or ReplicaRateLimiters(owner_of)
         self._holders: dict[ModelKey, list[Replica]] = {}
 
     def clear_holder_cache(self) -> None:
@@ -127,7 +127,7 @@
         """Return the cost of the call at a replica, ``None`` if that has no capacity for it."""
         load = self.load_of(replica)
         now_s = boottime_s()
-        if self._paces.wait_s(replica, now_s) > 0:
+        if self._limiters.wait_s(replica, now_s) > 0:
             return None
         load.expire_prefills(now_s)
         window = self._window(replica, query, engine)
--- a/limeshelf/gateway/selection.py
+++ b/limeshelf/gateway/selection.py
@@ -21,7 +21,7 @@
     from limeshelf.calls.call import ModelNeed
     from limeshelf.dispatch.client import DispatchClient
     from limeshelf.dispatch.grants import Grant
-    from limeshelf.dispatch.turns import TurnExchange
+    from limeshelf.dispatch.permits import PermitExchange
     from limeshelf.gateway.state import CallState
     from limeshelf.replicas.directory import ReplicaDirectory
     from limeshelf.replicas.replica import Replica
@@ -69,7 +69,7 @@
     directory: ReplicaDirectory
     chooser: Chooser
     dispatch: DispatchClient
-    turns: TurnExchange
+    turns: PermitExchange
 
     async def select(self, state: CallState) -> Selection:
         """Return the replica to send a call to next, or why there is none."""
@@ -88,7 +88,7 @@
         while (chosen := self.chooser.choose(state.service, frozenset(excluded))) is not None:
             if chosen.backpressure.rate_per_s is None:
                 return Selected(chosen, None)
-            turn = await self.turns.get(chosen, _turn_patience_s(state))
+            turn = await self.turns.acquire(chosen, _turn_patience_s(state))
             if turn.is_granted:
                 return Selected(chosen, None, has_turn=True)
             excluded.add(chosen.replica_id)
@@ -104,7 +104,7 @@
             return answered
         replica = self.directory.get(answered.replica_id)
         if replica is not None and replica.takes_calls:
-            has_turn = answered.has_turn or await self._gets_turn(state, replica, answered)
+            has_turn = answered.has_permit or await self._gets_turn(state, replica, answered)
             if has_turn or replica.backpressure.rate_per_s is None:
                 return Selected(replica, answered, has_turn)
         # The dispatcher has no report yet that the replica leaves, or gives no turns there.
@@ -121,7 +121,7 @@
         if replica.backpressure.rate_per_s is None:
             return False
         try:
-            turn = await self.turns.get(replica, _turn_patience_s(state))
+            turn = await self.turns.acquire(replica, _turn_patience_s(state))
         except asyncio.CancelledError:
             grant.report_ended()
             raise
--- a/limeshelf/membership/notice_exchange.py
+++ b/limeshelf/membership/notice_exchange.py
@@ -2,7 +2,7 @@
 
 It goes as :mod:`~limeshelf.membership.news`. A gateway that starts has missed it: who does not
 know learns it by its first answer from the replica, and tells who gives the turns there as it
-asks for one (:mod:`limeshelf.dispatch.turns`).
+asks for one (:mod:`limeshelf.dispatch.permits`).
 """
 
 from __future__ import annotations
--- a/limeshelf/programs/components.py
+++ b/limeshelf/programs/components.py
@@ -21,8 +21,8 @@
 from limeshelf.demand.unserved import UnservedKind
 from limeshelf.dispatch.client import DispatchClient
 from limeshelf.dispatch.exchange import DispatchExchange
-from limeshelf.dispatch.pace import ReplicaPaces
-from limeshelf.dispatch.turns import TurnExchange
+from limeshelf.dispatch.permits import PermitExchange
+from limeshelf.dispatch.rate_limiter import ReplicaRateLimiters
 from limeshelf.feeds.store_clock import StoreClock
 from limeshelf.gateway.access import AccessGuard
 from limeshelf.gateway.attempts import AttemptRunner
@@ -140,10 +140,10 @@
 
     def _make_dispatch(self, settings: GatewaySettings) -> None:
         owner_of = self.dispatchers.of_centre
-        paces = ReplicaPaces(owner_of, self.members.centres)
-        self.turns = TurnExchange(self.node, self.directory, self.notices, paces)
+        limiters = ReplicaRateLimiters(owner_of, self.members.centres)
+        self.turns = PermitExchange(self.node, self.directory, self.notices, limiters)
         self.dispatch = DispatchExchange(
-            self.node, self.directory, self.in_force.get, owner_of, settings.data_centre, paces
+            self.node, self.directory, self.in_force.get, owner_of, settings.data_centre, limiters
         )
         self.dispatch_client = DispatchClient(
             self.dispatch, self.directory, owner_of, settings.data_centre
--- a/tests/dispatch/test_turns.py
+++ b/tests/dispatch/test_permits.py
@@ -8,8 +8,8 @@
 
 import attrs
 
-from limeshelf.dispatch.pace import ReplicaPaces, Turn
-from limeshelf.dispatch.turns import TurnExchange
+from limeshelf.dispatch.permits import PermitExchange
+from limeshelf.dispatch.rate_limiter import RatePermit, ReplicaRateLimiters
 from limeshelf.membership.member import LOCAL
 from limeshelf.peers.codec import Envelope, decode, encode
 from limeshelf.peers.questions import AVOID_S
@@ -44,13 +44,13 @@
             asyncio.get_running_loop().call_soon(receiver, envelope)
 
 
-def gateway_at(node: Any, owner: str | None) -> tuple[TurnExchange, Replica]:
+def gateway_at(node: Any, owner: str | None) -> tuple[PermitExchange, Replica]:
     directory = ReplicaDirectory(read_record)
     directory.take_record(ReplicaRecord('r-1', 'app', 'ip:1', 'z1', 4, False, None, (), 1))
     replica = directory.get('r-1')
     assert replica is not None
-    paces = ReplicaPaces(lambda data_centre: owner)
-    permits = TurnExchange(node, directory, NoticeTaker(directory), paces)
+    limiters = ReplicaRateLimiters(lambda data_centre: owner)
+    permits = PermitExchange(node, directory, NoticeTaker(directory), limiters)
     permits.start()
     return permits, replica
 
@@ -60,7 +60,7 @@
     """A pacer, and a gateway that requests permits from it."""
 
     nodes: dict[str, Node]
-    client: TurnExchange
+    client: PermitExchange
     replica_at_client: Replica
     replica_at_pacer: Replica
 
@@ -77,7 +77,7 @@
 def test_pacer_takes_the_rate_from_the_permit_query() -> None:
     async def scenario() -> None:
         pair = pacer_and_client()
-        assert (await pair.client.get(pair.replica_at_client, 0.0)).is_granted
+        assert (await pair.client.acquire(pair.replica_at_client, 0.0)).is_granted
         assert pair.replica_at_pacer.backpressure.rate_per_s == 2.0
 
     asyncio.run(scenario())
@@ -86,16 +86,16 @@
 def test_no_query_is_sent_before_the_next_permit_is_due() -> None:
     async def scenario() -> None:
         pair = pacer_and_client()
-        await pair.client.get(pair.replica_at_client, 0.0)
-        permit = await pair.client.get(pair.replica_at_client, 0.0)
+        await pair.client.acquire(pair.replica_at_client, 0.0)
+        permit = await pair.client.acquire(pair.replica_at_client, 0.0)
         assert not permit.is_granted
         assert 0.5 < permit.wait_s <= 1.0
         asked = pair.nodes[CLIENT].sent
-        assert not (await pair.client.get(pair.replica_at_client, 0.0)).is_granted
+        assert not (await pair.client.acquire(pair.replica_at_client, 0.0)).is_granted
         assert pair.nodes[CLIENT].sent == asked
         # At another rate, the next permit is due at another time.
         pair.replica_at_client.backpressure.note_rate(20.0, boottime_s())
-        await pair.client.get(pair.replica_at_client, 0.0)
+        await pair.client.acquire(pair.replica_at_client, 0.0)
         assert pair.nodes[CLIENT].sent == asked + 1
 
     asyncio.run(scenario())
@@ -106,7 +106,7 @@
         pair = pacer_and_client()
         pair.replica_at_pacer.backpressure.note_no_rate(boottime_s() + 1.0)
         for _ in range(3):
-            assert await pair.client.get(pair.replica_at_client, 0.0) == Turn(True, 0.0)
+            assert await pair.client.acquire(pair.replica_at_client, 0.0) == RatePermit(True, 0.0)
 
     asyncio.run(scenario())
 
@@ -115,10 +115,10 @@
     async def scenario() -> None:
         pair = pacer_and_client()
         pair.nodes[PACER].is_cut = True
-        assert await pair.client.get(pair.replica_at_client, 1.0) == Turn(False, AVOID_S)
+        assert await pair.client.acquire(pair.replica_at_client, 1.0) == RatePermit(False, AVOID_S)
         without_pacer, replica = gateway_at(pair.nodes[CLIENT], None)
         replica.backpressure.note_rate(2.0, boottime_s())
-        assert await without_pacer.get(replica, 1.0) == Turn(False, AVOID_S)
+        assert await without_pacer.acquire(replica, 1.0) == RatePermit(False, AVOID_S)
 
     asyncio.run(scenario())
 
@@ -130,6 +130,6 @@
         gateway_at(nodes[PACER], 'somebody else')
         client, replica = gateway_at(nodes[CLIENT], PACER)
         replica.backpressure.note_rate(2.0, boottime_s())
-        assert not (await client.get(replica, 0.0)).is_granted
+        assert not (await client.acquire(replica, 0.0)).is_granted
 
     asyncio.run(scenario())
--- a/tests/gateway/test_rate_limited_replica.py
+++ b/tests/gateway/test_rate_limited_replica.py
@@ -19,7 +19,7 @@
 
 import asyncio
 
-from limeshelf.dispatch.pace import NEW_FOR_S
+from limeshelf.dispatch.rate_limiter import REDUCED_RATE_PERIOD_S
 from tests.support.fleet import CENTRES, FleetWorld, load, run_fleet
 from tests.support.needs import most_in_window, tolerated
 
@@ -39,7 +39,9 @@
             assert replica.stated
             assert most_in_window(world, replica) <= tolerated(RATE_PER_S)
             # It is used all the same, at half of its rate at first.
-            assert len(replica.seen) >= RATE_PER_S * (LOAD_S - NEW_FOR_S / 2) * USED_SHARE
+            assert (
+                len(replica.seen) >= RATE_PER_S * (LOAD_S - REDUCED_RATE_PERIOD_S / 2) * USED_SHARE
+            )
 
     run_fleet(scenario)
 
--- a/tests/gateway/test_selection.py
+++ b/tests/gateway/test_selection.py
@@ -11,7 +11,7 @@
 from limeshelf.calls.routes import EngineSpec, ServiceSpec
 from limeshelf.dispatch.grants import NoHolder, NoRoom
 from limeshelf.dispatch.messages import Stage, VerdictKind
-from limeshelf.dispatch.pace import Turn
+from limeshelf.dispatch.rate_limiter import RatePermit
 from limeshelf.gateway.answer import Answer
 from limeshelf.gateway.exchange import Broken, BrokenBy, Delivered, NeverRan, NotSent
 from limeshelf.gateway.selection import ReplicaSelector, Selected
@@ -54,11 +54,11 @@
 class Turns:
     """Gives turns as told, and notes for which replicas it was asked."""
 
-    def __init__(self, **turns: Turn) -> None:
+    def __init__(self, **turns: RatePermit) -> None:
         self.turns = turns
         self.asked: list[str] = []
 
-    async def get(self, replica: Replica, patience_s: float) -> Turn:
+    async def acquire(self, replica: Replica, patience_s: float) -> RatePermit:
         self.asked.append(replica.replica_id)
         return self.turns[replica.replica_id]
 
@@ -155,7 +155,7 @@
 
 @in_loop
 async def test_plain_call_passes_over_a_replica_without_a_turn() -> None:
-    turns = Turns(p0=Turn(False, 0.4))
+    turns = Turns(p0=RatePermit(False, 0.4))
     selector = selector_of(Wire(VerdictKind.GRANTED), turns)
     limit(selector, 'p0')
     for _ in range(8):
@@ -168,7 +168,7 @@
 @in_loop
 async def test_plain_call_without_any_turn_is_told_when_the_next_one_is() -> None:
     selector = selector_of(
-        Wire(VerdictKind.GRANTED), Turns(p0=Turn(False, 0.4), p1=Turn(False, 0.3))
+        Wire(VerdictKind.GRANTED), Turns(p0=RatePermit(False, 0.4), p1=RatePermit(False, 0.3))
     )
     limit(selector, 'p0', 'p1')
     assert await selector.select(state_of(PLAIN)) == NoRoom(0.3)
@@ -177,7 +177,7 @@
 
 @in_loop
 async def test_plain_call_goes_with_a_turn() -> None:
-    selector = selector_of(Wire(VerdictKind.GRANTED), Turns(p0=Turn(True, 0.0)))
+    selector = selector_of(Wire(VerdictKind.GRANTED), Turns(p0=RatePermit(True, 0.0)))
     limit(selector, 'p0')
     selected = await selector.select(state_of(PLAIN, excluded={'p1'}))
     assert isinstance(selected, Selected)
@@ -189,7 +189,7 @@
 async def test_grant_without_a_turn_needs_one_and_is_given_back_without() -> None:
     for granted, stages in [(True, []), (False, [Stage.ENDED])]:
         wire = Wire(VerdictKind.GRANTED)
-        selector = selector_of(wire, Turns(r0=Turn(granted, 0.0)))
+        selector = selector_of(wire, Turns(r0=RatePermit(granted, 0.0)))
         limit(selector, 'r0')
         selected = await selector.select(state_of(ENGINE, NEED))
         assert isinstance(selected, Selected if granted else NoHolder)
