--- a/limeshelf/dispatch/client.py
+++ b/limeshelf/dispatch/client.py
@@ -15,7 +15,7 @@
 from typing import TYPE_CHECKING
 
 from limeshelf.dispatch.fallback import ANSWER_TIMEOUT_S, AVOID_S, Fallback
-from limeshelf.dispatch.grants import Grant, NoHolder, NoRoom
+from limeshelf.dispatch.grants import Grant, NoCapacity, NoHolder
 from limeshelf.dispatch.messages import (
     DispatchProgress,
     DispatchQuery,
@@ -70,11 +70,11 @@
         self._fallback = Fallback()
         self._owners = OwnerSelector(directory, self._fallback, owner_of, data_centre)
 
-    async def ask(self, request: GrantRequest) -> Grant | NoRoom | NoHolder:
+    async def request_replica(self, request: GrantRequest) -> Grant | NoCapacity | NoHolder:
         """Return a grant, or the reason why there is none.
 
-        Returns :class:`~limeshelf.dispatch.grants.NoRoom` once the time left for the request is
-        over.
+        Returns :class:`~limeshelf.dispatch.grants.NoCapacity` once the time left for the request
+        is over.
         """
         now_s = boottime_s()
         pending = PendingRequest(request, now_s + request.left_s, now_s + request.objective_s)
@@ -83,7 +83,7 @@
         finally:
             self._withdraw(pending)
 
-    async def _query_owners(self, pending: PendingRequest) -> Grant | NoRoom | NoHolder:
+    async def _query_owners(self, pending: PendingRequest) -> Grant | NoCapacity | NoHolder:
         """Query owners in turn until one grants the request or its deadline passes."""
         while boottime_s() < pending.deadline_s:
             candidates = self._candidates(pending)
@@ -97,7 +97,7 @@
             if verdict.kind is VerdictKind.GRANTED:
                 return self._grant(pending, verdict)
             self._record_refusal(pending, verdict)
-        return NoRoom(wait_s=pending.request.objective_s)
+        return NoCapacity(wait_s=pending.request.objective_s)
 
     def _choose_owner(
         self, candidates: list[DispatchTarget], pending: PendingRequest
--- a/limeshelf/dispatch/grants.py
+++ b/limeshelf/dispatch/grants.py
@@ -47,7 +47,7 @@
 
 
 @attrs.frozen
-class NoRoom:
+class NoCapacity:
     """Some replicas hold what the call needs, but none is expected to have capacity in time.
 
     :param wait_s: estimated time until one has capacity.
@@ -73,7 +73,7 @@
     has_permit: bool = False
     _prefill_reported: bool = False
 
-    def report_read(self) -> None:
+    def report_prefilled(self) -> None:
         """Report the first event, which shows that the prefill has finished."""
         if not self._prefill_reported:
             self._prefill_reported = True
--- a/limeshelf/dispatch/pending.py
+++ b/limeshelf/dispatch/pending.py
@@ -12,7 +12,7 @@
 
 import attrs
 
-from limeshelf.dispatch.grants import NoHolder, NoRoom
+from limeshelf.dispatch.grants import NoCapacity, NoHolder
 from limeshelf.util.suspension import boot_timeout
 
 if TYPE_CHECKING:
@@ -61,7 +61,7 @@
         """Return the targets that have not queued the request since all were last asked."""
         return [target for target in candidates if target.address not in self.queued_waits_s]
 
-    def refusal(self) -> NoRoom | NoHolder:
+    def refusal(self) -> NoCapacity | NoHolder:
         """Return why there is no grant: all owners refused, or no replica is available."""
         wait_s = min(self.refused_waits_s.values(), default=math.inf)
-        return NoRoom(wait_s) if math.isfinite(wait_s) else NoHolder()
+        return NoCapacity(wait_s) if math.isfinite(wait_s) else NoHolder()
--- a/limeshelf/gateway/pipeline.py
+++ b/limeshelf/gateway/pipeline.py
@@ -20,7 +20,7 @@
 from limeshelf.admission import come_back
 from limeshelf.admission.absent_model import AbsentModel, Hold, RefuseUntilReady, decide_absent
 from limeshelf.admission.repeats import is_too_late, reason_not_to_send
-from limeshelf.dispatch.grants import NoRoom
+from limeshelf.dispatch.grants import NoCapacity
 from limeshelf.errors import NotRun, RefusalReason
 from limeshelf.gateway.final_answer import FinalAnswer
 from limeshelf.gateway.lines import (
@@ -199,7 +199,7 @@
             if isinstance(admitted, Refuse):
                 return refuse(state.progress(), admitted)
             selection = await self._selector.select(state)
-            if isinstance(selection, NoRoom):
+            if isinstance(selection, NoCapacity):
                 return self._refuse_overloaded(state, selection.wait_s)
             if isinstance(selection, Selected):
                 self._demand.note_found(state.call, state.service)
--- a/limeshelf/gateway/selection.py
+++ b/limeshelf/gateway/selection.py
@@ -15,7 +15,7 @@
 
 from limeshelf.admission.patience import hold_left_s, patience_left_s
 from limeshelf.demand.keys import ModelKey
-from limeshelf.dispatch.grants import GrantRequest, NoHolder, NoRoom
+from limeshelf.dispatch.grants import GrantRequest, NoCapacity, NoHolder
 
 if TYPE_CHECKING:
     from limeshelf.calls.call import ModelNeed
@@ -51,7 +51,7 @@
     def note_first_event(self) -> None:
         """Report to the dispatcher that the first event came."""
         if self.grant is not None:
-            self.grant.report_read()
+            self.grant.report_prefilled()
 
     def note_end(self) -> None:
         """Report to the dispatcher that the attempt is over, or that there is none."""
@@ -59,7 +59,7 @@
             self.grant.report_ended()
 
 
-Selection = Selected | NoRoom | NoHolder
+Selection = Selected | NoCapacity | NoHolder
 
 
 @attrs.frozen
@@ -94,13 +94,13 @@
             excluded.add(chosen.replica_id)
             next_turns_s.append(turn.wait_s)
         if next_turns_s and not state.excluded:
-            return NoRoom(min(next_turns_s))
+            return NoCapacity(min(next_turns_s))
         # Those that refused the call may take it sooner.
         return NoHolder()
 
     async def _dispatched(self, state: CallState, need: ModelNeed) -> Selection:
-        answered = await self.dispatch.ask(self._request(state, need))
-        if isinstance(answered, NoRoom | NoHolder):
+        answered = await self.dispatch.request_replica(self._request(state, need))
+        if isinstance(answered, NoCapacity | NoHolder):
             return answered
         replica = self.directory.get(answered.replica_id)
         if replica is not None and replica.takes_calls:
--- a/tests/dispatch/test_client.py
+++ b/tests/dispatch/test_client.py
@@ -14,7 +14,7 @@
 from limeshelf.dispatch.client import MAX_OWNERS_ASKED, NEXT_OWNER_DELAY_S, DispatchClient
 from limeshelf.dispatch.exchange import DispatchExchange
 from limeshelf.dispatch.fallback import ANSWER_TIMEOUT_S
-from limeshelf.dispatch.grants import Grant, GrantRequest, NoHolder, NoRoom
+from limeshelf.dispatch.grants import Grant, GrantRequest, NoCapacity, NoHolder
 from limeshelf.dispatch.messages import (
     DispatchProgress,
     DispatchQuery,
@@ -40,7 +40,7 @@
     return run
 
 
-class Wire:
+class FakeNode:
     """Peer node that records sent messages and answers queries from a script."""
 
     def __init__(self, *script: VerdictKind | None) -> None:
@@ -78,7 +78,7 @@
 
 
 def client_of(
-    node: Wire,
+    node: FakeNode,
     owner_of: Callable[[str], str | None] = lambda data_centre: 'g1',
     *,
     data_centres: tuple[str, ...] = ('z1',),
@@ -103,21 +103,21 @@
 
 @in_loop
 async def test_granted_request_is_reported_as_read_and_ended_once_each() -> None:
-    node = Wire(VerdictKind.GRANTED)
-    grant = await client_of(node).ask(request())
+    node = FakeNode(VerdictKind.GRANTED)
+    grant = await client_of(node).request_replica(request())
     assert isinstance(grant, Grant)
     assert grant.replica_id == 'r0'
     assert node.stages() == []
-    grant.report_read()
-    grant.report_read()
+    grant.report_prefilled()
+    grant.report_prefilled()
     grant.report_ended()
     assert node.stages() == [('g1', Stage.READ), ('g1', Stage.ENDED)]
 
 
 @in_loop
 async def test_query_carries_the_blocks_that_other_calls_share() -> None:
-    node = Wire(VerdictKind.GRANTED)
-    await client_of(node).ask(request())
+    node = FakeNode(VerdictKind.GRANTED)
+    await client_of(node).request_replica(request())
     query = node.sent[0][1]
     assert [(part.part_id, part.tokens) for part in query.parts] == [('p', 60)]
     assert query.excluded == ['r1', 'r2']
@@ -127,22 +127,24 @@
 
 @pytest.mark.parametrize(
     ('kind', 'outcome'),
-    [(VerdictKind.ABSENT, NoHolder()), (VerdictKind.REFUSED, NoRoom(wait_s=0.07))],
+    [(VerdictKind.ABSENT, NoHolder()), (VerdictKind.REFUSED, NoCapacity(wait_s=0.07))],
 )
 @in_loop
-async def test_final_verdict_is_the_outcome(kind: VerdictKind, outcome: NoHolder | NoRoom) -> None:
+async def test_final_verdict_is_the_outcome(
+    kind: VerdictKind, outcome: NoHolder | NoCapacity
+) -> None:
     """An owner that refused a request no longer has it, so nothing is withdrawn."""
-    node = Wire(kind)
-    assert await client_of(node).ask(request()) == outcome
+    node = FakeNode(kind)
+    assert await client_of(node).request_replica(request()) == outcome
     assert node.queries() == ['g1']
     assert node.stages() == []
 
 
 @in_loop
 async def test_queued_request_waits_for_its_grant() -> None:
-    node = Wire(VerdictKind.QUEUED)
+    node = FakeNode(VerdictKind.QUEUED)
     client = client_of(node)
-    asked = asyncio.create_task(client.ask(request()))
+    asked = asyncio.create_task(client.request_replica(request()))
     await asyncio.sleep(0)
     request_id = node.sent[0][1].ticket_id
     client._exchange.deliver(DispatchVerdict(request_id, VerdictKind.GRANTED, 'r1'))
@@ -154,22 +156,22 @@
 
 @in_loop
 async def test_queued_request_is_sent_again_until_its_deadline() -> None:
-    node = Wire(VerdictKind.QUEUED, VerdictKind.QUEUED)
-    assert await client_of(node).ask(request(left_s=0.4)) == NoRoom(wait_s=0.5)
+    node = FakeNode(VerdictKind.QUEUED, VerdictKind.QUEUED)
+    assert await client_of(node).request_replica(request(left_s=0.4)) == NoCapacity(wait_s=0.5)
     assert node.queries() == ['g1', 'g1']
     assert node.stages() == [('g1', Stage.ENDED)]
 
 
 @in_loop
 async def test_request_falls_back_to_this_process_if_dispatcher_does_not_answer() -> None:
-    node = Wire(None)
+    node = FakeNode(None)
     client = client_of(node)
     local: list[str] = []
     exchange = client._exchange
     exchange.dispatcher.handle_query = lambda query, requester: _grant_locally(
         exchange, local, query
     )  # type: ignore[method-assign]
-    grant = await client.ask(request())
+    grant = await client.request_replica(request())
     assert isinstance(grant, Grant)
     assert node.queries() == ['g1']
     assert len(local) == 1
@@ -184,8 +186,8 @@
 @in_loop
 async def test_request_is_withdrawn_from_previous_owner_when_owner_changes() -> None:
     owners = ['g1', 'g2']
-    node = Wire(VerdictKind.QUEUED, VerdictKind.GRANTED)
-    grant = await client_of(node, lambda data_centre: owners.pop(0)).ask(request())
+    node = FakeNode(VerdictKind.QUEUED, VerdictKind.GRANTED)
+    grant = await client_of(node, lambda data_centre: owners.pop(0)).request_replica(request())
     assert isinstance(grant, Grant)
     assert node.queries() == ['g1', 'g2']
     assert node.stages() == [('g1', Stage.ENDED)]
@@ -195,8 +197,8 @@
 
 @in_loop
 async def test_cancelled_request_is_withdrawn() -> None:
-    node = Wire(VerdictKind.QUEUED)
-    asked = asyncio.create_task(client_of(node).ask(request()))
+    node = FakeNode(VerdictKind.QUEUED)
+    asked = asyncio.create_task(client_of(node).request_replica(request()))
     await asyncio.sleep(0)
     asked.cancel()
     with pytest.raises(asyncio.CancelledError):
@@ -206,31 +208,31 @@
 
 @in_loop
 async def test_request_without_time_left_is_not_sent() -> None:
-    node = Wire()
-    assert await client_of(node).ask(request(left_s=0.0)) == NoRoom(wait_s=0.5)
+    node = FakeNode()
+    assert await client_of(node).request_replica(request(left_s=0.0)) == NoCapacity(wait_s=0.5)
     assert node.queries() == []
 
 
 @in_loop
 async def test_local_dispatcher_is_queried_without_the_network() -> None:
-    node = Wire()
+    node = FakeNode()
     client = client_of(node, lambda data_centre: LOCAL)
-    assert await client.ask(request(left_s=0.05)) == NoRoom(wait_s=0.5)
+    assert await client.request_replica(request(left_s=0.05)) == NoCapacity(wait_s=0.5)
     assert node.sent == []
 
 
 @in_loop
 async def test_no_query_is_sent_if_no_replica_holds_the_model() -> None:
-    node = Wire()
-    assert await client_of(node, data_centres=()).ask(request()) == NoHolder()
+    node = FakeNode()
+    assert await client_of(node, data_centres=()).request_replica(request()) == NoHolder()
     assert node.sent == []
 
 
 @in_loop
 async def test_second_owner_is_queried_after_a_refusal() -> None:
-    node = Wire(VerdictKind.REFUSED, VerdictKind.GRANTED)
+    node = FakeNode(VerdictKind.REFUSED, VerdictKind.GRANTED)
     client = client_of(node, lambda data_centre: f'owner-{data_centre}', data_centres=('z1', 'z2'))
-    assert isinstance(await client.ask(for_any()), Grant)
+    assert isinstance(await client.request_replica(for_any()), Grant)
     assert sorted(node.queries()) == ['owner-z1', 'owner-z2']
     tickets = [message.ticket_id for _, message in node.sent]
     assert tickets[0] != tickets[1]
@@ -238,38 +240,38 @@
 
 @in_loop
 async def test_wait_is_the_shortest_of_all_refusals() -> None:
-    node = Wire(VerdictKind.ABSENT, VerdictKind.REFUSED)
+    node = FakeNode(VerdictKind.ABSENT, VerdictKind.REFUSED)
     client = client_of(node, lambda data_centre: f'owner-{data_centre}', data_centres=('z1', 'z2'))
-    assert await client.ask(for_any()) == NoRoom(wait_s=0.07)
+    assert await client.request_replica(for_any()) == NoCapacity(wait_s=0.07)
 
 
 @in_loop
 async def test_number_of_owners_queried_for_a_call_is_limited() -> None:
-    node = Wire(*[VerdictKind.REFUSED] * 9)
+    node = FakeNode(*[VerdictKind.REFUSED] * 9)
     centres = tuple(f'z{number}' for number in range(1, 8))
     client = client_of(node, lambda data_centre: f'owner-{data_centre}', data_centres=centres)
-    assert await client.ask(for_any()) == NoRoom(wait_s=0.07)
+    assert await client.request_replica(for_any()) == NoCapacity(wait_s=0.07)
     assert len(set(node.queries())) == len(node.queries()) == MAX_OWNERS_ASKED
 
 
 @in_loop
 async def test_late_verdict_of_previous_owner_is_ignored() -> None:
     owners = ['g1']
-    node = Wire(VerdictKind.QUEUED, VerdictKind.QUEUED)
+    node = FakeNode(VerdictKind.QUEUED, VerdictKind.QUEUED)
     client = client_of(node, lambda data_centre: owners[0])
-    asked = asyncio.create_task(client.ask(request(left_s=0.45)))
+    asked = asyncio.create_task(client.request_replica(request(left_s=0.45)))
     await asyncio.sleep(0.05)
     owners[0] = 'g2'
     await asyncio.sleep(0.25)
     assert node.queries() == ['g1', 'g2']
     first = node.sent[0][1].ticket_id
     node.deliver(DispatchVerdict(first, VerdictKind.GRANTED, 'r0'))
-    assert await asked == NoRoom(wait_s=0.5)
+    assert await asked == NoCapacity(wait_s=0.5)
 
 
 @in_loop
 async def test_local_query_excludes_replicas_of_other_owners() -> None:
-    node = Wire()
+    node = FakeNode()
     owners = {'z1': LOCAL, 'z2': 'g2'}
     client = client_of(node, owners.__getitem__, data_centres=('z1', 'z2'))
     queries: list[DispatchQuery] = []
@@ -277,18 +279,18 @@
     busy = client._owners.directory.get('r1')
     assert busy is not None
     busy.own.calls = 4
-    await client.ask(for_any(left_s=0.05))
+    await client.request_replica(for_any(left_s=0.05))
     assert queries[0].excluded == ['r1']
 
 
 @in_loop
 async def test_queued_request_moves_on_to_owners_not_queried_yet() -> None:
     """Guards against waiting at one owner while replicas of another one are free."""
-    node = Wire(VerdictKind.QUEUED, VerdictKind.QUEUED, VerdictKind.GRANTED)
+    node = FakeNode(VerdictKind.QUEUED, VerdictKind.QUEUED, VerdictKind.GRANTED)
     centres = ('z1', 'z2', 'z3')
     client = client_of(node, lambda data_centre: f'owner-{data_centre}', data_centres=centres)
     began_s = asyncio.get_running_loop().time()
-    grant = await client.ask(for_any())
+    grant = await client.request_replica(for_any())
     assert isinstance(grant, Grant)
     assert asyncio.get_running_loop().time() - began_s < 3 * NEXT_OWNER_DELAY_S + ANSWER_TIMEOUT_S
     assert sorted(node.queries()) == [f'owner-{centre}' for centre in centres]
@@ -297,7 +299,7 @@
 
 @in_loop
 async def test_request_queued_by_all_owners_stays_at_the_shortest_wait() -> None:
-    node = Wire()
+    node = FakeNode()
     client = client_of(
         node, lambda data_centre: f'owner-{data_centre}', data_centres=('z1', 'z2', 'z3')
     )
@@ -310,7 +312,7 @@
             node.deliver(verdict)
 
     node.send = send  # type: ignore[method-assign]
-    asked = asyncio.create_task(client.ask(for_any(left_s=2.0)))
+    asked = asyncio.create_task(client.request_replica(for_any(left_s=2.0)))
     await asyncio.sleep(4 * NEXT_OWNER_DELAY_S + 0.05)
     assert node.queries()[3:] == ['owner-z2']
     asked.cancel()
--- a/tests/gateway/test_selection.py
+++ b/tests/gateway/test_selection.py
@@ -9,7 +9,7 @@
 
 from limeshelf.calls.call import Call, ModelNeed
 from limeshelf.calls.routes import EngineSpec, ServiceSpec
-from limeshelf.dispatch.grants import NoHolder, NoRoom
+from limeshelf.dispatch.grants import NoCapacity, NoHolder
 from limeshelf.dispatch.messages import Stage, VerdictKind
 from limeshelf.dispatch.rate_limiter import RatePermit
 from limeshelf.gateway.answer import Answer
@@ -23,7 +23,7 @@
 from limeshelf.replicas.replica import Replica
 from limeshelf.routing.chooser import Chooser
 from limeshelf.util.clock import boottime_s
-from tests.dispatch.test_client import Wire, client_of, in_loop
+from tests.dispatch.test_client import FakeNode, client_of, in_loop
 from tests.support.routes import make_route
 
 ENGINE = ServiceSpec('lm', 50, EngineSpec(4, 20000, 100.0, 4, 1.0, {}))
@@ -31,7 +31,7 @@
 NEED = ModelNeed('m', '', 100, 50, 20, ())
 
 
-def selector_of(wire: Wire, turns: Any = None) -> ReplicaSelector:
+def selector_of(wire: FakeNode, turns: Any = None) -> ReplicaSelector:
     directory = ReplicaDirectory(read_record)
     for number in range(2):
         for service in (ENGINE, PLAIN):
@@ -82,7 +82,7 @@
 
 @in_loop
 async def test_model_call_goes_where_the_dispatcher_grants() -> None:
-    wire = Wire(VerdictKind.GRANTED)
+    wire = FakeNode(VerdictKind.GRANTED)
     selected = await selector_of(wire).select(state_of(ENGINE, NEED))
     assert isinstance(selected, Selected)
     assert selected.replica.replica_id == 'r0'
@@ -93,7 +93,7 @@
 
 @in_loop
 async def test_grant_of_a_replica_that_has_left_is_given_back() -> None:
-    wire = Wire(VerdictKind.GRANTED)
+    wire = FakeNode(VerdictKind.GRANTED)
     selector = selector_of(wire)
     replica = selector.directory.get('r0')
     assert replica is not None
@@ -106,13 +106,13 @@
 
 @in_loop
 async def test_dispatcher_hears_of_replicas_out_of_reach_and_of_the_callers_patience() -> None:
-    wire = Wire(VerdictKind.REFUSED)
+    wire = FakeNode(VerdictKind.REFUSED)
     selector = selector_of(wire)
     replica = selector.directory.get('r1')
     assert replica is not None
     replica.health.failed(Failure.NO_CONNECTION)
     state = state_of(ENGINE, NEED, excluded={'r9'})
-    assert await selector.select(state) == NoRoom(0.07)
+    assert await selector.select(state) == NoCapacity(0.07)
     query = wire.sent[0][1]
     assert query.excluded == ['r1', 'r9']
     # Callers wait four objectives of 1 s here, of which 0.85 may pass.
@@ -125,7 +125,7 @@
 async def test_plain_call_is_routed_without_the_dispatcher(
     excluded: set[str], chosen: str
 ) -> None:
-    wire = Wire()
+    wire = FakeNode()
     selected = await selector_of(wire).select(state_of(PLAIN, excluded=excluded))
     assert isinstance(selected, Selected)
     assert selected.replica.replica_id == chosen
@@ -136,7 +136,7 @@
 @in_loop
 async def test_plain_call_without_a_replica_left() -> None:
     state = state_of(PLAIN, excluded={'p0', 'p1'})
-    assert await selector_of(Wire()).select(state) == NoHolder()
+    assert await selector_of(FakeNode()).select(state) == NoHolder()
 
 
 def test_results_count_as_runs_or_refusals() -> None:
@@ -156,7 +156,7 @@
 @in_loop
 async def test_plain_call_passes_over_a_replica_without_a_turn() -> None:
     turns = Turns(p0=RatePermit(False, 0.4))
-    selector = selector_of(Wire(VerdictKind.GRANTED), turns)
+    selector = selector_of(FakeNode(VerdictKind.GRANTED), turns)
     limit(selector, 'p0')
     for _ in range(8):
         selected = await selector.select(state_of(PLAIN))
@@ -168,16 +168,16 @@
 @in_loop
 async def test_plain_call_without_any_turn_is_told_when_the_next_one_is() -> None:
     selector = selector_of(
-        Wire(VerdictKind.GRANTED), Turns(p0=RatePermit(False, 0.4), p1=RatePermit(False, 0.3))
+        FakeNode(VerdictKind.GRANTED), Turns(p0=RatePermit(False, 0.4), p1=RatePermit(False, 0.3))
     )
     limit(selector, 'p0', 'p1')
-    assert await selector.select(state_of(PLAIN)) == NoRoom(0.3)
+    assert await selector.select(state_of(PLAIN)) == NoCapacity(0.3)
     assert await selector.select(state_of(PLAIN, excluded={'p1'})) == NoHolder()
 
 
 @in_loop
 async def test_plain_call_goes_with_a_turn() -> None:
-    selector = selector_of(Wire(VerdictKind.GRANTED), Turns(p0=RatePermit(True, 0.0)))
+    selector = selector_of(FakeNode(VerdictKind.GRANTED), Turns(p0=RatePermit(True, 0.0)))
     limit(selector, 'p0')
     selected = await selector.select(state_of(PLAIN, excluded={'p1'}))
     assert isinstance(selected, Selected)
@@ -188,7 +188,7 @@
 @in_loop
 async def test_grant_without_a_turn_needs_one_and_is_given_back_without() -> None:
     for granted, stages in [(True, []), (False, [Stage.ENDED])]:
-        wire = Wire(VerdictKind.GRANTED)
+        wire = FakeNode(VerdictKind.GRANTED)
         selector = selector_of(wire, Turns(r0=RatePermit(granted, 0.0)))
         limit(selector, 'r0')
         selected = await selector.select(state_of(ENGINE, NEED))
@@ -198,7 +198,7 @@
 
 @in_loop
 async def test_replica_that_names_a_rate_after_the_choice_is_not_sent_to() -> None:
-    selector = selector_of(Wire(VerdictKind.GRANTED))
+    selector = selector_of(FakeNode(VerdictKind.GRANTED))
     selected = await selector.select(state_of(PLAIN, excluded={'p1'}))
     assert isinstance(selected, Selected)
     assert selected.may_send()
