--- a/limeshelf/gateway/selection.py
+++ b/limeshelf/gateway/selection.py
@@ -25,7 +25,7 @@
     from limeshelf.gateway.state import CallState
     from limeshelf.replicas.directory import ReplicaDirectory
     from limeshelf.replicas.replica import Replica
-    from limeshelf.routing.chooser import Chooser
+    from limeshelf.routing.plain_selector import PlainReplicaSelector
 
 
 @attrs.frozen
@@ -67,7 +67,7 @@
     """Selects a replica for each attempt of a call."""
 
     directory: ReplicaDirectory
-    chooser: Chooser
+    chooser: PlainReplicaSelector
     dispatch: DispatchClient
     turns: PermitExchange
 
--- a/limeshelf/programs/components.py
+++ b/limeshelf/programs/components.py
@@ -60,7 +60,7 @@
 from limeshelf.replicas.directory import ReplicaDirectory
 from limeshelf.replicas.notices import NoticeTaker
 from limeshelf.replicas.pool import ConnectionPool
-from limeshelf.routing.chooser import Chooser
+from limeshelf.routing.plain_selector import PlainReplicaSelector
 from limeshelf.util.clock import MS_PER_S
 from limeshelf.util.suspension import SuspensionWatch
 
@@ -232,7 +232,7 @@
         wire = PlatformWire()
         self.budgets = RetryBudgets(retry_rule(settings))
         self.pool = ConnectionPool(wire)
-        chooser = Chooser(self.directory, settings.data_centre)
+        chooser = PlainReplicaSelector(self.directory, settings.data_centre)
         selector = ReplicaSelector(self.directory, chooser, self.dispatch_client, self.turns)
         self.access = AccessGuard(self.in_force, self.config_age_s, access_rule(settings))
         quarantine = QuarantineGuard(Quarantine(self.suspects), self.end_watch)
--- a/limeshelf/replicas/__init__.py
+++ b/limeshelf/replicas/__init__.py
@@ -15,5 +15,5 @@
 :mod:`limeshelf.dispatch.permits`); it refused or failed this call
 (:mod:`limeshelf.gateway.learning`); it is suspended (``health``); it may not read or hold more
 now (:mod:`limeshelf.dispatch.limits`); another one costs less (``penalties``,
-:mod:`limeshelf.routing.chooser`, :mod:`limeshelf.dispatch.selector`).
+:mod:`limeshelf.routing.plain_selector`, :mod:`limeshelf.dispatch.selector`).
 """
--- a/limeshelf/replicas/health.py
+++ b/limeshelf/replicas/health.py
@@ -4,7 +4,7 @@
 relies on the clock alone. What a suspension does:
 
 * A plain call goes to a suspended replica only where all of its service are
-  (:mod:`limeshelf.routing.chooser`).
+  (:mod:`limeshelf.routing.plain_selector`).
 * A model call never goes to one that its own gateway has suspended
   (:mod:`limeshelf.gateway.selection`), and to one that the dispatcher has suspended only
   where all holders are (:mod:`limeshelf.dispatch.selector`).
--- a/limeshelf/replicas/penalties.py
+++ b/limeshelf/replicas/penalties.py
@@ -1,6 +1,6 @@
 """What adds to a replica's cost whatever its load: another data centre, and failures.
 
-Shared by both rules that choose a replica, :mod:`limeshelf.routing.chooser` for plain
+Shared by both rules that choose a replica, :mod:`limeshelf.routing.plain_selector` for plain
 calls and :mod:`limeshelf.dispatch.selector` for model calls, so that a replica that
 fails is avoided alike by both.
 Relies on the health that :mod:`limeshelf.replicas.health` keeps.
--- a/limeshelf/routing/chooser.py
+++ b/limeshelf/routing/plain_selector.py
@@ -54,7 +54,7 @@
 
 
 @attrs.define
-class Chooser:
+class PlainReplicaSelector:
     """Selects among the replicas of a service.
 
     :param data_centre: of this process.
--- a/tests/gateway/test_selection.py
+++ b/tests/gateway/test_selection.py
@@ -21,7 +21,7 @@
 from limeshelf.replicas.health import Failure
 from limeshelf.replicas.record import Holding, ReplicaRecord
 from limeshelf.replicas.replica import Replica
-from limeshelf.routing.chooser import Chooser
+from limeshelf.routing.plain_selector import PlainReplicaSelector
 from limeshelf.util.clock import boottime_s
 from tests.dispatch.test_client import FakeNode, client_of, in_loop
 from tests.support.routes import make_route
@@ -48,7 +48,9 @@
                     1,
                 )
             )
-    return ReplicaSelector(directory, Chooser(directory, 'z1'), client_of(wire), turns or Turns())
+    return ReplicaSelector(
+        directory, PlainReplicaSelector(directory, 'z1'), client_of(wire), turns or Turns()
+    )
 
 
 class Turns:
--- a/tests/routing/test_chooser.py
+++ b/tests/routing/test_plain_selector.py
@@ -12,7 +12,7 @@
 from limeshelf.replicas.health import Failure
 from limeshelf.replicas.record import ReplicaRecord, ReplicaReport
 from limeshelf.replicas.replica import Replica
-from limeshelf.routing.chooser import QUEUE_REPORT_TTL_S, Chooser, PlainLoad
+from limeshelf.routing.plain_selector import QUEUE_REPORT_TTL_S, PlainLoad, PlainReplicaSelector
 from limeshelf.util.clock import VirtualClock, virtual_clock
 
 WEB = ServiceSpec('web', 50, None)
@@ -42,8 +42,8 @@
 
 def chosen(directory: ReplicaDirectory, service: ServiceSpec = WEB, *excluded: str) -> set[str]:
     """Return the replicas selected in 40 consecutive choices."""
-    chooser = Chooser(directory, 'z1')
-    selected = [chooser.choose(service, frozenset(excluded)) for _ in range(40)]
+    selector = PlainReplicaSelector(directory, 'z1')
+    selected = [selector.choose(service, frozenset(excluded)) for _ in range(40)]
     return {replica.replica_id for replica in selected if replica is not None}
 
 
