--- a/limeshelf/admission/absent_model.py
+++ b/limeshelf/admission/absent_model.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from limeshelf.admission import come_back
+from limeshelf.admission import retry_after
 from limeshelf.admission.patience import announced_left_s, hold_left_s, patience_left_s
 
 if TYPE_CHECKING:
@@ -82,7 +82,7 @@
     wait_s = RECHECK_INTERVAL_S if retry_excluded else absent.expected_wait_s
     if absent.answer_started or _announcement_due(absent) or wait_s <= _max_wait_s(absent):
         return Hold(min(RECHECK_INTERVAL_S, absent.left_s), retry_excluded)
-    return RefuseUntilReady(wait_s, come_back.when_ready_s(wait_s, absent.left_s))
+    return RefuseUntilReady(wait_s, retry_after.for_load_s(wait_s, absent.left_s))
 
 
 def _max_wait_s(absent: AbsentModel) -> float:
--- a/limeshelf/admission/come_back.py
+++ b/limeshelf/admission/retry_after.py
@@ -14,7 +14,7 @@
 #: to the platform's page on requests).
 MAX_RETRY_AFTER_SHARE = 0.33
 #: After a shorter delay, a caller retries before anything has changed.
-LEAST_COME_BACK_S = 0.2
+MIN_RETRY_AFTER_S = 0.2
 #: Share of the objective used as the delay if no better estimate is known, so that the next
 #: attempt can still be in time.
 REFUSED_OBJECTIVE_SHARE = 0.3
@@ -22,27 +22,27 @@
 #: again.
 LOAD_TIME_MARGIN = 1.1
 #: Another gateway accepts the call at once.
-STOPPING_COME_BACK_S = 0.05
+STOPPING_RETRY_AFTER_S = 0.05
 #: The configuration and the replicas are received within about a second of the start.
-NOT_READY_COME_BACK_S = 0.5
+NOT_READY_RETRY_AFTER_S = 0.5
 
 #: An isolated gateway cannot estimate when its connection returns; another gateway accepts the
 #: call sooner.
-CONFIG_TOO_OLD_COME_BACK_S = 0.3
+CONFIG_TOO_OLD_RETRY_AFTER_S = 0.3
 
 #: A relay that stopped responding is replaced within 1.2 s, and another gateway may reach one.
-LIMIT_UNKNOWN_COME_BACK_S = 0.3
+LIMIT_UNKNOWN_RETRY_AFTER_S = 0.3
 
 
-def after_wait_s(expected_wait_s: float, left_s: float) -> float:
+def for_wait_s(expected_wait_s: float, left_s: float) -> float:
     """Return the delay if a replica has capacity after *expected_wait_s*.
 
     :param left_s: time that the caller has left, in seconds.
     """
-    return min(max(LEAST_COME_BACK_S, expected_wait_s), left_s * MAX_RETRY_AFTER_SHARE)
+    return min(max(MIN_RETRY_AFTER_S, expected_wait_s), left_s * MAX_RETRY_AFTER_SHARE)
 
 
-def when_room_s(queue_wait_s: float, copy_in_s: float | None, left_s: float) -> float:
+def for_overload_s(queue_wait_s: float, copy_in_s: float | None, left_s: float) -> float:
     """Return the delay if the replicas that hold the model are overloaded.
 
     They remain overloaded until another copy is loaded, so a caller that retries earlier would
@@ -53,17 +53,17 @@
     :param left_s: time that the caller has left, in seconds.
     """
     ready_s = max(0.0, copy_in_s or 0.0) * LOAD_TIME_MARGIN
-    return after_wait_s(max(queue_wait_s, ready_s), left_s)
+    return for_wait_s(max(queue_wait_s, ready_s), left_s)
 
 
-def when_ready_s(expected_wait_s: float, left_s: float) -> float:
+def for_load_s(expected_wait_s: float, left_s: float) -> float:
     """Return the delay if the model is loaded after *expected_wait_s*.
 
     :param left_s: time that the caller has left, in seconds.
     """
-    return after_wait_s(expected_wait_s * LOAD_TIME_MARGIN, left_s)
+    return for_wait_s(expected_wait_s * LOAD_TIME_MARGIN, left_s)
 
 
-def after_refusals_s(route: Route) -> float:
+def for_refusals_s(route: Route) -> float:
     """Return the delay if it is not known how long replicas will keep refusing."""
     return route.objective_s * REFUSED_OBJECTIVE_SHARE
--- a/limeshelf/gateway/access.py
+++ b/limeshelf/gateway/access.py
@@ -9,7 +9,7 @@
 
 import attrs
 
-from limeshelf.admission import come_back
+from limeshelf.admission import retry_after
 from limeshelf.errors import NotRun, RefusalReason
 from limeshelf.gateway.settling import STATUS_UNAUTHORISED, STATUS_UNAVAILABLE, Refuse
 from limeshelf.organisations.access import AccessGranted, Denial, check_access
@@ -44,7 +44,8 @@
         config = self.in_force.config
         if config is None:
             return Refuse(
-                STATUS_UNAVAILABLE, NotRun(RefusalReason.STARTING, come_back.NOT_READY_COME_BACK_S)
+                STATUS_UNAVAILABLE,
+                NotRun(RefusalReason.STARTING, retry_after.NOT_READY_RETRY_AFTER_S),
             )
         checked = check_access(
             config.organisations,
@@ -59,5 +60,5 @@
 def _refusal_of(denial: Denial) -> Refuse:
     if denial is Denial.UNKNOWN_KEY:
         return Refuse(STATUS_UNAUTHORISED, NotRun(RefusalReason.UNKNOWN_KEY))
-    outcome = NotRun(RefusalReason.CONFIG_TOO_OLD, come_back.CONFIG_TOO_OLD_COME_BACK_S)
+    outcome = NotRun(RefusalReason.CONFIG_TOO_OLD, retry_after.CONFIG_TOO_OLD_RETRY_AFTER_S)
     return Refuse(STATUS_UNAVAILABLE, outcome)
--- a/limeshelf/gateway/edge.py
+++ b/limeshelf/gateway/edge.py
@@ -12,7 +12,7 @@
 
 from aiohttp import web
 
-from limeshelf.admission import come_back
+from limeshelf.admission import retry_after
 from limeshelf.errors import InvalidRequest
 from limeshelf.gateway.answer import CallerGone, HttpAnswer
 from limeshelf.gateway.body import TooLarge, read_body
@@ -133,7 +133,9 @@
             log_request('invalid', field=error.field_name, problem=error.problem)
             return self._answer(None, error.status)
         if self.phase is GatewayPhase.DRAINING:
-            return self._answer(call.call_id, STATUS_UNAVAILABLE, come_back.STOPPING_COME_BACK_S)
+            return self._answer(
+                call.call_id, STATUS_UNAVAILABLE, retry_after.STOPPING_RETRY_AFTER_S
+            )
         await self._pipeline.serve(call, answer)
         response = answer.response
         if response is None:
--- a/limeshelf/gateway/limits.py
+++ b/limeshelf/gateway/limits.py
@@ -9,7 +9,7 @@
 
 import attrs
 
-from limeshelf.admission import come_back
+from limeshelf.admission import retry_after
 from limeshelf.errors import NotRun, RefusalReason
 from limeshelf.gateway.settling import STATUS_OVER_LIMIT, STATUS_UNAVAILABLE, Refuse
 from limeshelf.organisations.limiter import Decision, Ruling
@@ -41,7 +41,7 @@
 
 def _refusal_of(decision: Decision) -> Refuse:
     if decision.ruling is Ruling.OVER:
-        retry_after_s = max(come_back.LEAST_COME_BACK_S, decision.wait_s)
+        retry_after_s = max(retry_after.MIN_RETRY_AFTER_S, decision.wait_s)
         return Refuse(STATUS_OVER_LIMIT, NotRun(RefusalReason.OVER_LIMIT, retry_after_s))
-    outcome = NotRun(RefusalReason.LIMIT_UNKNOWN, come_back.LIMIT_UNKNOWN_COME_BACK_S)
+    outcome = NotRun(RefusalReason.LIMIT_UNKNOWN, retry_after.LIMIT_UNKNOWN_RETRY_AFTER_S)
     return Refuse(STATUS_UNAVAILABLE, outcome)
--- a/limeshelf/gateway/pipeline.py
+++ b/limeshelf/gateway/pipeline.py
@@ -9,7 +9,7 @@
 :mod:`~limeshelf.admission.retry_budget` (sent again),
 :mod:`~limeshelf.gateway.settling` (how the call ends),
 :mod:`~limeshelf.gateway.final_answer` (what its caller gets) and
-:mod:`~limeshelf.admission.come_back` (when a refused caller comes back).
+:mod:`~limeshelf.admission.retry_after` (when a refused caller comes back).
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from limeshelf.admission import come_back
+from limeshelf.admission import retry_after
 from limeshelf.admission.absent_model import AbsentModel, Hold, RefuseUntilReady, decide_absent
 from limeshelf.admission.repeats import is_too_late, reason_not_to_send
 from limeshelf.dispatch.grants import NoCapacity
@@ -180,7 +180,9 @@
             task.uncancel()
         finally:
             self._waiting.discard(task)
-        return give_up(state.progress(), RefusalReason.STOPPING, come_back.STOPPING_COME_BACK_S)
+        return give_up(
+            state.progress(), RefusalReason.STOPPING, retry_after.STOPPING_RETRY_AFTER_S
+        )
 
     def refuse_waiting(self) -> None:
         """Refuse the calls that still wait for a replica; other gateways take them."""
@@ -218,7 +220,7 @@
         self._demand.note_refused(state.call, state.service)
         copy_in_s = self._demand.outlook(state.call, state.service).announced_in_s
         log_overloaded(state, queue_wait_s, copy_in_s)
-        retry_after_s = come_back.when_room_s(queue_wait_s, copy_in_s, left_s)
+        retry_after_s = retry_after.for_overload_s(queue_wait_s, copy_in_s, left_s)
         return give_up(state.progress(), RefusalReason.OVERLOADED, retry_after_s)
 
     async def _hold(self, state: CallState, hold: Hold) -> None:
@@ -243,7 +245,7 @@
 
 
 def _not_ready(reason: RefusalReason) -> Refuse:
-    return Refuse(STATUS_UNAVAILABLE, NotRun(reason, come_back.NOT_READY_COME_BACK_S))
+    return Refuse(STATUS_UNAVAILABLE, NotRun(reason, retry_after.NOT_READY_RETRY_AFTER_S))
 
 
 def _refuse_no_replica(
--- a/limeshelf/gateway/settling.py
+++ b/limeshelf/gateway/settling.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from limeshelf.admission import come_back
+from limeshelf.admission import retry_after
 from limeshelf.admission.repeats import is_too_late, may_run_again
 from limeshelf.errors import NotRun, RefusalReason
 from limeshelf.gateway.exchange import Delivered, NeverRan, NotSent, WholeAnswer
@@ -109,13 +109,13 @@
         when a replica will take the call.
     """
     if retry_after_s is None:
-        retry_after_s = come_back.after_refusals_s(progress.route)
+        retry_after_s = retry_after.for_refusals_s(progress.route)
     return refuse(progress, Refuse(STATUS_UNAVAILABLE, NotRun(reason, retry_after_s)))
 
 
 def refuse_too_late(route: Route) -> Refuse:
     """Return the refusal of a call whose time is over before it was sent."""
-    outcome = NotRun(RefusalReason.DEADLINE_TOO_SHORT, come_back.after_refusals_s(route))
+    outcome = NotRun(RefusalReason.DEADLINE_TOO_SHORT, retry_after.for_refusals_s(route))
     return Refuse(STATUS_UNAVAILABLE, outcome)
 
 
--- a/tests/admission/test_come_back.py
+++ b/tests/admission/test_retry_after.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from limeshelf.admission import come_back
+from limeshelf.admission import retry_after
 from tests.support.routes import make_route
 
 
@@ -14,7 +14,7 @@
 def test_delay_is_the_wait_within_the_limits_that_callers_respect(
     wait_s: float, left_s: float, retry_after_s: float
 ) -> None:
-    assert come_back.after_wait_s(wait_s, left_s) == pytest.approx(retry_after_s)
+    assert retry_after.for_wait_s(wait_s, left_s) == pytest.approx(retry_after_s)
 
 
 @pytest.mark.parametrize(
@@ -23,13 +23,13 @@
 def test_delay_for_overload_covers_the_load_of_another_copy(
     copy_in_s: float | None, retry_after_s: float
 ) -> None:
-    assert come_back.when_room_s(0.5, copy_in_s, 9.0) == pytest.approx(retry_after_s)
+    assert retry_after.for_overload_s(0.5, copy_in_s, 9.0) == pytest.approx(retry_after_s)
 
 
 def test_delay_for_a_load_exceeds_its_estimate() -> None:
-    assert come_back.when_ready_s(1.0, 9.0) == pytest.approx(1.1)
-    assert come_back.when_ready_s(5.0, 9.0) == pytest.approx(2.97)
+    assert retry_after.for_load_s(1.0, 9.0) == pytest.approx(1.1)
+    assert retry_after.for_load_s(5.0, 9.0) == pytest.approx(2.97)
 
 
 def test_delay_after_refusals_leaves_time_for_another_attempt() -> None:
-    assert come_back.after_refusals_s(make_route(objective_s=2.0)) == pytest.approx(0.6)
+    assert retry_after.for_refusals_s(make_route(objective_s=2.0)) == pytest.approx(0.6)
