--- a/limeshelf/admission/absent_model.py
+++ b/limeshelf/admission/hold_or_refuse.py
@@ -5,7 +5,7 @@
 model is expected. A call that was refused before is held as long as its caller waits, because
 refusing it again costs more than serving it late.
 
-Owns no state; :mod:`limeshelf.admission.patience` defines how long a call may wait.
+Owns no state; :mod:`limeshelf.admission.wait_limits` defines how long a call may wait.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from typing import TYPE_CHECKING
 
 from limeshelf.admission import retry_after
-from limeshelf.admission.patience import announced_left_s, hold_left_s, patience_left_s
+from limeshelf.admission.wait_limits import announced_left_s, hold_left_s, patience_left_s
 
 if TYPE_CHECKING:
     from limeshelf.calls.routes import Route
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True)
-class AbsentModel:
+class CallWithoutReplica:
     """A call for which no replica is available now.
 
     :param expected_wait_s: estimated time until a replica can run it, in seconds; 0 if one holds
@@ -75,29 +75,29 @@
     retry_after_s: float
 
 
-def decide_absent(absent: AbsentModel) -> Hold | RefuseUntilReady:
+def hold_or_refuse(call: CallWithoutReplica) -> Hold | RefuseUntilReady:
     """Return whether the call is held or refused."""
-    retry_excluded = absent.excluded and absent.expected_wait_s <= 0
+    retry_excluded = call.excluded and call.expected_wait_s <= 0
     # All replicas that could run it refused; they may accept it a little later.
-    wait_s = RECHECK_INTERVAL_S if retry_excluded else absent.expected_wait_s
-    if absent.answer_started or _announcement_due(absent) or wait_s <= _max_wait_s(absent):
-        return Hold(min(RECHECK_INTERVAL_S, absent.left_s), retry_excluded)
-    return RefuseUntilReady(wait_s, retry_after.for_load_s(wait_s, absent.left_s))
+    wait_s = RECHECK_INTERVAL_S if retry_excluded else call.expected_wait_s
+    if call.answer_started or _announcement_due(call) or wait_s <= _max_wait_s(call):
+        return Hold(min(RECHECK_INTERVAL_S, call.left_s), retry_excluded)
+    return RefuseUntilReady(wait_s, retry_after.for_load_s(wait_s, call.left_s))
 
 
-def _max_wait_s(absent: AbsentModel) -> float:
+def _max_wait_s(call: CallWithoutReplica) -> float:
     """Return how much longer the call may be held, in seconds."""
-    if absent.returned:
-        return patience_left_s(absent.route, absent.waited_s)
-    if absent.announced and not absent.excluded:
-        return announced_left_s(absent.route, absent.waited_s)
-    return hold_left_s(absent.route, absent.waited_s)
+    if call.returned:
+        return patience_left_s(call.route, call.waited_s)
+    if call.announced and not call.excluded:
+        return announced_left_s(call.route, call.waited_s)
+    return hold_left_s(call.route, call.waited_s)
 
 
-def _announcement_due(absent: AbsentModel) -> bool:
+def _announcement_due(call: CallWithoutReplica) -> bool:
     """Return whether to wait for the leader to announce how long the load takes.
 
     The held call itself is what reports the demand to the leader.
     """
-    limit_s = min(ANNOUNCEMENT_TIMEOUT_S, ANNOUNCEMENT_OBJECTIVE_SHARE * absent.route.objective_s)
-    return not absent.announced and absent.waited_s < limit_s
+    limit_s = min(ANNOUNCEMENT_TIMEOUT_S, ANNOUNCEMENT_OBJECTIVE_SHARE * call.route.objective_s)
+    return not call.announced and call.waited_s < limit_s
--- a/limeshelf/admission/retry_budget.py
+++ b/limeshelf/admission/retry_budget.py
@@ -46,7 +46,7 @@
     def __attrs_post_init__(self) -> None:
         self._balance = self._half_share()
 
-    def note_call(self) -> None:
+    def record_call(self) -> None:
         """Count a call, which earns a fraction of a retry."""
         self._refill()
         self._balance = min(self._limit(), self._balance + self.rule.ratio * USED_SHARE)
--- a/limeshelf/admission/patience.py
+++ b/limeshelf/admission/wait_limits.py
@@ -41,7 +41,7 @@
     return route.patience_s * PATIENCE_SHARE - waited_s
 
 
-def has_returned(route: Route, budget_s: float | None) -> bool:
+def is_retry(route: Route, budget_s: float | None) -> bool:
     """Return whether the call is probably a retry after a refusal.
 
     :param budget_s: time that the caller said it waits, in seconds; ``None`` if it did not say.
--- a/limeshelf/demand/model_demand.py
+++ b/limeshelf/demand/model_demand.py
@@ -23,7 +23,7 @@
 
 #: Share of a replica's time that may go to reading prompts before it counts as full; the rest
 #: goes to the steps of running calls. For planning only: what is granted is bounded by
-#: READING_DUTY of :mod:`limeshelf.dispatch.refusal`.
+#: PREFILL_DUTY of :mod:`limeshelf.dispatch.refusal`.
 PLANNED_READING_SHARE = 0.5
 #: A further copy serves only when its load is done, so demand that rises counts as what it will
 #: be then. While it rises evenly, the two averages lag behind it by their time constants; what
--- a/limeshelf/gateway/attempts.py
+++ b/limeshelf/gateway/attempts.py
@@ -11,7 +11,7 @@
 
 import attrs
 
-from limeshelf.admission.repeats import head_limit_s
+from limeshelf.admission.retry_rules import head_limit_s
 from limeshelf.calls.wire import SendFacts
 from limeshelf.gateway.exchange import Exchange, WholeAnswer
 from limeshelf.gateway.learning import STATUS_SERVER_ERROR, apply, excludes, lesson_of
--- a/limeshelf/gateway/pipeline.py
+++ b/limeshelf/gateway/pipeline.py
@@ -4,8 +4,8 @@
 :mod:`~limeshelf.gateway.access` (whose key), :mod:`~limeshelf.gateway.limits` (how much),
 :mod:`~limeshelf.gateway.quarantine` (which replicas ended under it),
 :mod:`~limeshelf.gateway.selection` (which replica),
-:mod:`~limeshelf.admission.absent_model` (held or refused),
-:mod:`~limeshelf.gateway.attempts` (one send), :mod:`~limeshelf.admission.repeats` and
+:mod:`~limeshelf.admission.hold_or_refuse` (held or refused),
+:mod:`~limeshelf.gateway.attempts` (one send), :mod:`~limeshelf.admission.retry_rules` and
 :mod:`~limeshelf.admission.retry_budget` (sent again),
 :mod:`~limeshelf.gateway.settling` (how the call ends),
 :mod:`~limeshelf.gateway.final_answer` (what its caller gets) and
@@ -18,8 +18,13 @@
 from typing import TYPE_CHECKING
 
 from limeshelf.admission import retry_after
-from limeshelf.admission.absent_model import AbsentModel, Hold, RefuseUntilReady, decide_absent
-from limeshelf.admission.repeats import is_too_late, reason_not_to_send
+from limeshelf.admission.hold_or_refuse import (
+    CallWithoutReplica,
+    Hold,
+    RefuseUntilReady,
+    hold_or_refuse,
+)
+from limeshelf.admission.retry_rules import is_too_late, reason_not_to_send
 from limeshelf.dispatch.grants import NoCapacity
 from limeshelf.errors import NotRun, RefusalReason
 from limeshelf.gateway.final_answer import FinalAnswer
@@ -121,7 +126,7 @@
 
     async def _serve_within_limit(self, state: CallState) -> None:
         call = state.call
-        self._budgets.of(state.service.name).note_call()
+        self._budgets.of(state.service.name).record_call()
         with self._demand.track(call, state.service.name, state.route.objective_s):
             ending = await self._run(state)
             await self._final.give(call, ending, state.answer, state.organisation)
@@ -210,7 +215,7 @@
                     return give_up(state.progress(), RefusalReason.UPSTREAM_REFUSED)
                 return selection
             outlook = self._demand.outlook(state.call, state.service)
-            decided = decide_absent(_absent(state, outlook))
+            decided = hold_or_refuse(_absent(state, outlook))
             if isinstance(decided, RefuseUntilReady):
                 return _refuse_no_replica(state, decided, outlook)
             await self._hold(state, decided)
@@ -231,8 +236,8 @@
         await self._directory.wait_for_change(hold.wait_s)
 
 
-def _absent(state: CallState, outlook: CallOutlook) -> AbsentModel:
-    return AbsentModel(
+def _absent(state: CallState, outlook: CallOutlook) -> CallWithoutReplica:
+    return CallWithoutReplica(
         route=state.route,
         expected_wait_s=outlook.wait_s,
         waited_s=state.since_arrival_s,
--- a/limeshelf/gateway/selection.py
+++ b/limeshelf/gateway/selection.py
@@ -13,7 +13,7 @@
 
 import attrs
 
-from limeshelf.admission.patience import hold_left_s, patience_left_s
+from limeshelf.admission.wait_limits import hold_left_s, patience_left_s
 from limeshelf.demand.keys import ModelKey
 from limeshelf.dispatch.grants import GrantRequest, NoCapacity, NoHolder
 
--- a/limeshelf/gateway/settling.py
+++ b/limeshelf/gateway/settling.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING
 
 from limeshelf.admission import retry_after
-from limeshelf.admission.repeats import is_too_late, may_run_again
+from limeshelf.admission.retry_rules import is_too_late, may_run_again
 from limeshelf.errors import NotRun, RefusalReason
 from limeshelf.gateway.exchange import Delivered, NeverRan, NotSent, WholeAnswer
 from limeshelf.gateway.learning import STATUS_SERVER_ERROR
--- a/limeshelf/gateway/state.py
+++ b/limeshelf/gateway/state.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from limeshelf.admission.patience import has_returned
+from limeshelf.admission.wait_limits import is_retry
 from limeshelf.calls.fingerprint import Fingerprint, fingerprint_of
 from limeshelf.gateway.events import EventSplitter
 from limeshelf.gateway.exchange import BrokenBy, Delivered, NeverRan, NotSent
@@ -97,7 +97,7 @@
     @property
     def returned(self) -> bool:
         """Return whether the caller was likely refused before and has come back."""
-        return has_returned(self.route, self.call.budget_s)
+        return is_retry(self.route, self.call.budget_s)
 
     @property
     def since_arrival_s(self) -> float:
--- a/tests/admission/test_absent_model.py
+++ b/tests/admission/test_hold_or_refuse.py
@@ -7,18 +7,18 @@
 import attrs
 import pytest
 
-from limeshelf.admission.absent_model import (
+from limeshelf.admission.hold_or_refuse import (
     RECHECK_INTERVAL_S,
-    AbsentModel,
+    CallWithoutReplica,
     Hold,
     RefuseUntilReady,
-    decide_absent,
+    hold_or_refuse,
 )
 from tests.support.routes import make_route
 
 
 def decide(**changes: Any) -> Hold | RefuseUntilReady:
-    absent: dict[str, Any] = {
+    call: dict[str, Any] = {
         'route': make_route(),
         'expected_wait_s': 0.3,
         'waited_s': 0.25,
@@ -29,7 +29,7 @@
         'answer_started': False,
         **changes,
     }
-    return decide_absent(AbsentModel(**absent))
+    return hold_or_refuse(CallWithoutReplica(**call))
 
 
 def test_held_while_it_can_still_be_in_time() -> None:
--- a/tests/admission/test_retry_budget.py
+++ b/tests/admission/test_retry_budget.py
@@ -27,7 +27,7 @@
         budget = RetryBudget(RetryRule(0.2, 0.0, 10.0), gateways=1)
         assert retries(budget) == 0
         for _ in range(8):
-            budget.note_call()
+            budget.record_call()
         assert retries(budget) == 1
 
 
@@ -50,7 +50,7 @@
         budgets.gateways = 1
         budgets.of('a')
         budgets.gateways = 10
-        budgets.of('a').note_call()
+        budgets.of('a').record_call()
         assert retries(budgets.of('a')) == 1
 
 
@@ -60,5 +60,5 @@
         clock.advance(RULE.window_s)
         assert retries(budget) == 0
         for _ in range(8):
-            budget.note_call()
+            budget.record_call()
         assert retries(budget) == 1
--- a/tests/admission/test_repeats.py
+++ b/tests/admission/test_retry_rules.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from limeshelf.admission.repeats import head_limit_s, may_run_again, reason_not_to_send
+from limeshelf.admission.retry_rules import head_limit_s, may_run_again, reason_not_to_send
 from limeshelf.calls.call import CallKind
 from limeshelf.errors import RefusalReason
 from tests.support.routes import make_route
--- a/tests/admission/test_patience.py
+++ b/tests/admission/test_wait_limits.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from limeshelf.admission.patience import has_returned, hold_left_s, patience_left_s
+from limeshelf.admission.wait_limits import hold_left_s, is_retry, patience_left_s
 from tests.support.routes import make_route
 
 
@@ -14,7 +14,7 @@
 def test_call_with_less_time_than_its_route_counts_as_a_retry(
     budget_s: float | None, returned: bool
 ) -> None:
-    assert has_returned(make_route(), budget_s) is returned
+    assert is_retry(make_route(), budget_s) is returned
 
 
 def test_wait_limits_end_before_the_objective_and_the_patience() -> None:
--- a/tests/membership/test_repeats_of_all_gateways.py
+++ b/tests/membership/test_repeats_of_all_gateways.py
@@ -71,7 +71,7 @@
             for gateway in gateways:
                 gateway.note_count()
                 budget = gateway.budgets.of('lm')
-                budget.note_call()
+                budget.record_call()
                 repeats += budget.try_retry() + budget.try_retry()
     return repeats
 
--- a/tests/placement/tier_play.py
+++ b/tests/placement/tier_play.py
@@ -12,7 +12,7 @@
 
 import attrs
 
-from limeshelf.admission.absent_model import AbsentModel, Hold, decide_absent
+from limeshelf.admission.hold_or_refuse import CallWithoutReplica, Hold, hold_or_refuse
 from limeshelf.demand.keys import ModelKey
 from limeshelf.demand.model_demand import demand_by_model
 from limeshelf.demand.waits import ModelOutlook, model_wait_s
@@ -115,7 +115,7 @@
                 call, 'in time' if self._waited_s(call) <= call.route.objective_s else 'late'
             )
             return
-        decided = decide_absent(self._absent(call))
+        decided = hold_or_refuse(self._absent(call))
         if isinstance(decided, Hold):
             self.line.after(decided.wait_s, lambda: self._try(call))
             return
@@ -127,7 +127,7 @@
     def _waited_s(self, call: Call) -> float:
         return self.line.clock.now_s - call.arrived_s
 
-    def _absent(self, call: Call) -> AbsentModel:
+    def _absent(self, call: Call) -> CallWithoutReplica:
         now_s = self.line.clock.now_s
         coming_s = [at_s for at_s, model in self.under_way.values() if model == call.model]
         at_s = min(coming_s, default=self.upcoming_s.get(call.model))
@@ -137,7 +137,7 @@
         outlook = ModelOutlook(held, held, in_s, spec.load_s, 0.0)
         waited_s = self._waited_s(call)
         left_s = call.route.timeout_s - waited_s
-        return AbsentModel(
+        return CallWithoutReplica(
             route=call.route,
             expected_wait_s=model_wait_s(outlook),
             waited_s=waited_s,
