--- a/limeshelf/gateway/pipeline.py
+++ b/limeshelf/gateway/pipeline.py
@@ -4,12 +4,12 @@
 :mod:`~limeshelf.gateway.access` (whose key), :mod:`~limeshelf.gateway.limits` (how much),
 :mod:`~limeshelf.gateway.quarantine` (which replicas ended under it),
 :mod:`~limeshelf.gateway.selection` (which replica),
-:mod:`~limeshelf.admission.absent_model` (held or refused),
-:mod:`~limeshelf.gateway.attempts` (one send), :mod:`~limeshelf.admission.repeats` and
+:mod:`~limeshelf.admission.hold_or_refuse` (held or refused),
+:mod:`~limeshelf.gateway.attempts` (one send), :mod:`~limeshelf.admission.retry_rules` and
 :mod:`~limeshelf.admission.retry_budget` (sent again),
 :mod:`~limeshelf.gateway.settling` (how the call ends),
 :mod:`~limeshelf.gateway.final_answer` (what its caller gets) and
-:mod:`~limeshelf.admission.come_back` (when a refused caller comes back).
+:mod:`~limeshelf.admission.retry_after` (when a refused caller comes back).
 """
 
 from __future__ import annotations
@@ -17,10 +17,15 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from limeshelf.admission import come_back
-from limeshelf.admission.absent_model import AbsentModel, Hold, RefuseUntilReady, decide_absent
-from limeshelf.admission.repeats import is_too_late, reason_not_to_send
-from limeshelf.dispatch.grants import NoRoom
+from limeshelf.admission import retry_after
+from limeshelf.admission.hold_or_refuse import (
+    CallWithoutReplica,
+    Hold,
+    RefuseUntilReady,
+    hold_or_refuse,
+)
+from limeshelf.admission.retry_rules import is_too_late, reason_not_to_send
+from limeshelf.dispatch.grants import NoCapacity
 from limeshelf.errors import NotRun, RefusalReason
 from limeshelf.gateway.final_answer import FinalAnswer
 from limeshelf.gateway.lines import (
@@ -121,7 +126,7 @@
 
     async def _serve_within_limit(self, state: CallState) -> None:
         call = state.call
-        self._budgets.of(state.service.name).note_call()
+        self._budgets.of(state.service.name).record_call()
         with self._demand.track(call, state.service.name, state.route.objective_s):
             ending = await self._run(state)
             await self._final.give(call, ending, state.answer, state.organisation)
@@ -180,7 +185,9 @@
             task.uncancel()
         finally:
             self._waiting.discard(task)
-        return give_up(state.progress(), RefusalReason.STOPPING, come_back.STOPPING_COME_BACK_S)
+        return give_up(
+            state.progress(), RefusalReason.STOPPING, retry_after.STOPPING_RETRY_AFTER_S
+        )
 
     def refuse_waiting(self) -> None:
         """Refuse the calls that still wait for a replica; other gateways take them."""
@@ -199,7 +206,7 @@
             if isinstance(admitted, Refuse):
                 return refuse(state.progress(), admitted)
             selection = await self._selector.select(state)
-            if isinstance(selection, NoRoom):
+            if isinstance(selection, NoCapacity):
                 return self._refuse_overloaded(state, selection.wait_s)
             if isinstance(selection, Selected):
                 self._demand.note_found(state.call, state.service)
@@ -208,7 +215,7 @@
                     return give_up(state.progress(), RefusalReason.UPSTREAM_REFUSED)
                 return selection
             outlook = self._demand.outlook(state.call, state.service)
-            decided = decide_absent(_absent(state, outlook))
+            decided = hold_or_refuse(_absent(state, outlook))
             if isinstance(decided, RefuseUntilReady):
                 return _refuse_no_replica(state, decided, outlook)
             await self._hold(state, decided)
@@ -218,7 +225,7 @@
         self._demand.note_refused(state.call, state.service)
         copy_in_s = self._demand.outlook(state.call, state.service).announced_in_s
         log_overloaded(state, queue_wait_s, copy_in_s)
-        retry_after_s = come_back.when_room_s(queue_wait_s, copy_in_s, left_s)
+        retry_after_s = retry_after.for_overload_s(queue_wait_s, copy_in_s, left_s)
         return give_up(state.progress(), RefusalReason.OVERLOADED, retry_after_s)
 
     async def _hold(self, state: CallState, hold: Hold) -> None:
@@ -229,8 +236,8 @@
         await self._directory.wait_for_change(hold.wait_s)
 
 
-def _absent(state: CallState, outlook: CallOutlook) -> AbsentModel:
-    return AbsentModel(
+def _absent(state: CallState, outlook: CallOutlook) -> CallWithoutReplica:
+    return CallWithoutReplica(
         route=state.route,
         expected_wait_s=outlook.wait_s,
         waited_s=state.since_arrival_s,
@@ -243,7 +250,7 @@
 
 
 def _not_ready(reason: RefusalReason) -> Refuse:
-    return Refuse(STATUS_UNAVAILABLE, NotRun(reason, come_back.NOT_READY_COME_BACK_S))
+    return Refuse(STATUS_UNAVAILABLE, NotRun(reason, retry_after.NOT_READY_RETRY_AFTER_S))
 
 
 def _refuse_no_replica(
--- a/limeshelf/gateway/selection.py
+++ b/limeshelf/gateway/selection.py
@@ -13,19 +13,19 @@
 
 import attrs
 
-from limeshelf.admission.patience import hold_left_s, patience_left_s
+from limeshelf.admission.wait_limits import hold_left_s, patience_left_s
 from limeshelf.demand.keys import ModelKey
-from limeshelf.dispatch.grants import GrantRequest, NoHolder, NoRoom
+from limeshelf.dispatch.grants import GrantRequest, NoCapacity, NoHolder
 
 if TYPE_CHECKING:
     from limeshelf.calls.call import ModelNeed
     from limeshelf.dispatch.client import DispatchClient
     from limeshelf.dispatch.grants import Grant
-    from limeshelf.dispatch.turns import TurnExchange
+    from limeshelf.dispatch.permits import PermitExchange
     from limeshelf.gateway.state import CallState
     from limeshelf.replicas.directory import ReplicaDirectory
     from limeshelf.replicas.replica import Replica
-    from limeshelf.routing.chooser import Chooser
+    from limeshelf.routing.plain_selector import PlainReplicaSelector
 
 
 @attrs.frozen
@@ -51,7 +51,7 @@
     def note_first_event(self) -> None:
         """Report to the dispatcher that the first event came."""
         if self.grant is not None:
-            self.grant.report_read()
+            self.grant.report_prefilled()
 
     def note_end(self) -> None:
         """Report to the dispatcher that the attempt is over, or that there is none."""
@@ -59,7 +59,7 @@
             self.grant.report_ended()
 
 
-Selection = Selected | NoRoom | NoHolder
+Selection = Selected | NoCapacity | NoHolder
 
 
 @attrs.frozen
@@ -67,9 +67,9 @@
     """Selects a replica for each attempt of a call."""
 
     directory: ReplicaDirectory
-    chooser: Chooser
+    chooser: PlainReplicaSelector
     dispatch: DispatchClient
-    turns: TurnExchange
+    turns: PermitExchange
 
     async def select(self, state: CallState) -> Selection:
         """Return the replica to send a call to next, or why there is none."""
@@ -88,23 +88,23 @@
         while (chosen := self.chooser.choose(state.service, frozenset(excluded))) is not None:
             if chosen.backpressure.rate_per_s is None:
                 return Selected(chosen, None)
-            turn = await self.turns.get(chosen, _turn_patience_s(state))
+            turn = await self.turns.acquire(chosen, _turn_patience_s(state))
             if turn.is_granted:
                 return Selected(chosen, None, has_turn=True)
             excluded.add(chosen.replica_id)
             next_turns_s.append(turn.wait_s)
         if next_turns_s and not state.excluded:
-            return NoRoom(min(next_turns_s))
+            return NoCapacity(min(next_turns_s))
         # Those that refused the call may take it sooner.
         return NoHolder()
 
     async def _dispatched(self, state: CallState, need: ModelNeed) -> Selection:
-        answered = await self.dispatch.ask(self._request(state, need))
-        if isinstance(answered, NoRoom | NoHolder):
+        answered = await self.dispatch.request_replica(self._request(state, need))
+        if isinstance(answered, NoCapacity | NoHolder):
             return answered
         replica = self.directory.get(answered.replica_id)
         if replica is not None and replica.takes_calls:
-            has_turn = answered.has_turn or await self._gets_turn(state, replica, answered)
+            has_turn = answered.has_permit or await self._gets_turn(state, replica, answered)
             if has_turn or replica.backpressure.rate_per_s is None:
                 return Selected(replica, answered, has_turn)
         # The dispatcher has no report yet that the replica leaves, or gives no turns there.
@@ -121,7 +121,7 @@
         if replica.backpressure.rate_per_s is None:
             return False
         try:
-            turn = await self.turns.get(replica, _turn_patience_s(state))
+            turn = await self.turns.acquire(replica, _turn_patience_s(state))
         except asyncio.CancelledError:
             grant.report_ended()
             raise
