--- a/limeshelf/membership/crash_exchange.py
+++ b/limeshelf/membership/crash_exchange.py
@@ -1,6 +1,7 @@
 """Tells other gateways of calls at which replicas ended, and takes in what they tell.
 
-They go as :mod:`~limeshelf.membership.news`. A gateway that hears no other learns of a call once
+They go as :mod:`~limeshelf.membership.broadcast_queue`. A gateway that hears no other learns of a
+call once
 it rests, by its row in the store (:mod:`limeshelf.crashes.keeper`).
 """
 
@@ -12,8 +13,8 @@
 
 from limeshelf.calls.fingerprint import Fingerprint
 from limeshelf.crashes.suspects import NewsSource, ReplicaEnd, SuspectState, ToldEnd
+from limeshelf.membership.broadcast_queue import BroadcastQueue
 from limeshelf.membership.messages import CrashSuspects, EndedReplica
-from limeshelf.membership.news import News
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
@@ -26,9 +27,9 @@
 #: After the first news, in seconds, others that come with it go in the same message: a replica
 #: that ends breaks off its calls within 3 ms at all gateways, and a relay hears of them one by
 #: one.
-GATHER_S = 0.05
+BATCH_WINDOW_S = 0.05
 #: Suspects in one message, some 10 bytes each.
-MAX_IN_MESSAGE = 200
+MAX_SUSPECTS_PER_MESSAGE = 200
 
 
 @attrs.define
@@ -38,38 +39,40 @@
     node: PeerNode
     members: Members
     suspects: Suspects
-    _news: News[SuspectState] = attrs.field(init=False)
-    _teller_centre: str = ''
+    _broadcasts: BroadcastQueue[SuspectState] = attrs.field(init=False)
+    _sender_centre: str = ''
 
     def __attrs_post_init__(self) -> None:
-        self._news = News(self.members, GATHER_S, self._send_to)
+        self._broadcasts = BroadcastQueue(self.members, BATCH_WINDOW_S, self._send_to)
 
     def start(self) -> None:
         """Take messages, and note what this gateway learns itself."""
-        self.suspects.add_listener(self._note_change)
-        self.node.add_handler(CrashSuspects, self._take)
+        self.suspects.add_listener(self._on_change)
+        self.node.add_handler(CrashSuspects, self._handle_suspects)
 
-    def _note_change(self, state: SuspectState, source: NewsSource) -> None:
+    def _on_change(self, state: SuspectState, source: NewsSource) -> None:
         if source is NewsSource.OWN:
-            self._news.note_own(state.fingerprint, state)
+            self._broadcasts.publish(state.fingerprint, state)
         elif source is NewsSource.PEER:
-            self._news.note_told(state.fingerprint, state, self._teller_centre)
+            self._broadcasts.relay(state.fingerprint, state, self._sender_centre)
 
-    def _take(self, envelope: Envelope) -> None:
-        self._teller_centre = envelope.data_centre
-        for state in _states_of(envelope.message):
+    def _handle_suspects(self, envelope: Envelope) -> None:
+        self._sender_centre = envelope.data_centre
+        for state in _states_from_message(envelope.message):
             self.suspects.merge(state, NewsSource.PEER)
 
     async def run(self) -> None:
         """Send news as it comes."""
-        await self._news.run()
+        await self._broadcasts.run()
 
     def _send_to(self, addresses: list[str], states: list[SuspectState]) -> None:
-        for first in range(0, len(states), MAX_IN_MESSAGE):
-            self.node.send_all(addresses, _message_of(states[first : first + MAX_IN_MESSAGE]))
+        for first in range(0, len(states), MAX_SUSPECTS_PER_MESSAGE):
+            self.node.send_all(
+                addresses, _message_from_states(states[first : first + MAX_SUSPECTS_PER_MESSAGE])
+            )
 
 
-def _message_of(states: list[SuspectState]) -> CrashSuspects:
+def _message_from_states(states: list[SuspectState]) -> CrashSuspects:
     groups: dict[ToldEnd, list[bytes]] = {}
     for state in states:
         for told in state.told_ends():
@@ -82,7 +85,7 @@
     return EndedReplica(end.replica_id, end.born_ms, told.is_cleared, told.is_coincident, calls)
 
 
-def _states_of(message: CrashSuspects) -> Iterator[SuspectState]:
+def _states_from_message(message: CrashSuspects) -> Iterator[SuspectState]:
     """Yield what is told of each call, one end at a time."""
     for group in message.ends:
         end = ReplicaEnd(group.replica_id, group.born_ms)
--- a/limeshelf/membership/digest_exchange.py
+++ b/limeshelf/membership/digest_exchange.py
@@ -15,8 +15,8 @@
 
 from limeshelf.demand.centre_demand import CentreDemand
 from limeshelf.membership import receivers
-from limeshelf.membership.digests import DigestBook, sum_loads
-from limeshelf.membership.gateway_count import GatewayCount
+from limeshelf.membership.digests import LatestDigests, sum_loads
+from limeshelf.membership.gateway_count import GatewayCounter
 from limeshelf.membership.messages import DigestBundle, FleetSummary, GatewayDigest, ReplicaLoad
 from limeshelf.metrics.event_log import log_change
 from limeshelf.util.backoff import jittered_s
@@ -41,7 +41,7 @@
 #: Stands for a number of gateways that is not known.
 UNKNOWN_COUNT = 0
 #: Ends the id under which the sum of a data centre counts beside its gateways.
-CENTRE_SUFFIX = '+centre'
+SUM_ID_SUFFIX = '+centre'
 
 
 @attrs.define
@@ -60,22 +60,22 @@
     dispatchers: Dispatchers
     speed: ReadingSpeed
     limits: LimitExchange
-    _book: DigestBook = attrs.field(factory=DigestBook)
+    _digests: LatestDigests = attrs.field(factory=LatestDigests)
     _centre_demand: CentreDemand = attrs.field(factory=CentreDemand)
-    _bundled_gateways: dict[str, int] = attrs.field(factory=dict)
+    _gateways_per_sum: dict[str, int] = attrs.field(factory=dict)
     _sum_ids: dict[str, str] = attrs.field(factory=dict)
     _digest_count: int = 0
-    _count: GatewayCount = attrs.field(init=False)
+    _gateway_counter: GatewayCounter = attrs.field(init=False)
     _summary_gateways: int = 0
 
     def __attrs_post_init__(self) -> None:
-        self._count = GatewayCount(self.members)
+        self._gateway_counter = GatewayCounter(self.members)
 
     def start(self) -> None:
         """Take messages."""
-        self.node.add_handler(GatewayDigest, self._take_digest)
-        self.node.add_handler(DigestBundle, self._take_bundle)
-        self.node.add_handler(FleetSummary, self._take_summary)
+        self.node.add_handler(GatewayDigest, self._handle_digest)
+        self.node.add_handler(DigestBundle, self._handle_bundle)
+        self.node.add_handler(FleetSummary, self._handle_summary)
 
     @property
     def gateway_count(self) -> int | None:
@@ -83,31 +83,31 @@
 
         Those that are not heard now count, too (:mod:`~limeshelf.membership.gateway_count`).
         """
-        return self._count.update(self._heard_count())
+        return self._gateway_counter.update(self._active_count())
 
-    def _heard_count(self) -> int:
+    def _active_count(self) -> int:
         """Return how many gateways are heard now, this one included.
 
         Relays count digests, and what the relays of other data centres counted; the others
         go by the last summary of a relay.
         """
         if self.members.is_relay:
-            return 1 + sum(self._gateways_in(digest) for digest in self._book.fresh())
+            return 1 + sum(self._gateways_in(digest) for digest in self._digests.unexpired())
         return max(1, self._summary_gateways)
 
     def _gateways_in(self, digest: GatewayDigest) -> int:
-        return self._bundled_gateways.get(digest.instance_id, 1)
+        return self._gateways_per_sum.get(digest.instance_id, 1)
 
     async def run(self) -> None:
         """Send digests, and as a relay what was made of those of the others."""
         while True:
             self._digest_count += 1
             digest = self._own_digest()
-            self.limits.check_role(digest.usage)
-            self._take_demand(digest)
+            self.limits.update_role(digest.usage)
+            self._add_demand(digest)
             own = self.members.own
             relays = self.members.own_relays()
-            self.node.send_all(self.members.reachable(relays), digest)
+            self.node.send_all(self.members.addresses_to_contact(relays), digest)
             if own in relays:
                 self._send_summary(digest)
             if relays[:1] == [own]:
@@ -145,7 +145,7 @@
     def _send_summary(self, own: GatewayDigest) -> None:
         """Send the gateways of this data centre what all gateways have under way."""
         own_loads = [load for load in own.loads if load.calls]
-        loads = sum_loads([*self._book.loads(), *own_loads])
+        loads = sum_loads([*self._digests.loads(), *own_loads])
         gateways = self.gateway_count or UNKNOWN_COUNT
         summary = FleetSummary(gateways, loads, self.dispatchers.announced())
         self.node.send_all(receivers.own_centre(self.members), summary)
@@ -155,12 +155,12 @@
         leader = self.leader.current() or None
         addresses = receivers.of_bundle(self.members, leader, self._digest_count)
         if addresses:
-            digests = [own, *self._book.fresh(self.members.own.data_centre)]
-            summed = self._sum_of(own, digests)
-            dispatcher = self.dispatchers.own_address()
+            digests = [own, *self._digests.unexpired(self.members.own.data_centre)]
+            summed = self._sum_digests(own, digests)
+            dispatcher = self.dispatchers.own_centre_address()
             self.node.send_all(addresses, DigestBundle([summed], dispatcher, len(digests)))
 
-    def _sum_of(self, own: GatewayDigest, digests: list[GatewayDigest]) -> GatewayDigest:
+    def _sum_digests(self, own: GatewayDigest, digests: list[GatewayDigest]) -> GatewayDigest:
         """Return the digests of this data centre as one.
 
         With each by itself, the digests of 195 gateways in five data centres took some
@@ -173,7 +173,7 @@
         loads = sum_loads(load for digest in digests for load in digest.loads if load.calls)
         return attrs.evolve(
             own,
-            instance_id=own.instance_id + CENTRE_SUFFIX,
+            instance_id=own.instance_id + SUM_ID_SUFFIX,
             fence=0,
             loads=loads,
             demands=self._centre_demand.recent(digest.demands for digest in digests),
@@ -182,17 +182,17 @@
             started_ms=0,
         )
 
-    def _take_digest(self, envelope: Envelope) -> None:
+    def _handle_digest(self, envelope: Envelope) -> None:
         digest: GatewayDigest = envelope.message
         if self.members.note_message(digest.address, digest.data_centre):
             log_change('gateway_active', gateway=digest.instance_id, address=digest.address)
         self.members.add(digest.address, digest.data_centre, digest.weight)
-        self._note_digest(digest)
+        self._apply_digest(digest)
 
-    def _take_bundle(self, envelope: Envelope) -> None:
+    def _handle_bundle(self, envelope: Envelope) -> None:
         bundle: DigestBundle = envelope.message
         self.members.note_message(envelope.sender, envelope.data_centre)
-        self.dispatchers.note(envelope.data_centre, bundle.dispatcher)
+        self.dispatchers.record_announced(envelope.data_centre, bundle.dispatcher)
         is_own_centre = envelope.data_centre == self.members.own.data_centre
         if is_own_centre and self.members.is_relay:
             # It has the digests of this data centre themselves.
@@ -201,44 +201,44 @@
             if digest.instance_id != self.instance_id:
                 self.members.add(digest.address, digest.data_centre, digest.weight)
                 if bundle.gateways:
-                    self._note_sum(digest, bundle.gateways)
-                self._note_digest(digest)
+                    self._record_sum(digest, bundle.gateways)
+                self._apply_digest(digest)
 
-    def _note_sum(self, digest: GatewayDigest, gateways: int) -> None:
+    def _record_sum(self, digest: GatewayDigest, gateways: int) -> None:
         """Note how many gateways a sum holds; forget that of the relay before."""
-        self._bundled_gateways[digest.instance_id] = gateways
+        self._gateways_per_sum[digest.instance_id] = gateways
         before = self._sum_ids.get(digest.data_centre)
         self._sum_ids[digest.data_centre] = digest.instance_id
         if before is not None and before != digest.instance_id:
-            del self._bundled_gateways[before]
-            self._book.forget(before)
+            del self._gateways_per_sum[before]
+            self._digests.remove(before)
             self.totals.forget_running(before)
             self.directory.forget_peer(before)
 
-    def _note_digest(self, digest: GatewayDigest) -> None:
-        if not self._book.take(digest):
+    def _apply_digest(self, digest: GatewayDigest) -> None:
+        if not self._digests.add(digest):
             return
         if digest.fence:
             self.leadership.note_fence(digest.fence)
-            self.leader.note_claim(digest.address, digest.fence)
+            self.leader.record_claim(digest.address, digest.fence)
         self.directory.take_peer_loads(digest.instance_id, digest.loads)
-        self._take_demand(digest)
+        self._add_demand(digest)
         self.speed.take_from_peer(digest.reading_ms)
         if digest.data_centre == self.members.own.data_centre:
-            self.limits.take_report(digest)
+            self.limits.add_report(digest)
 
-    def _take_demand(self, digest: GatewayDigest) -> None:
+    def _add_demand(self, digest: GatewayDigest) -> None:
         self.totals.take(digest.instance_id, digest.demands)
         if digest.data_centre == self.members.own.data_centre:
             self._centre_demand.take(digest.instance_id, digest.demands)
 
-    def _take_summary(self, envelope: Envelope) -> None:
+    def _handle_summary(self, envelope: Envelope) -> None:
         summary: FleetSummary = envelope.message
         self.members.note_message(envelope.sender, envelope.data_centre)
         # Also as a relay: the second one sends nothing to other data centres, so that these take
         # it for silent and send it their sums only now and then.
         for data_centre, address in summary.dispatchers.items():
-            self.dispatchers.note_passed_on(data_centre, address)
+            self.dispatchers.record_forwarded(data_centre, address)
         if self.members.is_relay or self.leader.is_self:
             # These have the digests themselves.
             return
--- a/limeshelf/membership/digests.py
+++ b/limeshelf/membership/digests.py
@@ -17,10 +17,10 @@
 
 #: A digest counts for this long, in seconds; ten digests long. As long as SILENT_S, which
 #: judges messages that come directly; digests also come by way of a relay.
-DIGEST_LIFE_S = 2.5
+DIGEST_TTL_S = 2.5
 
 
-def is_late(number: int, known_number: int, known_age_s: float) -> bool:
+def is_superseded(number: int, known_number: int, known_age_s: float) -> bool:
     """Return whether a digest was overtaken by the known one of the same gateway.
 
     Numbers rise, but a machine that lost its power may count from the start again: a
@@ -28,7 +28,7 @@
 
     :param known_age_s: time since the known digest came.
     """
-    return number <= known_number and known_age_s < DIGEST_LIFE_S
+    return number <= known_number and known_age_s < DIGEST_TTL_S
 
 
 def sum_loads(loads: Iterable[ReplicaLoad]) -> list[ReplicaLoad]:
@@ -47,30 +47,30 @@
     received_s: float
 
 
-class DigestBook:
+class LatestDigests:
     """Keeps the newest digest of each gateway, whichever way it came."""
 
     def __init__(self) -> None:
         self._received: dict[str, _ReceivedDigest] = {}
 
-    def take(self, digest: GatewayDigest) -> bool:
+    def add(self, digest: GatewayDigest) -> bool:
         """Keep a digest; return whether it is newer than the known one."""
         now_s = boottime_s()
         known = self._received.get(digest.instance_id)
-        if known is not None and is_late(
+        if known is not None and is_superseded(
             digest.number, known.digest.number, now_s - known.received_s
         ):
             return False
         self._received[digest.instance_id] = _ReceivedDigest(digest, now_s)
         return True
 
-    def forget(self, instance_id: str) -> None:
+    def remove(self, instance_id: str) -> None:
         """Forget the digest of a gateway."""
         self._received.pop(instance_id, None)
 
-    def fresh(self, data_centre: str | None = None) -> list[GatewayDigest]:
+    def unexpired(self, data_centre: str | None = None) -> list[GatewayDigest]:
         """Return the digests that count, of one data centre or of all."""
-        oldest_s = boottime_s() - DIGEST_LIFE_S
+        oldest_s = boottime_s() - DIGEST_TTL_S
         return [
             entry.digest
             for entry in self._received.values()
@@ -80,4 +80,4 @@
 
     def loads(self) -> list[ReplicaLoad]:
         """Return what the other gateways have under way, one load a gateway and replica."""
-        return [load for digest in self.fresh() for load in digest.loads]
+        return [load for digest in self.unexpired() for load in digest.loads]
--- a/limeshelf/membership/dispatchers.py
+++ b/limeshelf/membership/dispatchers.py
@@ -12,22 +12,22 @@
 
 import attrs
 
+from limeshelf.membership.liveness import is_active
 from limeshelf.membership.member import LOCAL
-from limeshelf.membership.silence import is_active
 from limeshelf.util.clock import boottime_s
 
 if TYPE_CHECKING:
     from limeshelf.membership.members import Members
 
 
-class _Announced(NamedTuple):
+class _Announcement(NamedTuple):
     address: str
-    heard_s: float
+    received_s: float
 
 
-def _active(announced: _Announced | None) -> str | None:
+def _active_address(announced: _Announcement | None) -> str | None:
     """Return an address that was announced lately."""
-    if announced is None or not is_active(boottime_s() - announced.heard_s):
+    if announced is None or not is_active(boottime_s() - announced.received_s):
         return None
     return announced.address
 
@@ -37,8 +37,8 @@
     """The dispatcher of each data centre."""
 
     members: Members
-    _announced: dict[str, _Announced] = attrs.field(factory=dict)
-    _passed_on: dict[str, _Announced] = attrs.field(factory=dict)
+    _announced: dict[str, _Announcement] = attrs.field(factory=dict)
+    _forwarded: dict[str, _Announcement] = attrs.field(factory=dict)
 
     def of_centre(self, data_centre: str) -> str | None:
         """Return the peer address of a data centre's dispatcher.
@@ -46,17 +46,17 @@
         :data:`~limeshelf.membership.member.LOCAL` for this process, ``None`` for nobody known.
         """
         if data_centre == self.members.own.data_centre:
-            return self._local()
-        announced = _active(self._announced.get(data_centre))
-        return announced or _active(self._passed_on.get(data_centre))
+            return self._own_centre_dispatcher()
+        announced = _active_address(self._announced.get(data_centre))
+        return announced or _active_address(self._forwarded.get(data_centre))
 
-    def _local(self) -> str | None:
+    def _own_centre_dispatcher(self) -> str | None:
         relays = self.members.own_relays()
         if not relays:
             return None
         return LOCAL if relays[-1] is self.members.own else relays[-1].address
 
-    def own_address(self) -> str:
+    def own_centre_address(self) -> str:
         """Return the address of the own data centre's dispatcher; empty if none is known."""
         relays = self.members.own_relays()
         return relays[-1].address if relays else ''
@@ -67,17 +67,17 @@
         Those that other relays passed on are left out: two relays that pass on what each has of
         the other would keep a lost one for good.
         """
-        known = {self.members.own.data_centre: self.own_address()}
+        known = {self.members.own.data_centre: self.own_centre_address()}
         for data_centre, announced in self._announced.items():
-            known[data_centre] = _active(announced) or ''
+            known[data_centre] = _active_address(announced) or ''
         return {data_centre: address for data_centre, address in known.items() if address}
 
-    def note(self, data_centre: str, address: str) -> None:
+    def record_announced(self, data_centre: str, address: str) -> None:
         """Note whom a relay of another data centre announced for it; empty for nobody."""
         if address and data_centre != self.members.own.data_centre:
-            self._announced[data_centre] = _Announced(address, boottime_s())
+            self._announced[data_centre] = _Announcement(address, boottime_s())
 
-    def note_passed_on(self, data_centre: str, address: str) -> None:
+    def record_forwarded(self, data_centre: str, address: str) -> None:
         """Note whom a relay of the own data centre has heard announced for another one."""
         if address and data_centre != self.members.own.data_centre:
-            self._passed_on[data_centre] = _Announced(address, boottime_s())
+            self._forwarded[data_centre] = _Announcement(address, boottime_s())
--- a/limeshelf/membership/gateway_count.py
+++ b/limeshelf/membership/gateway_count.py
@@ -13,11 +13,11 @@
 
 #: A gateway that is not heard any more counts for this long, in seconds: it may be cut off and
 #: go on serving. One that was replaced takes its part for as long.
-COUNT_LIFE_S = 600.0
+COUNT_RETENTION_S = 600.0
 
 
 @attrs.define
-class GatewayCount:
+class GatewayCounter:
     """Counts the gateways that may be serving, not only those that are heard now.
 
     A limit that is divided by those heard now is exceeded as soon as some are cut off from
@@ -27,20 +27,20 @@
 
     members: Members
     _highest: int = 0
-    _highest_s: float = 0.0
+    _highest_at_s: float = 0.0
     _started_s: float = attrs.field(factory=boottime_s)
 
-    def update(self, heard: int) -> int | None:
+    def update(self, active_count: int) -> int | None:
         """Take how many are heard now, this one included; return how many share.
 
         ``None`` where nothing tells: neither has another gateway been heard, nor have the rows
         of the store come that name them.
         """
         now_s = boottime_s()
-        if heard >= self._highest or now_s - self._highest_s > COUNT_LIFE_S:
-            self._highest, self._highest_s = heard, now_s
+        if active_count >= self._highest or now_s - self._highest_at_s > COUNT_RETENTION_S:
+            self._highest, self._highest_at_s = active_count, now_s
         is_listed = self.members.are_listed
         listed = len(self.members.others()) + 1
-        if is_listed and now_s - self._started_s <= COUNT_LIFE_S:
+        if is_listed and now_s - self._started_s <= COUNT_RETENTION_S:
             return max(self._highest, listed)
         return self._highest if is_listed or self._highest > 1 else None
--- a/limeshelf/membership/leader.py
+++ b/limeshelf/membership/leader.py
@@ -12,8 +12,8 @@
 import attrs
 
 from limeshelf.membership.contention import may_contend
+from limeshelf.membership.liveness import is_active
 from limeshelf.membership.member import LOCAL
-from limeshelf.membership.silence import is_active
 from limeshelf.util.clock import boottime_s
 
 if TYPE_CHECKING:
@@ -40,21 +40,21 @@
     leadership: Leadership
     address: str = ''
     fence: int = 0
-    last_message_s: float = 0.0
+    last_claim_s: float = 0.0
     may_order: bool = True
-    _last_led_s: float = attrs.field(factory=boottime_s)
+    _last_leader_s: float = attrs.field(factory=boottime_s)
 
     @property
     def is_active(self) -> bool:
         """Return whether another gateway claimed lately to lead."""
-        return bool(self.fence) and is_active(boottime_s() - self.last_message_s)
+        return bool(self.fence) and is_active(boottime_s() - self.last_claim_s)
 
     @property
     def is_self(self) -> bool:
         """Return whether this gateway leads."""
         return self.leadership.fence > 0
 
-    def note_claim(self, address: str, fence: int, may_order: bool | None = None) -> None:
+    def record_claim(self, address: str, fence: int, may_order: bool | None = None) -> None:
         """Note that a gateway leads under *fence*.
 
         :param may_order: whether its orders may leave; ``None`` where the message does not
@@ -66,12 +66,12 @@
             self.may_order = may_order is not False
         self.address = address
         self.fence = fence
-        self.last_message_s = boottime_s()
+        self.last_claim_s = boottime_s()
 
-    def note_leaving(self, address: str) -> None:
+    def mark_leaving(self, address: str) -> None:
         """Note that a gateway stops."""
         if address == self.address:
-            self.last_message_s = 0.0
+            self.last_claim_s = 0.0
 
     def current(self) -> str | None:
         """Return the peer address of the gateway that leads.
@@ -91,9 +91,9 @@
         now_s = boottime_s()
         leader_is_active = self.is_active and self.may_order
         if leader_is_active:
-            self._last_led_s = now_s
+            self._last_leader_s = now_s
         return may_contend(
             leader_is_active=leader_is_active,
             is_first_relay=self.members.are_listed and self.members.is_first_relay,
-            leaderless_s=now_s - self._last_led_s,
+            leaderless_s=now_s - self._last_leader_s,
         )
--- a/limeshelf/membership/limit_exchange.py
+++ b/limeshelf/membership/limit_exchange.py
@@ -35,11 +35,11 @@
 
 #: While an organisation is over its limit, calls that count as much are refused without asking
 #: for this long: refusing costs next to nothing then.
-REFUSED_KEPT_S = 0.1
+REFUSAL_CACHE_S = 0.1
 
 
 @attrs.frozen
-class _Refused:
+class _Refusal:
     """The latest refusal of an organisation's call.
 
     :ivar amount: that it counted.
@@ -69,22 +69,24 @@
         self._limiter: Limiter | None = None
         self._paces = Paces(rule)
         self._questions: Questions[Decision] = Questions(node, _log_silent)
-        self._refused: dict[str, _Refused] = {}
+        self._refusals: dict[str, _Refusal] = {}
         #: Whether no limiter decided on the latest call, and when one last did.
-        self._is_unheard = False
-        self._answered_s = -math.inf
+        self._is_limiter_unavailable = False
+        self._last_decision_s = -math.inf
 
     def start(self) -> None:
         """Take messages."""
-        self._node.add_handler(LimitQuery, self._take_query)
-        self._node.add_handler(LimitVerdict, self._take_verdict)
+        self._node.add_handler(LimitQuery, self._handle_query)
+        self._node.add_handler(LimitVerdict, self._handle_verdict)
 
     def report(self) -> dict[str, int]:
         """Return what counts for this gateway, by organisation, to be sent to the limiters."""
-        since_s = boottime_s() - self._answered_s
-        return self._ledger.report(holds_claims=self._is_unheard and since_s < self._rule.window_s)
+        since_s = boottime_s() - self._last_decision_s
+        return self._ledger.report(
+            holds_claims=self._is_limiter_unavailable and since_s < self._rule.window_s
+        )
 
-    def check_role(self, used: dict[str, int]) -> None:
+    def update_role(self, used: dict[str, int]) -> None:
         """Be a limiter from now on, or no longer, and report to it.
 
         :param used: by this gateway, as it reports to the others.
@@ -98,7 +100,7 @@
         own = self._members.own.address
         self._limiter.take_report(own, self.started_ms, self._age_s(), used, now_s)
 
-    def take_report(self, digest: GatewayDigest) -> None:
+    def add_report(self, digest: GatewayDigest) -> None:
         """Take what a gateway of this data centre says that it uses."""
         if self._limiter is not None and digest.started_ms:
             age_s = (digest.number - digest.started_ms) / MS_PER_S
@@ -113,66 +115,66 @@
 
         :param amount: in units of the limit.
         """
-        decision = self._refused_lately(organisation, amount)
+        decision = self._cached_refusal(organisation, amount)
         if decision is None:
             decision = await self._decide(organisation, amount)
         if decision.ruling is Ruling.OVER:
-            self._note_refused(organisation, amount, decision)
+            self._cache_refusal(organisation, amount, decision)
             return decision
         if decision.ruling is Ruling.WITHIN:
             self._ledger.note_granted(organisation, amount)
-        elif not self._may_use(organisation, limit, amount):
+        elif not self._fits_own_share(organisation, limit, amount):
             return decision
         return self._ledger.of(organisation).reserve(amount)
 
-    def _may_use(self, organisation: str, limit: UsageLimit, amount: int) -> bool:
+    def _fits_own_share(self, organisation: str, limit: UsageLimit, amount: int) -> bool:
         """Return whether a call may run that no limiter decides on."""
         if not self._members.are_listed:
             return False
-        own_part = self._rule.of_gateway(limit, self._gateways(), self._age_s())
+        own_part = self._rule.of_gateway(limit, self._gateway_count(), self._age_s())
         return self._ledger.may_use(organisation, amount, own_part)
 
-    def _refused_lately(self, organisation: str, amount: int) -> Decision | None:
-        refused = self._refused.get(organisation)
+    def _cached_refusal(self, organisation: str, amount: int) -> Decision | None:
+        refused = self._refusals.get(organisation)
         now_s = boottime_s()
-        if refused is None or amount < refused.amount or now_s > refused.at_s + REFUSED_KEPT_S:
+        if refused is None or amount < refused.amount or now_s > refused.at_s + REFUSAL_CACHE_S:
             return None
         return Decision(Ruling.OVER, max(0.0, refused.room_s - now_s))
 
-    def _note_refused(self, organisation: str, amount: int, decision: Decision) -> None:
+    def _cache_refusal(self, organisation: str, amount: int, decision: Decision) -> None:
         now_s = boottime_s()
-        refused = self._refused.get(organisation)
-        if refused is None or now_s > refused.at_s + REFUSED_KEPT_S:
-            self._refused[organisation] = _Refused(amount, now_s, now_s + decision.wait_s)
+        refused = self._refusals.get(organisation)
+        if refused is None or now_s > refused.at_s + REFUSAL_CACHE_S:
+            self._refusals[organisation] = _Refusal(amount, now_s, now_s + decision.wait_s)
 
     def _age_s(self) -> float:
         return boottime_s() - self.started_ms / MS_PER_S
 
-    def _gateways(self) -> int:
+    def _gateway_count(self) -> int:
         return len(self._members.in_own_centre()) + 1
 
     async def _decide(self, organisation: str, amount: int) -> Decision:
         """Return the decision of the first limiter that answers."""
-        for address in self._limiters():
+        for address in self._limiter_addresses():
             decision: Decision | None
             if address == LOCAL:
-                decision = self._decide_here(self._members.own.address, organisation, amount)
+                decision = self._decide_locally(self._members.own.address, organisation, amount)
             else:
-                decision = await self._ask(address, organisation, amount)
+                decision = await self._query_limiter(address, organisation, amount)
             if decision is not None and decision.ruling is not Ruling.UNKNOWN:
-                self._answered_s = boottime_s()
-                self._is_unheard = False
+                self._last_decision_s = boottime_s()
+                self._is_limiter_unavailable = False
                 return decision
-        self._is_unheard = True
+        self._is_limiter_unavailable = True
         return Decision(Ruling.UNKNOWN)
 
-    def _limiters(self) -> list[str]:
+    def _limiter_addresses(self) -> list[str]:
         """Return whom to ask, the first first; :data:`LOCAL` for this process."""
         own = self._members.own
         addresses = [LOCAL if one is own else one.address for one in self._members.own_relays()]
         return [one for one in addresses if not self._questions.is_avoided(one)]
 
-    def _decide_here(self, gateway: str, organisation: str, amount: int) -> Decision:
+    def _decide_locally(self, gateway: str, organisation: str, amount: int) -> Decision:
         config = self._in_force.config
         organisations = config.organisations if config is not None else None
         limit = organisations.limit_of(organisation) if organisations is not None else None
@@ -183,25 +185,27 @@
         wait_s = self._paces.wait_s(organisation, limit, amount, now_s)
         if wait_s:
             return Decision(Ruling.OVER, wait_s)
-        question = LimitQuestion(gateway, organisation, limit, amount, self._gateways())
+        question = LimitQuestion(gateway, organisation, limit, amount, self._gateway_count())
         is_first = self._members.is_first_relay
         decision = self._limiter.decide(question, now_s, is_first=is_first)
         if decision.ruling is Ruling.WITHIN:
             self._paces.take(organisation, amount)
         return decision
 
-    async def _ask(self, address: str, organisation: str, amount: int) -> Decision | None:
+    async def _query_limiter(
+        self, address: str, organisation: str, amount: int
+    ) -> Decision | None:
         """Return the decision of another gateway, ``None`` if it is silent."""
         query = LimitQuery(new_id('l'), organisation, amount)
         return await self._questions.ask(address, query.query_id, query)
 
-    def _take_query(self, envelope: Envelope) -> None:
+    def _handle_query(self, envelope: Envelope) -> None:
         query: LimitQuery = envelope.message
-        decision = self._decide_here(envelope.sender, query.organisation, query.amount)
+        decision = self._decide_locally(envelope.sender, query.organisation, query.amount)
         wait_ms = int(decision.wait_s * MS_PER_S)
         self._node.send(envelope.sender, LimitVerdict(query.query_id, decision.ruling, wait_ms))
 
-    def _take_verdict(self, envelope: Envelope) -> None:
+    def _handle_verdict(self, envelope: Envelope) -> None:
         verdict: LimitVerdict = envelope.message
         decision = Decision(verdict.ruling, verdict.wait_ms / MS_PER_S)
         self._questions.answer(verdict.query_id, decision)
--- a/limeshelf/membership/silence.py
+++ b/limeshelf/membership/liveness.py
@@ -10,10 +10,10 @@
 
 #: A gateway without a message for this long counts no more and is not relied on; ten digests
 #: long.
-SILENT_S = 2.5
+INACTIVE_AFTER_S = 2.5
 #: A silent gateway is sent a message again this often, in seconds, so that it is found when it
 #: is back.
-RETRY_SILENT_S = 2.0
+INACTIVE_RETRY_INTERVAL_S = 2.0
 
 
 class Contact(enum.Enum):
@@ -26,15 +26,15 @@
 
 def is_active(age_s: float) -> bool:
     """Return whether a gateway counts whose last message came *age_s* seconds ago."""
-    return age_s < SILENT_S
+    return age_s < INACTIVE_AFTER_S
 
 
-def contact_of(silent_s: float, since_retry_s: float) -> Contact:
+def choose_contact(since_message_s: float, since_retry_s: float) -> Contact:
     """Decide whether to send to a gateway.
 
     :param silent_s: for how long a message of it has been due, in seconds.
     :param since_retry_s: time since it was last sent something while silent.
     """
-    if silent_s <= SILENT_S:
+    if since_message_s <= INACTIVE_AFTER_S:
         return Contact.ACTIVE
-    return Contact.SKIP if since_retry_s < RETRY_SILENT_S else Contact.RETRY
+    return Contact.SKIP if since_retry_s < INACTIVE_RETRY_INTERVAL_S else Contact.RETRY
--- a/limeshelf/membership/member.py
+++ b/limeshelf/membership/member.py
@@ -8,7 +8,7 @@
 import attrs
 import msgspec
 
-from limeshelf.membership.silence import is_active
+from limeshelf.membership.liveness import is_active
 from limeshelf.util.clock import boottime_s
 
 MEMBER_TABLE = 'members'
@@ -55,6 +55,6 @@
         """Return what sorts the gateways of a data centre, the highest rank first."""
         return (-self.weight, self.address)
 
-    def silent_s(self, now_s: float) -> float:
+    def since_message_s(self, now_s: float) -> float:
         """Return for how long a message of it has been due without any coming."""
         return now_s - max(self.last_message_s, self.relay_since_s)
--- a/limeshelf/membership/members.py
+++ b/limeshelf/membership/members.py
@@ -1,7 +1,7 @@
 """Which gateways there are, in all data centres, and which of them are relays.
 
 Owns the table of gateways and when each last sent a message. Relies on the rules in
-:mod:`~limeshelf.membership.relays` and :mod:`~limeshelf.membership.silence`; gateways come
+:mod:`~limeshelf.membership.relays` and :mod:`~limeshelf.membership.liveness`; gateways come
 from rows of the store, the seeds of the settings and messages.
 """
 
@@ -10,9 +10,9 @@
 import bisect
 from typing import TYPE_CHECKING
 
+from limeshelf.membership.liveness import Contact, choose_contact
 from limeshelf.membership.member import Member
-from limeshelf.membership.relays import RELAY_SILENT_S, choose_relays
-from limeshelf.membership.silence import Contact, contact_of
+from limeshelf.membership.relays import RELAY_TIMEOUT_S, choose_relays
 from limeshelf.util.clock import boottime_s
 
 if TYPE_CHECKING:
@@ -41,14 +41,14 @@
         if member is None:
             member = self._by_address[address] = Member(address)
         if member is not self.own:
-            self._describe(
+            self._update_member(
                 member,
                 data_centre or member.data_centre,
                 member.weight if weight is None else weight,
             )
         return member
 
-    def _describe(self, member: Member, data_centre: str, weight: float) -> None:
+    def _update_member(self, member: Member, data_centre: str, weight: float) -> None:
         if (member.data_centre, member.weight) == (data_centre, weight):
             return
         if member.data_centre:
@@ -61,7 +61,7 @@
 
     def change_own_weight(self, weight: float) -> None:
         """Let this gateway rank by another weight from now on."""
-        self._describe(self.own, self.own.data_centre, weight)
+        self._update_member(self.own, self.own.data_centre, weight)
 
     def note_message(self, address: str, data_centre: str) -> bool:
         """Note that a gateway sent something; return whether it was silent before."""
@@ -76,7 +76,7 @@
             if member.last_message_s:
                 member.last_message_s += slept_s
 
-    def note_leaving(self, address: str) -> None:
+    def mark_leaving(self, address: str) -> None:
         """Note that a gateway stops."""
         member = self._by_address.get(address)
         if member is not None and member is not self.own:
@@ -91,12 +91,12 @@
         """Return the other gateways that sent something lately."""
         return [member for member in self.others() if member.is_active]
 
-    def hears_others(self) -> bool:
+    def receives_messages(self) -> bool:
         """Return whether any other gateway has sent something lately.
 
         Relays send to all gateways of their data centre several times within that time.
         """
-        oldest_s = boottime_s() - RELAY_SILENT_S
+        oldest_s = boottime_s() - RELAY_TIMEOUT_S
         return any(member.last_message_s >= oldest_s for member in self.others())
 
     def in_own_centre(self) -> list[Member]:
@@ -121,7 +121,7 @@
         """Return the relays of a data centre, the first by rank first."""
         now_s = boottime_s()
         choice = choose_relays(self._ranked.get(data_centre, []), self.own, now_s)
-        for member in [*choice.relays, *choice.silent]:
+        for member in [*choice.relays, *choice.timed_out]:
             if member is not self.own:
                 member.relay_since_s = member.relay_since_s or now_s
         for member in choice.standby:
@@ -146,7 +146,7 @@
         """Return this gateway's rank among those of its data centre, from 0."""
         return self._ranked[self.own.data_centre].index(self.own)
 
-    def reachable(self, members: Iterable[Member]) -> list[str]:
+    def addresses_to_contact(self, members: Iterable[Member]) -> list[str]:
         """Return the addresses of those that are sent a message now.
 
         A silent gateway that is among them counts as tried again.
@@ -156,7 +156,7 @@
         for member in members:
             if member is self.own:
                 continue
-            contact = contact_of(member.silent_s(now_s), now_s - member.last_retry_s)
+            contact = choose_contact(member.since_message_s(now_s), now_s - member.last_retry_s)
             if contact is Contact.SKIP:
                 continue
             if contact is Contact.RETRY:
--- a/limeshelf/membership/messages.py
+++ b/limeshelf/membership/messages.py
@@ -186,7 +186,7 @@
     ends: list[EndedReplica]
 
 
-class ToldNotice(msgspec.Struct, array_like=True):
+class ReplicaNoticeEntry(msgspec.Struct, array_like=True):
     """What a replica asks of all gateways.
 
     :ivar born_ms: when it started, in milliseconds since 1970; ``None`` where it does not say.
@@ -208,7 +208,7 @@
 class ReplicaNotices:
     """What replicas ask for, as far as that was new to the sender."""
 
-    notices: list[ToldNotice]
+    notices: list[ReplicaNoticeEntry]
 
 
 @add_message('gateway-leaving')
--- a/limeshelf/membership/notice_exchange.py
+++ b/limeshelf/membership/notice_exchange.py
@@ -1,6 +1,7 @@
 """Tells other gateways what replicas ask of all of them, and takes in what they tell.
 
-It goes as :mod:`~limeshelf.membership.news`. A gateway that starts has missed it: who does not
+It goes as :mod:`~limeshelf.membership.broadcast_queue`. A gateway that starts has missed it: who
+does not
 know learns it by its first answer from the replica, and tells who gives the turns there as it
 asks for one (:mod:`limeshelf.dispatch.turns`).
 """
@@ -12,8 +13,8 @@
 
 import attrs
 
-from limeshelf.membership.messages import ReplicaNotices, ToldNotice
-from limeshelf.membership.news import News
+from limeshelf.membership.broadcast_queue import BroadcastQueue
+from limeshelf.membership.messages import ReplicaNoticeEntry, ReplicaNotices
 from limeshelf.replicas.notices import NoticeWay
 from limeshelf.util.clock import MS_PER_S, boottime_s
 
@@ -28,7 +29,7 @@
 #: Stands for an answer that never came, in milliseconds ago.
 NEVER_MS = 1 << 40
 #: After the first news, in seconds, others that come with it go in the same message.
-GATHER_S = 0.01
+BATCH_WINDOW_S = 0.01
 
 
 @attrs.define
@@ -39,25 +40,25 @@
     members: Members
     directory: ReplicaDirectory
     notices: NoticeTaker
-    _news: News[Replica] = attrs.field(init=False)
-    _teller_centre: str = ''
+    _broadcasts: BroadcastQueue[Replica] = attrs.field(init=False)
+    _sender_centre: str = ''
 
     def __attrs_post_init__(self) -> None:
-        self._news = News(self.members, GATHER_S, self._send_to)
+        self._broadcasts = BroadcastQueue(self.members, BATCH_WINDOW_S, self._send_to)
 
     def start(self) -> None:
         """Take messages, and note what this gateway learns itself."""
-        self.notices.on_change = self._note_change
-        self.node.add_handler(ReplicaNotices, self._take)
+        self.notices.on_change = self._on_change
+        self.node.add_handler(ReplicaNotices, self._handle_notices)
 
-    def _note_change(self, replica: Replica, way: NoticeWay) -> None:
+    def _on_change(self, replica: Replica, way: NoticeWay) -> None:
         if way is NoticeWay.PEER:
-            self._news.note_told(replica.start, replica, self._teller_centre)
+            self._broadcasts.relay(replica.start, replica, self._sender_centre)
         else:
-            self._news.note_own(replica.start, replica)
+            self._broadcasts.publish(replica.start, replica)
 
-    def _take(self, envelope: Envelope) -> None:
-        self._teller_centre = envelope.data_centre
+    def _handle_notices(self, envelope: Envelope) -> None:
+        self._sender_centre = envelope.data_centre
         now_s = boottime_s()
         for told in envelope.message.notices:
             replica = self.directory.get(told.replica_id)
@@ -69,18 +70,20 @@
 
     async def run(self) -> None:
         """Send news as it comes."""
-        await self._news.run()
+        await self._broadcasts.run()
 
     def _send_to(self, addresses: list[str], replicas: list[Replica]) -> None:
         if replicas:
-            self.node.send_all(addresses, ReplicaNotices([_told(one) for one in replicas]))
+            self.node.send_all(
+                addresses, ReplicaNotices([_notice_from_replica(one) for one in replicas])
+            )
 
 
-def _told(replica: Replica) -> ToldNotice:
+def _notice_from_replica(replica: Replica) -> ReplicaNoticeEntry:
     backpressure = replica.backpressure
     rate_per_s = backpressure.rate_per_s
     known_s = backpressure.ended_s if rate_per_s is None else backpressure.heard_s
-    return ToldNotice(
+    return ReplicaNoticeEntry(
         replica.replica_id,
         replica.known_start.born_ms,
         rate_per_s,
--- a/limeshelf/membership/receivers.py
+++ b/limeshelf/membership/receivers.py
@@ -29,7 +29,7 @@
 import random
 from typing import TYPE_CHECKING
 
-from limeshelf.membership.relays import RELAYS
+from limeshelf.membership.relays import RELAYS_PER_CENTRE
 
 if TYPE_CHECKING:
     from limeshelf.membership.member import Member
@@ -37,15 +37,15 @@
 
 #: Sums go to other data centres with every so many digests of the first relay: each 0.5 s. The
 #: leader gets each.
-FAR_SUM_EVERY_DIGESTS = 2
+DIGESTS_PER_REMOTE_SUM = 2
 
 
 def own_centre(members: Members) -> list[str]:
     """Return the addresses of the other gateways of this data centre."""
-    return members.reachable(members.in_own_centre())
+    return members.addresses_to_contact(members.in_own_centre())
 
 
-def relays_elsewhere(members: Members) -> set[str]:
+def other_centre_relays(members: Members) -> set[str]:
     """Return the addresses of the relays of all other data centres.
 
     Of one that is silent as a whole, its first gateways by rank are tried, and another by
@@ -55,14 +55,14 @@
     """
     addresses: set[str] = set()
     for centre in members.other_centres():
-        contacts = members.relays(centre) or _tried_contacts(members, centre)
-        addresses.update(members.reachable(contacts))
+        contacts = members.relays(centre) or _retry_contacts(members, centre)
+        addresses.update(members.addresses_to_contact(contacts))
     return addresses
 
 
-def _tried_contacts(members: Members, centre: str) -> list[Member]:
+def _retry_contacts(members: Members, centre: str) -> list[Member]:
     ranked = members.ranked(centre)
-    return [*ranked[:RELAYS], random.choice(ranked)]
+    return [*ranked[:RELAYS_PER_CENTRE], random.choice(ranked)]
 
 
 def of_bundle(members: Members, leader: str | None, digest_count: int) -> list[str]:
@@ -72,14 +72,14 @@
     :param digest_count: digests that this gateway has sent since its start.
     """
     addresses = {leader} if leader is not None else set()
-    if digest_count % FAR_SUM_EVERY_DIGESTS == 0:
-        addresses |= relays_elsewhere(members)
+    if digest_count % DIGESTS_PER_REMOTE_SUM == 0:
+        addresses |= other_centre_relays(members)
     return sorted(addresses)
 
 
 def of_states(members: Members) -> list[str]:
     """Return who is sent the states of replicas by the leader."""
-    return sorted({*own_centre(members), *relays_elsewhere(members)})
+    return sorted({*own_centre(members), *other_centre_relays(members)})
 
 
 def of_rows(members: Members) -> list[str]:
--- a/limeshelf/membership/registration.py
+++ b/limeshelf/membership/registration.py
@@ -35,15 +35,15 @@
 RETRY_LIMIT_S = 2.0
 #: Longest pause before the own row is written again once the store has lost it, in seconds: it
 #: spreads the writes of hundreds of gateways.
-RETURN_SPREAD_S = 1.2
+REWRITE_SPREAD_S = 1.2
 
-_values = msgspec.json.Decoder(MemberValue)
+_value_decoder = msgspec.json.Decoder(MemberValue)
 
 
-def _read_value(value: bytes) -> MemberValue | None:
+def _decode_value(value: bytes) -> MemberValue | None:
     """Return what a row says; ``None`` if it is not a gateway's."""
     try:
-        member = _values.decode(value)
+        member = _value_decoder.decode(value)
     except UNREADABLE:
         return None
     host, _, port = member.address.rpartition(':')
@@ -58,20 +58,20 @@
     node: PeerNode
     members: Members
     leader: LeaderView
-    _is_lost: asyncio.Event = attrs.field(factory=asyncio.Event)
+    _row_lost: asyncio.Event = attrs.field(factory=asyncio.Event)
     _written: Position | None = None
 
     def start(self) -> None:
         """Take messages."""
-        self.node.add_handler(GatewayLeaving, self._take_leaving)
+        self.node.add_handler(GatewayLeaving, self._handle_leaving)
 
     async def keep_row(self, store: RowTable) -> None:
         """Write this gateway's row, so that the others find it; again when the store loses it."""
         while True:
             await self.write_row(store)
-            await self._is_lost.wait()
-            self._is_lost.clear()
-            await asyncio.sleep(random.uniform(0.0, RETURN_SPREAD_S))
+            await self._row_lost.wait()
+            self._row_lost.clear()
+            await asyncio.sleep(random.uniform(0.0, REWRITE_SPREAD_S))
             log_change('member_row_lost')
 
     async def write_row(self, store: RowTable) -> None:
@@ -98,7 +98,7 @@
         era = copy.position.era
         is_written = self._written is not None and self._written.era >= era
         if not is_written and copy.value_of_this_era(self.instance_id) != self._own_value():
-            self._is_lost.set()
+            self._row_lost.set()
 
     def take_row(self, row: Row) -> bool:
         """Take a row of the table of members; return whether it could be read.
@@ -107,7 +107,7 @@
         """
         if row.gone:
             return True
-        value = _read_value(row.value)
+        value = _decode_value(row.value)
         if value is None:
             # The relays of its data centre still learn of the gateway by its digests.
             log_change('member_row_invalid', key=row.key)
@@ -121,6 +121,6 @@
         addresses = [member.address for member in self.members.others()]
         self.node.send_all(addresses, GatewayLeaving(self.instance_id))
 
-    def _take_leaving(self, envelope: Envelope) -> None:
-        self.members.note_leaving(envelope.sender)
-        self.leader.note_leaving(envelope.sender)
+    def _handle_leaving(self, envelope: Envelope) -> None:
+        self.members.mark_leaving(envelope.sender)
+        self.leader.mark_leaving(envelope.sender)
--- a/limeshelf/membership/relays.py
+++ b/limeshelf/membership/relays.py
@@ -20,9 +20,9 @@
     from limeshelf.membership.member import Member
 
 #: Relays of a data centre: one may fail and the other has all digests.
-RELAYS = 2
+RELAYS_PER_CENTRE = 2
 #: A relay without a message for this long is replaced by the next by rank; five digests long.
-RELAY_SILENT_S = 1.2
+RELAY_TIMEOUT_S = 1.2
 
 
 @attrs.frozen
@@ -35,7 +35,7 @@
     """
 
     relays: list[Member] = attrs.field(factory=list)
-    silent: list[Member] = attrs.field(factory=list)
+    timed_out: list[Member] = attrs.field(factory=list)
     standby: list[Member] = attrs.field(factory=list)
 
 
@@ -48,16 +48,16 @@
     """
     choice = RelayChoice()
     for place, member in enumerate(ranked):
-        if len(choice.relays) == RELAYS:
+        if len(choice.relays) == RELAYS_PER_CENTRE:
             choice.standby.extend(ranked[place:])
             break
-        if member is not own and _is_passed_over(member, now_s):
-            choice.silent.append(member)
+        if member is not own and _has_timed_out(member, now_s):
+            choice.timed_out.append(member)
         else:
             choice.relays.append(member)
     return choice
 
 
-def _is_passed_over(member: Member, now_s: float) -> bool:
+def _has_timed_out(member: Member, now_s: float) -> bool:
     # A gateway that has just come to rank as a relay gets its moment first.
-    return bool(member.relay_since_s) and member.silent_s(now_s) > RELAY_SILENT_S
+    return bool(member.relay_since_s) and member.since_message_s(now_s) > RELAY_TIMEOUT_S
--- a/limeshelf/membership/row_exchange.py
+++ b/limeshelf/membership/row_exchange.py
@@ -18,8 +18,7 @@
 from limeshelf.feeds.position import BEGINNING, Position
 from limeshelf.feeds.store_clock import StoreClock
 from limeshelf.membership import receivers
-from limeshelf.membership.copy_watch import CopyWatch
-from limeshelf.membership.relays import RELAYS
+from limeshelf.membership.relays import RELAYS_PER_CENTRE
 from limeshelf.membership.row_forms import (
     asked_after,
     position_from,
@@ -28,10 +27,11 @@
     update_of,
 )
 from limeshelf.membership.row_messages import NO_ERA, RowsQuery, TableUpdate, TableUpdates
+from limeshelf.membership.staleness_log import StalenessLog
 from limeshelf.membership.store_polling import (
     overdue_limit_s,
+    polling_order,
     polls_store,
-    reading_order,
     retry_spread_s,
 )
 from limeshelf.util.backoff import jittered_s
@@ -44,12 +44,12 @@
     from limeshelf.peers.node import PeerNode
 
 #: Whether what others pass on is new enough is checked this often at the least.
-CHECK_INTERVAL_S = 0.25
+MAX_CHECK_INTERVAL_S = 0.25
 #: ...and no sooner than this after the check before.
-LEAST_CHECK_S = 0.02
+MIN_CHECK_INTERVAL_S = 0.02
 #: An update counts as older than its sender says where the store's clock shows more than this
 #: beyond: it waited on its way. Below, the two clocks are not known better.
-CLOCK_SLACK_S = 0.25
+CLOCK_TOLERANCE_S = 0.25
 
 
 @attrs.define
@@ -66,41 +66,43 @@
     members: Members
     clock: StoreClock = attrs.field(factory=StoreClock)
     copies: dict[str, TableCopy] = attrs.field(factory=dict)
-    _checked: asyncio.Event = attrs.field(factory=asyncio.Event)
-    _watch: CopyWatch = attrs.field(factory=CopyWatch)
-    _heard_whole: set[str] = attrs.field(factory=set)
+    _polling_due: asyncio.Event = attrs.field(factory=asyncio.Event)
+    _staleness_log: StalenessLog = attrs.field(factory=StalenessLog)
+    _fully_received: set[str] = attrs.field(factory=set)
 
     def start(self) -> None:
         """Take messages."""
-        self.node.add_handler(RowsQuery, self._answer_query)
-        self.node.add_handler(TableUpdates, self._take_updates)
+        self.node.add_handler(RowsQuery, self._handle_query)
+        self.node.add_handler(TableUpdates, self._handle_updates)
 
     def is_due(self) -> bool:
         """Return whether this gateway asks the store itself now."""
         return polls_store(
-            order=self._order(),
+            order=self._polling_order(),
             overdue_s=self._overdue_s(),
-            is_alone=not self.members.hears_others(),
+            is_isolated=not self.members.receives_messages(),
         )
 
     async def until_due(self) -> None:
         """Return when it may have come to ask the store."""
-        await self._checked.wait()
+        await self._polling_due.wait()
 
     def spread_s(self) -> float:
         """Return the longest further pause after a call to the store that failed."""
-        is_alone = not self.members.hears_others()
-        return retry_spread_s(self._order(), len(self._centres()), is_alone=is_alone)
+        is_alone = not self.members.receives_messages()
+        return retry_spread_s(self._polling_order(), len(self._centres()), is_isolated=is_alone)
 
     def _overdue_s(self) -> float:
         return max(copy.peers_overdue_s for copy in self.copies.values())
 
-    def _order(self) -> int:
+    def _polling_order(self) -> int:
         centres = self._centres()
         own = self.members.own
         relays = self.members.own_relays()
-        place = relays.index(own) if own in relays else max(RELAYS, self.members.own_rank())
-        return reading_order(place, centres.index(own.data_centre), len(centres))
+        place = (
+            relays.index(own) if own in relays else max(RELAYS_PER_CENTRE, self.members.own_rank())
+        )
+        return polling_order(place, centres.index(own.data_centre), len(centres))
 
     def _centres(self) -> list[str]:
         return sorted(self.members.other_centres() | {self.members.own.data_centre})
@@ -122,45 +124,47 @@
         """Check whether what others pass on is new enough; while it is stale, ask others."""
         while True:
             is_due = self.is_due()
-            self._watch.check(self.copies.values(), self._order(), is_due=is_due)
+            self._staleness_log.check(
+                self.copies.values(), self._polling_order(), is_polling=is_due
+            )
             if is_due:
-                self._checked.set()
-                self._checked = asyncio.Event()
+                self._polling_due.set()
+                self._polling_due = asyncio.Event()
             for copy in self.copies.values():
                 copy.drop_unwritten()
-            if self._lacks_news():
-                self._ask_another()
+            if self._needs_query():
+                self._query_random_peer()
             await asyncio.sleep(self._next_check_s())
 
-    def _lacks_news(self) -> bool:
+    def _needs_query(self) -> bool:
         return (
-            not self._heard_whole.issuperset(self.copies)
+            not self._fully_received.issuperset(self.copies)
             or not self.clock.is_known
             or any(copy.is_stale for copy in self.copies.values())
         )
 
     def _next_check_s(self) -> float:
-        is_alone = not self.members.hears_others()
-        due_in_s = overdue_limit_s(self._order(), is_alone=is_alone) - self._overdue_s()
-        interval_s = jittered_s(CHECK_INTERVAL_S)
-        return max(LEAST_CHECK_S, min(interval_s, due_in_s)) if due_in_s > 0 else interval_s
+        is_alone = not self.members.receives_messages()
+        due_in_s = overdue_limit_s(self._polling_order(), is_isolated=is_alone) - self._overdue_s()
+        interval_s = jittered_s(MAX_CHECK_INTERVAL_S)
+        return max(MIN_CHECK_INTERVAL_S, min(interval_s, due_in_s)) if due_in_s > 0 else interval_s
 
-    def _ask_another(self) -> None:
+    def _query_random_peer(self) -> None:
         # At a start nobody has sent anything yet; the seeds may have rows.
         members = self.members.active() or self.members.others()
         if members:
-            positions = {name: self._asked_position(copy) for name, copy in self.copies.items()}
-            self._ask(random.choice(members).address, positions)
+            positions = {name: self._query_position(copy) for name, copy in self.copies.items()}
+            self._send_query(random.choice(members).address, positions)
 
-    def _asked_position(self, copy: TableCopy) -> Position:
+    def _query_position(self, copy: TableCopy) -> Position:
         # Until somebody has answered once, the whole: others may know rows of before a return of
         # the store that the store itself has lost.
-        return copy.position if copy.table in self._heard_whole else BEGINNING
+        return copy.position if copy.table in self._fully_received else BEGINNING
 
-    def _ask(self, address: str, positions: dict[str, Position]) -> None:
+    def _send_query(self, address: str, positions: dict[str, Position]) -> None:
         self.node.send(address, query_of(positions, int(boottime_s() * MS_PER_S)))
 
-    def _answer_query(self, envelope: Envelope) -> None:
+    def _handle_query(self, envelope: Envelope) -> None:
         query: RowsQuery = envelope.message
         updates = [
             update_of(copy, after)
@@ -173,10 +177,10 @@
             answer = TableUpdates(updates, query.asked_ms, self.clock.latest_ms(), era)
             self.node.send(envelope.sender, answer)
 
-    def _take_updates(self, envelope: Envelope) -> None:
+    def _handle_updates(self, envelope: Envelope) -> None:
         began_s = boottime_s()
         self.members.note_message(envelope.sender, envelope.data_centre)
-        self._note_clock(envelope.message)
+        self._update_clock(envelope.message)
         missing: dict[str, Position] = {}
         passed_on: list[TableUpdate] = []
         for update in envelope.message.words:
@@ -185,7 +189,7 @@
                 # A table that only another version of the gateway follows.
                 continue
             after = copy.position
-            continuity = self._take_update(copy, update, envelope.sender)
+            continuity = self._apply_update(copy, update, envelope.sender)
             if continuity is Continuity.GAP:
                 missing[update.table] = copy.position
             elif continuity is Continuity.CONTINUES:
@@ -194,12 +198,12 @@
             # The clock has to be learned anew.
             missing = {name: copy.position for name, copy in self.copies.items()}
         if missing:
-            self._ask(envelope.sender, missing)
+            self._send_query(envelope.sender, missing)
         addresses = receivers.of_forwarded(self.members, envelope.data_centre)
         if passed_on:
             self.node.send_all(addresses, TableUpdates(passed_on))
 
-    def _take_update(self, copy: TableCopy, update: TableUpdate, peer: str) -> Continuity:
+    def _apply_update(self, copy: TableCopy, update: TableUpdate, peer: str) -> Continuity:
         upto = position_from(update.upto_era, update.upto)
         self.clock.enter(upto.era)
         return copy.take_update(
@@ -216,13 +220,13 @@
         said_s = update.age_ms / MS_PER_S
         if not self.clock.is_known or not update.confirmed_ms:
             return said_s
-        return max(said_s, self.clock.greatest_age_s(update.confirmed_ms) - CLOCK_SLACK_S)
+        return max(said_s, self.clock.greatest_age_s(update.confirmed_ms) - CLOCK_TOLERANCE_S)
 
-    def _note_clock(self, updates: TableUpdates) -> None:
+    def _update_clock(self, updates: TableUpdates) -> None:
         """Learn from a peer's answer how the store's clock stands."""
         if not updates.asked_ms:
             return
-        self._heard_whole.update(
+        self._fully_received.update(
             update.table for update in updates.words if update.after == BEGINNING.version
         )
         if not updates.store_ms:
--- a/limeshelf/membership/copy_watch.py
+++ b/limeshelf/membership/staleness_log.py
@@ -20,21 +20,21 @@
 
 
 @attrs.define
-class CopyWatch:
+class StalenessLog:
     """Writes a line at each change, so at most one a table and check."""
 
     _stale_tables: set[str] = attrs.field(factory=set)
-    _was_due: bool = False
+    _was_polling: bool = False
 
-    def check(self, copies: Iterable[TableCopy], order: int, *, is_due: bool) -> None:
+    def check(self, copies: Iterable[TableCopy], order: int, *, is_polling: bool) -> None:
         """Log what has changed since the last check.
 
         :param order: place of this gateway in the order in which gateways ask the store.
         :param is_due: whether this gateway asks the store itself now.
         """
-        if is_due != self._was_due:
-            self._was_due = is_due
-            log_change('store_polling', begins=is_due, order=order)
+        if is_polling != self._was_polling:
+            self._was_polling = is_polling
+            log_change('store_polling', begins=is_polling, order=order)
         for copy in copies:
             self._check_copy(copy)
 
--- a/limeshelf/membership/state_changes.py
+++ b/limeshelf/membership/state_changes.py
@@ -25,22 +25,22 @@
         """Note that a load was ordered, so that waiting calls learn of it."""
         self._pending.set()
 
-    def take(self) -> set[str]:
+    def pop_replicas(self) -> set[str]:
         """Return the replicas that changed since the last call, and forget them."""
         taken, self._replica_ids = self._replica_ids, set()
         return taken
 
-    async def wait(self, limit_s: float, gap_s: float) -> None:
+    async def wait(self, timeout_s: float, batch_window_s: float) -> None:
         """Return some moments after a change, or after a time without any.
 
         :param limit_s: longest wait for a change.
         :param gap_s: pause after a change, in which others may join it.
         """
         try:
-            async with asyncio.timeout(limit_s):
+            async with asyncio.timeout(timeout_s):
                 await self._pending.wait()
         except TimeoutError:
             # The usual case: nothing changed, and the leader sends what is due anyway.
             return
         self._pending.clear()
-        await asyncio.sleep(gap_s)
+        await asyncio.sleep(batch_window_s)
--- a/limeshelf/membership/states.py
+++ b/limeshelf/membership/state_conversion.py
@@ -14,7 +14,7 @@
     from limeshelf.replicas.replica import Replica
 
 
-def state_of(replica: Replica) -> ReplicaState:
+def state_from_replica(replica: Replica) -> ReplicaState:
     """Return what a replica reported; what is about to go is left out.
 
     The number of orders is that of the report, although more may have been taken since:
@@ -39,7 +39,7 @@
     )
 
 
-def report_of(state: ReplicaState) -> ReplicaReport:
+def report_from_state(state: ReplicaState) -> ReplicaReport:
     """Return the report that the leader's message holds."""
     return ReplicaReport(
         holdings=tuple(Holding(held.model, frozenset(held.adapters)) for held in state.held),
--- a/limeshelf/membership/state_exchange.py
+++ b/limeshelf/membership/state_exchange.py
@@ -12,7 +12,7 @@
 
 from limeshelf.membership import receivers
 from limeshelf.membership.messages import AwaitedLoad, ReplicaStates
-from limeshelf.membership.states import report_of, state_of
+from limeshelf.membership.state_conversion import report_from_state, state_from_replica
 from limeshelf.replicas.starts import StatementWay
 from limeshelf.util.clock import boottime_s
 
@@ -30,14 +30,14 @@
 #: Loads under way are sent at least this often.
 STATES_INTERVAL_S = 0.25
 #: A gateway that does not lead checks this often whether it does.
-FOLLOWER_CHECK_S = 0.5
+FOLLOWER_CHECK_INTERVAL_S = 0.5
 #: States of all replicas, changed or not, are sent this often.
-ALL_STATES_INTERVAL_S = 1.0
+FULL_UPDATE_INTERVAL_S = 1.0
 #: Changes of replicas that come closer together than this are sent together.
-CHANGES_GAP_S = 0.05
+CHANGES_BATCH_WINDOW_S = 0.05
 
 
-def states_count(*, fence: int, newest_fence: int, own_leads: bool) -> bool:
+def accepts_states(*, fence: int, highest_fence: int, own_leads: bool) -> bool:
     """Return whether states of replicas from another gateway are newer than those here.
 
     A leader asks the replicas itself. States of a predecessor that a cut held up are older
@@ -45,10 +45,10 @@
     test_late_word_of_a_predecessor).
 
     :param fence: of the lease under which the states were sent.
-    :param newest_fence: the highest under which states were taken so far.
+    :param highest_fence: the highest under which states were taken so far.
     :param own_leads: whether this gateway leads.
     """
-    return not own_leads and fence >= newest_fence
+    return not own_leads and fence >= highest_fence
 
 
 @attrs.define
@@ -63,29 +63,29 @@
     meter: DemandMeter
     placement: PlacementService
     changes: StateChanges
-    _newest_fence: int = 0
-    _all_due_s: float = 0.0
+    _highest_fence: int = 0
+    _full_update_due_s: float = 0.0
 
     def start(self) -> None:
         """Take messages."""
-        self.node.add_handler(ReplicaStates, self._take_states)
+        self.node.add_handler(ReplicaStates, self._handle_states)
 
     async def run(self) -> None:
         """While this gateway leads, send what the replicas report."""
         while True:
-            limit_s = STATES_INTERVAL_S if self.leader.is_self else FOLLOWER_CHECK_S
-            await self.changes.wait(limit_s, CHANGES_GAP_S)
-            changed = self.changes.take()
+            limit_s = STATES_INTERVAL_S if self.leader.is_self else FOLLOWER_CHECK_INTERVAL_S
+            await self.changes.wait(limit_s, CHANGES_BATCH_WINDOW_S)
+            changed = self.changes.pop_replicas()
             if not self.leader.is_self:
                 continue
-            whole = boottime_s() >= self._all_due_s
+            whole = boottime_s() >= self._full_update_due_s
             if whole:
-                self._all_due_s = boottime_s() + ALL_STATES_INTERVAL_S
+                self._full_update_due_s = boottime_s() + FULL_UPDATE_INTERVAL_S
             self._send_states(changed, whole)
 
     def _send_states(self, changed: set[str], whole: bool) -> None:
         states = [
-            state_of(replica)
+            state_from_replica(replica)
             for replica in self.directory.all()
             if replica.report is not None and (whole or replica.replica_id in changed)
         ]
@@ -99,21 +99,23 @@
         message = ReplicaStates(self.leadership.fence, states, awaited, whole, may_order)
         self.node.send_all(receivers.of_states(self.members), message)
 
-    def _take_states(self, envelope: Envelope) -> None:
+    def _handle_states(self, envelope: Envelope) -> None:
         message: ReplicaStates = envelope.message
         self.leadership.note_fence(message.fence)
-        if not states_count(
+        if not accepts_states(
             fence=message.fence,
-            newest_fence=self._newest_fence,
+            highest_fence=self._highest_fence,
             own_leads=self.leader.is_self,
         ):
             return
-        self._newest_fence = message.fence
-        self.leader.note_claim(envelope.sender, message.fence, message.may_order)
+        self._highest_fence = message.fence
+        self.leader.record_claim(envelope.sender, message.fence, message.may_order)
         addresses = receivers.of_forwarded(self.members, envelope.data_centre)
         self.node.forward_all(addresses, envelope)
         for state in message.states:
-            self.directory.take_report(state.replica_id, report_of(state), StatementWay.PEER)
+            self.directory.take_report(
+                state.replica_id, report_from_state(state), StatementWay.PEER
+            )
         now_s = boottime_s()
         self.meter.announced_s = {
             awaited.key: now_s + awaited.left_ms / 1000 for awaited in message.awaited
--- a/limeshelf/membership/store_polling.py
+++ b/limeshelf/membership/store_polling.py
@@ -13,7 +13,7 @@
 
 from __future__ import annotations
 
-from limeshelf.membership.relays import RELAYS
+from limeshelf.membership.relays import RELAYS_PER_CENTRE
 
 #: Each gateway waits this much longer than the one before it in the order.
 OVERDUE_STEP_S = 0.08
@@ -21,10 +21,10 @@
 OVERDUE_LIMIT_S = 1.5
 #: Longest further pause after a failure of a gateway that is no relay: while the store is away,
 #: a call of each of hundreds of gateways tells no more than those of the relays.
-SPREAD_S = 8.0
+NON_RELAY_RETRY_SPREAD_S = 8.0
 
 
-def reading_order(place: int, centre: int, centres: int) -> int:
+def polling_order(rank: int, centre_index: int, centre_count: int) -> int:
     """Return a gateway's place in the order in which gateways ask the store, from 0.
 
     The first relays of all data centres come first, then the second ones, then the others
@@ -34,35 +34,39 @@
     :param centre: place of its data centre among all by name, from 0.
     :param centres: data centres with gateways.
     """
-    return place * centres + centre
+    return rank * centre_count + centre_index
 
 
-def overdue_limit_s(order: int, *, is_alone: bool = False) -> float:
+def overdue_limit_s(order: int, *, is_isolated: bool = False) -> float:
     """Return for how long copies may be overdue, in seconds, before a gateway asks the store.
 
-    :param order: as :func:`reading_order` returns it.
+    :param order: as :func:`polling_order` returns it.
     :param is_alone: whether it has heard no other gateway lately. The order is there so that
         others can pass on what the first one learns; who hears nobody would only wait, late
         in the order for longer than a change may take to be in force.
     """
-    return 0.0 if is_alone else min(OVERDUE_LIMIT_S, OVERDUE_STEP_S * order)
+    return 0.0 if is_isolated else min(OVERDUE_LIMIT_S, OVERDUE_STEP_S * order)
 
 
-def retry_spread_s(order: int, centres: int, *, is_alone: bool = False) -> float:
+def retry_spread_s(order: int, centre_count: int, *, is_isolated: bool = False) -> float:
     """Return the longest further pause after a call to the store that failed, in seconds.
 
-    :param order: as :func:`reading_order` returns it.
+    :param order: as :func:`polling_order` returns it.
     :param centres: data centres with gateways.
     :param is_alone: as for :func:`overdue_limit_s`.
     """
-    is_told_by_relays = order >= RELAYS * centres and not is_alone
-    return SPREAD_S if is_told_by_relays else overdue_limit_s(order, is_alone=is_alone)
+    is_told_by_relays = order >= RELAYS_PER_CENTRE * centre_count and not is_isolated
+    return (
+        NON_RELAY_RETRY_SPREAD_S
+        if is_told_by_relays
+        else overdue_limit_s(order, is_isolated=is_isolated)
+    )
 
 
-def polls_store(*, order: int, overdue_s: float, is_alone: bool = False) -> bool:
+def polls_store(*, order: int, overdue_s: float, is_isolated: bool = False) -> bool:
     """Return whether a gateway asks the store now.
 
-    :param order: as :func:`reading_order` returns it.
+    :param order: as :func:`polling_order` returns it.
     :param overdue_s: for how long others have passed on nothing that is new enough, of the
         table where that is longest; negative while they do for all. One table that is old
         is a sign that the others may be, too: a gateway that lost the store passes on no
@@ -70,4 +74,4 @@
         (tests/membership/test_row_exchange.py::test_one_old_table_makes_all_due).
     :param is_alone: as for :func:`overdue_limit_s`.
     """
-    return order == 0 or overdue_s > overdue_limit_s(order, is_alone=is_alone)
+    return order == 0 or overdue_s > overdue_limit_s(order, is_isolated=is_isolated)
--- a/tests/membership/test_news.py
+++ b/tests/membership/test_broadcast_queue.py
@@ -5,22 +5,26 @@
 import asyncio
 from collections.abc import Callable
 
+from limeshelf.membership.broadcast_queue import MAX_BATCH_WINDOWS, BroadcastQueue
 from limeshelf.membership.member import Member
 from limeshelf.membership.members import Members
-from limeshelf.membership.news import MAX_LENGTHS, News
 from tests.support.clock import VirtualLoop, run_virtual
 
 GATHER_S = 0.05
 
 
-def news_that_is_sent(sent: list[list[str]]) -> News[str]:
+def news_that_is_sent(sent: list[list[str]]) -> BroadcastQueue[str]:
     members = Members(Member('10.0.0.1:7001', 'z1', 1.0))
     members.add('10.0.0.2:7001', 'z1', 1.0)
     members.note_message('10.0.0.2:7001', 'z1')
-    return News(members, GATHER_S, lambda addresses, items: sent.append(items) if items else None)
+    return BroadcastQueue(
+        members, GATHER_S, lambda addresses, items: sent.append(items) if items else None
+    )
 
 
-def sent_by_a_late_loop(late: Callable[[VirtualLoop, News[str]], None]) -> list[list[str]]:
+def sent_by_a_late_loop(
+    late: Callable[[VirtualLoop, BroadcastQueue[str]], None],
+) -> list[list[str]]:
     """Return what is sent of one item that is noted at once, and of what *late* notes."""
     sent: list[list[str]] = []
 
@@ -29,9 +33,9 @@
         assert isinstance(loop, VirtualLoop)
         news = news_that_is_sent(sent)
         task = asyncio.create_task(news.run())
-        news.note_own('first', 'first')
+        news.publish('first', 'first')
         late(loop, news)
-        await asyncio.sleep(4 * MAX_LENGTHS * GATHER_S)
+        await asyncio.sleep(4 * MAX_BATCH_WINDOWS * GATHER_S)
         task.cancel()
 
     run_virtual(play())
@@ -39,10 +43,10 @@
 
 
 def test_news_that_a_late_loop_has_not_read_yet_goes_in_the_same_message() -> None:
-    def late(loop: VirtualLoop, news: News[str]) -> None:
+    def late(loop: VirtualLoop, news: BroadcastQueue[str]) -> None:
         def hold_up() -> None:
             loop.hold_up(1.5 * GATHER_S)
-            loop.call_later(0.2 * GATHER_S, news.note_own, 'second', 'second')
+            loop.call_later(0.2 * GATHER_S, news.publish, 'second', 'second')
 
         loop.call_later(0.5 * GATHER_S, hold_up)
 
@@ -51,7 +55,7 @@
 
 
 def test_news_is_sent_at_last_by_a_loop_that_is_always_late() -> None:
-    def late(loop: VirtualLoop, news: News[str]) -> None:
+    def late(loop: VirtualLoop, news: BroadcastQueue[str]) -> None:
         loop.hold_up(2 * GATHER_S)
         loop.call_later(0.1 * GATHER_S, late, loop, news)
 
--- a/tests/membership/test_crash_exchange.py
+++ b/tests/membership/test_crash_exchange.py
@@ -13,10 +13,10 @@
 from limeshelf.calls.fingerprint import Fingerprint
 from limeshelf.crashes.suspects import NewsSource, ReplicaEnd, Suspects, SuspectState
 from limeshelf.membership import crash_exchange
+from limeshelf.membership.broadcast_queue import MAX_BATCH_WINDOWS
 from limeshelf.membership.crash_exchange import CrashExchange
 from limeshelf.membership.member import Member
 from limeshelf.membership.members import Members
-from limeshelf.membership.news import MAX_LENGTHS
 from limeshelf.peers.codec import Envelope, decode, encode
 from limeshelf.util.clock import virtual_clock
 from tests.support.clock import run_virtual
@@ -103,7 +103,7 @@
         sent = -1
         while sent != network.messages:
             sent = network.messages
-            await asyncio.sleep(2 * MAX_LENGTHS * crash_exchange.GATHER_S)
+            await asyncio.sleep(2 * MAX_BATCH_WINDOWS * crash_exchange.BATCH_WINDOW_S)
         for task in tasks:
             task.cancel()
 
--- a/tests/membership/test_digest_exchange.py
+++ b/tests/membership/test_digest_exchange.py
@@ -11,7 +11,7 @@
 from limeshelf.demand.keys import KeyDemand, ModelKey
 from limeshelf.demand.reading_speed import ReadingSpeed
 from limeshelf.membership.digest_exchange import DigestExchange
-from limeshelf.membership.digests import DIGEST_LIFE_S
+from limeshelf.membership.digests import DIGEST_TTL_S
 from limeshelf.membership.dispatchers import Dispatchers
 from limeshelf.membership.leader import LeaderView
 from limeshelf.membership.limit_exchange import LimitExchange
@@ -104,7 +104,7 @@
 
 
 def take(one: DigestExchange, message: GatewayDigest) -> None:
-    one._take_digest(Envelope(message.address, 'c1', message))
+    one._handle_digest(Envelope(message.address, 'c1', message))
 
 
 def test_own_digest_holds_calls_under_way_demand_and_fence() -> None:
@@ -148,11 +148,11 @@
         one = exchange('g1', 'g2', 'g3')
         take(one, digest('g2', 1))
         take(one, digest('g3', 1))
-        assert (one._heard_count(), one.gateway_count) == (3, 3)
-        clock.advance(DIGEST_LIFE_S / 2)
+        assert (one._active_count(), one.gateway_count) == (3, 3)
+        clock.advance(DIGEST_TTL_S / 2)
         take(one, digest('g3', 2))
-        clock.advance(DIGEST_LIFE_S * 0.6)
-        assert one._heard_count() == 2
+        clock.advance(DIGEST_TTL_S * 0.6)
+        assert one._active_count() == 2
         # The one that is not heard any more may go on serving.
         assert one.gateway_count == 3
 
@@ -177,12 +177,12 @@
         for one, calls in ((other, 4), (relay, 0)):
             for address in ('g1', 'g2'):
                 one.members.note_message(address, 'c1')
-            one._take_summary(summary)
+            one._handle_summary(summary)
             replica = one.directory.get('r1')
             assert replica is not None
             assert one.directory.load_of(replica).calls == calls
         assert (other.gateway_count, relay.gateway_count) == (9, None)
-        assert relay._heard_count() == 1
+        assert relay._active_count() == 1
 
 
 def test_first_relay_sends_the_sum_of_its_data_centre_to_the_leader() -> None:
@@ -192,7 +192,7 @@
         take(one, digest('g2', 1, fence=4, calls=2))
         take(one, digest('g3', 1, calls=1))
         own = one._own_digest()
-        one._take_demand(own)
+        one._add_demand(own)
         one._digest_count = 2
         one._send_bundle(own)
         node: Any = one.node
@@ -213,7 +213,7 @@
                 digest(sender, number, calls=4), instance_id=f'{sender}+centre', data_centre='c2'
             )
             bundle = DigestBundle([summed], 'h2', 7)
-            one._take_bundle(Envelope(sender, 'c2', bundle))
+            one._handle_bundle(Envelope(sender, 'c2', bundle))
             clock.advance(0.1)
             replica = one.directory.get('r1')
             assert replica is not None
@@ -225,7 +225,7 @@
     with virtual_clock():
         one = exchange('g1', 'g2')
         digests = [attrs.evolve(digest(one, 1), data_centre='c2') for one in ('h1', 'h2')]
-        one._take_bundle(Envelope('h1', 'c2', DigestBundle(digests)))
+        one._handle_bundle(Envelope('h1', 'c2', DigestBundle(digests)))
         assert one.gateway_count == 3
 
 
@@ -234,7 +234,7 @@
         one = exchange('g1', 'g2')
         take(one, digest('g2', 1, calls=2))
         summed = attrs.evolve(digest('g2', 1, calls=2), instance_id='i-g2+centre')
-        one._take_bundle(Envelope('g2', 'c1', DigestBundle([summed], 'g2', 2)))
+        one._handle_bundle(Envelope('g2', 'c1', DigestBundle([summed], 'g2', 2)))
         replica = one.directory.get('r1')
         assert replica is not None
         assert (one.gateway_count, one.directory.load_of(replica).calls) == (2, 2)
@@ -243,13 +243,13 @@
 def test_dispatcher_of_another_centre_is_known_by_its_bundle_and_passed_on() -> None:
     with virtual_clock():
         relay, other = exchange('g1', 'g2', 'g3'), exchange('g3', 'g1', 'g2')
-        relay._take_bundle(Envelope('h1', 'c2', DigestBundle([], 'h2')))
+        relay._handle_bundle(Envelope('h1', 'c2', DigestBundle([], 'h2')))
         assert relay.dispatchers.of_centre('c2') == 'h2'
         relay._send_summary(relay._own_digest())
         node: Any = relay.node
         for address in ('g1', 'g2'):
             other.members.note_message(address, 'c1')
-        other._take_summary(Envelope('g1', 'c1', node.sent[-1][1]))
+        other._handle_summary(Envelope('g1', 'c1', node.sent[-1][1]))
         assert other.dispatchers.of_centre('c2') == 'h2'
 
 
--- a/tests/membership/test_gateway_count.py
+++ b/tests/membership/test_gateway_count.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from limeshelf.membership.gateway_count import COUNT_LIFE_S, GatewayCount
+from limeshelf.membership.gateway_count import COUNT_RETENTION_S, GatewayCounter
 from limeshelf.membership.member import Member
 from limeshelf.membership.members import Members
 from limeshelf.util.clock import virtual_clock
@@ -10,7 +10,7 @@
 
 def test_nothing_is_known_before_rows_or_others() -> None:
     with virtual_clock():
-        assert GatewayCount(Members(Member('g1', 'c1'))).update(1) is None
+        assert GatewayCounter(Members(Member('g1', 'c1'))).update(1) is None
 
 
 def test_rows_of_the_store_count_at_a_start() -> None:
@@ -19,24 +19,24 @@
         members.add('g2', 'c1')
         members.add('g3', 'c2')
         members.are_listed = True
-        assert GatewayCount(members).update(1) == 3
+        assert GatewayCounter(members).update(1) == 3
 
 
 def test_single_gateway_that_has_its_row_shares_with_nobody() -> None:
     with virtual_clock() as clock:
         members = Members(Member('g1', 'c1'))
         members.are_listed = True
-        count = GatewayCount(members)
+        count = GatewayCounter(members)
         assert count.update(1) == 1
-        clock.advance(COUNT_LIFE_S + 1.0)
+        clock.advance(COUNT_RETENTION_S + 1.0)
         assert count.update(1) == 1
 
 
 def test_those_that_fell_silent_count_for_a_while() -> None:
     with virtual_clock() as clock:
-        count = GatewayCount(Members(Member('g1', 'c1')))
+        count = GatewayCounter(Members(Member('g1', 'c1')))
         assert count.update(9) == 9
-        clock.advance(COUNT_LIFE_S - 1.0)
+        clock.advance(COUNT_RETENTION_S - 1.0)
         assert count.update(2) == 9
         clock.advance(2.0)
         assert count.update(2) == 2
@@ -48,7 +48,7 @@
         members.are_listed = True
         for number in range(40):
             members.add(f'h{number}', 'c1')
-        count = GatewayCount(members)
+        count = GatewayCounter(members)
         assert count.update(9) == 41
-        clock.advance(COUNT_LIFE_S + 1.0)
+        clock.advance(COUNT_RETENTION_S + 1.0)
         assert count.update(9) == 9
--- a/tests/membership/test_isolation_after_cut.py
+++ b/tests/membership/test_isolation_after_cut.py
@@ -51,7 +51,7 @@
             for address, view in self.views.items():
                 self._send(address, receivers.own_centre(view))
                 if view.is_first_relay:
-                    self._send(address, sorted(receivers.relays_elsewhere(view)))
+                    self._send(address, sorted(receivers.other_centre_relays(view)))
             clock.advance(SEND_INTERVAL_S)
 
     def _send(self, sender: str, addresses: list[str]) -> None:
--- a/tests/membership/test_leader.py
+++ b/tests/membership/test_leader.py
@@ -8,9 +8,9 @@
 
 from limeshelf.membership.contention import CONTEND_AFTER_S
 from limeshelf.membership.leader import LeaderView
+from limeshelf.membership.liveness import INACTIVE_AFTER_S
 from limeshelf.membership.member import Member
 from limeshelf.membership.members import Members
-from limeshelf.membership.silence import SILENT_S
 from limeshelf.util.clock import virtual_clock
 
 
@@ -33,50 +33,50 @@
     with virtual_clock() as clock:
         one = view()
         assert one.current() is None
-        one.note_claim('g1', 4)
+        one.record_claim('g1', 4)
         assert one.current() == 'g1'
-        clock.advance(SILENT_S)
+        clock.advance(INACTIVE_AFTER_S)
         assert one.current() is None
 
 
 def test_gateway_that_leads_dispatches_itself() -> None:
     with virtual_clock():
         one = view(5)
-        one.note_claim('g1', 4)
+        one.record_claim('g1', 4)
         assert one.current() == ''
 
 
 def test_claim_under_a_lower_fence_is_late() -> None:
     with virtual_clock():
         one = view()
-        one.note_claim('g2', 5)
-        one.note_claim('g1', 4)
+        one.record_claim('g2', 5)
+        one.record_claim('g1', 4)
         assert one.current() == 'g2'
 
 
 def test_own_claim_that_comes_back_names_no_other_leader() -> None:
     with virtual_clock():
         one = view()
-        one.note_claim('own', 5)
+        one.record_claim('own', 5)
         assert one.current() is None
 
 
 def test_leader_that_stops_no_longer_dispatches() -> None:
     with virtual_clock():
         one = view()
-        one.note_claim('g1', 4)
-        one.note_leaving('g2')
+        one.record_claim('g1', 4)
+        one.mark_leaving('g2')
         assert one.current() == 'g1'
-        one.note_leaving('g1')
+        one.mark_leaving('g1')
         assert one.current() is None
 
 
 def test_relay_contends_as_soon_as_the_leader_is_silent() -> None:
     with virtual_clock() as clock:
         one = view()
-        one.note_claim('g1', 4)
+        one.record_claim('g1', 4)
         assert not one.may_contend()
-        clock.advance(SILENT_S)
+        clock.advance(INACTIVE_AFTER_S)
         assert one.may_contend()
 
 
@@ -84,21 +84,21 @@
     """The leader keeps its term until another one has the lease."""
     with virtual_clock():
         one = view()
-        one.note_claim('g1', 4, may_order=False)
+        one.record_claim('g1', 4, may_order=False)
         assert one.may_contend()
         assert one.current() == 'g1'
         # A digest says nothing of it.
-        one.note_claim('g1', 4)
+        one.record_claim('g1', 4)
         assert one.may_contend()
-        one.note_claim('g1', 4, may_order=True)
+        one.record_claim('g1', 4, may_order=True)
         assert not one.may_contend()
 
 
 def test_new_leader_may_order_unless_it_says_otherwise() -> None:
     with virtual_clock():
         one = view()
-        one.note_claim('g1', 4, may_order=False)
-        one.note_claim('g2', 5)
+        one.record_claim('g1', 4, may_order=False)
+        one.record_claim('g2', 5)
         assert not one.may_contend()
 
 
@@ -106,7 +106,7 @@
     """Asked three times a second, as a gateway asks; the relays stay in touch."""
     with virtual_clock() as clock:
         one = view(0, 'g1', 'g2')
-        one.note_claim('g1', 4)
+        one.record_claim('g1', 4)
         waited_s = 0.0
         for address in ('g1', 'g2'):
             one.members.note_message(address, 'c1')
@@ -115,7 +115,11 @@
             waited_s += 0.3
             for address in ('g1', 'g2'):
                 one.members.note_message(address, 'c1')
-        assert SILENT_S - 0.3 + CONTEND_AFTER_S < waited_s < SILENT_S + CONTEND_AFTER_S + 0.3
+        assert (
+            INACTIVE_AFTER_S - 0.3 + CONTEND_AFTER_S
+            < waited_s
+            < INACTIVE_AFTER_S + CONTEND_AFTER_S + 0.3
+        )
 
 
 def test_gateway_that_knows_no_others_contends_only_after_a_while() -> None:
--- a/tests/membership/test_limit_exchange.py
+++ b/tests/membership/test_limit_exchange.py
@@ -41,9 +41,9 @@
             return
         envelope = Envelope(sender, 'c1', message)
         if isinstance(message, LimitQuery):
-            self.exchanges[address]._take_query(envelope)
+            self.exchanges[address]._handle_query(envelope)
         elif isinstance(message, LimitVerdict):
-            self.exchanges[address]._take_verdict(envelope)
+            self.exchanges[address]._handle_verdict(envelope)
 
 
 @attrs.define
@@ -72,7 +72,7 @@
         node: Any = Node(wire, name)
         made = wire.exchanges[name] = LimitExchange(node, members, config(), RULE)
         made.started_ms -= 100_000
-        made.check_role({})
+        made.update_role({})
         if made._limiter is not None:
             made._limiter._listening_since_s -= 100.0
     report(wire)
@@ -85,11 +85,11 @@
         number = sender.started_ms + 100_000
         usage = sender.report()
         for receiver in wire.exchanges.values():
-            receiver.check_role(receiver.report())
+            receiver.update_role(receiver.report())
             digest = GatewayDigest(
                 f'i-{name}', name, 'c1', 1.0, number, 1, 0, [], [], {}, usage, sender.started_ms
             )
-            receiver.take_report(digest)
+            receiver.add_report(digest)
 
 
 def reserve(wire: Wire, name: str, amount: int = 500) -> Reservation | Decision:
--- a/tests/membership/test_members.py
+++ b/tests/membership/test_members.py
@@ -4,7 +4,7 @@
 
 from limeshelf.membership.member import Member
 from limeshelf.membership.members import Members
-from limeshelf.membership.relays import RELAY_SILENT_S
+from limeshelf.membership.relays import RELAY_TIMEOUT_S
 from limeshelf.util.clock import VirtualClock, virtual_clock
 
 
@@ -33,9 +33,9 @@
     with virtual_clock() as clock:
         known = members('g3', ('g1', 1.0), ('g2', 1.0))
         assert relays(known) == ['g1', 'g2']
-        clock.advance(RELAY_SILENT_S / 2)
+        clock.advance(RELAY_TIMEOUT_S / 2)
         known.note_message('g2', 'c1')
-        clock.advance(RELAY_SILENT_S * 0.7)
+        clock.advance(RELAY_TIMEOUT_S * 0.7)
         assert relays(known) == ['g2', 'g3']
         assert known.is_relay
         assert not known.is_first_relay
@@ -45,7 +45,7 @@
     with virtual_clock() as clock:
         known = members('g3', ('g1', 1.0), ('g2', 1.0))
         relays(known)
-        clock.advance(10 * RELAY_SILENT_S)
+        clock.advance(10 * RELAY_TIMEOUT_S)
         assert relays(known) == ['g3']
         known.note_message('g1', 'c1')
         assert relays(known) == ['g1', 'g3']
@@ -55,10 +55,10 @@
     with virtual_clock() as clock:
         known = members('g1', ('g2', 1.0))
         clock.advance(60.0)
-        assert known.reachable(known.others()) == ['g2']
-        assert known.reachable(known.others()) == []
+        assert known.addresses_to_contact(known.others()) == ['g2']
+        assert known.addresses_to_contact(known.others()) == []
         clock.advance(5.0)
-        assert known.reachable(known.others()) == ['g2']
+        assert known.addresses_to_contact(known.others()) == ['g2']
 
 
 def test_gateway_that_stops_is_no_relay() -> None:
@@ -66,8 +66,8 @@
         known = members('g3', ('g1', 1.0), ('g2', 1.0))
         known.note_message('g1', 'c1')
         known.note_message('g2', 'c1')
-        known.note_leaving('g1')
-        clock.advance(RELAY_SILENT_S * 0.9)
+        known.mark_leaving('g1')
+        clock.advance(RELAY_TIMEOUT_S * 0.9)
         known.note_message('g2', 'c1')
         assert not any(member.address == 'g1' and member.is_active for member in known.active())
 
--- a/tests/membership/test_notice_exchange.py
+++ b/tests/membership/test_notice_exchange.py
@@ -13,7 +13,7 @@
 from limeshelf.calls.wire import AnswerFacts
 from limeshelf.membership.member import Member
 from limeshelf.membership.members import Members
-from limeshelf.membership.notice_exchange import GATHER_S, NoticeExchange
+from limeshelf.membership.notice_exchange import BATCH_WINDOW_S, NoticeExchange
 from limeshelf.platform.replicas import read_record
 from limeshelf.replicas.directory import ReplicaDirectory
 from limeshelf.replicas.notices import NoticeTaker
@@ -62,7 +62,7 @@
         tasks = [asyncio.create_task(exchange.run()) for exchange in exchanges]
         for step in steps:
             step()
-            await asyncio.sleep(10 * GATHER_S)
+            await asyncio.sleep(10 * BATCH_WINDOW_S)
         for task in tasks:
             task.cancel()
 
--- a/tests/membership/test_registration.py
+++ b/tests/membership/test_registration.py
@@ -66,8 +66,8 @@
 def test_gateway_that_stops_is_neither_active_nor_leader() -> None:
     made = one()
     made.members.note_message('g2', 'c1')
-    made.leader.note_claim('g2', 4)
-    made._take_leaving(Envelope('g2', 'c1', GatewayLeaving('g-2')))
+    made.leader.record_claim('g2', 4)
+    made._handle_leaving(Envelope('g2', 'c1', GatewayLeaving('g-2')))
     assert made.members.active() == []
     assert not made.leader.is_active
 
@@ -80,7 +80,7 @@
 def test_row_that_the_store_has_lost_is_written_again(
     era_of_write: int, left: bytes | None, writes: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(registration, 'RETURN_SPREAD_S', 0.0)
+    monkeypatch.setattr(registration, 'REWRITE_SPREAD_S', 0.0)
     made, store = one(), Store()
     store.position = at(50, era_of_write)
 
--- a/tests/membership/test_relays.py
+++ b/tests/membership/test_relays.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from limeshelf.membership.member import Member
-from limeshelf.membership.relays import RELAY_SILENT_S, choose_relays
+from limeshelf.membership.relays import RELAY_TIMEOUT_S, choose_relays
 
 
 def test_relays_are_chosen_by_weight_and_past_the_silent() -> None:
@@ -11,9 +11,9 @@
     own = Member('own', 'c1', 1.0)
     late = Member('late', 'c1', 9.0, last_message_s=90.0, relay_since_s=80.0)
     back = Member('back', 'c1', 8.0, last_message_s=90.0)
-    heavy = Member('heavy', 'c1', 5.0, now_s - RELAY_SILENT_S / 2, relay_since_s=80.0)
+    heavy = Member('heavy', 'c1', 5.0, now_s - RELAY_TIMEOUT_S / 2, relay_since_s=80.0)
     choice = choose_relays([late, back, heavy, own], own, now_s)
-    assert [one.address for one in choice.silent] == ['late']
+    assert [one.address for one in choice.timed_out] == ['late']
     # One that has just come to rank as a relay gets a moment.
     assert [one.address for one in choice.relays] == ['back', 'heavy']
     assert [one.address for one in choice.standby] == ['own']
--- a/tests/membership/test_repeats_of_all_gateways.py
+++ b/tests/membership/test_repeats_of_all_gateways.py
@@ -55,7 +55,7 @@
 def hear_of_all(gateways: list[Gateway]) -> None:
     for gateway in gateways:
         summary = FleetSummary(GATEWAYS, [], {})
-        gateway.digests._take_summary(Envelope('g0', 'c1', summary))
+        gateway.digests._handle_summary(Envelope('g0', 'c1', summary))
         gateway.note_count()
 
 
--- a/tests/membership/test_row_exchange.py
+++ b/tests/membership/test_row_exchange.py
@@ -12,8 +12,8 @@
 from limeshelf.feeds.table_copy import TableCopy
 from limeshelf.membership.member import Member
 from limeshelf.membership.members import Members
-from limeshelf.membership.relays import RELAY_SILENT_S
-from limeshelf.membership.row_exchange import CLOCK_SLACK_S, RowExchange
+from limeshelf.membership.relays import RELAY_TIMEOUT_S
+from limeshelf.membership.row_exchange import CLOCK_TOLERANCE_S, RowExchange
 from limeshelf.membership.row_messages import RowsQuery, TableRow, TableUpdate, TableUpdates
 from limeshelf.membership.store_polling import OVERDUE_STEP_S
 from limeshelf.peers.codec import Envelope
@@ -86,7 +86,7 @@
 
 def test_updates_bring_rows_up_to_a_version() -> None:
     one = exchange('g2', 'g1')
-    one._take_updates(update(0, 9, TableRow('a', b'1', 9, False)))
+    one._handle_updates(update(0, 9, TableRow('a', b'1', 9, False)))
     copy = one.copies['t']
     assert (copy.position, [row.key for row in copy.rows()]) == (at(9), ['a'])
     assert copy.age_s < 1.0
@@ -95,30 +95,30 @@
 def test_lost_update_is_asked_for() -> None:
     """A later row must not hide that an earlier one is missing."""
     one = exchange('g2', 'g1')
-    one._take_updates(update(0, 5, TableRow('a', b'1', 5, False)))
-    one._take_updates(update(8, 9, TableRow('c', b'1', 9, False)))
+    one._handle_updates(update(0, 5, TableRow('a', b'1', 5, False)))
+    one._handle_updates(update(8, 9, TableRow('c', b'1', 9, False)))
     assert one.copies['t'].position == at(5)
     node: Any = one.node
     assert [(address, query.versions) for address, query in node.sent] == [('g1', {'t': 5})]
-    one._take_updates(update(5, 9, TableRow('b', b'1', 7, False), TableRow('c', b'1', 9, False)))
+    one._handle_updates(update(5, 9, TableRow('b', b'1', 7, False), TableRow('c', b'1', 9, False)))
     assert one.copies['t'].position == at(9)
     assert len(one.copies['t'].rows()) == 3
 
 
 def test_update_of_somebody_who_is_behind_confirms_nothing() -> None:
     one = exchange('g2', 'g1')
-    one._take_updates(update(0, 9))
+    one._handle_updates(update(0, 9))
     copy = one.copies['t']
     copy.confirmed_s = 0.0
-    one._take_updates(update(3, 6, TableRow('a', b'old', 4, False)))
+    one._handle_updates(update(3, 6, TableRow('a', b'old', 4, False)))
     assert copy.position == at(9)
     assert copy.is_stale
 
 
 def test_answer_holds_what_the_asker_lacks() -> None:
     one = exchange('g1', 'g2')
-    one._take_updates(update(0, 9, TableRow('a', b'1', 3, False), TableRow('b', b'', 8, True)))
-    one._answer_query(Envelope('g2', 'c1', RowsQuery({'t': 5})))
+    one._handle_updates(update(0, 9, TableRow('a', b'1', 3, False), TableRow('b', b'', 8, True)))
+    one._handle_query(Envelope('g2', 'c1', RowsQuery({'t': 5})))
     node: Any = one.node
     address, answer = node.sent[-1]
     assert address == 'g2'
@@ -133,7 +133,7 @@
             for own in ('g1', 'g2', 'g3')
         )
         for one in (first, second, third):
-            one._take_updates(update(0, 9))
+            one._handle_updates(update(0, 9))
         assert [one.is_due() for one in (first, second, third)] == [True, False, False]
         clock.advance(FollowRule().stale_s + 1.5 * OVERDUE_STEP_S)
         for one in (first, second, third):
@@ -145,13 +145,13 @@
 def test_gateway_that_took_over_goes_on_until_others_pass_rows_on() -> None:
     with virtual_clock() as clock:
         one = exchange('g2', 'g1')
-        one._take_updates(update(0, 9))
+        one._handle_updates(update(0, 9))
         copy = one.copies['t']
         clock.advance(copy.rule.stale_s + 1.0)
         one.members.note_message('g1', 'c1')
         copy.note_confirmed(clock.now_s)
         assert one.is_due()
-        one._take_updates(update(9, 9))
+        one._handle_updates(update(9, 9))
         assert not one.is_due()
 
 
@@ -159,7 +159,7 @@
     first, second = exchange('g1', 'g2', 'g3'), exchange('g2', 'g1', 'g3')
     rows = update(0, 9, TableRow('a', b'1', 9, False))
     for one in (first, second):
-        one._take_updates(Envelope('h1', 'c2', rows.message))
+        one._handle_updates(Envelope('h1', 'c2', rows.message))
     node: Any = first.node
     assert [address for address, _ in node.sent] == ['g2', 'g3']
     passed = node.sent[0][1].words[0]
@@ -175,7 +175,7 @@
         one.copies['u'] = TableCopy('u', lambda row: None)
         clock.advance(FollowRule().stale_s + 1.0)
         one.members.note_message('g1', 'c1')
-        one._take_updates(update(0, 9))
+        one._handle_updates(update(0, 9))
         assert one.is_due()
         one.copies['u'].take_update([], at(0), at(9), 0.0)
         assert not one.is_due()
@@ -216,12 +216,12 @@
         other.clock.note_answer(clock.now_s, 5.0)
         other.copies['t'].take_update([], at(0), at(9), 0.0, 5000)
         node: Any = one.node
-        one._ask_another()
+        one._query_random_peer()
         clock.advance(0.4)
-        other._answer_query(Envelope('g1', 'c1', node.sent[-1][1]))
+        other._handle_query(Envelope('g1', 'c1', node.sent[-1][1]))
         clock.advance(0.7)
         other_node: Any = other.node
-        one._take_updates(Envelope('g2', 'c1', other_node.sent[-1][1]))
+        one._handle_updates(Envelope('g2', 'c1', other_node.sent[-1][1]))
         # Older than it is by the way of the query; never younger by that of the answer.
         age_s = one.clock.greatest_age_s(one.copies['t'].confirmed_ms)
         assert 1.1 <= age_s <= 1.5 + 0.01
@@ -235,7 +235,7 @@
         one.clock.note_answer(clock.now_s, 5.0)
         waiting = TableUpdate('t', 0, 9, 0, [], 5000)
         clock.advance(6.0)
-        one._take_updates(Envelope('g1', 'c1', TableUpdates([waiting])))
+        one._handle_updates(Envelope('g1', 'c1', TableUpdates([waiting])))
         assert one.clock.greatest_age_s(one.copies['t'].confirmed_ms) >= 6.0
 
 
@@ -246,11 +246,11 @@
         one = exchange('g99', *others)
         for other in others:
             one.members.note_message(other, 'c1')
-        one._take_updates(update(0, 9))
+        one._handle_updates(update(0, 9))
         clock.advance(FollowRule().stale_s + 0.01)
         one.members.note_message('g00', 'c1')
         assert not one.is_due()
-        clock.advance(RELAY_SILENT_S + 0.01)
+        clock.advance(RELAY_TIMEOUT_S + 0.01)
         assert one.is_due()
         assert one.spread_s() == 0.0
 
@@ -262,10 +262,10 @@
         one.clock.note_answer(clock.now_s, 5.0)
         waiting = TableUpdate('t', 0, 9, 0, [], 5000)
         clock.advance(2.0)
-        one._take_updates(Envelope('g1', 'c1', TableUpdates([waiting])))
+        one._handle_updates(Envelope('g1', 'c1', TableUpdates([waiting])))
         copy = one.copies['t']
         assert copy.position == at(9)
-        assert 2.0 - CLOCK_SLACK_S <= copy.age_s <= 2.0
+        assert 2.0 - CLOCK_TOLERANCE_S <= copy.age_s <= 2.0
         assert copy.is_stale
 
 
@@ -274,7 +274,7 @@
         one = exchange('g2', 'g1')
         # This gateway knows the store's clock no better than by 0.2 s.
         one.clock.note_answer(clock.now_s - 0.2, 5.0)
-        one._take_updates(
+        one._handle_updates(
             Envelope('g1', 'c1', TableUpdates([TableUpdate('t', 0, 9, 100, [], 4900)]))
         )
         assert abs(one.copies['t'].age_s - 0.1) < 0.001
--- a/tests/membership/test_copy_watch.py
+++ b/tests/membership/test_staleness_log.py
@@ -5,15 +5,15 @@
 from typing import Any
 
 from limeshelf.feeds.table_copy import STORE, TableCopy
-from limeshelf.membership import copy_watch
-from limeshelf.membership.copy_watch import CopyWatch
+from limeshelf.membership import staleness_log
+from limeshelf.membership.staleness_log import StalenessLog
 from limeshelf.util.clock import VirtualClock, virtual_clock
 
 
 def logged(monkeypatch: Any) -> list[tuple[str, dict[str, Any]]]:
     lines: list[tuple[str, dict[str, Any]]] = []
     monkeypatch.setattr(
-        copy_watch, 'log_change', lambda event, **fields: lines.append((event, fields))
+        staleness_log, 'log_change', lambda event, **fields: lines.append((event, fields))
     )
     return lines
 
@@ -28,13 +28,13 @@
     lines = logged(monkeypatch)
     with virtual_clock() as clock:
         copy = copy_confirmed_now(clock, '10.0.0.1:7600')
-        watch = CopyWatch()
-        watch.check([copy], 1, is_due=False)
+        watch = StalenessLog()
+        watch.check([copy], 1, is_polling=False)
         clock.advance(copy.rule.stale_s + 0.5)
-        watch.check([copy], 1, is_due=False)
-        watch.check([copy], 1, is_due=False)
+        watch.check([copy], 1, is_polling=False)
+        watch.check([copy], 1, is_polling=False)
         copy.note_confirmed(clock.now_s, source=STORE)
-        watch.check([copy], 1, is_due=False)
+        watch.check([copy], 1, is_polling=False)
     assert [event for event, _ in lines] == ['table_stale', 'table_fresh']
     assert lines[0][1]['confirmed_by'] == '10.0.0.1:7600'
     assert lines[0][1]['age_ms'] == int((copy.rule.stale_s + 0.5) * 1000)
@@ -43,9 +43,9 @@
 
 def test_line_says_when_this_gateway_begins_and_ends_asking(monkeypatch: Any) -> None:
     lines = logged(monkeypatch)
-    watch = CopyWatch()
+    watch = StalenessLog()
     for is_due in (False, True, True, False):
-        watch.check([], 4, is_due=is_due)
+        watch.check([], 4, is_polling=is_due)
     assert lines == [
         ('store_polling', {'begins': True, 'order': 4}),
         ('store_polling', {'begins': False, 'order': 4}),
@@ -54,5 +54,5 @@
 
 def test_copy_that_was_never_confirmed_is_no_news(monkeypatch: Any) -> None:
     lines = logged(monkeypatch)
-    CopyWatch().check([TableCopy('t', lambda row: None)], 0, is_due=False)
+    StalenessLog().check([TableCopy('t', lambda row: None)], 0, is_polling=False)
     assert lines == []
--- a/tests/membership/test_state_exchange.py
+++ b/tests/membership/test_state_exchange.py
@@ -12,7 +12,7 @@
 from limeshelf.membership.members import Members
 from limeshelf.membership.messages import HeldModel, ReplicaState, ReplicaStates
 from limeshelf.membership.state_changes import StateChanges
-from limeshelf.membership.state_exchange import StateExchange, states_count
+from limeshelf.membership.state_exchange import StateExchange, accepts_states
 from limeshelf.peers.codec import Envelope
 from limeshelf.platform.replicas import read_record
 from limeshelf.replicas.directory import ReplicaDirectory
@@ -73,8 +73,8 @@
 def test_late_word_of_a_predecessor() -> None:
     async def play() -> None:
         one = exchange(Leadership())
-        one._take_states(states(5, 'm1', 'm2'))
-        one._take_states(states(4, 'm1'))
+        one._handle_states(states(5, 'm1', 'm2'))
+        one._handle_states(states(4, 'm1'))
         assert holdings(one) == {'m1', 'm2'}
 
     asyncio.run(play())
@@ -85,25 +85,25 @@
         one = exchange(Leadership(fence=5))
         report = ReplicaReport((Holding('m1'), Holding('m2')), False, 3)
         one.directory.take_report('r1', report)
-        one._take_states(states(9, 'm1'))
+        one._handle_states(states(9, 'm1'))
         assert holdings(one) == {'m1', 'm2'}
 
     asyncio.run(play())
 
 
 def test_only_states_of_the_newest_leader_are_believed() -> None:
-    assert states_count(fence=5, newest_fence=5, own_leads=False)
-    assert states_count(fence=6, newest_fence=5, own_leads=False)
-    assert not states_count(fence=4, newest_fence=5, own_leads=False)
-    assert not states_count(fence=6, newest_fence=5, own_leads=True)
+    assert accepts_states(fence=5, highest_fence=5, own_leads=False)
+    assert accepts_states(fence=6, highest_fence=5, own_leads=False)
+    assert not accepts_states(fence=4, highest_fence=5, own_leads=False)
+    assert not accepts_states(fence=6, highest_fence=5, own_leads=True)
 
 
 def test_first_relay_passes_states_of_another_centre_on() -> None:
     async def play() -> None:
         one = exchange(Leadership())
         one.members.add('second', 'z1')
-        one._take_states(states(5, 'm1', centre='z1'))
-        one._take_states(states(5, 'm1', centre='z2'))
+        one._handle_states(states(5, 'm1', centre='z1'))
+        one._handle_states(states(5, 'm1', centre='z2'))
         node: Any = one.node
         assert [addresses for addresses, _ in node.forwarded] == [[], ['second']]
 
@@ -115,8 +115,8 @@
         changes = StateChanges()
         changes.note_replica('r1')
         changes.note_replica('r2')
-        await asyncio.wait_for(changes.wait(limit_s=30.0, gap_s=0.0), 5.0)
-        assert changes.take() == {'r1', 'r2'}
-        assert changes.take() == set()
+        await asyncio.wait_for(changes.wait(timeout_s=30.0, batch_window_s=0.0), 5.0)
+        assert changes.pop_replicas() == {'r1', 'r2'}
+        assert changes.pop_replicas() == set()
 
     asyncio.run(play())
--- a/tests/membership/test_store_polling.py
+++ b/tests/membership/test_store_polling.py
@@ -5,12 +5,12 @@
 import pytest
 
 from limeshelf.membership.store_polling import (
+    NON_RELAY_RETRY_SPREAD_S,
     OVERDUE_LIMIT_S,
     OVERDUE_STEP_S,
-    SPREAD_S,
     overdue_limit_s,
+    polling_order,
     polls_store,
-    reading_order,
     retry_spread_s,
 )
 
@@ -31,13 +31,13 @@
 
 
 def test_first_relays_of_all_centres_come_before_the_second_ones() -> None:
-    orders = [reading_order(place, centre, 3) for place in range(3) for centre in range(3)]
+    orders = [polling_order(place, centre, 3) for place in range(3) for centre in range(3)]
     assert orders == list(range(9))
 
 
 def test_gateways_that_are_no_relays_ask_a_lost_store_seldom() -> None:
     assert retry_spread_s(5, 3) == overdue_limit_s(5)
-    assert retry_spread_s(6, 3) == SPREAD_S
+    assert retry_spread_s(6, 3) == NON_RELAY_RETRY_SPREAD_S
 
 
 def test_overdue_limit_rises_with_the_order_up_to_a_limit() -> None:
@@ -47,7 +47,7 @@
 
 
 def test_gateway_that_is_alone_asks_at_once_and_again_soon() -> None:
-    assert overdue_limit_s(1000, is_alone=True) == 0.0
-    assert retry_spread_s(1000, 3, is_alone=True) == 0.0
-    assert polls_store(order=1000, overdue_s=0.01, is_alone=True)
-    assert not polls_store(order=1000, overdue_s=-0.01, is_alone=True)
+    assert overdue_limit_s(1000, is_isolated=True) == 0.0
+    assert retry_spread_s(1000, 3, is_isolated=True) == 0.0
+    assert polls_store(order=1000, overdue_s=0.01, is_isolated=True)
+    assert not polls_store(order=1000, overdue_s=-0.01, is_isolated=True)
--- a/tests/membership/test_want_exchange.py
+++ b/tests/membership/test_want_exchange.py
@@ -48,7 +48,7 @@
         one, parts = exchange()
         one.report(KEY)
         assert parts.sent == []
-        one.leader.note_claim('g1', 4)
+        one.leader.record_claim('g1', 4)
         one.report(KEY)
         assert parts.sent == [('g1', ModelWanted(KEY))]
         assert parts.wanted == []
