--- a/limeshelf/membership/messages.py
+++ b/limeshelf/membership/messages.py
@@ -1,6 +1,6 @@
-"""The messages between gateways: loads, demand, states of replicas.
+"""Messages that gateways exchange about load, demand, limits and the state of replicas.
 
-Their fields are the form on the wire: names and order stay, also where the name is poor.
+Field names and field order are part of the wire format and must not change.
 """
 
 from __future__ import annotations
@@ -14,11 +14,12 @@
 
 
 class ReplicaLoad(msgspec.Struct, array_like=True):
-    """What a gateway, or all of them, have under way at a replica.
+    """The load that one gateway, or all gateways together, put on a replica.
 
-    :ivar calls: calls under way.
-    :ivar tokens: tokens of memory that these calls likely fill there.
-    :ivar suspended: the gateway sends nothing there for a while; not filled in in sums.
+    :ivar calls: calls in flight.
+    :ivar tokens: estimated tokens of accelerator memory that these calls occupy.
+    :ivar suspended: whether the gateway has suspended the replica and sends it no calls for now;
+        not set in sums.
     """
 
     replica_id: str
@@ -28,23 +29,23 @@
 
 
 class HeldModel(msgspec.Struct, array_like=True):
-    """A model with its ready adapters."""
+    """A model that a replica holds, with its ready adapters."""
 
     model: str
     adapters: list[str]
 
 
 class ReplicaState(msgspec.Struct, array_like=True):
-    """What a replica reported to the leader.
+    """The state of a replica as it last reported it to the leader.
 
-    :ivar order_number: orders that it has taken.
-    :ivar held: models that it serves, but for those about to be unloaded.
-    :ivar queued: calls that wait there.
-    :ivar running: calls that run there.
+    :ivar order_number: number of orders that the replica has accepted.
+    :ivar held: models that it serves, except those about to be unloaded.
+    :ivar queued: calls queued at the replica.
+    :ivar running: calls running at the replica.
     :ivar memory_used: tokens of accelerator memory that cannot be evicted.
-    :ivar leaving: it takes no new calls.
-    :ivar born_ms: when it started, in milliseconds since 1970; ``None`` where it does not say
-        so, and from a release that does not pass it on.
+    :ivar leaving: whether the replica accepts no new calls because it is shutting down.
+    :ivar born_ms: start time of the replica, in milliseconds since 1970; ``None`` if the replica
+        does not report it, or if the sender's release does not include it.
     """
 
     replica_id: str
@@ -58,9 +59,9 @@
 
 
 class AwaitedLoad(msgspec.Struct, array_like=True):
-    """A load under way.
+    """A model load in progress.
 
-    :ivar left_ms: time until it is likely done.
+    :ivar left_ms: estimated time until it completes.
     """
 
     key: ModelKey
@@ -70,20 +71,21 @@
 @add_message('gateway-digest')
 @attrs.frozen
 class GatewayDigest:
-    """What a gateway does, sent to the relays of its data centre.
-
-    :param weight: how much the gateway can carry beside its calls.
-    :param number: rises with each digest; a lower one came late.
-    :param config_version: of the configuration in force there.
-    :param fence: of the lease that it holds; 0 if it holds none.
-    :param loads: at the replicas where it has calls under way or that it suspended.
-    :param demands: of the models that were asked for lately.
-    :param reading_ms: of a prompt token of each model, where this gateway has learned it
-        lately by granting.
-    :param usage: of the limits of organisations in the window that counts, by name; not filled
-        in in sums.
-    :param started_ms: when the process started, on the clock of *number*; 0 from a release
-        that does not say, and in sums.
+    """The status of a gateway, sent periodically to the relays of its data centre.
+
+    :param weight: spare capacity of the gateway for relaying.
+    :param number: increases with each digest; a digest with a lower number is out of date.
+    :param config_version: version of the configuration in force at the gateway.
+    :param fence: fencing token of the lease that the gateway holds; 0 if it holds none.
+    :param loads: load on each replica at which the gateway has calls in flight or that it has
+        suspended.
+    :param demands: demand for the models that were requested recently.
+    :param reading_ms: time to read one prompt token, by model, where this gateway has measured
+        it recently as a dispatcher.
+    :param usage: usage counted against the limit of each organisation in the current window, by
+        the organisation's name; empty in sums.
+    :param started_ms: start time of the process, on the same clock as *number*; 0 from a release
+        that does not send it, and in sums.
     """
 
     instance_id: str
@@ -103,12 +105,12 @@
 @add_message('digest-bundle')
 @attrs.frozen
 class DigestBundle:
-    """What the gateways of a data centre do, from its first relay to the leader and others.
+    """The combined status of a data centre, sent by its first relay to the leader and others.
 
-    :param digests: one that sums up those of all; releases before sent each by itself.
-    :param gateways: whose digests are summed up; 0 where each is there by itself.
-    :param dispatcher: peer address of the gateway that grants the replicas of the data
-        centre; empty where none is known.
+    :param digests: a single digest, the sum over the data centre; earlier releases sent the
+        digest of each gateway separately.
+    :param gateways: number of gateways in the sum; 0 if the digests are separate.
+    :param dispatcher: peer address of the data centre's dispatcher; empty if none is known.
     """
 
     digests: list[GatewayDigest]
@@ -119,12 +121,12 @@
 @add_message('fleet-summary')
 @attrs.frozen
 class FleetSummary:
-    """What all gateways do, sent by a relay to the gateways of its data centre.
+    """The status of all gateways, sent by a relay to the gateways of its data centre.
 
-    :param gateways: how many there are, over all data centres; 0 where that is not known.
-    :param loads: what all of them have under way at each replica.
-    :param dispatchers: peer address of the gateway that grants the replicas of each data
-        centre, as far as known.
+    :param gateways: number of gateways in all data centres; 0 if unknown.
+    :param loads: load of all gateways together on each replica.
+    :param dispatchers: peer address of the dispatcher of each data centre whose dispatcher is
+        known.
     """
 
     gateways: int
@@ -135,10 +137,10 @@
 @add_message('limit-query')
 @attrs.frozen
 class LimitQuery:
-    """Asks the limiter of the data centre whether a call lies within its organisation's limit.
+    """Asks a limiter of the data centre whether a call is within its organisation's limit.
 
-    :param query_id: given by the asking gateway.
-    :param amount: what the call counts, in units of the limit.
+    :param query_id: chosen by the querying gateway to match the verdict to its query.
+    :param amount: usage of the call, in units of the limit.
     """
 
     query_id: str
@@ -149,9 +151,9 @@
 @add_message('limit-verdict')
 @attrs.frozen
 class LimitVerdict:
-    """Answers a query.
+    """Answers a :class:`LimitQuery`.
 
-    :param wait_ms: until there is likely room, where the call would exceed the limit.
+    :param wait_ms: if the call would exceed the limit, estimated time until it would not.
     """
 
     query_id: str
@@ -160,15 +162,15 @@
 
 
 class EndedReplica(msgspec.Struct, array_like=True):
-    """The end of a replica, and calls at work there.
+    """The unexpected end of a replica, with the calls that were running there.
 
-    Grouped so, an end under 50 calls takes 0.5 KB; with the ends of each call, 2.3 KB
-    (tests/membership/test_crash_exchange.py).
+    Calls are grouped by end to keep the message small: an end with 50 calls takes 0.5 KB, where
+    listing the ends of each call takes 2.3 KB (tests/membership/test_crash_exchange.py).
 
-    :ivar born_ms: when the replica had started, in milliseconds since 1970; 0 where unknown.
-    :ivar cleared: these calls are no longer suspected for it.
-    :ivar coincident: it came together with ends of other replicas.
-    :ivar calls: their fingerprints.
+    :ivar born_ms: start time of the replica, in milliseconds since 1970; 0 if unknown.
+    :ivar cleared: whether these calls are no longer suspected of having caused the end.
+    :ivar coincident: whether other replicas ended at the same time.
+    :ivar calls: fingerprints of the calls.
     """
 
     replica_id: str
@@ -181,19 +183,22 @@
 @add_message('crash-suspects')
 @attrs.frozen
 class CrashSuspects:
-    """Calls at which replicas ended, as far as that was new to the sender."""
+    """Calls suspected of crashing replicas; only what was new to the sender."""
 
     ends: list[EndedReplica]
 
 
 class ReplicaNoticeEntry(msgspec.Struct, array_like=True):
-    """What a replica asks of all gateways.
-
-    :ivar born_ms: when it started, in milliseconds since 1970; ``None`` where it does not say.
-    :ivar rate_per_s: calls a second that it takes from all of them; ``None`` for any number.
-    :ivar known_ms_ago: how long before the message an answer named the rate; without a rate,
-        how long before it the latest call was sent whose answer named none.
-    :ivar leaving: whether it has said that it leaves.
+    """The notice of one replica, which applies to all gateways.
+
+    :ivar born_ms: start time of the replica, in milliseconds since 1970; ``None`` if the replica
+        does not report it.
+    :ivar rate_per_s: calls per second that the replica accepts from all gateways together;
+        ``None`` if it sets no limit.
+    :ivar known_ms_ago: age of the information when the message is sent. With a rate: time since
+        an answer stated the rate. Without one: time since the sending of the latest call whose
+        answer stated no rate.
+    :ivar leaving: whether the replica has announced that it is shutting down.
     """
 
     replica_id: str
@@ -206,7 +211,7 @@
 @add_message('replica-notices')
 @attrs.frozen
 class ReplicaNotices:
-    """What replicas ask for, as far as that was new to the sender."""
+    """Notices of replicas; only those that were new to the sender."""
 
     notices: list[ReplicaNoticeEntry]
 
@@ -214,7 +219,7 @@
 @add_message('gateway-leaving')
 @attrs.frozen
 class GatewayLeaving:
-    """A gateway stops and is to be counted no longer."""
+    """Announces that the sending gateway is shutting down and must no longer be counted."""
 
     instance_id: str
 
@@ -222,7 +227,7 @@
 @add_message('model-wanted')
 @attrs.frozen
 class ModelWanted:
-    """A call waits at a gateway because no replica holds what it needs."""
+    """Tells the leader that a call waits because no replica holds its model or adapter."""
 
     key: ModelKey
 
@@ -230,12 +235,12 @@
 @add_message('replica-states')
 @attrs.frozen
 class ReplicaStates:
-    """Reports of replicas, and the loads under way, from the leader.
+    """The states of replicas and the model loads in progress, sent by the leader.
 
-    :param fence: of the lease of the leader.
-    :param awaited: all loads under way.
-    :param whole: whether all replicas are in it, or just those that changed.
-    :param may_order: whether the leader's orders may leave.
+    :param fence: fencing token of the leader's lease.
+    :param awaited: all model loads in progress.
+    :param whole: whether *states* lists all replicas, or only those that changed.
+    :param may_order: whether the leader may send orders to replicas at the moment.
     """
 
     fence: int
--- a/limeshelf/membership/row_messages.py
+++ b/limeshelf/membership/row_messages.py
@@ -1,7 +1,7 @@
-"""The messages in which gateways pass rows of the store on.
+"""Messages in which gateways pass rows of the store to each other.
 
-Their fields are the form on the wire: names and order stay, also where the name is poor. What
-stands in them is read by :mod:`limeshelf.membership.row_forms`.
+Field names and field order are part of the wire format and must not change. Conversion to and
+from the types of :mod:`limeshelf.feeds` is in :mod:`limeshelf.membership.row_conversion`.
 """
 
 from __future__ import annotations
@@ -11,17 +11,17 @@
 
 from limeshelf.peers.messages import add_message
 
-#: Stands for an era in a message of a release that states none.
+#: Era in a message from a release that does not send eras.
 NO_ERA = -1
 
 
 class TableRow(msgspec.Struct, array_like=True):
-    """A row of the store, as new as the sender has it.
+    """The latest version of a store row that the sender has.
 
-    :ivar value: of a row that was deleted, the last one before, as far as that is known.
-    :ivar version: of the row's last change, in its era.
-    :ivar gone: whether it was deleted then.
-    :ivar era: of the store, in which that was.
+    :ivar value: value of the row; for a deleted row, the last value before deletion if known.
+    :ivar version: version of the row's last change, within *era*.
+    :ivar gone: whether that change deleted the row.
+    :ivar era: store era of that change.
     """
 
     key: str
@@ -32,15 +32,16 @@
 
 
 class TableUpdate(msgspec.Struct, array_like=True):
-    """What changed in a table between two positions, as far as the sender has it.
-
-    :ivar after: version of the store after which all changes are in the update.
-    :ivar upto: version of the store up to which they are.
-    :ivar age_ms: how long before the update was sent the store last confirmed it.
-    :ivar confirmed_ms: the same moment on the store's clock; 0 from a release that does not
-        say.
-    :ivar after_era: of the store, to which ``after`` belongs.
-    :ivar upto_era: the same for ``upto``.
+    """All changes of a table in a range of store versions.
+
+    :ivar after: store version at which the range starts, exclusive.
+    :ivar upto: store version at which the range ends, inclusive.
+    :ivar age_ms: time between the store's last confirmation of the table and the sending of
+        the update.
+    :ivar confirmed_ms: time of that confirmation on the store's clock; 0 from a release that
+        does not send it.
+    :ivar after_era: store era of ``after``.
+    :ivar upto_era: store era of ``upto``.
     """
 
     table: str
@@ -56,11 +57,12 @@
 @add_message('rows-query')
 @attrs.frozen
 class RowsQuery:
-    """Asks a peer for its rows of the store.
+    """Asks a peer for rows of the store that the sender lacks.
 
-    :param versions: table to the highest version that the asker has.
-    :param asked_ms: the asker's steady clock as it asks; 0 from a release that does not say.
-    :param eras: table to the era of the store to which that version belongs.
+    :param versions: by table, the version after which changes are requested.
+    :param asked_ms: the sender's boot clock when it sends the query; 0 from a release that
+        does not send it.
+    :param eras: by table, the store era of that version.
     """
 
     versions: dict[str, int]
@@ -71,13 +73,13 @@
 @add_message('table-words')
 @attrs.frozen
 class TableUpdates:
-    """Updates of tables, sent unasked or as the answer to a query.
+    """Updates of tables, sent unsolicited or in answer to a :class:`RowsQuery`.
 
-    :param words: the updates; the name is the one on the wire.
-    :param asked_ms: in an answer, what the query said; otherwise 0.
-    :param store_ms: in an answer, what the store's clock shows at the most as it is given; 0
-        where that is unknown.
-    :param store_era: the era of the store whose clock that is.
+    :param words: the updates; the field keeps its name on the wire.
+    :param asked_ms: in an answer, ``asked_ms`` of the query; otherwise 0.
+    :param store_ms: in an answer, upper bound of the store's clock when the answer is sent; 0 if
+        unknown.
+    :param store_era: store era to which that clock belongs.
     """
 
     words: list[TableUpdate]
