--- a/limeshelf/membership/digests.py
+++ b/limeshelf/membership/digests.py
@@ -1,6 +1,6 @@
-"""Keeps the latest digest of each gateway, and decides which digests count.
+"""Keeps the latest digest of each gateway until it expires.
 
-Owns the digests that came from other gateways. Relies on the clock alone.
+Owns the digests received from other gateways.
 """
 
 from __future__ import annotations
@@ -15,24 +15,24 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-#: A digest counts for this long, in seconds; ten digests long. As long as SILENT_S, which
-#: judges messages that come directly; digests also come by way of a relay.
+#: A digest expires after this time: ten digest intervals. The value equals INACTIVE_AFTER_S, but
+#: that one applies to messages received directly, whereas digests also arrive through relays.
 DIGEST_TTL_S = 2.5
 
 
 def is_superseded(number: int, known_number: int, known_age_s: float) -> bool:
-    """Return whether a digest was overtaken by the known one of the same gateway.
+    """Return whether a digest is older than the one already known from the same gateway.
 
-    Numbers rise, but a machine that lost its power may count from the start again: a
-    known digest that no longer counts makes no other late.
+    Numbers increase, but may start again from a low value after a machine lost power.
+    Therefore an expired digest does not supersede any other.
 
-    :param known_age_s: time since the known digest came.
+    :param known_age_s: time since the known digest was received.
     """
     return number <= known_number and known_age_s < DIGEST_TTL_S
 
 
 def sum_loads(loads: Iterable[ReplicaLoad]) -> list[ReplicaLoad]:
-    """Return one load a replica, in the order in which the replicas come."""
+    """Return one total per replica, in the order in which the replicas first appear."""
     totals: dict[str, ReplicaLoad] = {}
     for load in loads:
         total = totals.setdefault(load.replica_id, ReplicaLoad(load.replica_id))
@@ -48,13 +48,13 @@
 
 
 class LatestDigests:
-    """Keeps the newest digest of each gateway, whichever way it came."""
+    """The latest digest of each gateway, received directly or through a relay."""
 
     def __init__(self) -> None:
         self._received: dict[str, _ReceivedDigest] = {}
 
     def add(self, digest: GatewayDigest) -> bool:
-        """Keep a digest; return whether it is newer than the known one."""
+        """Store a digest unless it is superseded; return whether it was stored."""
         now_s = boottime_s()
         known = self._received.get(digest.instance_id)
         if known is not None and is_superseded(
@@ -65,19 +65,19 @@
         return True
 
     def remove(self, instance_id: str) -> None:
-        """Forget the digest of a gateway."""
+        """Remove the digest of a gateway."""
         self._received.pop(instance_id, None)
 
     def unexpired(self, data_centre: str | None = None) -> list[GatewayDigest]:
-        """Return the digests that count, of one data centre or of all."""
-        oldest_s = boottime_s() - DIGEST_TTL_S
+        """Return the digests that have not expired, of one data centre or of all."""
+        min_received_s = boottime_s() - DIGEST_TTL_S
         return [
             entry.digest
             for entry in self._received.values()
-            if entry.received_s >= oldest_s
+            if entry.received_s >= min_received_s
             and (data_centre is None or entry.digest.data_centre == data_centre)
         ]
 
     def loads(self) -> list[ReplicaLoad]:
-        """Return what the other gateways have under way, one load a gateway and replica."""
+        """Return the loads of the other gateways, one entry per gateway and replica."""
         return [load for digest in self.unexpired() for load in digest.loads]
