--- a/limeshelf/membership/member.py
+++ b/limeshelf/membership/member.py
@@ -1,7 +1,4 @@
-"""One gateway: its row in the table of members, and when it last sent a message.
-
-Owns the form of that row. Relies on the clock alone.
-"""
+"""A gateway as a member of the deployment: its row in the store and its liveness times."""
 
 from __future__ import annotations
 
@@ -12,14 +9,14 @@
 from limeshelf.util.clock import boottime_s
 
 MEMBER_TABLE = 'members'
-#: Stands for this process where the peer address of a gateway is meant.
+#: Used in place of a peer address to denote this process.
 LOCAL = ''
 
 
 class MemberValue(msgspec.Struct):
-    """A gateway's row in the table of members.
+    """Value of a gateway's row in the members table.
 
-    :ivar weight: how much it can carry beside its calls; relays are the heaviest.
+    :ivar weight: spare capacity for relaying; the gateways with the highest weight are relays.
     """
 
     address: str
@@ -29,13 +26,14 @@
 
 @attrs.define
 class Member:
-    """A gateway, by its peer address; times are on this machine's steady clock.
+    """A gateway, identified by its peer address; times are on this machine's boot clock.
 
     :ivar weight: see :class:`MemberValue`; 0 until it is known.
-    :ivar last_message_s: when a message of it last came; 0 if never, or if it stopped.
-    :ivar last_retry_s: when it was last sent something while it was silent.
-    :ivar relay_since_s: since when it has ranked as a relay; 0 while it does not. A
-        gateway that moves up needs a moment until its first message is due.
+    :ivar last_message_s: when its last message was received; 0 if none was, or if the gateway
+        announced its shutdown.
+    :ivar last_retry_s: when a message was last sent to it while it was inactive.
+    :ivar relay_since_s: since when its rank has made it a relay; 0 while it is no relay. A
+        gateway that becomes a relay needs some time until its first message as a relay is due.
     """
 
     address: str
@@ -47,14 +45,14 @@
 
     @property
     def is_active(self) -> bool:
-        """Return whether a message of it came lately."""
+        """Return whether a message from it was received recently."""
         return is_active(boottime_s() - self.last_message_s)
 
     @property
     def rank_key(self) -> tuple[float, str]:
-        """Return what sorts the gateways of a data centre, the highest rank first."""
+        """Return the sort key within a data centre; it puts the highest rank first."""
         return (-self.weight, self.address)
 
     def since_message_s(self, now_s: float) -> float:
-        """Return for how long a message of it has been due without any coming."""
+        """Return the time since its last message, or since it became a relay if that is later."""
         return now_s - max(self.last_message_s, self.relay_since_s)
