--- a/limeshelf/membership/liveness.py
+++ b/limeshelf/membership/liveness.py
@@ -1,23 +1,21 @@
-"""Decides when a gateway counts as silent, and whether it is still sent messages.
+"""Decides whether a gateway counts as active, and whether to send it messages.
 
-Owns the limits of silence. Decides only; the times are kept by
-:class:`limeshelf.membership.member.Member`.
+Owns the time limits. :class:`limeshelf.membership.member.Member` keeps the times they apply to.
 """
 
 from __future__ import annotations
 
 import enum
 
-#: A gateway without a message for this long counts no more and is not relied on; ten digests
-#: long.
+#: A gateway from which no message was received for this long is inactive: it is not counted and
+#: not relied on. Ten digest intervals.
 INACTIVE_AFTER_S = 2.5
-#: A silent gateway is sent a message again this often, in seconds, so that it is found when it
-#: is back.
+#: Interval between messages to an inactive gateway; they detect that it has come back.
 INACTIVE_RETRY_INTERVAL_S = 2.0
 
 
 class Contact(enum.Enum):
-    """Whether a gateway is sent a message now."""
+    """Whether to send a message to a gateway now, and why."""
 
     ACTIVE = 'active'
     RETRY = 'retry'
@@ -25,15 +23,15 @@
 
 
 def is_active(age_s: float) -> bool:
-    """Return whether a gateway counts whose last message came *age_s* seconds ago."""
+    """Return whether a gateway is active if its last message is *age_s* seconds old."""
     return age_s < INACTIVE_AFTER_S
 
 
 def choose_contact(since_message_s: float, since_retry_s: float) -> Contact:
-    """Decide whether to send to a gateway.
+    """Decide whether to send a message to a gateway.
 
-    :param silent_s: for how long a message of it has been due, in seconds.
-    :param since_retry_s: time since it was last sent something while silent.
+    :param since_message_s: time since its last message.
+    :param since_retry_s: time since a message was last sent to it while it was inactive.
     """
     if since_message_s <= INACTIVE_AFTER_S:
         return Contact.ACTIVE
--- a/limeshelf/membership/relays.py
+++ b/limeshelf/membership/relays.py
@@ -1,11 +1,10 @@
 """Decides which gateways of a data centre are its relays.
 
-The first gateways by rank are the relays: they pass on what the others of their data
-centre do, and what the other data centres do. Ranks come from rows of the store, so
-nobody has to be elected; gateways that see the others differently for a while send
-some messages more.
+Relays forward messages between the gateways of their data centre and the other data centres.
+They are the first gateways by rank. Ranks are derived from rows of the store, so no election is
+needed; while gateways disagree about the members, the only effect is some extra messages.
 
-Decides only; :class:`limeshelf.membership.members.Members` keeps the members.
+:class:`limeshelf.membership.members.Members` keeps the members.
 """
 
 from __future__ import annotations
@@ -19,19 +18,20 @@
 
     from limeshelf.membership.member import Member
 
-#: Relays of a data centre: one may fail and the other has all digests.
+#: Two relays, so that if one fails the other already has all digests.
 RELAYS_PER_CENTRE = 2
-#: A relay without a message for this long is replaced by the next by rank; five digests long.
+#: A relay from which no message was received for this long is replaced by the next gateway by
+#: rank. Five digest intervals.
 RELAY_TIMEOUT_S = 1.2
 
 
 @attrs.frozen
 class RelayChoice:
-    """The gateways of a data centre by their part in relaying, each by rank.
+    """The gateways of a data centre divided by role; each list is sorted by rank.
 
-    :ivar relays: those that pass messages on now.
-    :ivar silent: those that rank as relays and are passed over.
-    :ivar standby: those that are not needed.
+    :ivar relays: the relays.
+    :ivar timed_out: gateways that rank above a relay but are skipped because they timed out.
+    :ivar standby: gateways that are not needed as relays.
     """
 
     relays: list[Member] = attrs.field(factory=list)
@@ -43,13 +43,13 @@
     """Choose the relays among the gateways of one data centre.
 
     :param ranked: these gateways, the highest rank first.
-    :param own: this gateway, which is never silent to itself.
-    :param now_s: the time on the clock of the members.
+    :param own: this gateway, which never times out in its own view.
+    :param now_s: the current time on the boot clock.
     """
     choice = RelayChoice()
-    for place, member in enumerate(ranked):
+    for index, member in enumerate(ranked):
         if len(choice.relays) == RELAYS_PER_CENTRE:
-            choice.standby.extend(ranked[place:])
+            choice.standby.extend(ranked[index:])
             break
         if member is not own and _has_timed_out(member, now_s):
             choice.timed_out.append(member)
@@ -59,5 +59,5 @@
 
 
 def _has_timed_out(member: Member, now_s: float) -> bool:
-    # A gateway that has just come to rank as a relay gets its moment first.
+    # A gateway that has only just become a relay by rank is not judged yet.
     return bool(member.relay_since_s) and member.since_message_s(now_s) > RELAY_TIMEOUT_S
--- a/tests/membership/test_liveness.py
+++ b/tests/membership/test_liveness.py
@@ -1,4 +1,4 @@
-"""When a gateway counts as silent, and is sent messages all the same."""
+"""When a gateway is inactive, and how often it is still sent messages."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 @pytest.mark.parametrize(
-    ('silent_s', 'since_retry_s', 'contact'),
+    ('since_message_s', 'since_retry_s', 'contact'),
     [
         (0.0, 0.0, Contact.ACTIVE),
         (INACTIVE_AFTER_S, 0.0, Contact.ACTIVE),
@@ -22,12 +22,12 @@
         (INACTIVE_AFTER_S + 0.1, INACTIVE_RETRY_INTERVAL_S, Contact.RETRY),
     ],
 )
-def test_silent_gateways_are_sent_little(
-    silent_s: float, since_retry_s: float, contact: Contact
+def test_inactive_gateways_are_contacted_at_the_retry_interval(
+    since_message_s: float, since_retry_s: float, contact: Contact
 ) -> None:
-    assert choose_contact(silent_s, since_retry_s) is contact
+    assert choose_contact(since_message_s, since_retry_s) is contact
 
 
-def test_gateway_counts_until_it_is_silent() -> None:
+def test_gateway_is_active_until_the_time_limit() -> None:
     assert is_active(INACTIVE_AFTER_S - 0.1)
     assert not is_active(INACTIVE_AFTER_S)
