--- a/limeshelf/membership/members.py
+++ b/limeshelf/membership/members.py
@@ -1,8 +1,8 @@
-"""Which gateways there are, in all data centres, and which of them are relays.
+"""The member list: the known gateways of all data centres, and which of them are relays.
 
-Owns the table of gateways and when each last sent a message. Relies on the rules in
-:mod:`~limeshelf.membership.relays` and :mod:`~limeshelf.membership.liveness`; gateways come
-from rows of the store, the seeds of the settings and messages.
+Owns the members and the times of their last messages. Members are added from rows of the store,
+from the seeds in the settings and from received messages. The rules are in
+:mod:`~limeshelf.membership.relays` and :mod:`~limeshelf.membership.liveness`.
 """
 
 from __future__ import annotations
@@ -20,23 +20,23 @@
 
 
 class Members:
-    """The gateways that are known, this one among them.
+    """The known gateways, including this one.
 
     :param own: this gateway.
-    :ivar are_listed: whether rows of the table of members have come. Before, each of
-        hundreds that start together would take itself for a relay.
+    :ivar are_listed: whether a row of the members table has been received. Until then, each of
+        hundreds of gateways that start together would consider itself a relay.
     """
 
     def __init__(self, own: Member) -> None:
         self.own = own
         self.are_listed = False
         self._by_address: dict[str, Member] = {own.address: own}
-        #: By data centre, the highest rank first. Ranks are asked for some twenty times a
-        #: second and change only when a gateway becomes known.
+        #: By data centre, the highest rank first. Kept sorted, because ranks are read about
+        #: twenty times a second but change only when a gateway is added or its weight changes.
         self._ranked: dict[str, list[Member]] = {own.data_centre: [own]}
 
     def add(self, address: str, data_centre: str = '', weight: float | None = None) -> Member:
-        """Add a gateway, or learn more of a known one."""
+        """Add a gateway, or update a known one with the values given."""
         member = self._by_address.get(address)
         if member is None:
             member = self._by_address[address] = Member(address)
@@ -56,45 +56,45 @@
         member.data_centre, member.weight = data_centre, weight
         if data_centre:
             bisect.insort(
-                self._ranked.setdefault(data_centre, []), member, key=lambda one: one.rank_key
+                self._ranked.setdefault(data_centre, []), member, key=lambda other: other.rank_key
             )
 
     def change_own_weight(self, weight: float) -> None:
-        """Let this gateway rank by another weight from now on."""
+        """Change the weight by which this gateway is ranked."""
         self._update_member(self.own, self.own.data_centre, weight)
 
     def note_message(self, address: str, data_centre: str) -> bool:
-        """Note that a gateway sent something; return whether it was silent before."""
+        """Record that a message from a gateway was received; return whether it was inactive."""
         member = self.add(address, data_centre)
         was_silent = not member.is_active
         member.last_message_s = boottime_s()
         return was_silent
 
     def note_slept(self, slept_s: float) -> None:
-        """Note that this machine was suspended: nobody was silent to it for that time."""
+        """Exclude a suspension of this machine from the time since each gateway's last message."""
         for member in self.others():
             if member.last_message_s:
                 member.last_message_s += slept_s
 
     def mark_leaving(self, address: str) -> None:
-        """Note that a gateway stops."""
+        """Mark a gateway as inactive, because it announced its shutdown."""
         member = self._by_address.get(address)
         if member is not None and member is not self.own:
             member.last_message_s = member.relay_since_s = 0.0
             member.last_retry_s = boottime_s()
 
     def others(self) -> list[Member]:
-        """Return all gateways but this one."""
+        """Return all gateways except this one."""
         return [member for member in self._by_address.values() if member is not self.own]
 
     def active(self) -> list[Member]:
-        """Return the other gateways that sent something lately."""
+        """Return the other gateways that are active."""
         return [member for member in self.others() if member.is_active]
 
     def receives_messages(self) -> bool:
-        """Return whether any other gateway has sent something lately.
+        """Return whether a message from any other gateway arrived within the relay time-out.
 
-        Relays send to all gateways of their data centre several times within that time.
+        Relays send several messages to all gateways of their data centre within that time.
         """
         oldest_s = boottime_s() - RELAY_TIMEOUT_S
         return any(member.last_message_s >= oldest_s for member in self.others())
@@ -105,20 +105,20 @@
         return [member for member in ranked if member is not self.own]
 
     def other_centres(self) -> set[str]:
-        """Return the other data centres that are known."""
+        """Return the known data centres except this one."""
         centres = {centre for centre, ranked in self._ranked.items() if ranked}
         return centres - {self.own.data_centre}
 
     def centres(self) -> set[str]:
-        """Return all data centres that are known."""
+        """Return all known data centres."""
         return {*self.other_centres(), self.own.data_centre}
 
     def ranked(self, data_centre: str) -> list[Member]:
-        """Return the gateways of a data centre, silent ones too, the highest rank first."""
+        """Return the gateways of a data centre, inactive ones too, the highest rank first."""
         return list(self._ranked.get(data_centre, []))
 
     def relays(self, data_centre: str) -> list[Member]:
-        """Return the relays of a data centre, the first by rank first."""
+        """Return the relays of a data centre by rank, and record which gateways are relays."""
         now_s = boottime_s()
         choice = choose_relays(self._ranked.get(data_centre, []), self.own, now_s)
         for member in [*choice.relays, *choice.timed_out]:
@@ -139,17 +139,17 @@
 
     @property
     def is_first_relay(self) -> bool:
-        """Return whether this gateway is the first relay by rank of its data centre."""
+        """Return whether this gateway is the first relay of its data centre by rank."""
         return self.own_relays()[:1] == [self.own]
 
     def own_rank(self) -> int:
-        """Return this gateway's rank among those of its data centre, from 0."""
+        """Return this gateway's rank in its data centre, from 0."""
         return self._ranked[self.own.data_centre].index(self.own)
 
     def addresses_to_contact(self, members: Iterable[Member]) -> list[str]:
-        """Return the addresses of those that are sent a message now.
+        """Return the addresses of those members to which a message should be sent now.
 
-        A silent gateway that is among them counts as tried again.
+        Inactive members are included at intervals only; including one starts its next interval.
         """
         now_s = boottime_s()
         addresses = []
--- a/tests/membership/test_members.py
+++ b/tests/membership/test_members.py
@@ -1,4 +1,4 @@
-"""Which gateways are relays and are sent messages, as others come and go."""
+"""Which gateways are relays, and which are contacted, as gateways start, stop and time out."""
 
 from __future__ import annotations
 
@@ -9,27 +9,27 @@
 
 
 def members(own: str, *others: tuple[str, float]) -> Members:
-    """Return the members of data centre c1 as *own* knows them."""
-    made = Members(Member(own, 'c1', 1.0))
+    """Return the member list of gateway *own* in data centre c1."""
+    member_list = Members(Member(own, 'c1', 1.0))
     for address, weight in others:
-        made.add(address, 'c1', weight)
-    return made
+        member_list.add(address, 'c1', weight)
+    return member_list
 
 
 def relays(known: Members) -> list[str]:
     return [member.address for member in known.relays('c1')]
 
 
-def test_heaviest_gateways_are_relays_as_everybody_sees_them() -> None:
+def test_all_gateways_choose_the_heaviest_as_relays() -> None:
     with virtual_clock():
         for own in ('g1', 'g2', 'g3'):
-            known = members(own, *((one, 1.0) for one in ('g1', 'g2', 'g3') if one != own))
+            known = members(own, *((name, 1.0) for name in ('g1', 'g2', 'g3') if name != own))
             known.add('g9', 'c1', 5.0)
             known.add('g8', 'c2', 9.0)
             assert relays(known) == ['g9', 'g1']
 
 
-def test_silent_relay_is_replaced_by_the_next() -> None:
+def test_relay_that_timed_out_is_replaced_by_the_next() -> None:
     with virtual_clock() as clock:
         known = members('g3', ('g1', 1.0), ('g2', 1.0))
         assert relays(known) == ['g1', 'g2']
@@ -51,7 +51,7 @@
         assert relays(known) == ['g1', 'g3']
 
 
-def test_silent_gateways_are_tried_now_and_then() -> None:
+def test_inactive_gateways_are_contacted_at_intervals() -> None:
     with virtual_clock() as clock:
         known = members('g1', ('g2', 1.0))
         clock.advance(60.0)
@@ -61,7 +61,7 @@
         assert known.addresses_to_contact(known.others()) == ['g2']
 
 
-def test_gateway_that_stops_is_no_relay() -> None:
+def test_gateway_that_announced_its_shutdown_is_inactive() -> None:
     with virtual_clock() as clock:
         known = members('g3', ('g1', 1.0), ('g2', 1.0))
         known.note_message('g1', 'c1')
@@ -73,7 +73,7 @@
 
 
 class Fleet:
-    """Many gateways of one data centre that see each other with delays."""
+    """Gateways of one data centre, each with its own member list."""
 
     def __init__(self, clock: VirtualClock, size: int) -> None:
         self.clock = clock
@@ -85,15 +85,15 @@
         self.dead: set[str] = set()
 
     def step(self) -> None:
-        """Let each living relay reach all, and each gateway reach its relays."""
-        living = {name: view for name, view in self.views.items() if name not in self.dead}
-        for name, view in living.items():
+        """Deliver a message from each live relay to all, and from each gateway to its relays."""
+        live = {name: view for name, view in self.views.items() if name not in self.dead}
+        for name, view in live.items():
             if view.is_relay:
-                for other in living.values():
+                for other in live.values():
                     other.note_message(name, 'c1')
             for relay in view.own_relays():
-                if relay.address in living:
-                    living[relay.address].note_message(name, 'c1')
+                if relay.address in live:
+                    live[relay.address].note_message(name, 'c1')
         self.clock.advance(0.25)
 
     def relays_seen(self) -> set[tuple[str, ...]]:
@@ -104,7 +104,7 @@
         }
 
 
-def test_all_agree_on_living_relays_soon_after_many_have_died() -> None:
+def test_all_agree_on_live_relays_soon_after_both_relays_died() -> None:
     with virtual_clock() as clock:
         fleet = Fleet(clock, 24)
         for _ in range(8):
