--- a/limeshelf/membership/dispatchers.py
+++ b/limeshelf/membership/dispatchers.py
@@ -1,9 +1,10 @@
-"""Which gateway of each data centre grants the replicas there, as this gateway knows it.
+"""Tracks which gateway is the dispatcher of each data centre; it grants the replicas there.
 
-The last relay by rank: the first one has the store, the sums and the states to pass on
-already. Relays see one another fall silent; who is further away goes by what they announce.
-Owns what was announced for other data centres; relies on
-:class:`~limeshelf.membership.members.Members` for the relays of the own one.
+The dispatcher is the last relay by rank, because the first relay already polls the store, sends
+the sums and forwards replica states. Within a data centre each gateway determines the dispatcher
+from its own list of relays. Gateways of other data centres rely on announcements by the relays.
+
+Owns the announcements for other data centres.
 """
 
 from __future__ import annotations
@@ -26,7 +27,7 @@
 
 
 def _active_address(announced: _Announcement | None) -> str | None:
-    """Return an address that was announced lately."""
+    """Return the announced address unless the announcement has expired."""
     if announced is None or not is_active(boottime_s() - announced.received_s):
         return None
     return announced.address
@@ -34,7 +35,7 @@
 
 @attrs.define
 class Dispatchers:
-    """The dispatcher of each data centre."""
+    """The dispatcher of each data centre, as known to this gateway."""
 
     members: Members
     _announced: dict[str, _Announcement] = attrs.field(factory=dict)
@@ -43,7 +44,7 @@
     def of_centre(self, data_centre: str) -> str | None:
         """Return the peer address of a data centre's dispatcher.
 
-        :data:`~limeshelf.membership.member.LOCAL` for this process, ``None`` for nobody known.
+        :data:`~limeshelf.membership.member.LOCAL` if it is this process, ``None`` if unknown.
         """
         if data_centre == self.members.own.data_centre:
             return self._own_centre_dispatcher()
@@ -57,15 +58,15 @@
         return LOCAL if relays[-1] is self.members.own else relays[-1].address
 
     def own_centre_address(self) -> str:
-        """Return the address of the own data centre's dispatcher; empty if none is known."""
+        """Return the address of this data centre's dispatcher; empty if none is known."""
         relays = self.members.own_relays()
         return relays[-1].address if relays else ''
 
     def announced(self) -> dict[str, str]:
-        """Return the dispatchers that are known, by data centre.
+        """Return the dispatchers that this gateway announces, by data centre.
 
-        Those that other relays passed on are left out: two relays that pass on what each has of
-        the other would keep a lost one for good.
+        Dispatchers forwarded by other relays are excluded: two relays that forward each other's
+        information would keep a dispatcher that no longer exists for ever.
         """
         known = {self.members.own.data_centre: self.own_centre_address()}
         for data_centre, announced in self._announced.items():
@@ -73,11 +74,14 @@
         return {data_centre: address for data_centre, address in known.items() if address}
 
     def record_announced(self, data_centre: str, address: str) -> None:
-        """Note whom a relay of another data centre announced for it; empty for nobody."""
+        """Record the dispatcher that a relay of another data centre announced for it.
+
+        :param address: empty if the relay knows none; then nothing changes.
+        """
         if address and data_centre != self.members.own.data_centre:
             self._announced[data_centre] = _Announcement(address, boottime_s())
 
     def record_forwarded(self, data_centre: str, address: str) -> None:
-        """Note whom a relay of the own data centre has heard announced for another one."""
+        """Record another data centre's dispatcher, forwarded by a relay of this data centre."""
         if address and data_centre != self.members.own.data_centre:
             self._forwarded[data_centre] = _Announcement(address, boottime_s())
--- a/tests/membership/test_dispatchers.py
+++ b/tests/membership/test_dispatchers.py
@@ -1,4 +1,4 @@
-"""Which gateway grants the replicas of each data centre."""
+"""Which gateway is the dispatcher of each data centre."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
     return Dispatchers(members)
 
 
-def test_all_of_a_centre_agree_on_its_last_relay() -> None:
+def test_gateways_of_a_centre_agree_that_the_last_relay_is_the_dispatcher() -> None:
     with virtual_clock():
         names = ('g1', 'g2', 'g3')
-        views = {own: dispatchers(own, *(one for one in names if one != own)) for own in names}
+        views = {own: dispatchers(own, *(name for name in names if name != own)) for own in names}
         assert {view.own_centre_address() for view in views.values()} == {'g2'}
         assert views['g2'].of_centre('c1') == LOCAL
         assert views['g3'].of_centre('c1') == 'g2'
@@ -31,42 +31,42 @@
         assert dispatchers('g1').of_centre('c1') == LOCAL
 
 
-def test_silent_dispatcher_is_followed_by_the_next_relay() -> None:
+def test_dispatcher_that_timed_out_is_replaced_by_the_next_relay() -> None:
     with virtual_clock() as clock:
-        one = dispatchers('g1', 'g2', 'g3')
-        assert one.of_centre('c1') == 'g2'
+        view = dispatchers('g1', 'g2', 'g3')
+        assert view.of_centre('c1') == 'g2'
         clock.advance(RELAY_TIMEOUT_S + 0.1)
-        one.members.note_message('g3', 'c1')
-        assert one.of_centre('c1') == 'g3'
+        view.members.note_message('g3', 'c1')
+        assert view.of_centre('c1') == 'g3'
 
 
-def test_dispatcher_elsewhere_is_the_announced_one_for_a_while() -> None:
+def test_announced_dispatcher_of_another_centre_expires() -> None:
     with virtual_clock() as clock:
-        one = dispatchers('g1')
-        assert one.of_centre('c2') is None
-        one.record_announced('c2', 'h2')
-        one.record_announced('c2', '')
-        assert one.of_centre('c2') == 'h2'
-        assert one.announced() == {'c1': 'g1', 'c2': 'h2'}
+        view = dispatchers('g1')
+        assert view.of_centre('c2') is None
+        view.record_announced('c2', 'h2')
+        view.record_announced('c2', '')
+        assert view.of_centre('c2') == 'h2'
+        assert view.announced() == {'c1': 'g1', 'c2': 'h2'}
         clock.advance(INACTIVE_AFTER_S)
-        assert one.of_centre('c2') is None
-        assert one.announced() == {'c1': 'g1'}
+        assert view.of_centre('c2') is None
+        assert view.announced() == {'c1': 'g1'}
 
 
-def test_nobody_announces_the_dispatcher_of_this_centre() -> None:
+def test_announcement_for_this_centre_is_ignored() -> None:
     with virtual_clock():
-        one = dispatchers('g1', 'g2')
-        one.record_announced('c1', 'g9')
-        assert one.of_centre('c1') == 'g2'
+        view = dispatchers('g1', 'g2')
+        view.record_announced('c1', 'g9')
+        assert view.of_centre('c1') == 'g2'
 
 
-def test_what_a_relay_passes_on_counts_for_a_while_and_goes_no_further() -> None:
+def test_forwarded_dispatcher_expires_and_is_not_announced() -> None:
     with virtual_clock() as clock:
-        one = dispatchers('g1')
-        one.record_forwarded('c2', 'h2')
-        assert one.of_centre('c2') == 'h2'
-        assert one.announced() == {'c1': 'g1'}
-        one.record_announced('c2', 'h3')
-        assert one.of_centre('c2') == 'h3'
+        view = dispatchers('g1')
+        view.record_forwarded('c2', 'h2')
+        assert view.of_centre('c2') == 'h2'
+        assert view.announced() == {'c1': 'g1'}
+        view.record_announced('c2', 'h3')
+        assert view.of_centre('c2') == 'h3'
         clock.advance(INACTIVE_AFTER_S)
-        assert one.of_centre('c2') is None
+        assert view.of_centre('c2') is None
