--- a/limeshelf/membership/gateway_count.py
+++ b/limeshelf/membership/gateway_count.py
@@ -1,7 +1,6 @@
-"""How many gateways share what all of them together may use.
+"""Counts the gateways among which limits for the whole deployment are divided.
 
-Owns the highest number that was heard of lately. Relies on
-:class:`~limeshelf.membership.members.Members` for the rows of the store.
+Owns the highest number of active gateways seen recently.
 """
 
 from __future__ import annotations
@@ -11,18 +10,18 @@
 from limeshelf.membership.members import Members
 from limeshelf.util.clock import boottime_s
 
-#: A gateway that is not heard any more counts for this long, in seconds: it may be cut off and
-#: go on serving. One that was replaced takes its part for as long.
+#: A gateway that is no longer active is counted for this long, because it may be cut off by a
+#: network partition and still serve calls. A gateway that was replaced is counted as long, too.
 COUNT_RETENTION_S = 600.0
 
 
 @attrs.define
 class GatewayCounter:
-    """Counts the gateways that may be serving, not only those that are heard now.
+    """Counts all gateways that may be serving calls, not only the active ones.
 
-    A limit that is divided by those heard now is exceeded as soon as some are cut off from
-    each other: nine gateways that hear nobody let 180 calls be repeated 256 times where 92 are
-    allowed (tests/membership/test_repeats_of_all_gateways.py).
+    A limit divided by the number of active gateways is exceeded as soon as a network partition
+    separates some of them: nine isolated gateways allowed 256 retries of 180 calls where the
+    limit is 92 (tests/membership/test_repeats_of_all_gateways.py).
     """
 
     members: Members
@@ -31,10 +30,12 @@
     _started_s: float = attrs.field(factory=boottime_s)
 
     def update(self, active_count: int) -> int | None:
-        """Take how many are heard now, this one included; return how many share.
+        """Return the number of gateways that share the limits.
 
-        ``None`` where nothing tells: neither has another gateway been heard, nor have the rows
-        of the store come that name them.
+        ``None`` if unknown: no other gateway has been active, and no row of the members table
+        has been received.
+
+        :param active_count: number of active gateways, this one included.
         """
         now_s = boottime_s()
         if active_count >= self._highest or now_s - self._highest_at_s > COUNT_RETENTION_S:
--- a/tests/membership/test_gateway_count.py
+++ b/tests/membership/test_gateway_count.py
@@ -1,4 +1,4 @@
-"""Who counts among those that share a limit."""
+"""Which gateways are counted when a limit is divided among them."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from limeshelf.util.clock import virtual_clock
 
 
-def test_nothing_is_known_before_rows_or_others() -> None:
+def test_count_is_unknown_before_rows_or_other_gateways() -> None:
     with virtual_clock():
         assert GatewayCounter(Members(Member('g1', 'c1'))).update(1) is None
 
@@ -22,7 +22,7 @@
         assert GatewayCounter(members).update(1) == 3
 
 
-def test_single_gateway_that_has_its_row_shares_with_nobody() -> None:
+def test_single_gateway_with_its_row_counts_one() -> None:
     with virtual_clock() as clock:
         members = Members(Member('g1', 'c1'))
         members.are_listed = True
@@ -32,7 +32,7 @@
         assert count.update(1) == 1
 
 
-def test_those_that_fell_silent_count_for_a_while() -> None:
+def test_gateways_that_became_inactive_are_counted_for_the_retention_time() -> None:
     with virtual_clock() as clock:
         count = GatewayCounter(Members(Member('g1', 'c1')))
         assert count.update(9) == 9
@@ -42,7 +42,7 @@
         assert count.update(2) == 2
 
 
-def test_rows_of_gateways_that_are_long_gone_do_not_count_for_good() -> None:
+def test_rows_of_gateways_that_no_longer_exist_stop_counting() -> None:
     with virtual_clock() as clock:
         members = Members(Member('g1', 'c1'))
         members.are_listed = True
