--- a/limeshelf/membership/contention.py
+++ b/limeshelf/membership/contention.py
@@ -1,23 +1,24 @@
-"""Decides whether this gateway tries to take the lease.
+"""Decides whether this gateway tries to acquire the leader's lease.
 
-The first relays of the data centres come first: they notice a lost leader first, few contenders
-keep the calls to the store few, and the second relays grant calls, which must not wait while a
-leader plans. Decides only; :class:`limeshelf.membership.leader.LeaderView` applies it.
+The first relays of the data centres try first. They are the first to detect the loss of a leader,
+and few contenders mean few calls to the store. The second relays do not, because they are
+dispatchers, whose grants must not be delayed by the planning of a leader.
+
+:class:`limeshelf.membership.leader.LeaderView` applies the decision.
 """
 
 from __future__ import annotations
 
-#: A gateway that is no first relay contends only after nobody has led for this long, in
-#: seconds.
+#: A gateway that is not a first relay contends only after there was no leader for this long.
 CONTEND_AFTER_S = 1.5
 
 
 def may_contend(*, leader_is_active: bool, is_first_relay: bool, leaderless_s: float) -> bool:
-    """Return whether to try to take the lease now.
+    """Return whether to try to acquire the lease now.
 
-    :param leader_is_active: whether another gateway claimed lately to lead.
+    :param leader_is_active: whether there is an active leader that may send orders.
     :param is_first_relay: whether this gateway is the first relay of its data centre.
-    :param leaderless_s: time since this gateway last saw that another one leads.
+    :param leaderless_s: time since this gateway last saw such a leader.
     """
     if leader_is_active:
         return False
--- a/limeshelf/membership/leader.py
+++ b/limeshelf/membership/leader.py
@@ -1,8 +1,7 @@
-"""Which gateway leads by the latest messages.
+"""Tracks which gateway is the leader, from the claims in received messages.
 
-Owns the newest claim of another gateway to lead. Relies on
-:class:`~limeshelf.lease.leadership.Leadership` for whether this gateway leads itself,
-and on the messages of the others; the lease's row is not read here.
+Owns the latest claim of another gateway. Whether this gateway leads is known from
+:class:`~limeshelf.lease.leadership.Leadership`. The lease's row in the store is not read here.
 """
 
 from __future__ import annotations
@@ -23,17 +22,18 @@
 
 @attrs.define
 class LeaderView:
-    """The leader by its latest message.
+    """The leader as known to this gateway.
 
-    :param members: have this gateway's own address and whether it is a relay.
+    :param members: provides this gateway's address and whether it is a relay.
     :param leadership: this gateway's own term, if it holds the lease.
-    :ivar address: peer address of the gateway that claimed to lead last.
-    :ivar fence: of its lease; 0 before any claim. Claims with a lower one are late.
-    :ivar last_message_s: when it claimed so; 0 if it has stopped.
-    :ivar may_order: whether it said that its orders may leave. One that is cut off from
-        the store keeps its term, but lets others contend: while it did not, nobody
-        placed models for the 11 s of a cut, and two of five calls at its end found no
-        replica.
+    :ivar address: peer address of the gateway that last claimed to lead.
+    :ivar fence: fencing token of its lease; 0 before any claim. Claims with a lower token are
+        out of date.
+    :ivar last_claim_s: time of its latest claim, on the boot clock; 0 if it has shut down.
+    :ivar may_order: whether the leader stated that it may send orders to replicas. A leader that
+        is cut off from the store keeps its term but lets others contend. Without this rule no
+        models were placed during an 11 s network partition, and two of five calls at its end
+        found no replica.
     """
 
     members: Members
@@ -46,7 +46,7 @@
 
     @property
     def is_active(self) -> bool:
-        """Return whether another gateway claimed lately to lead."""
+        """Return whether another gateway recently claimed to lead."""
         return bool(self.fence) and is_active(boottime_s() - self.last_claim_s)
 
     @property
@@ -55,10 +55,10 @@
         return self.leadership.fence > 0
 
     def record_claim(self, address: str, fence: int, may_order: bool | None = None) -> None:
-        """Note that a gateway leads under *fence*.
+        """Record that a gateway claims to lead under *fence*; outdated claims are ignored.
 
-        :param may_order: whether its orders may leave; ``None`` where the message does not
-            say so.
+        :param may_order: whether it may send orders to replicas; ``None`` if the message does
+            not state it.
         """
         if fence < self.fence or address == self.members.own.address:
             return
@@ -69,24 +69,24 @@
         self.last_claim_s = boottime_s()
 
     def mark_leaving(self, address: str) -> None:
-        """Note that a gateway stops."""
+        """Expire the leader's claim if the gateway that announced its shutdown is the leader."""
         if address == self.address:
             self.last_claim_s = 0.0
 
     def current(self) -> str | None:
-        """Return the peer address of the gateway that leads.
+        """Return the peer address of the leader.
 
-        :data:`~limeshelf.membership.member.LOCAL` for this process, ``None`` for nobody known.
+        :data:`~limeshelf.membership.member.LOCAL` if it is this process, ``None`` if unknown.
         """
         if self.is_self:
             return LOCAL
         return self.address if self.is_active else None
 
     def may_contend(self) -> bool:
-        """Return whether this gateway should try to take the lease.
+        """Return whether this gateway, which does not hold the lease, should try to acquire it.
 
-        For a gateway without the lease; asked again and again, it also notes until
-        when another gateway led and could order.
+        Must be called regularly: each call also records whether there is an active leader that
+        may send orders.
         """
         now_s = boottime_s()
         leader_is_active = self.is_active and self.may_order
--- a/tests/membership/test_contention.py
+++ b/tests/membership/test_contention.py
@@ -1,4 +1,4 @@
-"""Who tries to take the lease."""
+"""When a gateway tries to acquire the leader's lease."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
         (False, False, CONTEND_AFTER_S + 0.1, True),
     ],
 )
-def test_relays_contend_first(
+def test_first_relays_contend_before_other_gateways(
     leader_is_active: bool, is_first_relay: bool, leaderless_s: float, expected: bool
 ) -> None:
     contends = may_contend(
