--- a/limeshelf/membership/state_changes.py
+++ b/limeshelf/membership/state_changes.py
@@ -1,7 +1,7 @@
-"""Collects the changes of replicas that the leader has to send to other gateways at once.
+"""Collects changes of replicas that the leader must send to other gateways without delay.
 
-Owns the changes that were not sent yet. The directory of replicas and the placement note
-them; :class:`limeshelf.membership.state_exchange.StateExchange` sends them.
+Owns the changes not sent yet. The replica directory and the placement add them;
+:class:`limeshelf.membership.state_exchange.StateExchange` sends them.
 """
 
 from __future__ import annotations
@@ -10,37 +10,37 @@
 
 
 class StateChanges:
-    """Replicas that changed, and whether anything waits to be sent."""
+    """The replicas that changed, and whether anything has to be sent."""
 
     def __init__(self) -> None:
         self._replica_ids: set[str] = set()
         self._pending = asyncio.Event()
 
     def note_replica(self, replica_id: str) -> None:
-        """Note that a replica holds something else than before."""
+        """Record that the contents of a replica changed."""
         self._replica_ids.add(replica_id)
         self._pending.set()
 
     def note_load(self) -> None:
-        """Note that a load was ordered, so that waiting calls learn of it."""
+        """Signal that a model load was ordered; gateways with waiting calls need to know it."""
         self._pending.set()
 
     def pop_replicas(self) -> set[str]:
-        """Return the replicas that changed since the last call, and forget them."""
-        taken, self._replica_ids = self._replica_ids, set()
-        return taken
+        """Return and clear the replicas that changed since the last call."""
+        changed, self._replica_ids = self._replica_ids, set()
+        return changed
 
     async def wait(self, timeout_s: float, batch_window_s: float) -> None:
-        """Return some moments after a change, or after a time without any.
+        """Wait for a change and a batch window after it, or until the time-out.
 
-        :param limit_s: longest wait for a change.
-        :param gap_s: pause after a change, in which others may join it.
+        :param timeout_s: maximum wait for a change.
+        :param batch_window_s: time after a change during which further changes are collected.
         """
         try:
             async with asyncio.timeout(timeout_s):
                 await self._pending.wait()
         except TimeoutError:
-            # The usual case: nothing changed, and the leader sends what is due anyway.
+            # The usual case: without a change the leader still sends its periodic update.
             return
         self._pending.clear()
         await asyncio.sleep(batch_window_s)
