--- a/limeshelf/membership/state_conversion.py
+++ b/limeshelf/membership/state_conversion.py
@@ -1,7 +1,4 @@
-"""Translates a replica's report into the message of the leader, and back.
-
-Owns nothing; relies on the types of :mod:`limeshelf.replicas` and of the messages.
-"""
+"""Converts a replica's report to the leader's message format and back."""
 
 from __future__ import annotations
 
@@ -15,11 +12,12 @@
 
 
 def state_from_replica(replica: Replica) -> ReplicaState:
-    """Return what a replica reported; what is about to go is left out.
+    """Return the reported state of a replica, without the models that are being retired.
 
-    The number of orders is that of the report, although more may have been taken since:
-    a successor that joined the newer number to the older contents ordered a load into
-    memory that another load was filling (tests/membership/test_states.py).
+    The number of orders is the one in the report, even if the replica has accepted further orders
+    since. Combined with a newer number, the reported contents would be out of date: a new leader
+    that received such a state ordered a load into memory that another load was already filling
+    (tests/membership/test_state_conversion.py).
     """
     report = replica.report
     held = [
@@ -40,7 +38,7 @@
 
 
 def report_from_state(state: ReplicaState) -> ReplicaReport:
-    """Return the report that the leader's message holds."""
+    """Return the report contained in a state from the leader's message."""
     return ReplicaReport(
         holdings=tuple(Holding(held.model, frozenset(held.adapters)) for held in state.held),
         busy=False,
