--- a/tests/membership/test_leader.py
+++ b/tests/membership/test_leader.py
@@ -20,7 +20,7 @@
 
 
 def make_view(fence: int = 0, *heavier: str) -> LeaderView:
-    """Return the make_view of gateway ``own``, which holds the lease under *fence*."""
+    """Return the view of gateway ``own``, which holds the lease under *fence*."""
     members = Members(Member('own', 'c1', 1.0))
     members.are_listed = True
     for address in heavier:
