--- a/limeshelf/membership/__init__.py
+++ b/limeshelf/membership/__init__.py
@@ -1,1 +1,1 @@
-"""The gateways of this deployment, and the state that they send one another."""
+"""Membership of the gateways, and the state that they exchange with each other."""
--- a/limeshelf/membership/store_polling.py
+++ b/limeshelf/membership/store_polling.py
@@ -1,77 +1,79 @@
-"""Decides which gateways ask the store, so that few do and none is held back by others.
+"""Decides which gateways poll the store, so that few do and none depends on a failed one.
 
-One gateway follows the store: the first relay of the first data centre by name. It passes
-what it learns on to the relays of all data centres, and these to their gateways. When
-what is passed on grows older than it should be, others ask the store themselves, in an
-order that everybody knows: age decides, not the role, so one that is cut off from the store
-holds nobody back. Whoever has begun goes on until what others pass on is new enough again.
+Normally one gateway polls the store: the first relay of the first data centre by name. It sends
+the rows to the relays of all data centres, and these forward them to their gateways. When the
+copies of other gateways become overdue, those gateways poll the store themselves, one after the
+other in a polling order that all gateways derive alike. Because this depends on the age of the
+copies and not on a role, a polling gateway that is cut off from the store blocks no other one.
+A gateway that has started polling continues until its peers send rows that are new enough.
 
-All gateways of 71 asking sent 900 calls a second; one relay of each data centre, with copies
-that counted as old too soon, 25 a second in a fleet of 20. Decides only;
-:class:`limeshelf.membership.row_exchange.RowExchange` applies it.
+When all of 71 gateways polled, they sent 900 calls per second; when one relay per data centre
+polled and copies became overdue too soon, 20 gateways sent 25 calls per second.
+
+:class:`limeshelf.membership.row_exchange.RowExchange` applies the decisions.
 """
 
 from __future__ import annotations
 
 from limeshelf.membership.relays import RELAYS_PER_CENTRE
 
-#: Each gateway waits this much longer than the one before it in the order.
+#: Each gateway waits this much longer than the one before it in the polling order.
 OVERDUE_STEP_S = 0.08
 #: No gateway waits longer than this.
 OVERDUE_LIMIT_S = 1.5
-#: Longest further pause after a failure of a gateway that is no relay: while the store is away,
-#: a call of each of hundreds of gateways tells no more than those of the relays.
+#: Longest additional pause after a failed call of a gateway that is not a relay. While the store
+#: is unavailable, calls from hundreds of gateways reveal no more than calls from the relays.
 NON_RELAY_RETRY_SPREAD_S = 8.0
 
 
 def polling_order(rank: int, centre_index: int, centre_count: int) -> int:
-    """Return a gateway's place in the order in which gateways ask the store, from 0.
+    """Return a gateway's position in the polling order, from 0.
 
-    The first relays of all data centres come first, then the second ones, then the others
-    by rank.
+    The first relays of all data centres come first, then the second relays, then the other
+    gateways by rank.
 
-    :param place: among the relays of its data centre, or by rank among all there, from 0.
-    :param centre: place of its data centre among all by name, from 0.
-    :param centres: data centres with gateways.
+    :param rank: position among the relays of its data centre, or, if it is not a relay, rank
+        among all gateways there; from 0.
+    :param centre_index: position of its data centre when sorted by name, from 0.
+    :param centre_count: number of data centres with gateways.
     """
     return rank * centre_count + centre_index
 
 
 def overdue_limit_s(order: int, *, is_isolated: bool = False) -> float:
-    """Return for how long copies may be overdue, in seconds, before a gateway asks the store.
+    """Return how long copies may be overdue, in seconds, before a gateway polls the store.
 
-    :param order: as :func:`polling_order` returns it.
-    :param is_alone: whether it has heard no other gateway lately. The order is there so that
-        others can pass on what the first one learns; who hears nobody would only wait, late
-        in the order for longer than a change may take to be in force.
+    :param order: the gateway's position in the polling order.
+    :param is_isolated: whether it has recently received no message from any other gateway. The
+        delays exist so that rows polled by the first gateway can arrive. An isolated gateway
+        would wait in vain; late in the order, for longer than a change may take to be in force.
     """
     return 0.0 if is_isolated else min(OVERDUE_LIMIT_S, OVERDUE_STEP_S * order)
 
 
 def retry_spread_s(order: int, centre_count: int, *, is_isolated: bool = False) -> float:
-    """Return the longest further pause after a call to the store that failed, in seconds.
+    """Return the longest additional pause after a failed call to the store, in seconds.
 
-    :param order: as :func:`polling_order` returns it.
-    :param centres: data centres with gateways.
-    :param is_alone: as for :func:`overdue_limit_s`.
+    :param order: the gateway's position in the polling order.
+    :param centre_count: number of data centres with gateways.
+    :param is_isolated: as for :func:`overdue_limit_s`.
     """
-    is_told_by_relays = order >= RELAYS_PER_CENTRE * centre_count and not is_isolated
+    depends_on_relays = order >= RELAYS_PER_CENTRE * centre_count and not is_isolated
     return (
         NON_RELAY_RETRY_SPREAD_S
-        if is_told_by_relays
+        if depends_on_relays
         else overdue_limit_s(order, is_isolated=is_isolated)
     )
 
 
 def polls_store(*, order: int, overdue_s: float, is_isolated: bool = False) -> bool:
-    """Return whether a gateway asks the store now.
-
-    :param order: as :func:`polling_order` returns it.
-    :param overdue_s: for how long others have passed on nothing that is new enough, of the
-        table where that is longest; negative while they do for all. One table that is old
-        is a sign that the others may be, too: a gateway that lost the store passes on no
-        changes of any table
-        (tests/membership/test_row_exchange.py::test_one_old_table_makes_all_due).
-    :param is_alone: as for :func:`overdue_limit_s`.
+    """Return whether a gateway polls the store now.
+
+    :param order: the gateway's position in the polling order.
+    :param overdue_s: how long updates from peers have been overdue, for the table that is most
+        overdue; negative if none is. One overdue table suffices for polling all, because a peer
+        that lost the store sends no changes of any table
+        (tests/membership/test_row_exchange.py::test_one_overdue_table_makes_all_due).
+    :param is_isolated: as for :func:`overdue_limit_s`.
     """
     return order == 0 or overdue_s > overdue_limit_s(order, is_isolated=is_isolated)
--- a/tests/membership/test_row_exchange.py
+++ b/tests/membership/test_row_exchange.py
@@ -168,7 +168,7 @@
     assert other_node.sent == []
 
 
-def test_one_old_table_makes_all_due() -> None:
+def test_one_overdue_table_makes_all_due() -> None:
     """A gateway that lost the store passes on no changes of any table."""
     with virtual_clock() as clock:
         one = exchange('g2', 'g1')
--- a/tests/membership/test_store_polling.py
+++ b/tests/membership/test_store_polling.py
@@ -1,4 +1,4 @@
-"""Who asks the store, and how long the others wait."""
+"""Which gateways poll the store, and how long the others wait."""
 
 from __future__ import annotations
 
@@ -24,18 +24,20 @@
         (2, 2 * OVERDUE_STEP_S + 0.01, True),
     ],
 )
-def test_store_is_asked_by_the_first_or_when_copies_are_old(
+def test_store_is_polled_by_the_first_or_when_copies_are_overdue(
     order: int, overdue_s: float, expected: bool
 ) -> None:
     assert polls_store(order=order, overdue_s=overdue_s) is expected
 
 
 def test_first_relays_of_all_centres_come_before_the_second_ones() -> None:
-    orders = [polling_order(place, centre, 3) for place in range(3) for centre in range(3)]
+    orders = [
+        polling_order(rank, centre_index, 3) for rank in range(3) for centre_index in range(3)
+    ]
     assert orders == list(range(9))
 
 
-def test_gateways_that_are_no_relays_ask_a_lost_store_seldom() -> None:
+def test_gateways_that_are_not_relays_retry_less_often() -> None:
     assert retry_spread_s(5, 3) == overdue_limit_s(5)
     assert retry_spread_s(6, 3) == NON_RELAY_RETRY_SPREAD_S
 
@@ -46,7 +48,7 @@
     assert overdue_limit_s(1000) == OVERDUE_LIMIT_S
 
 
-def test_gateway_that_is_alone_asks_at_once_and_again_soon() -> None:
+def test_isolated_gateway_polls_without_delay() -> None:
     assert overdue_limit_s(1000, is_isolated=True) == 0.0
     assert retry_spread_s(1000, 3, is_isolated=True) == 0.0
     assert polls_store(order=1000, overdue_s=0.01, is_isolated=True)
