--- a/limeshelf/membership/receivers.py
+++ b/limeshelf/membership/receivers.py
@@ -1,4 +1,4 @@
-"""Decides which gateways are sent what, so that few messages reach everybody.
+"""Decides which gateways receive which messages, so that few messages reach all gateways.
 
 =================  ======================  ==============================================
 message            sender                  receivers
@@ -7,21 +7,22 @@
 summary            every relay             gateways of its data centre
 sum of digests     first relay             the leader and relays of other data centres
 replica states     leader                  gateways of its data centre, relays of others
-the same, passed   first relay of another  gateways of its data centre
-on                 data centre
-rows               who asked the store     gateways of its data centre, relays of others
-the same, passed   first relay of another  gateways of its data centre
-on                 data centre
-what replicas ask  every gateway           relays of its data centre
-for
-the same, passed   relays                  gateways of their data centre, relays of others
-on                                         if it comes from their own
-leaving            every gateway           all gateways
+replica states,    first relay of another  gateways of its data centre
+forwarded          data centre
+rows               gateway that polled     gateways of its data centre, relays of others
+                   the store
+rows, forwarded    first relay of another  gateways of its data centre
+                   data centre
+replica notices,   every gateway           relays of its data centre
+crash suspects
+the same,          relays                  gateways of their data centre; relays of others
+forwarded                                  if received from their own data centre
+gateway leaving    every gateway           all gateways
 =================  ======================  ==============================================
 
-With every gateway sending to every other, 71 of them sent 20,000 messages a second.
-Owns nothing; relies on :class:`~limeshelf.membership.members.Members`
-for who is a relay, and for leaving out who is silent.
+When every gateway sent to every other, 71 gateways sent 20,000 messages per second.
+Inactive gateways are contacted at intervals only
+(:meth:`limeshelf.membership.members.Members.addresses_to_contact`).
 """
 
 from __future__ import annotations
@@ -35,8 +36,8 @@
     from limeshelf.membership.member import Member
     from limeshelf.membership.members import Members
 
-#: Sums go to other data centres with every so many digests of the first relay: each 0.5 s. The
-#: leader gets each.
+#: The first relay sends the sum to other data centres with every second digest, that is, every
+#: 0.5 s; it sends every sum to the leader.
 DIGESTS_PER_REMOTE_SUM = 2
 
 
@@ -48,10 +49,11 @@
 def other_centre_relays(members: Members) -> set[str]:
     """Return the addresses of the relays of all other data centres.
 
-    Of one that is silent as a whole, its first gateways by rank are tried, and another by
-    chance in case that these are gone. Otherwise two data centres that a cut separated would
-    send each other nothing any more: after a cut of 7 s they were apart until the end of a
-    play, 28 s later (tests/membership/test_isolation_after_cut.py).
+    For a data centre without any relay, because all its gateways timed out, the first gateways by
+    rank are contacted, and a random one in case those no longer exist. Otherwise two data centres
+    separated by a network partition would never send each other a message again: after a
+    partition of 7 s they were still separated at the end of a test, 28 s later
+    (tests/membership/test_reconnection_after_partition.py).
     """
     addresses: set[str] = set()
     for centre in members.other_centres():
@@ -66,10 +68,10 @@
 
 
 def of_bundle(members: Members, leader: str | None, digest_count: int) -> list[str]:
-    """Return who is sent the sum of this data centre's digests by its first relay.
+    """Return the addresses to which the first relay sends the sum of its data centre's digests.
 
-    :param leader: address of the leader; ``None`` if none is known or we lead.
-    :param digest_count: digests that this gateway has sent since its start.
+    :param leader: address of the leader; ``None`` if it is unknown or is this gateway.
+    :param digest_count: number of digests that this gateway has sent since its start.
     """
     addresses = {leader} if leader is not None else set()
     if digest_count % DIGESTS_PER_REMOTE_SUM == 0:
@@ -78,19 +80,19 @@
 
 
 def of_states(members: Members) -> list[str]:
-    """Return who is sent the states of replicas by the leader."""
+    """Return the addresses to which the leader sends the states of replicas."""
     return sorted({*own_centre(members), *other_centre_relays(members)})
 
 
 def of_rows(members: Members) -> list[str]:
-    """Return who is sent rows by the gateway that asked the store."""
+    """Return the addresses to which a gateway sends the rows that it polled from the store."""
     return of_states(members)
 
 
 def of_forwarded(members: Members, sender_centre: str) -> list[str]:
-    """Return whom this gateway passes states of replicas, or rows, on to.
+    """Return the addresses to which this gateway forwards replica states or rows.
 
-    :param sender_centre: data centre of the leader, or of who asked the store.
+    :param sender_centre: data centre of the gateway from which they were received.
     """
     if sender_centre == members.own.data_centre or not members.is_first_relay:
         return []
