--- a/limeshelf/membership/broadcast_queue.py
+++ b/limeshelf/membership/broadcast_queue.py
@@ -1,9 +1,10 @@
-"""Brings news from the gateway that has it to all others, through relays, and round no circle.
+"""Broadcasts items from one gateway to all others through relays, without loops.
 
-Each gateway tells the relays of its data centre what it learned itself; relays pass on what was
-new to them, to all gateways of their data centre and, if it comes from there, to the relays of the
-others. Messages may be lost. Owns what is still to be sent; relies on
-:mod:`~limeshelf.membership.receivers` for who is sent it.
+A gateway sends its own items to the relays of its data centre. A relay forwards items that are
+new to it to all gateways of its data centre and, if they originate there, to the relays of the
+other data centres. Messages may be lost.
+
+Owns the items not sent yet. :mod:`~limeshelf.membership.receivers` decides on the receivers.
 """
 
 from __future__ import annotations
@@ -21,19 +22,19 @@
 
 ItemT = TypeVar('ItemT')
 
-#: Gathering ends with a pause of this share of it in which nothing came, and that was not late:
-#: while the processor is short, news that came is not read yet.
+#: A batch is complete after a pause without new items; the pause is this fraction of the batch
+#: window. A pause that ended late does not count: while the event loop is delayed, items that
+#: have arrived may not have been read yet.
 QUIET_FRACTION = 0.2
-#: Gathering lasts no longer than so many times its usual length.
+#: Longest wait for a batch, in batch windows.
 MAX_BATCH_WINDOWS = 3
 
 
 class BroadcastQueue(Generic[ItemT]):
-    """What a gateway has to tell of one kind.
+    """Batches the items of one kind that a gateway has to send.
 
-    :param batch_window_s: after the first news, in seconds, others that come with it are sent
-        with it.
-    :param send_to: sends items to the gateways at some addresses.
+    :param batch_window_s: items added within this time after the first one are sent with it.
+    :param send_to: sends items to the gateways at the given addresses.
     """
 
     def __init__(
@@ -48,21 +49,21 @@
         self._for_own_centre: dict[Hashable, ItemT] = {}
         self._for_other_centres: dict[Hashable, ItemT] = {}
         self._has_items = asyncio.Event()
-        # Whether nothing came since the last pause began.
+        # Whether no item was added since the last pause began.
         self._is_quiet = True
 
     def publish(self, key: Hashable, item: ItemT) -> None:
-        """Tell what this gateway learned itself.
+        """Queue an item that originates at this gateway.
 
-        :param key: a later item with the same key takes the place of one that is not sent yet.
+        :param key: a later item with the same key replaces one that is not sent yet.
         """
         self._for_own_centre[key] = self._for_other_centres[key] = item
         self._mark_pending()
 
     def relay(self, key: Hashable, item: ItemT, sender_centre: str) -> None:
-        """Pass on, as a relay, what was new.
+        """Queue an item received from another gateway, if this gateway is a relay.
 
-        :param centre: data centre of the gateway that told it.
+        :param sender_centre: data centre of the gateway from which it was received.
         """
         if not self._members.is_relay:
             return
@@ -76,7 +77,7 @@
         self._has_items.set()
 
     async def run(self) -> None:
-        """Send news as it comes."""
+        """Send queued items in batches, for ever."""
         while True:
             await self._has_items.wait()
             await self._wait_for_batch()
@@ -84,11 +85,11 @@
             self._send()
 
     async def _wait_for_batch(self) -> None:
-        """Wait for news that comes with the first, also while the processor is short."""
+        """Wait until the batch is complete, also while the event loop is delayed."""
         pause_s = QUIET_FRACTION * self._batch_window_s
-        limit_s = boottime_s() + MAX_BATCH_WINDOWS * self._batch_window_s
+        deadline_s = boottime_s() + MAX_BATCH_WINDOWS * self._batch_window_s
         await asyncio.sleep(self._batch_window_s - pause_s)
-        while boottime_s() < limit_s:
+        while boottime_s() < deadline_s:
             self._is_quiet = True
             due_s = boottime_s() + pause_s
             await asyncio.sleep(pause_s)
@@ -96,11 +97,11 @@
                 return
 
     def _send(self) -> None:
-        near, self._for_own_centre = list(self._for_own_centre.values()), {}
-        far, self._for_other_centres = list(self._for_other_centres.values()), {}
+        own_centre_items, self._for_own_centre = list(self._for_own_centre.values()), {}
+        other_centre_items, self._for_other_centres = list(self._for_other_centres.values()), {}
         members = self._members
         if not members.is_relay:
-            self._send_to(members.addresses_to_contact(members.own_relays()), near)
+            self._send_to(members.addresses_to_contact(members.own_relays()), own_centre_items)
             return
-        self._send_to(receivers.own_centre(members), near)
-        self._send_to(sorted(receivers.other_centre_relays(members)), far)
+        self._send_to(receivers.own_centre(members), own_centre_items)
+        self._send_to(sorted(receivers.other_centre_relays(members)), other_centre_items)
