--- a/limeshelf/membership/crash_exchange.py
+++ b/limeshelf/membership/crash_exchange.py
@@ -1,8 +1,8 @@
-"""Tells other gateways of calls at which replicas ended, and takes in what they tell.
+"""Exchanges the calls suspected of crashing replicas with the other gateways.
 
-They go as :mod:`~limeshelf.membership.broadcast_queue`. A gateway that hears no other learns of a
-call once
-it rests, by its row in the store (:mod:`limeshelf.crashes.keeper`).
+Suspects are broadcast through :mod:`~limeshelf.membership.broadcast_queue`. A gateway that is cut
+off from all others learns of a call only once the call is quarantined, from its row in the store
+(:mod:`limeshelf.crashes.keeper`).
 """
 
 from __future__ import annotations
@@ -24,17 +24,16 @@
     from limeshelf.peers.codec import Envelope
     from limeshelf.peers.node import PeerNode
 
-#: After the first news, in seconds, others that come with it go in the same message: a replica
-#: that ends breaks off its calls within 3 ms at all gateways, and a relay hears of them one by
-#: one.
+#: Suspects added within this time are sent in one message. When a replica ends, its calls break
+#: off within 3 ms at all gateways, but a relay receives the reports of the gateways one by one.
 BATCH_WINDOW_S = 0.05
-#: Suspects in one message, some 10 bytes each.
+#: Each suspect takes about 10 bytes in a message.
 MAX_SUSPECTS_PER_MESSAGE = 200
 
 
 @attrs.define
 class CrashExchange:
-    """Sends and takes news of suspects."""
+    """Broadcasts changes of suspects and merges those received."""
 
     node: PeerNode
     members: Members
@@ -46,7 +45,7 @@
         self._broadcasts = BroadcastQueue(self.members, BATCH_WINDOW_S, self._send_to)
 
     def start(self) -> None:
-        """Take messages, and note what this gateway learns itself."""
+        """Register for messages, and for changes of the suspects at this gateway."""
         self.suspects.add_listener(self._on_change)
         self.node.add_handler(CrashSuspects, self._handle_suspects)
 
@@ -62,7 +61,7 @@
             self.suspects.merge(state, NewsSource.PEER)
 
     async def run(self) -> None:
-        """Send news as it comes."""
+        """Send queued changes in batches, for ever."""
         await self._broadcasts.run()
 
     def _send_to(self, addresses: list[str], states: list[SuspectState]) -> None:
@@ -86,7 +85,7 @@
 
 
 def _states_from_message(message: CrashSuspects) -> Iterator[SuspectState]:
-    """Yield what is told of each call, one end at a time."""
+    """Yield a state for each call and end in the message."""
     for group in message.ends:
         end = ReplicaEnd(group.replica_id, group.born_ms)
         told = ToldEnd(end, group.cleared, group.coincident)
--- a/limeshelf/membership/notice_exchange.py
+++ b/limeshelf/membership/notice_exchange.py
@@ -1,9 +1,8 @@
-"""Tells other gateways what replicas ask of all of them, and takes in what they tell.
+"""Exchanges the notices of replicas that apply to all gateways: call rate and shutdown.
 
-It goes as :mod:`~limeshelf.membership.broadcast_queue`. A gateway that starts has missed it: who
-does not
-know learns it by its first answer from the replica, and tells who gives the turns there as it
-asks for one (:mod:`limeshelf.dispatch.turns`).
+Notices are broadcast through :mod:`~limeshelf.membership.broadcast_queue`. A gateway that starts
+later has missed them. It learns a replica's notice from the replica's first answer, and sends it
+to the replica's pacer with its request for a turn (:mod:`limeshelf.dispatch.turns`).
 """
 
 from __future__ import annotations
@@ -26,15 +25,15 @@
     from limeshelf.replicas.notices import NoticeTaker
     from limeshelf.replicas.replica import Replica
 
-#: Stands for an answer that never came, in milliseconds ago.
+#: Age in milliseconds that stands for an answer that was never received.
 NEVER_MS = 1 << 40
-#: After the first news, in seconds, others that come with it go in the same message.
+#: Notices that change within this time are sent in one message.
 BATCH_WINDOW_S = 0.01
 
 
 @attrs.define
 class NoticeExchange:
-    """Sends and takes what replicas ask for."""
+    """Broadcasts changes of notices and applies those received."""
 
     node: PeerNode
     members: Members
@@ -47,7 +46,7 @@
         self._broadcasts = BroadcastQueue(self.members, BATCH_WINDOW_S, self._send_to)
 
     def start(self) -> None:
-        """Take messages, and note what this gateway learns itself."""
+        """Register for messages, and for changes of notices at this gateway."""
         self.notices.on_change = self._on_change
         self.node.add_handler(ReplicaNotices, self._handle_notices)
 
@@ -60,16 +59,16 @@
     def _handle_notices(self, envelope: Envelope) -> None:
         self._sender_centre = envelope.data_centre
         now_s = boottime_s()
-        for told in envelope.message.notices:
-            replica = self.directory.get(told.replica_id)
-            if replica is not None and replica.known_start.born_ms == told.born_ms:
-                known_s = now_s - told.known_ms_ago / MS_PER_S
-                self.notices.take_rate_of_peer(replica, told.rate_per_s, known_s)
-                if told.leaving:
+        for entry in envelope.message.notices:
+            replica = self.directory.get(entry.replica_id)
+            if replica is not None and replica.known_start.born_ms == entry.born_ms:
+                known_s = now_s - entry.known_ms_ago / MS_PER_S
+                self.notices.take_rate_of_peer(replica, entry.rate_per_s, known_s)
+                if entry.leaving:
                     self.notices.take_leaving_of_peer(replica)
 
     async def run(self) -> None:
-        """Send news as it comes."""
+        """Send queued notices in batches, for ever."""
         await self._broadcasts.run()
 
     def _send_to(self, addresses: list[str], replicas: list[Replica]) -> None:
--- a/tests/membership/test_crash_exchange.py
+++ b/tests/membership/test_crash_exchange.py
@@ -1,4 +1,4 @@
-"""News of suspects reaches every gateway once, through relays, and goes round no circle."""
+"""Suspects reach every gateway through relays, without loops."""
 
 from __future__ import annotations
 
@@ -22,43 +22,43 @@
 from tests.support.clock import run_virtual
 
 CALL = Fingerprint('00112233445566aa')
-CONTROL_BYTES_A_SECOND = 4096
-#: Longest way of a message between gateways, and time within which one end breaks off its calls
-#: at all gateways, in seconds.
-WAY_S = 0.02
-BREAK_S = 0.003
+CONTROL_BYTES_PER_S = 4096
+#: Longest delay of a message between gateways, and time within which the calls of a replica that
+#: ends break off at all gateways.
+MAX_DELAY_S = 0.02
+BREAK_OFF_S = 0.003
 END = ReplicaEnd('i-0123456789', 1_784_591_736_000)
 
 
 @pytest.fixture(autouse=True)
 def _same_clock() -> Iterator[None]:
-    """Fleets are made on the clock that they are played on, whatever the machine's one says."""
+    """Create fleets on the same virtual clock on which the scenario runs."""
     with virtual_clock():
         yield
 
 
 @attrs.define
 class Network:
-    """Carries messages between gateways, in up to :data:`WAY_S`, and counts their bytes.
+    """Delivers messages between gateways after up to :data:`MAX_DELAY_S` and counts their bytes.
 
-    :ivar received: bytes by address.
+    :ivar received: bytes received, by address.
     """
 
     handlers: dict[str, Callable[[Envelope], None]] = attrs.field(factory=dict)
     centres: dict[str, str] = attrs.field(factory=dict)
     received: dict[str, int] = attrs.field(factory=dict)
     messages: int = 0
-    ways: random.Random = attrs.field(factory=lambda: random.Random(7))
+    delays: random.Random = attrs.field(factory=lambda: random.Random(7))
 
     def deliver(self, address: str, frame: bytes) -> None:
         envelope = decode(frame)
-        way_s = self.ways.uniform(0.0, WAY_S)
-        asyncio.get_running_loop().call_later(way_s, self.handlers[address], envelope)
+        delay_s = self.delays.uniform(0.0, MAX_DELAY_S)
+        asyncio.get_running_loop().call_later(delay_s, self.handlers[address], envelope)
 
 
 @attrs.define
 class Node:
-    """One gateway's end of the network."""
+    """The peer node of one gateway."""
 
     address: str
     network: Network
@@ -93,8 +93,8 @@
     return network, exchanges
 
 
-def play(exchanges: list[CrashExchange], scenario: Callable[[], None]) -> None:
-    """Run the exchanges until nobody has sent anything for longer than news is gathered."""
+def run_fleet(exchanges: list[CrashExchange], scenario: Callable[[], None]) -> None:
+    """Run the exchanges until no message was sent for longer than a batch can take."""
 
     async def run() -> None:
         tasks = [asyncio.create_task(exchange.run()) for exchange in exchanges]
@@ -110,22 +110,22 @@
     run_virtual(run())
 
 
-def test_all_gateways_know_of_all_ends_however_each_saw_them() -> None:
+def test_all_gateways_learn_of_all_ends_seen_by_any() -> None:
     network, exchanges = fleet(9, 3)
 
     def scenario() -> None:
         for number in (2, 4, 8):
             exchanges[number].suspects.note_end(CALL, ReplicaEnd(f'r{number}'))
 
-    play(exchanges, scenario)
+    run_fleet(exchanges, scenario)
     counts = [exchange.suspects.state_of(CALL).open_count for exchange in exchanges]
     assert counts == [3] * 9
-    # Three that tell two relays, six relays that each tell two gateways and four relays; each
-    # piece of news goes no further than to those for whom it is new.
+    # Three gateways send to two relays each, and six relays send to two gateways and four relays
+    # each. A gateway forwards an item only if it is new to it.
     assert network.messages < 120
 
 
-def test_what_is_cleared_anywhere_is_cleared_everywhere() -> None:
+def test_suspect_cleared_at_one_gateway_is_cleared_at_all() -> None:
     _, exchanges = fleet(6, 2)
 
     def scenario() -> None:
@@ -134,11 +134,11 @@
             exchange.suspects.merge(state, NewsSource.ROW)
         exchanges[5].suspects.note_finished(CALL)
 
-    play(exchanges, scenario)
+    run_fleet(exchanges, scenario)
     assert [one.suspects.state_of(CALL).open_count for one in exchanges] == [0] * 6
 
 
-def test_rows_of_the_store_are_not_told_again() -> None:
+def test_suspects_from_rows_of_the_store_are_not_broadcast() -> None:
     network, exchanges = fleet(4, 2)
 
     def scenario() -> None:
@@ -146,15 +146,15 @@
         for exchange in exchanges:
             exchange.suspects.merge(state, NewsSource.ROW)
 
-    play(exchanges, scenario)
+    run_fleet(exchanges, scenario)
     assert network.messages == 0
 
 
-def test_crash_costs_a_gateway_of_three_hundred_few_bytes() -> None:
-    """Benchmark: one end under 50 calls brings the busiest gateway, a relay, 3.4 KB, and most
-    1.4 KB; gathered for 5 ms it is 6.0 KB and 2.1 KB.
+def test_crash_costs_each_of_three_hundred_gateways_few_bytes() -> None:
+    """One end with 50 calls costs the busiest gateway, a relay, 3.4 KB, and most gateways 1.4 KB.
 
-    A gateway may take 4 KB a second of control traffic.
+    With a batch window of 5 ms it would cost 6.0 KB and 2.1 KB. A gateway may receive 4 KB of
+    control traffic per second.
     """
     network, exchanges = fleet(300, 5)
 
@@ -164,9 +164,9 @@
             fingerprint = Fingerprint(f'{number:016x}')
             suspects = exchanges[6 * number % 300].suspects
             loop.call_later(
-                network.ways.uniform(0.0, BREAK_S), suspects.note_end, fingerprint, END
+                network.delays.uniform(0.0, BREAK_OFF_S), suspects.note_end, fingerprint, END
             )
 
-    play(exchanges, scenario)
+    run_fleet(exchanges, scenario)
     assert all(len(exchange.suspects) == 50 for exchange in exchanges)
-    assert max(network.received.values()) < CONTROL_BYTES_A_SECOND
+    assert max(network.received.values()) < CONTROL_BYTES_PER_S
--- a/tests/membership/test_notice_exchange.py
+++ b/tests/membership/test_notice_exchange.py
@@ -1,4 +1,4 @@
-"""What a replica asks for reaches every gateway once, through relays, and goes round no circle."""
+"""Notices of replicas reach every gateway through relays, without loops."""
 
 from __future__ import annotations
 
@@ -55,8 +55,8 @@
     return replica
 
 
-def play(exchanges: list[NoticeExchange], *steps: Callable[[], None]) -> None:
-    """Run the exchanges; each step gets the time in which its news has gone round."""
+def run_steps(exchanges: list[NoticeExchange], *steps: Callable[[], None]) -> None:
+    """Run the exchanges; after each step, wait until its notices have reached all gateways."""
 
     async def run() -> None:
         tasks = [asyncio.create_task(exchange.run()) for exchange in exchanges]
@@ -69,46 +69,46 @@
     asyncio.run(run())
 
 
-def hears(exchange: NoticeExchange, rate_per_s: float | None) -> None:
+def receive_answer(exchange: NoticeExchange, rate_per_s: float | None) -> None:
     notice = NO_NOTICE if rate_per_s is None else ReplicaNotice(rate_per_s, names_rate=True)
     facts = attrs.evolve(ANSWER, notice=notice)
     exchange.notices.take_of_call(replica_of(exchange), facts, boottime_s())
 
 
-@pytest.mark.parametrize('teller', [0, 8])
-def test_rate_and_its_end_reach_all(teller: int) -> None:
+@pytest.mark.parametrize('sender', [0, 8])
+def test_rate_and_its_end_reach_all(sender: int) -> None:
     network, exchanges = fleet(9, 3)
     rates: list[list[float | None]] = []
 
-    def look() -> None:
+    def record_rates() -> None:
         rates.append([replica_of(one).backpressure.rate_per_s for one in exchanges])
 
-    play(
+    run_steps(
         exchanges,
-        lambda: hears(exchanges[teller], 2.3),
-        look,
-        lambda: hears(exchanges[teller], None),
-        look,
+        lambda: receive_answer(exchanges[sender], 2.3),
+        record_rates,
+        lambda: receive_answer(exchanges[sender], None),
+        record_rates,
     )
     assert rates == [[2.3] * 9, [None] * 9]
-    # Once to each other gateway, and what relays tell one another twice.
+    # One message to each other gateway, and further ones between relays, for each of two changes.
     assert network.messages <= 2 * 4 * 9
 
 
-def test_that_a_replica_leaves_reaches_all() -> None:
+def test_shutdown_notice_of_a_replica_reaches_all() -> None:
     _, exchanges = fleet(9, 3)
     facts = attrs.evolve(ANSWER, notice=ReplicaNotice(leaving=True))
-    teller = exchanges[8]
-    play(
+    sender = exchanges[8]
+    run_steps(
         exchanges,
-        lambda: teller.notices.take_of_call(replica_of(teller), facts, boottime_s()),
+        lambda: sender.notices.take_of_call(replica_of(sender), facts, boottime_s()),
     )
     assert not any(replica_of(one).takes_calls for one in exchanges)
 
 
-def test_another_start_of_the_replica_takes_nothing_from_it() -> None:
+def test_notice_does_not_apply_to_another_start_of_the_replica() -> None:
     _, exchanges = fleet(2, 1)
     replica_of(exchanges[1]).known_start.born_ms = BORN_MS + 1
-    play(exchanges, lambda: hears(exchanges[0], 2.3))
+    run_steps(exchanges, lambda: receive_answer(exchanges[0], 2.3))
     assert replica_of(exchanges[0]).backpressure.rate_per_s == 2.3
     assert replica_of(exchanges[1]).backpressure.rate_per_s is None
