--- a/limeshelf/membership/gateway_count.py
+++ b/limeshelf/membership/gateway_count.py
@@ -21,7 +21,7 @@
 
     A limit divided by the number of active gateways is exceeded as soon as a network partition
     separates some of them: nine isolated gateways allowed 256 retries of 180 calls where the
-    limit is 92 (tests/membership/test_repeats_of_all_gateways.py).
+    limit is 92 (tests/membership/test_retries_of_all_gateways.py).
     """
 
     members: Members
--- a/tests/membership/test_retries_of_all_gateways.py
+++ b/tests/membership/test_retries_of_all_gateways.py
@@ -1,18 +1,15 @@
-"""What all gateways together send again stays below the limit, whomever each of them hears.
-
-What users saw: a service got more calls a second and third time than is allowed over all
-gateways: 211 of 745 calls in 10 s, where 205 were allowed.
-
-Order of events: cuts separate data centres; then every replica refuses many calls, callers repeat
-at once, and each gateway sends again what its part of the limit allows.
-
-Cause: a gateway divided the limit by those it heard just now. One that is cut off, or has just
-started, hears nobody and takes the whole; those that it no longer hears take their parts as well.
-
-Evidence: three of four plays of two cuts of 4 s and replicas that refuse 60 % for 10 s broke the
-limit (by 3 to 6 calls); with data centres that find each other after a cut none of six did.
-Without a network, nine gateways that hear nobody let 1,800 calls be sent again 491 times where
-416 are allowed, 180 calls 256 times where 92 are, and 360 times right after a start.
+"""All gateways together stay within the retry limit, also when they are cut off from each other.
+
+The failure: each gateway divided the limit by the number of gateways that were active in its
+view. A gateway that is cut off, or has just started, sees no other and used the whole limit, while
+the gateways it did not see used their shares as well. A service then received 211 retries of 745
+calls in 10 s, where 205 were allowed.
+
+It occurred when network partitions separated data centres and then all replicas refused many
+calls: three of four runs with two partitions of 4 s and replicas refusing 60 % for 10 s exceeded
+the limit by 3 to 6 calls; none of six did when data centres exchanged messages again after a
+partition. In this test, nine isolated gateways allowed 491 retries of 1,800 calls (limit 416),
+256 retries of 180 calls (limit 92), and 360 directly after a start.
 """
 
 from __future__ import annotations
@@ -35,13 +32,13 @@
 
 @attrs.define
 class Gateway:
-    """What one gateway counts, and what it may send again."""
+    """One gateway: its count of gateways and its retry budgets."""
 
     digests: Any
     budgets: RetryBudgets = attrs.field(factory=lambda: RetryBudgets(RULE))
 
-    def note_count(self) -> None:
-        """Do as the program does every 0.3 s."""
+    def update_budgets(self) -> None:
+        """Update the budgets with the gateway count, as the program does every 0.3 s."""
         self.budgets.gateways = self.digests.gateway_count
 
 
@@ -52,16 +49,16 @@
     ]
 
 
-def hear_of_all(gateways: list[Gateway]) -> None:
+def send_summary_to_all(gateways: list[Gateway]) -> None:
     for gateway in gateways:
         summary = FleetSummary(GATEWAYS, [], {})
         gateway.digests._handle_summary(Envelope('g0', 'c1', summary))
-        gateway.note_count()
+        gateway.update_budgets()
 
 
-def repeats_in_window(gateways: list[Gateway], clock: VirtualClock, calls: int) -> int:
-    """Let every call want two repeats; return how many all gateways allow in a window."""
-    repeats = 0
+def retries_in_window(gateways: list[Gateway], clock: VirtualClock, calls: int) -> int:
+    """Try two retries of each call; return how many all gateways allow in a window."""
+    retries = 0
     calls_due = 0.0
     for _ in range(int(RULE.window_s / STEP_S)):
         clock.advance(STEP_S)
@@ -69,30 +66,30 @@
         while calls_due >= 1.0:
             calls_due -= 1.0
             for gateway in gateways:
-                gateway.note_count()
+                gateway.update_budgets()
                 budget = gateway.budgets.of('lm')
                 budget.note_call()
-                repeats += budget.try_retry() + budget.try_retry()
-    return repeats
+                retries += budget.try_retry() + budget.try_retry()
+    return retries
 
 
 def allowed(calls: int) -> float:
     return RULE.ratio * calls + RULE.slack
 
 
-def repeats_of_gateways_that_are_cut_off(clock: VirtualClock, calls: int) -> int:
+def retries_of_gateways_that_are_cut_off(clock: VirtualClock, calls: int) -> int:
     gateways = fleet()
-    hear_of_all(gateways)
+    send_summary_to_all(gateways)
     clock.advance(5.0)
-    return repeats_in_window(gateways, clock, calls)
+    return retries_in_window(gateways, clock, calls)
 
 
-def repeats_of_gateways_that_have_just_started(clock: VirtualClock, calls: int) -> int:
-    return repeats_in_window(fleet(), clock, calls)
+def retries_of_gateways_that_have_just_started(clock: VirtualClock, calls: int) -> int:
+    return retries_in_window(fleet(), clock, calls)
 
 
-def test_gateways_that_hear_nobody_keep_to_the_limit_together() -> None:
+def test_isolated_gateways_stay_within_the_limit_together() -> None:
     with virtual_clock() as clock:
         for calls in (180, 1800):
-            assert repeats_of_gateways_that_are_cut_off(clock, calls) <= allowed(calls)
-            assert repeats_of_gateways_that_have_just_started(clock, calls) <= allowed(calls)
+            assert retries_of_gateways_that_are_cut_off(clock, calls) <= allowed(calls)
+            assert retries_of_gateways_that_have_just_started(clock, calls) <= allowed(calls)
