--- a/limeshelf/membership/registration.py
+++ b/limeshelf/membership/registration.py
@@ -1,7 +1,7 @@
-"""Records this gateway for the others, and takes in which others there are.
+"""Registers this gateway in the members table of the store, and adds the registered gateways.
 
-Owns nothing; writes this gateway's row in the store, and keeps the table of gateways
-up to date from the rows of the others and from their notice that they stop.
+Writes this gateway's row, and updates the member list from the rows of other gateways and from
+the messages with which they announce their shutdown.
 """
 
 from __future__ import annotations
@@ -30,18 +30,18 @@
     from limeshelf.peers.codec import Envelope
     from limeshelf.peers.node import PeerNode
 
-#: Pause after a failed write of the own row: bound of the first, and the largest.
+#: Upper bound of the pause after the first failed write of the row, and of all later pauses.
 RETRY_BASE_S = 0.2
 RETRY_LIMIT_S = 2.0
-#: Longest pause before the own row is written again once the store has lost it, in seconds: it
-#: spreads the writes of hundreds of gateways.
+#: Longest random pause before the row is written again after the store lost it; it spreads the
+#: writes of hundreds of gateways.
 REWRITE_SPREAD_S = 1.2
 
 _value_decoder = msgspec.json.Decoder(MemberValue)
 
 
 def _decode_value(value: bytes) -> MemberValue | None:
-    """Return what a row says; ``None`` if it is not a gateway's."""
+    """Decode the value of a row; ``None`` if it is not a valid row of a gateway."""
     try:
         member = _value_decoder.decode(value)
     except UNREADABLE:
@@ -52,7 +52,7 @@
 
 @attrs.define
 class Registration:
-    """Writes this gateway's row and reads those of the others."""
+    """Writes this gateway's row and applies the rows of the others."""
 
     instance_id: str
     node: PeerNode
@@ -62,11 +62,11 @@
     _written: Position | None = None
 
     def start(self) -> None:
-        """Take messages."""
+        """Register the message handler."""
         self.node.add_handler(GatewayLeaving, self._handle_leaving)
 
     async def keep_row(self, store: RowTable) -> None:
-        """Write this gateway's row, so that the others find it; again when the store loses it."""
+        """Write this gateway's row, by which others find it; again whenever the store loses it."""
         while True:
             await self.write_row(store)
             await self._row_lost.wait()
@@ -75,7 +75,7 @@
             log_change('member_row_lost')
 
     async def write_row(self, store: RowTable) -> None:
-        """Write this gateway's row; repeat until it is there."""
+        """Write this gateway's row; retry until the write succeeds."""
         value = self._own_value()
         attempt = 0
         while True:
@@ -83,7 +83,7 @@
                 self._written = await store.write(MEMBER_TABLE, self.instance_id, value, None)
                 return
             except (PlatformUnavailable, PlatformUnknown, ConditionFailed) as error:
-                # Until the row is there, relays learn of this gateway by its digests.
+                # Until the row is written, relays learn of this gateway from its digests.
                 attempt += 1
                 if attempt == 1:
                     log_change('member_row_not_written', reason=repr(error))
@@ -94,22 +94,22 @@
         return msgspec.json.encode(MemberValue(own.address, own.data_centre, own.weight))
 
     def note_return(self, copy: TableCopy) -> None:
-        """Have the own row written again if the store has lost it, or an older one is back."""
+        """Have this gateway's row written again if a restore of the store lost or reverted it."""
         era = copy.position.era
         is_written = self._written is not None and self._written.era >= era
         if not is_written and copy.value_of_this_era(self.instance_id) != self._own_value():
             self._row_lost.set()
 
     def take_row(self, row: Row) -> bool:
-        """Take a row of the table of members; return whether it could be read.
+        """Apply a row of the members table; return whether it could be decoded.
 
-        A row that went says nothing: gateways that stopped are silent.
+        A deleted row has no effect: gateways that stopped are found by becoming inactive.
         """
         if row.gone:
             return True
         value = _decode_value(row.value)
         if value is None:
-            # The relays of its data centre still learn of the gateway by its digests.
+            # The relays of its data centre still learn of the gateway from its digests.
             log_change('member_row_invalid', key=row.key)
             return False
         self.members.add(value.address, value.data_centre, value.weight)
@@ -117,7 +117,7 @@
         return True
 
     def announce_leaving(self) -> None:
-        """Send all other gateways the message that this one stops."""
+        """Announce to all other gateways that this one is shutting down."""
         addresses = [member.address for member in self.members.others()]
         self.node.send_all(addresses, GatewayLeaving(self.instance_id))
 
--- a/tests/membership/test_registration.py
+++ b/tests/membership/test_registration.py
@@ -1,4 +1,4 @@
-"""A gateway makes itself known, also when the store is away at first."""
+"""A gateway registers itself, also when the store is unavailable at first."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 from limeshelf.peers.codec import Envelope
 from tests.support.positions import at
 
-#: The row of :func:`one`.
+#: The row of :func:`make_registration`.
 OWN_ROW = b'{"address":"own","data_centre":"c1","weight":0.0}'
 
 
 class Store:
-    """Fails with each of its errors once."""
+    """A store whose first writes fail with the given errors."""
 
     def __init__(self, *errors: Exception) -> None:
         self.errors = list(errors)
@@ -41,35 +41,35 @@
         return self.position
 
 
-def one() -> Registration:
+def make_registration() -> Registration:
     unused: Any = None
     members = Members(Member('own', 'c1'))
     return Registration('g-1', unused, members, LeaderView(members, unused))
 
 
-def test_row_is_written_when_the_store_is_back(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_row_is_written_when_the_store_is_available(monkeypatch: pytest.MonkeyPatch) -> None:
     lines: list[str] = []
     monkeypatch.setattr(registration, 'log_change', lambda event, **fields: lines.append(event))
     monkeypatch.setattr(registration, 'RETRY_BASE_S', 0.0)
     store: Any = Store(PlatformUnavailable('a'), PlatformUnknown('b'))
-    asyncio.run(one().write_row(store))
+    asyncio.run(make_registration().write_row(store))
     assert store.keys == ['g-1']
     assert lines == ['member_row_not_written']
 
 
-def test_row_that_cannot_be_read_adds_nobody() -> None:
-    made = one()
-    made.take_row(Row('g-2', b'{', at(3)))
-    assert made.members.others() == []
+def test_row_that_cannot_be_decoded_adds_no_gateway() -> None:
+    own_registration = make_registration()
+    own_registration.take_row(Row('g-2', b'{', at(3)))
+    assert own_registration.members.others() == []
 
 
-def test_gateway_that_stops_is_neither_active_nor_leader() -> None:
-    made = one()
-    made.members.note_message('g2', 'c1')
-    made.leader.record_claim('g2', 4)
-    made._handle_leaving(Envelope('g2', 'c1', GatewayLeaving('g-2')))
-    assert made.members.active() == []
-    assert not made.leader.is_active
+def test_gateway_that_announced_its_shutdown_is_neither_active_nor_leader() -> None:
+    own_registration = make_registration()
+    own_registration.members.note_message('g2', 'c1')
+    own_registration.leader.record_claim('g2', 4)
+    own_registration._handle_leaving(Envelope('g2', 'c1', GatewayLeaving('g-2')))
+    assert own_registration.members.active() == []
+    assert not own_registration.leader.is_active
 
 
 @pytest.mark.parametrize(
@@ -81,20 +81,20 @@
     era_of_write: int, left: bytes | None, writes: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(registration, 'REWRITE_SPREAD_S', 0.0)
-    made, store = one(), Store()
+    own_registration, store = make_registration(), Store()
     store.position = at(50, era_of_write)
 
-    async def play() -> None:
+    async def run_scenario() -> None:
         written: Any = store
-        task = asyncio.create_task(made.keep_row(written))
+        task = asyncio.create_task(own_registration.keep_row(written))
         await asyncio.sleep(0.01)
         copy = TableCopy(MEMBER_TABLE, lambda row: None)
         copy.take_full(Page((Row('g-1', b'', at(50, 1)),), at(60, 1)))
-        copy.return_listeners.append(made.note_return)
+        copy.return_listeners.append(own_registration.note_return)
         rows = () if left is None else (Row('g-1', left, at(30, 2)),)
         copy.take_full(Page(rows, at(40, 2)))
         await asyncio.sleep(0.01)
         task.cancel()
 
-    asyncio.run(play())
+    asyncio.run(run_scenario())
     assert len(store.keys) == writes
