--- a/limeshelf/membership/want_exchange.py
+++ b/limeshelf/membership/want_exchange.py
@@ -1,8 +1,4 @@
-"""Reports to the leader that a call waits because no replica holds what it needs.
-
-Owns nothing; relies on the view of the leader and, where this gateway leads, on the
-placement.
-"""
+"""Requests models from the leader when a call waits because no replica holds its model."""
 
 from __future__ import annotations
 
@@ -23,18 +19,18 @@
 
 @attrs.define
 class WantExchange:
-    """Brings wanted models to the placement of the gateway that leads."""
+    """Passes requested models and adapters to the placement of the leader."""
 
     node: PeerNode
     leader: LeaderView
     placement: PlacementService
 
     def start(self) -> None:
-        """Take messages."""
+        """Register the message handler."""
         self.node.add_handler(ModelWanted, self._take_wanted)
 
     def report(self, key: ModelKey) -> None:
-        """Report to the leader that a call waits for *key*; nothing if none is known."""
+        """Tell the leader that a call waits for *key*; do nothing if no leader is known."""
         leader = self.leader.current()
         if leader == LOCAL:
             self.placement.want(key)
@@ -42,5 +38,5 @@
             self.node.send(leader, ModelWanted(key))
 
     def _take_wanted(self, envelope: Envelope) -> None:
-        wanted: ModelWanted = envelope.message
-        self.placement.want(wanted.key)
+        request: ModelWanted = envelope.message
+        self.placement.want(request.key)
--- a/tests/membership/test_want_exchange.py
+++ b/tests/membership/test_want_exchange.py
@@ -1,4 +1,4 @@
-"""A wanted model is reported to whoever leads."""
+"""Model requests reach the placement of the leader."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @attrs.define
 class Parts:
-    """Stands for the node and the placement; keeps what comes."""
+    """Stands in for the node and the placement, and records their calls."""
 
     sent: list[tuple[str, Any]] = attrs.field(factory=list)
     wanted: list[ModelKey] = attrs.field(factory=list)
@@ -43,20 +43,20 @@
     return WantExchange(parts, LeaderView(Members(Member('own')), leadership), parts), parts
 
 
-def test_want_goes_to_the_leader_if_one_is_known() -> None:
+def test_request_is_sent_to_the_leader_if_one_is_known() -> None:
     with virtual_clock():
-        one, parts = exchange()
-        one.report(KEY)
+        requests, parts = exchange()
+        requests.report(KEY)
         assert parts.sent == []
-        one.leader.record_claim('g1', 4)
-        one.report(KEY)
+        requests.leader.record_claim('g1', 4)
+        requests.report(KEY)
         assert parts.sent == [('g1', ModelWanted(KEY))]
         assert parts.wanted == []
 
 
-def test_leader_takes_its_own_wants_and_those_of_others() -> None:
-    one, parts = exchange(fence=5)
-    one.report(KEY)
-    one._take_wanted(Envelope('g2', 'c1', ModelWanted(KEY)))
+def test_leader_handles_its_own_requests_and_those_of_others() -> None:
+    requests, parts = exchange(fence=5)
+    requests.report(KEY)
+    requests._take_wanted(Envelope('g2', 'c1', ModelWanted(KEY)))
     assert parts.wanted == [KEY, KEY]
     assert parts.sent == []
