--- a/limeshelf/membership/staleness_log.py
+++ b/limeshelf/membership/staleness_log.py
@@ -1,7 +1,7 @@
-"""Logs when this gateway's copies of tables grow too old, and when it asks the store itself.
+"""Logs when this gateway's table copies become stale or fresh, and when it polls the store.
 
-Owns what was logged last. Relies on :class:`~limeshelf.feeds.table_copy.TableCopy` for how old
-a copy is, and on :mod:`limeshelf.membership.store_polling` for who asks the store.
+Owns the last logged state. :class:`~limeshelf.feeds.table_copy.TableCopy` determines whether a
+copy is stale.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 @attrs.define
 class StalenessLog:
-    """Writes a line at each change, so at most one a table and check."""
+    """Logs a line for each change: at most one per table and check, and one for polling."""
 
     _stale_tables: set[str] = attrs.field(factory=set)
     _was_polling: bool = False
@@ -29,8 +29,8 @@
     def check(self, copies: Iterable[TableCopy], order: int, *, is_polling: bool) -> None:
         """Log what has changed since the last check.
 
-        :param order: place of this gateway in the order in which gateways ask the store.
-        :param is_due: whether this gateway asks the store itself now.
+        :param order: position of this gateway in the polling order.
+        :param is_polling: whether this gateway polls the store now.
         """
         if is_polling != self._was_polling:
             self._was_polling = is_polling
--- a/tests/membership/test_staleness_log.py
+++ b/tests/membership/test_staleness_log.py
@@ -1,4 +1,4 @@
-"""What the log says of copies that grow old, and of who asks the store."""
+"""Log lines about stale copies and about polling the store."""
 
 from __future__ import annotations
 
@@ -24,35 +24,35 @@
     return copy
 
 
-def test_line_says_who_confirmed_an_old_copy_last(monkeypatch: Any) -> None:
+def test_line_names_the_last_source_that_confirmed_a_stale_copy(monkeypatch: Any) -> None:
     lines = logged(monkeypatch)
     with virtual_clock() as clock:
         copy = copy_confirmed_now(clock, '10.0.0.1:7600')
-        watch = StalenessLog()
-        watch.check([copy], 1, is_polling=False)
+        staleness = StalenessLog()
+        staleness.check([copy], 1, is_polling=False)
         clock.advance(copy.rule.stale_s + 0.5)
-        watch.check([copy], 1, is_polling=False)
-        watch.check([copy], 1, is_polling=False)
+        staleness.check([copy], 1, is_polling=False)
+        staleness.check([copy], 1, is_polling=False)
         copy.note_confirmed(clock.now_s, source=STORE)
-        watch.check([copy], 1, is_polling=False)
+        staleness.check([copy], 1, is_polling=False)
     assert [event for event, _ in lines] == ['table_stale', 'table_fresh']
     assert lines[0][1]['confirmed_by'] == '10.0.0.1:7600'
     assert lines[0][1]['age_ms'] == int((copy.rule.stale_s + 0.5) * 1000)
     assert lines[1][1]['confirmed_by'] == STORE
 
 
-def test_line_says_when_this_gateway_begins_and_ends_asking(monkeypatch: Any) -> None:
+def test_lines_mark_when_this_gateway_begins_and_ends_polling(monkeypatch: Any) -> None:
     lines = logged(monkeypatch)
-    watch = StalenessLog()
+    staleness = StalenessLog()
     for is_due in (False, True, True, False):
-        watch.check([], 4, is_polling=is_due)
+        staleness.check([], 4, is_polling=is_due)
     assert lines == [
         ('store_polling', {'begins': True, 'order': 4}),
         ('store_polling', {'begins': False, 'order': 4}),
     ]
 
 
-def test_copy_that_was_never_confirmed_is_no_news(monkeypatch: Any) -> None:
+def test_copy_that_was_never_confirmed_is_not_logged(monkeypatch: Any) -> None:
     lines = logged(monkeypatch)
     StalenessLog().check([TableCopy('t', lambda row: None)], 0, is_polling=False)
     assert lines == []
