--- a/limeshelf/membership/row_forms.py
+++ b/limeshelf/membership/row_forms.py
@@ -1,8 +1,8 @@
-"""Rows of the store and positions in its history, as they stand in messages of gateways.
+"""Converts store rows and positions to the message format of gateways and back.
 
-Owns nothing. Releases before this one state no era of the store: what they say counts as of era
-0, that of a store without eras. Before one that states a later era their versions could mean
-anything; a gateway that hears nothing else asks the store itself.
+Messages from earlier releases contain no store era. Their positions count as era 0, the era of a
+store without eras. In a later era such versions would be ambiguous and count as out of date; a
+gateway that receives only such messages polls the store itself.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 def position_from(era: int, version: int) -> Position:
-    """Return a position that a message states."""
+    """Return the position for an era and a version from a message."""
     return Position(0 if era == NO_ERA else era, version)
 
 
@@ -32,7 +32,7 @@
 
 
 def update_of(copy: TableCopy, after: Position) -> TableUpdate:
-    """Return what changed in a copy after a position."""
+    """Return an update with the changes of a copy after a position."""
     rows = [
         TableRow(row.key, row.value, row.position.version, row.gone, row.position.era)
         for row in copy.rows_after(after)
@@ -52,14 +52,14 @@
 
 
 def query_of(positions: dict[str, Position], asked_ms: int) -> RowsQuery:
-    """Return a query for what changed in tables after positions."""
+    """Return a query for the changes of each table after a position."""
     versions = {table: position.version for table, position in positions.items()}
     eras = {table: position.era for table, position in positions.items()}
     return RowsQuery(versions, asked_ms, eras)
 
 
 def asked_after(query: RowsQuery, table: str) -> Position | None:
-    """Return after which position a query asks for a table; ``None`` if it does not."""
+    """Return the position after which a query requests a table; ``None`` if it does not."""
     version = query.versions.get(table)
     if version is None:
         return None
