--- a/limeshelf/membership/row_exchange.py
+++ b/limeshelf/membership/row_exchange.py
@@ -1,9 +1,8 @@
-"""Passes rows of the store on between gateways, so that few ask the store.
+"""Exchanges rows of the store between gateways, so that few gateways poll the store.
 
-Owns nothing; brings updates of other gateways into the copies of tables, and sends on what
-the store answered. Who asks the store is decided in
-:mod:`~limeshelf.membership.store_polling`, who is sent what in
-:mod:`~limeshelf.membership.receivers`.
+Applies updates from other gateways to the copies of tables, and sends the rows that this gateway
+polled. :mod:`~limeshelf.membership.store_polling` decides which gateways poll the store, and
+:mod:`~limeshelf.membership.receivers` which gateways receive the updates.
 """
 
 from __future__ import annotations
@@ -43,23 +42,24 @@
     from limeshelf.peers.codec import Envelope
     from limeshelf.peers.node import PeerNode
 
-#: Whether what others pass on is new enough is checked this often at the least.
+#: Longest interval between checks of whether the updates from peers are new enough...
 MAX_CHECK_INTERVAL_S = 0.25
-#: ...and no sooner than this after the check before.
+#: ...and shortest interval.
 MIN_CHECK_INTERVAL_S = 0.02
-#: An update counts as older than its sender says where the store's clock shows more than this
-#: beyond: it waited on its way. Below, the two clocks are not known better.
+#: If the store's clock shows that an update is older than its sender states by more than this, the
+#: update was delayed on its way, and the age by the store's clock counts. Smaller differences lie
+#: within the accuracy to which the two clocks are known.
 CLOCK_TOLERANCE_S = 0.25
 
 
 @attrs.define
 class RowExchange:
-    """Sends updates of tables and takes those of other gateways.
+    """Sends updates of tables and applies those of other gateways.
 
     Implements :class:`limeshelf.feeds.follower.StorePolling`.
 
-    :param clock: of the store, as far as this gateway knows it.
-    :param copies: this gateway's copies, by the name of the table.
+    :param clock: this gateway's estimate of the store's clock.
+    :param copies: this gateway's copies of tables, by table name.
     """
 
     node: PeerNode
@@ -71,12 +71,12 @@
     _fully_received: set[str] = attrs.field(factory=set)
 
     def start(self) -> None:
-        """Take messages."""
+        """Register the message handlers."""
         self.node.add_handler(RowsQuery, self._handle_query)
         self.node.add_handler(TableUpdates, self._handle_updates)
 
     def is_due(self) -> bool:
-        """Return whether this gateway asks the store itself now."""
+        """Return whether this gateway polls the store now."""
         return polls_store(
             order=self._polling_order(),
             overdue_s=self._overdue_s(),
@@ -84,13 +84,13 @@
         )
 
     async def until_due(self) -> None:
-        """Return when it may have come to ask the store."""
+        """Wait until this gateway may have become due to poll the store."""
         await self._polling_due.wait()
 
     def spread_s(self) -> float:
-        """Return the longest further pause after a call to the store that failed."""
-        is_alone = not self.members.receives_messages()
-        return retry_spread_s(self._polling_order(), len(self._centres()), is_isolated=is_alone)
+        """Return the longest additional pause after a failed call to the store."""
+        is_isolated = not self.members.receives_messages()
+        return retry_spread_s(self._polling_order(), len(self._centres()), is_isolated=is_isolated)
 
     def _overdue_s(self) -> float:
         return max(copy.peers_overdue_s for copy in self.copies.values())
@@ -99,18 +99,18 @@
         centres = self._centres()
         own = self.members.own
         relays = self.members.own_relays()
-        place = (
+        rank = (
             relays.index(own) if own in relays else max(RELAYS_PER_CENTRE, self.members.own_rank())
         )
-        return polling_order(place, centres.index(own.data_centre), len(centres))
+        return polling_order(rank, centres.index(own.data_centre), len(centres))
 
     def _centres(self) -> list[str]:
         return sorted(self.members.other_centres() | {self.members.own.data_centre})
 
     def announce_page(self, copy: TableCopy, after: Position) -> None:
-        """Pass on what the store answered, and how new the other tables are.
+        """Send other gateways the changes from the store's answer, and the age of other tables.
 
-        :param after: position of the copy before the answer.
+        :param after: position of the copy before the answer was applied.
         """
         updates = [update_of(copy, after)]
         updates += [
@@ -121,7 +121,7 @@
         self.node.send_all(receivers.of_rows(self.members), TableUpdates(updates))
 
     async def run(self) -> None:
-        """Check whether what others pass on is new enough; while it is stale, ask others."""
+        """Check regularly whether to poll the store, and query peers while copies are stale."""
         while True:
             is_due = self.is_due()
             self._staleness_log.check(
@@ -144,21 +144,23 @@
         )
 
     def _next_check_s(self) -> float:
-        is_alone = not self.members.receives_messages()
-        due_in_s = overdue_limit_s(self._polling_order(), is_isolated=is_alone) - self._overdue_s()
+        is_isolated = not self.members.receives_messages()
+        due_in_s = (
+            overdue_limit_s(self._polling_order(), is_isolated=is_isolated) - self._overdue_s()
+        )
         interval_s = jittered_s(MAX_CHECK_INTERVAL_S)
         return max(MIN_CHECK_INTERVAL_S, min(interval_s, due_in_s)) if due_in_s > 0 else interval_s
 
     def _query_random_peer(self) -> None:
-        # At a start nobody has sent anything yet; the seeds may have rows.
+        # Directly after the start no gateway is active yet, but the seeds may have rows.
         members = self.members.active() or self.members.others()
         if members:
             positions = {name: self._query_position(copy) for name, copy in self.copies.items()}
             self._send_query(random.choice(members).address, positions)
 
     def _query_position(self, copy: TableCopy) -> Position:
-        # Until somebody has answered once, the whole: others may know rows of before a return of
-        # the store that the store itself has lost.
+        # Request the whole table until it has been received once: peers may have rows that the
+        # store itself lost when it was restored from an older copy.
         return copy.position if copy.table in self._fully_received else BEGINNING
 
     def _send_query(self, address: str, positions: dict[str, Position]) -> None:
@@ -178,30 +180,30 @@
             self.node.send(envelope.sender, answer)
 
     def _handle_updates(self, envelope: Envelope) -> None:
-        began_s = boottime_s()
+        started_s = boottime_s()
         self.members.note_message(envelope.sender, envelope.data_centre)
         self._update_clock(envelope.message)
         missing: dict[str, Position] = {}
-        passed_on: list[TableUpdate] = []
+        forwarded: list[TableUpdate] = []
         for update in envelope.message.words:
             copy = self.copies.get(update.table)
             if copy is None:
-                # A table that only another version of the gateway follows.
+                # A table that only another release of the gateway uses.
                 continue
             after = copy.position
             continuity = self._apply_update(copy, update, envelope.sender)
             if continuity is Continuity.GAP:
                 missing[update.table] = copy.position
             elif continuity is Continuity.CONTINUES:
-                passed_on.append(update_of(copy, after))
-        if self.clock.returned_s >= began_s:
-            # The clock has to be learned anew.
+                forwarded.append(update_of(copy, after))
+        if self.clock.returned_s >= started_s:
+            # The store's era has changed, so its clock must be determined again.
             missing = {name: copy.position for name, copy in self.copies.items()}
         if missing:
             self._send_query(envelope.sender, missing)
         addresses = receivers.of_forwarded(self.members, envelope.data_centre)
-        if passed_on:
-            self.node.send_all(addresses, TableUpdates(passed_on))
+        if forwarded:
+            self.node.send_all(addresses, TableUpdates(forwarded))
 
     def _apply_update(self, copy: TableCopy, update: TableUpdate, peer: str) -> Continuity:
         upto = position_from(update.upto_era, update.upto)
@@ -216,14 +218,14 @@
         )
 
     def _age_s(self, update: TableUpdate) -> float:
-        """Return how long ago the store confirmed an update, its way to here included."""
-        said_s = update.age_ms / MS_PER_S
+        """Return how long ago the store confirmed an update, including its time in transit."""
+        stated_s = update.age_ms / MS_PER_S
         if not self.clock.is_known or not update.confirmed_ms:
-            return said_s
-        return max(said_s, self.clock.greatest_age_s(update.confirmed_ms) - CLOCK_TOLERANCE_S)
+            return stated_s
+        return max(stated_s, self.clock.greatest_age_s(update.confirmed_ms) - CLOCK_TOLERANCE_S)
 
     def _update_clock(self, updates: TableUpdates) -> None:
-        """Learn from a peer's answer how the store's clock stands."""
+        """Update the estimate of the store's clock from a peer's answer to a query."""
         if not updates.asked_ms:
             return
         self._fully_received.update(
--- a/tests/membership/test_row_exchange.py
+++ b/tests/membership/test_row_exchange.py
@@ -1,4 +1,4 @@
-"""Gateways that go by the updates of others know as much as the store, soon enough."""
+"""Gateways rely on updates from peers, and poll the store if these updates are late."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Node:
-    """Keeps what is sent."""
+    """Records the messages sent."""
 
     def __init__(self) -> None:
         self.sent: list[tuple[str, Any]] = []
@@ -38,7 +38,7 @@
 
 
 class Store:
-    """A table that counts its calls."""
+    """A store with a single table that counts the calls to it."""
 
     def __init__(self) -> None:
         self.calls = 0
@@ -55,7 +55,7 @@
 
 
 class WhenStale:
-    """Asks the store while a copy is stale."""
+    """A polling rule: the store is polled while the copy is stale."""
 
     def __init__(self, copy: TableCopy) -> None:
         self.copy = copy
@@ -75,123 +75,127 @@
     members = Members(Member(own, 'c1', 1.0))
     for other in others:
         members.add(other, 'c1', 1.0)
-    made = RowExchange(node, members)
-    made.copies['t'] = TableCopy('t', lambda row: None)
-    return made
+    row_exchange = RowExchange(node, members)
+    row_exchange.copies['t'] = TableCopy('t', lambda row: None)
+    return row_exchange
 
 
 def update(after: int, upto: int, *rows: TableRow) -> Envelope:
     return Envelope('g1', 'c1', TableUpdates([TableUpdate('t', after, upto, 0, list(rows))]))
 
 
-def test_updates_bring_rows_up_to_a_version() -> None:
-    one = exchange('g2', 'g1')
-    one._handle_updates(update(0, 9, TableRow('a', b'1', 9, False)))
-    copy = one.copies['t']
+def test_update_sets_rows_and_position() -> None:
+    gateway = exchange('g2', 'g1')
+    gateway._handle_updates(update(0, 9, TableRow('a', b'1', 9, False)))
+    copy = gateway.copies['t']
     assert (copy.position, [row.key for row in copy.rows()]) == (at(9), ['a'])
     assert copy.age_s < 1.0
 
 
 def test_lost_update_is_asked_for() -> None:
-    """A later row must not hide that an earlier one is missing."""
-    one = exchange('g2', 'g1')
-    one._handle_updates(update(0, 5, TableRow('a', b'1', 5, False)))
-    one._handle_updates(update(8, 9, TableRow('c', b'1', 9, False)))
-    assert one.copies['t'].position == at(5)
-    node: Any = one.node
+    """The position must not advance past missing rows when a later row arrives."""
+    gateway = exchange('g2', 'g1')
+    gateway._handle_updates(update(0, 5, TableRow('a', b'1', 5, False)))
+    gateway._handle_updates(update(8, 9, TableRow('c', b'1', 9, False)))
+    assert gateway.copies['t'].position == at(5)
+    node: Any = gateway.node
     assert [(address, query.versions) for address, query in node.sent] == [('g1', {'t': 5})]
-    one._handle_updates(update(5, 9, TableRow('b', b'1', 7, False), TableRow('c', b'1', 9, False)))
-    assert one.copies['t'].position == at(9)
-    assert len(one.copies['t'].rows()) == 3
+    gateway._handle_updates(
+        update(5, 9, TableRow('b', b'1', 7, False), TableRow('c', b'1', 9, False))
+    )
+    assert gateway.copies['t'].position == at(9)
+    assert len(gateway.copies['t'].rows()) == 3
 
 
-def test_update_of_somebody_who_is_behind_confirms_nothing() -> None:
-    one = exchange('g2', 'g1')
-    one._handle_updates(update(0, 9))
-    copy = one.copies['t']
+def test_update_from_a_peer_that_is_behind_confirms_nothing() -> None:
+    gateway = exchange('g2', 'g1')
+    gateway._handle_updates(update(0, 9))
+    copy = gateway.copies['t']
     copy.confirmed_s = 0.0
-    one._handle_updates(update(3, 6, TableRow('a', b'old', 4, False)))
+    gateway._handle_updates(update(3, 6, TableRow('a', b'old', 4, False)))
     assert copy.position == at(9)
     assert copy.is_stale
 
 
-def test_answer_holds_what_the_asker_lacks() -> None:
-    one = exchange('g1', 'g2')
-    one._handle_updates(update(0, 9, TableRow('a', b'1', 3, False), TableRow('b', b'', 8, True)))
-    one._handle_query(Envelope('g2', 'c1', RowsQuery({'t': 5})))
-    node: Any = one.node
+def test_answer_contains_only_rows_after_the_queried_version() -> None:
+    gateway = exchange('g1', 'g2')
+    gateway._handle_updates(
+        update(0, 9, TableRow('a', b'1', 3, False), TableRow('b', b'', 8, True))
+    )
+    gateway._handle_query(Envelope('g2', 'c1', RowsQuery({'t': 5})))
+    node: Any = gateway.node
     address, answer = node.sent[-1]
     assert address == 'g2'
     sent = answer.words[0]
     assert (sent.after, sent.upto, [row.key for row in sent.rows]) == (5, 9, ['b'])
 
 
-def test_first_relay_follows_and_the_others_wait_in_turn() -> None:
+def test_first_relay_polls_and_the_others_follow_in_polling_order() -> None:
     with virtual_clock() as clock:
         first, second, third = (
-            exchange(own, *(one for one in ('g1', 'g2', 'g3') if one != own))
+            exchange(own, *(name for name in ('g1', 'g2', 'g3') if name != own))
             for own in ('g1', 'g2', 'g3')
         )
-        for one in (first, second, third):
-            one._handle_updates(update(0, 9))
-        assert [one.is_due() for one in (first, second, third)] == [True, False, False]
+        for gateway in (first, second, third):
+            gateway._handle_updates(update(0, 9))
+        assert [gateway.is_due() for gateway in (first, second, third)] == [True, False, False]
         clock.advance(FollowRule().stale_s + 1.5 * OVERDUE_STEP_S)
-        for one in (first, second, third):
-            one.members.note_message('g1', 'c1')
-            one.members.note_message('g2', 'c1')
-        assert [one.is_due() for one in (first, second, third)] == [True, True, False]
+        for gateway in (first, second, third):
+            gateway.members.note_message('g1', 'c1')
+            gateway.members.note_message('g2', 'c1')
+        assert [gateway.is_due() for gateway in (first, second, third)] == [True, True, False]
 
 
-def test_gateway_that_took_over_goes_on_until_others_pass_rows_on() -> None:
+def test_gateway_that_took_over_polls_until_peers_send_updates() -> None:
     with virtual_clock() as clock:
-        one = exchange('g2', 'g1')
-        one._handle_updates(update(0, 9))
-        copy = one.copies['t']
+        gateway = exchange('g2', 'g1')
+        gateway._handle_updates(update(0, 9))
+        copy = gateway.copies['t']
         clock.advance(copy.rule.stale_s + 1.0)
-        one.members.note_message('g1', 'c1')
+        gateway.members.note_message('g1', 'c1')
         copy.note_confirmed(clock.now_s)
-        assert one.is_due()
-        one._handle_updates(update(9, 9))
-        assert not one.is_due()
+        assert gateway.is_due()
+        gateway._handle_updates(update(9, 9))
+        assert not gateway.is_due()
 
 
-def test_rows_of_another_centre_are_passed_on_by_the_first_relay() -> None:
+def test_rows_from_another_centre_are_forwarded_by_the_first_relay() -> None:
     first, second = exchange('g1', 'g2', 'g3'), exchange('g2', 'g1', 'g3')
     rows = update(0, 9, TableRow('a', b'1', 9, False))
-    for one in (first, second):
-        one._handle_updates(Envelope('h1', 'c2', rows.message))
+    for gateway in (first, second):
+        gateway._handle_updates(Envelope('h1', 'c2', rows.message))
     node: Any = first.node
     assert [address for address, _ in node.sent] == ['g2', 'g3']
-    passed = node.sent[0][1].words[0]
-    assert (passed.after, passed.upto, [row.key for row in passed.rows]) == (0, 9, ['a'])
+    forwarded = node.sent[0][1].words[0]
+    assert (forwarded.after, forwarded.upto, [row.key for row in forwarded.rows]) == (0, 9, ['a'])
     other_node: Any = second.node
     assert other_node.sent == []
 
 
 def test_one_overdue_table_makes_all_due() -> None:
-    """A gateway that lost the store passes on no changes of any table."""
+    """A peer that lost the store sends no changes of any table."""
     with virtual_clock() as clock:
-        one = exchange('g2', 'g1')
-        one.copies['u'] = TableCopy('u', lambda row: None)
+        gateway = exchange('g2', 'g1')
+        gateway.copies['u'] = TableCopy('u', lambda row: None)
         clock.advance(FollowRule().stale_s + 1.0)
-        one.members.note_message('g1', 'c1')
-        one._handle_updates(update(0, 9))
-        assert one.is_due()
-        one.copies['u'].take_update([], at(0), at(9), 0.0)
-        assert not one.is_due()
+        gateway.members.note_message('g1', 'c1')
+        gateway._handle_updates(update(0, 9))
+        assert gateway.is_due()
+        gateway.copies['u'].take_update([], at(0), at(9), 0.0)
+        assert not gateway.is_due()
 
 
-def test_gateways_that_start_together_give_the_first_time_to_pass_rows_on() -> None:
-    """Before, each followed the store until it heard of another one."""
+def test_gateways_that_start_together_wait_for_updates_from_the_first() -> None:
+    """Gateways that start together must not each poll the store until they hear of another."""
     with virtual_clock() as clock:
         first, second = exchange('g1', 'g2'), exchange('g2', 'g1')
-        assert [one.is_due() for one in (first, second)] == [True, False]
+        assert [gateway.is_due() for gateway in (first, second)] == [True, False]
         clock.advance(FollowRule().stale_s + 1.0)
         assert second.is_due()
 
 
-def test_follower_asks_the_store_only_while_updates_fail() -> None:
-    async def play() -> None:
+def test_follower_polls_the_store_only_while_updates_are_missing() -> None:
+    async def run_scenario() -> None:
         store: Any = Store()
         rule = FollowRule(wait_s=0.01, stale_s=0.3)
         copy = TableCopy('t', lambda row: None, rule)
@@ -206,75 +210,78 @@
         assert store.calls >= 2
         task.cancel()
 
-    asyncio.run(play())
+    asyncio.run(run_scenario())
 
 
-def test_gateway_that_never_reached_the_store_learns_its_clock_from_an_answer() -> None:
+def test_gateway_that_never_reached_the_store_estimates_its_clock_from_an_answer() -> None:
     with virtual_clock() as clock:
-        one, other = exchange('g1', 'g2'), exchange('g2', 'g1')
-        # The store's clock shows 5 s while the one of this machine shows 1,000 s.
+        gateway, other = exchange('g1', 'g2'), exchange('g2', 'g1')
+        # The store's clock shows 5 s while this machine's clock shows 1,000 s.
         other.clock.note_answer(clock.now_s, 5.0)
         other.copies['t'].take_update([], at(0), at(9), 0.0, 5000)
-        node: Any = one.node
-        one._query_random_peer()
+        node: Any = gateway.node
+        gateway._query_random_peer()
         clock.advance(0.4)
         other._handle_query(Envelope('g1', 'c1', node.sent[-1][1]))
         clock.advance(0.7)
         other_node: Any = other.node
-        one._handle_updates(Envelope('g2', 'c1', other_node.sent[-1][1]))
-        # Older than it is by the way of the query; never younger by that of the answer.
-        age_s = one.clock.greatest_age_s(one.copies['t'].confirmed_ms)
+        gateway._handle_updates(Envelope('g2', 'c1', other_node.sent[-1][1]))
+        # The age may be too high by the delay of the query, but never too low by that of the
+        # answer.
+        age_s = gateway.clock.greatest_age_s(gateway.copies['t'].confirmed_ms)
         assert 1.1 <= age_s <= 1.5 + 0.01
 
 
-def test_update_that_waited_makes_nothing_younger() -> None:
-    """A message that lay in the buffer of a process that stood still: before, its age at
-    the send counted from the moment at which it was read."""
+def test_delayed_update_does_not_lower_the_age_of_a_copy() -> None:
+    """A message can wait in the receive buffer of a suspended process.
+
+    Its age must include that time, not only the age stated when it was sent.
+    """
     with virtual_clock() as clock:
-        one = exchange('g2', 'g1')
-        one.clock.note_answer(clock.now_s, 5.0)
-        waiting = TableUpdate('t', 0, 9, 0, [], 5000)
+        gateway = exchange('g2', 'g1')
+        gateway.clock.note_answer(clock.now_s, 5.0)
+        delayed = TableUpdate('t', 0, 9, 0, [], 5000)
         clock.advance(6.0)
-        one._handle_updates(Envelope('g1', 'c1', TableUpdates([waiting])))
-        assert one.clock.greatest_age_s(one.copies['t'].confirmed_ms) >= 6.0
+        gateway._handle_updates(Envelope('g1', 'c1', TableUpdates([delayed])))
+        assert gateway.clock.greatest_age_s(gateway.copies['t'].confirmed_ms) >= 6.0
 
 
-def test_gateway_that_hears_nobody_waits_for_nobody() -> None:
-    """It asks the store as soon as its copies are old, whatever its place in the order."""
+def test_isolated_gateway_polls_as_soon_as_copies_are_stale() -> None:
+    """Its position in the polling order does not matter."""
     others = [f'g{number:02}' for number in range(20)]
     with virtual_clock() as clock:
-        one = exchange('g99', *others)
+        gateway = exchange('g99', *others)
         for other in others:
-            one.members.note_message(other, 'c1')
-        one._handle_updates(update(0, 9))
+            gateway.members.note_message(other, 'c1')
+        gateway._handle_updates(update(0, 9))
         clock.advance(FollowRule().stale_s + 0.01)
-        one.members.note_message('g00', 'c1')
-        assert not one.is_due()
+        gateway.members.note_message('g00', 'c1')
+        assert not gateway.is_due()
         clock.advance(RELAY_TIMEOUT_S + 0.01)
-        assert one.is_due()
-        assert one.spread_s() == 0.0
+        assert gateway.is_due()
+        assert gateway.spread_s() == 0.0
 
 
-def test_update_that_waited_confirms_what_was_then() -> None:
-    """Before, a copy counted as new whose update had waited in a queue for two seconds."""
+def test_delayed_update_confirms_the_copy_as_of_its_sending() -> None:
+    """A copy must not be fresh if its update waited in a queue for two seconds."""
     with virtual_clock() as clock:
-        one = exchange('g2', 'g1')
-        one.clock.note_answer(clock.now_s, 5.0)
-        waiting = TableUpdate('t', 0, 9, 0, [], 5000)
+        gateway = exchange('g2', 'g1')
+        gateway.clock.note_answer(clock.now_s, 5.0)
+        delayed = TableUpdate('t', 0, 9, 0, [], 5000)
         clock.advance(2.0)
-        one._handle_updates(Envelope('g1', 'c1', TableUpdates([waiting])))
-        copy = one.copies['t']
+        gateway._handle_updates(Envelope('g1', 'c1', TableUpdates([delayed])))
+        copy = gateway.copies['t']
         assert copy.position == at(9)
         assert 2.0 - CLOCK_TOLERANCE_S <= copy.age_s <= 2.0
         assert copy.is_stale
 
 
-def test_update_in_time_is_as_old_as_its_sender_says() -> None:
+def test_update_without_delay_has_the_age_stated_by_its_sender() -> None:
     with virtual_clock() as clock:
-        one = exchange('g2', 'g1')
-        # This gateway knows the store's clock no better than by 0.2 s.
-        one.clock.note_answer(clock.now_s - 0.2, 5.0)
-        one._handle_updates(
+        gateway = exchange('g2', 'g1')
+        # This gateway knows the store's clock to an accuracy of 0.2 s.
+        gateway.clock.note_answer(clock.now_s - 0.2, 5.0)
+        gateway._handle_updates(
             Envelope('g1', 'c1', TableUpdates([TableUpdate('t', 0, 9, 100, [], 4900)]))
         )
-        assert abs(one.copies['t'].age_s - 0.1) < 0.001
+        assert abs(gateway.copies['t'].age_s - 0.1) < 0.001
