--- a/limeshelf/membership/state_exchange.py
+++ b/limeshelf/membership/state_exchange.py
@@ -1,7 +1,7 @@
-"""Sends the other gateways, while this one leads, what replicas hold and what is loading.
+"""Sends replica states and model loads in progress to all gateways while this one is the leader.
 
-Owns the highest fence under which states were taken. Relies on the directory of replicas, where
-states go, and on :mod:`~limeshelf.membership.receivers` for who is sent them.
+States received from another leader go to the replica directory. Owns the highest fence of the
+states accepted so far. :mod:`~limeshelf.membership.receivers` decides on the receivers.
 """
 
 from __future__ import annotations
@@ -27,33 +27,33 @@
     from limeshelf.placement.service import PlacementService
     from limeshelf.replicas.directory import ReplicaDirectory
 
-#: Loads under way are sent at least this often.
+#: Longest interval between messages of the leader; each contains the loads in progress.
 STATES_INTERVAL_S = 0.25
-#: A gateway that does not lead checks this often whether it does.
+#: Longest interval at which another gateway checks whether it has become the leader.
 FOLLOWER_CHECK_INTERVAL_S = 0.5
-#: States of all replicas, changed or not, are sent this often.
+#: Interval at which the states of all replicas are sent, changed or not.
 FULL_UPDATE_INTERVAL_S = 1.0
-#: Changes of replicas that come closer together than this are sent together.
+#: Changes within this time after the first one are sent together.
 CHANGES_BATCH_WINDOW_S = 0.05
 
 
 def accepts_states(*, fence: int, highest_fence: int, own_leads: bool) -> bool:
-    """Return whether states of replicas from another gateway are newer than those here.
+    """Return whether replica states received from another gateway are to be accepted.
 
-    A leader asks the replicas itself. States of a predecessor that a cut held up are older
-    than what is known (tests/membership/test_state_exchange.py::
-    test_late_word_of_a_predecessor).
+    A leader queries the replicas itself. States from a former leader that were delayed by a
+    network partition are older than the known ones (tests/membership/test_state_exchange.py::
+    test_delayed_states_of_a_former_leader_are_ignored).
 
-    :param fence: of the lease under which the states were sent.
-    :param highest_fence: the highest under which states were taken so far.
-    :param own_leads: whether this gateway leads.
+    :param fence: fencing token under which the states were sent.
+    :param highest_fence: highest fencing token of the states accepted so far.
+    :param own_leads: whether this gateway is the leader.
     """
     return not own_leads and fence >= highest_fence
 
 
 @attrs.define
 class StateExchange:
-    """Sends the states of replicas as the leader, and takes those of another leader."""
+    """Sends replica states as the leader, and applies those of another leader."""
 
     node: PeerNode
     members: Members
@@ -67,27 +67,27 @@
     _full_update_due_s: float = 0.0
 
     def start(self) -> None:
-        """Take messages."""
+        """Register the message handler."""
         self.node.add_handler(ReplicaStates, self._handle_states)
 
     async def run(self) -> None:
-        """While this gateway leads, send what the replicas report."""
+        """Send replica states whenever this gateway is the leader, for ever."""
         while True:
             limit_s = STATES_INTERVAL_S if self.leader.is_self else FOLLOWER_CHECK_INTERVAL_S
             await self.changes.wait(limit_s, CHANGES_BATCH_WINDOW_S)
             changed = self.changes.pop_replicas()
             if not self.leader.is_self:
                 continue
-            whole = boottime_s() >= self._full_update_due_s
-            if whole:
+            is_full = boottime_s() >= self._full_update_due_s
+            if is_full:
                 self._full_update_due_s = boottime_s() + FULL_UPDATE_INTERVAL_S
-            self._send_states(changed, whole)
+            self._send_states(changed, is_full)
 
-    def _send_states(self, changed: set[str], whole: bool) -> None:
+    def _send_states(self, changed: set[str], is_full: bool) -> None:
         states = [
             state_from_replica(replica)
             for replica in self.directory.all()
-            if replica.report is not None and (whole or replica.replica_id in changed)
+            if replica.report is not None and (is_full or replica.replica_id in changed)
         ]
         self.meter.announced_s = self.placement.awaited()
         now_s = boottime_s()
@@ -96,7 +96,7 @@
             for key, ready_s in self.meter.announced_s.items()
         ]
         may_order = self.leadership.order_time_left_s() > 0
-        message = ReplicaStates(self.leadership.fence, states, awaited, whole, may_order)
+        message = ReplicaStates(self.leadership.fence, states, awaited, is_full, may_order)
         self.node.send_all(receivers.of_states(self.members), message)
 
     def _handle_states(self, envelope: Envelope) -> None:
--- a/tests/membership/test_state_exchange.py
+++ b/tests/membership/test_state_exchange.py
@@ -1,4 +1,4 @@
-"""What a gateway believes of the states that a leader sends."""
+"""Which replica states from a leader a gateway accepts and forwards."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 @attrs.define
 class Node:
-    """Keeps what is passed on."""
+    """Records the forwarded messages."""
 
     forwarded: list[tuple[list[str], Envelope]] = attrs.field(factory=list)
 
@@ -51,7 +51,7 @@
     directory = ReplicaDirectory(read_record)
     directory.take_record(ReplicaRecord('r1', 'lm', 'ip:1', 'z1', 8, False, None, (), 1))
     members = Members(Member('own', 'z1'))
-    known: dict[str, Any] = {
+    parts: dict[str, Any] = {
         'node': Node(),
         'members': members,
         'leader': LeaderView(members, leadership),
@@ -61,57 +61,57 @@
         'placement': None,
         'changes': StateChanges(),
     }
-    return StateExchange(**known)
+    return StateExchange(**parts)
 
 
-def holdings(one: StateExchange) -> set[str]:
-    replica = one.directory.get('r1')
+def holdings(state_exchange: StateExchange) -> set[str]:
+    replica = state_exchange.directory.get('r1')
     assert replica is not None
     return set(replica.holdings)
 
 
-def test_late_word_of_a_predecessor() -> None:
-    async def play() -> None:
-        one = exchange(Leadership())
-        one._handle_states(states(5, 'm1', 'm2'))
-        one._handle_states(states(4, 'm1'))
-        assert holdings(one) == {'m1', 'm2'}
+def test_delayed_states_of_a_former_leader_are_ignored() -> None:
+    async def run_scenario() -> None:
+        state_exchange = exchange(Leadership())
+        state_exchange._handle_states(states(5, 'm1', 'm2'))
+        state_exchange._handle_states(states(4, 'm1'))
+        assert holdings(state_exchange) == {'m1', 'm2'}
 
-    asyncio.run(play())
+    asyncio.run(run_scenario())
 
 
-def test_leader_believes_its_own_looks_only() -> None:
-    async def play() -> None:
-        one = exchange(Leadership(fence=5))
+def test_leader_accepts_only_the_reports_it_queried_itself() -> None:
+    async def run_scenario() -> None:
+        state_exchange = exchange(Leadership(fence=5))
         report = ReplicaReport((Holding('m1'), Holding('m2')), False, 3)
-        one.directory.take_report('r1', report)
-        one._handle_states(states(9, 'm1'))
-        assert holdings(one) == {'m1', 'm2'}
+        state_exchange.directory.take_report('r1', report)
+        state_exchange._handle_states(states(9, 'm1'))
+        assert holdings(state_exchange) == {'m1', 'm2'}
 
-    asyncio.run(play())
+    asyncio.run(run_scenario())
 
 
-def test_only_states_of_the_newest_leader_are_believed() -> None:
+def test_only_states_of_the_newest_leader_are_accepted() -> None:
     assert accepts_states(fence=5, highest_fence=5, own_leads=False)
     assert accepts_states(fence=6, highest_fence=5, own_leads=False)
     assert not accepts_states(fence=4, highest_fence=5, own_leads=False)
     assert not accepts_states(fence=6, highest_fence=5, own_leads=True)
 
 
-def test_first_relay_passes_states_of_another_centre_on() -> None:
-    async def play() -> None:
-        one = exchange(Leadership())
-        one.members.add('second', 'z1')
-        one._handle_states(states(5, 'm1', centre='z1'))
-        one._handle_states(states(5, 'm1', centre='z2'))
-        node: Any = one.node
+def test_first_relay_forwards_states_from_another_centre() -> None:
+    async def run_scenario() -> None:
+        state_exchange = exchange(Leadership())
+        state_exchange.members.add('second', 'z1')
+        state_exchange._handle_states(states(5, 'm1', centre='z1'))
+        state_exchange._handle_states(states(5, 'm1', centre='z2'))
+        node: Any = state_exchange.node
         assert [addresses for addresses, _ in node.forwarded] == [[], ['second']]
 
-    asyncio.run(play())
+    asyncio.run(run_scenario())
 
 
-def test_changes_are_taken_once() -> None:
-    async def play() -> None:
+def test_changes_are_returned_once() -> None:
+    async def run_scenario() -> None:
         changes = StateChanges()
         changes.note_replica('r1')
         changes.note_replica('r2')
@@ -119,4 +119,4 @@
         assert changes.pop_replicas() == {'r1', 'r2'}
         assert changes.pop_replicas() == set()
 
-    asyncio.run(play())
+    asyncio.run(run_scenario())
