--- a/limeshelf/membership/limit_exchange.py
+++ b/limeshelf/membership/limit_exchange.py
@@ -1,9 +1,11 @@
-"""Asks the limiter of the data centre for each call that has a limit, and is it where needed.
+"""Enforces the limits of organisations, as a client of the data centre's limiter or as limiter.
 
-The first relay of a data centre is its limiter; the second one hears the same reports and is
-asked where the first is silent. Where neither answers, a gateway goes on with its own part.
-Owns what this gateway uses, and the limiter and the paces while this gateway is a relay. Relies
-on the digests for the reports of the others (:mod:`limeshelf.membership.digest_exchange`).
+The first relay of a data centre is its limiter. The second relay receives the same usage reports
+and is queried if the first does not answer. If neither answers, a gateway uses its own share of
+the limit.
+
+Owns the usage of this gateway and, while it is a relay, the limiter and its paces. Usage reports
+of other gateways arrive in their digests (:mod:`limeshelf.membership.digest_exchange`).
 """
 
 from __future__ import annotations
@@ -33,17 +35,18 @@
     from limeshelf.peers.codec import Envelope
     from limeshelf.peers.node import PeerNode
 
-#: While an organisation is over its limit, calls that count as much are refused without asking
-#: for this long: refusing costs next to nothing then.
+#: For this long after a refusal, calls of the same organisation with the same or a higher amount
+#: are refused without a query, which makes refusing cheap while an organisation is over its limit.
 REFUSAL_CACHE_S = 0.1
 
 
 @attrs.frozen
 class _Refusal:
-    """The latest refusal of an organisation's call.
+    """The refusal of an organisation's call; times are on the boot clock.
 
-    :ivar amount: that it counted.
-    :ivar room_s: when there is likely room for that, on the steady clock.
+    :ivar amount: usage of the refused call.
+    :ivar at_s: when it was refused.
+    :ivar room_s: estimated time at which the limit has room for that amount.
     """
 
     amount: int
@@ -52,9 +55,9 @@
 
 
 class LimitExchange:
-    """Reserves what calls use of the limits of their organisations.
+    """Reserves the usage of calls within the limits of their organisations.
 
-    :param in_force: the limits in force where this gateway is the limiter.
+    :param in_force: the configuration whose limits apply while this gateway is the limiter.
     """
 
     def __init__(
@@ -70,26 +73,26 @@
         self._paces = Paces(rule)
         self._questions: Questions[Decision] = Questions(node, _log_silent)
         self._refusals: dict[str, _Refusal] = {}
-        #: Whether no limiter decided on the latest call, and when one last did.
+        #: Whether no limiter decided on the latest call, and when a limiter last did.
         self._is_limiter_unavailable = False
         self._last_decision_s = -math.inf
 
     def start(self) -> None:
-        """Take messages."""
+        """Register the message handlers."""
         self._node.add_handler(LimitQuery, self._handle_query)
         self._node.add_handler(LimitVerdict, self._handle_verdict)
 
     def report(self) -> dict[str, int]:
-        """Return what counts for this gateway, by organisation, to be sent to the limiters."""
+        """Return the usage that counts for this gateway, by organisation, for the limiters."""
         since_s = boottime_s() - self._last_decision_s
         return self._ledger.report(
             holds_claims=self._is_limiter_unavailable and since_s < self._rule.window_s
         )
 
     def update_role(self, used: dict[str, int]) -> None:
-        """Be a limiter from now on, or no longer, and report to it.
+        """Create or drop the limiter as this gateway's role requires, and report usage to it.
 
-        :param used: by this gateway, as it reports to the others.
+        :param used: usage of this gateway, as reported to other gateways.
         """
         if not self._members.is_relay:
             self._limiter = None
@@ -101,7 +104,7 @@
         self._limiter.take_report(own, self.started_ms, self._age_s(), used, now_s)
 
     def add_report(self, digest: GatewayDigest) -> None:
-        """Take what a gateway of this data centre says that it uses."""
+        """Pass the usage that a gateway of this data centre reports to the limiter."""
         if self._limiter is not None and digest.started_ms:
             age_s = (digest.number - digest.started_ms) / MS_PER_S
             self._limiter.take_report(
@@ -111,9 +114,9 @@
     async def reserve(
         self, organisation: str, limit: UsageLimit, amount: int
     ) -> Reservation | Decision:
-        """Reserve what a call uses, or return why that cannot be.
+        """Reserve the usage of a call, or return the decision by which it must not run.
 
-        :param amount: in units of the limit.
+        :param amount: usage of the call, in units of the limit.
         """
         decision = self._cached_refusal(organisation, amount)
         if decision is None:
@@ -128,23 +131,23 @@
         return self._ledger.of(organisation).reserve(amount)
 
     def _fits_own_share(self, organisation: str, limit: UsageLimit, amount: int) -> bool:
-        """Return whether a call may run that no limiter decides on."""
+        """Return whether a call without a limiter's decision fits this gateway's own share."""
         if not self._members.are_listed:
             return False
-        own_part = self._rule.of_gateway(limit, self._gateway_count(), self._age_s())
-        return self._ledger.may_use(organisation, amount, own_part)
+        own_share = self._rule.of_gateway(limit, self._gateway_count(), self._age_s())
+        return self._ledger.may_use(organisation, amount, own_share)
 
     def _cached_refusal(self, organisation: str, amount: int) -> Decision | None:
-        refused = self._refusals.get(organisation)
+        refusal = self._refusals.get(organisation)
         now_s = boottime_s()
-        if refused is None or amount < refused.amount or now_s > refused.at_s + REFUSAL_CACHE_S:
+        if refusal is None or amount < refusal.amount or now_s > refusal.at_s + REFUSAL_CACHE_S:
             return None
-        return Decision(Ruling.OVER, max(0.0, refused.room_s - now_s))
+        return Decision(Ruling.OVER, max(0.0, refusal.room_s - now_s))
 
     def _cache_refusal(self, organisation: str, amount: int, decision: Decision) -> None:
         now_s = boottime_s()
-        refused = self._refusals.get(organisation)
-        if refused is None or now_s > refused.at_s + REFUSAL_CACHE_S:
+        refusal = self._refusals.get(organisation)
+        if refusal is None or now_s > refusal.at_s + REFUSAL_CACHE_S:
             self._refusals[organisation] = _Refusal(amount, now_s, now_s + decision.wait_s)
 
     def _age_s(self) -> float:
@@ -154,7 +157,7 @@
         return len(self._members.in_own_centre()) + 1
 
     async def _decide(self, organisation: str, amount: int) -> Decision:
-        """Return the decision of the first limiter that answers."""
+        """Return the decision of the first limiter that can decide."""
         for address in self._limiter_addresses():
             decision: Decision | None
             if address == LOCAL:
@@ -169,17 +172,19 @@
         return Decision(Ruling.UNKNOWN)
 
     def _limiter_addresses(self) -> list[str]:
-        """Return whom to ask, the first first; :data:`LOCAL` for this process."""
+        """Return the limiters to query, in this order; :data:`LOCAL` for this process."""
         own = self._members.own
-        addresses = [LOCAL if one is own else one.address for one in self._members.own_relays()]
-        return [one for one in addresses if not self._questions.is_avoided(one)]
+        addresses = [
+            LOCAL if member is own else member.address for member in self._members.own_relays()
+        ]
+        return [limiter for limiter in addresses if not self._questions.is_avoided(limiter)]
 
     def _decide_locally(self, gateway: str, organisation: str, amount: int) -> Decision:
         config = self._in_force.config
         organisations = config.organisations if config is not None else None
         limit = organisations.limit_of(organisation) if organisations is not None else None
         if self._limiter is None or limit is None:
-            # Not a relay here, or of another version of the configuration than the asker.
+            # This gateway is not a relay, or its configuration version has no such limit.
             return Decision(Ruling.UNKNOWN)
         now_s = boottime_s()
         wait_s = self._paces.wait_s(organisation, limit, amount, now_s)
@@ -195,7 +200,7 @@
     async def _query_limiter(
         self, address: str, organisation: str, amount: int
     ) -> Decision | None:
-        """Return the decision of another gateway, ``None`` if it is silent."""
+        """Return the decision of another gateway; ``None`` if it does not answer."""
         query = LimitQuery(new_id('l'), organisation, amount)
         return await self._questions.ask(address, query.query_id, query)
 
--- a/tests/membership/test_limit_exchange.py
+++ b/tests/membership/test_limit_exchange.py
@@ -1,4 +1,4 @@
-"""Whom a gateway asks for what a call uses, and what it does where nobody answers."""
+"""Which limiter a gateway queries, and what it does if none answers."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 from limeshelf.util.clock import virtual_clock
 
 RULE = LimitRule(window_s=8.0, overrun=0.0, slack=0.0, centres=1)
-#: Nearly all of it a burst, so that it is the window that binds.
+#: The burst makes up nearly all of the limit, so that the window restricts usage and not the pace.
 LIMIT = UsageLimit(per_s=10.0, burst=7920.0, in_tokens=True)
 NAMES = ('g1', 'g2', 'g3', 'g4')
 
 
 @attrs.define
 class Wire:
-    """Brings messages to the exchanges of other gateways, but for those that are silent."""
+    """Delivers messages between exchanges, except to and from those that are silent."""
 
     exchanges: dict[str, LimitExchange] = attrs.field(factory=dict)
     silent: set[str] = attrs.field(factory=set)
@@ -61,8 +61,8 @@
     return ConfigInForce(ServingConfig(1, (), {}, limits, organisations))
 
 
-def world() -> Wire:
-    """Return the exchanges of a data centre, g1 and g2 its relays, that have run for long."""
+def make_wire() -> Wire:
+    """Return the exchanges of a data centre that has run for long; g1 and g2 are its relays."""
     wire = Wire()
     for name in NAMES:
         members = Members(Member(name, 'c1', 1.0))
@@ -70,17 +70,17 @@
         for other in NAMES:
             members.add(other, 'c1', 1.0)
         node: Any = Node(wire, name)
-        made = wire.exchanges[name] = LimitExchange(node, members, config(), RULE)
-        made.started_ms -= 100_000
-        made.update_role({})
-        if made._limiter is not None:
-            made._limiter._listening_since_s -= 100.0
+        limit_exchange = wire.exchanges[name] = LimitExchange(node, members, config(), RULE)
+        limit_exchange.started_ms -= 100_000
+        limit_exchange.update_role({})
+        if limit_exchange._limiter is not None:
+            limit_exchange._limiter._listening_since_s -= 100.0
     report(wire)
     return wire
 
 
 def report(wire: Wire) -> None:
-    """Let each gateway say what it uses."""
+    """Let each gateway report its usage to all others."""
     for name, sender in wire.exchanges.items():
         number = sender.started_ms + 100_000
         usage = sender.report()
@@ -96,8 +96,8 @@
     return asyncio.run(wire.exchanges[name].reserve('acme', LIMIT, amount))
 
 
-def test_first_relay_decides_for_all() -> None:
-    wire = world()
+def test_first_relay_decides_for_all_gateways() -> None:
+    wire = make_wire()
     granted = 0
     while isinstance(reserve(wire, NAMES[granted % 4]), Reservation):
         granted += 1
@@ -105,20 +105,20 @@
     assert set(wire.queries) == {'g1'}
 
 
-def test_second_relay_is_asked_where_the_first_is_silent_and_that_is_remembered() -> None:
-    wire = world()
+def test_second_relay_is_queried_directly_once_the_first_did_not_answer() -> None:
+    wire = make_wire()
     wire.silent.add('g1')
     for _ in range(3):
-        # The second one grants little between two reports.
+        # The second relay grants only a small amount between two reports.
         assert isinstance(reserve(wire, 'g3', 100), Reservation)
     assert wire.queries == ['g1', 'g2', 'g2', 'g2']
 
 
-def test_gateway_that_hears_no_limiter_goes_on_with_its_own_part() -> None:
-    wire = world()
+def test_gateway_without_a_limiter_uses_its_own_share() -> None:
+    wire = make_wire()
     wire.silent.update(('g1', 'g2'))
-    own_part = RULE.of_gateway(LIMIT, len(NAMES))
-    amount = int(own_part / 2)
+    own_share = RULE.of_gateway(LIMIT, len(NAMES))
+    amount = int(own_share / 2)
     assert isinstance(reserve(wire, 'g3', amount), Reservation)
     assert isinstance(reserve(wire, 'g3', amount), Reservation)
     refused = reserve(wire, 'g3', amount)
@@ -126,26 +126,26 @@
     assert refused.ruling is Ruling.UNKNOWN
 
 
-def test_gateway_whose_process_is_young_has_less_of_its_own_part() -> None:
-    wire = world()
+def test_recently_started_gateway_has_a_smaller_own_share() -> None:
+    wire = make_wire()
     wire.silent.update(('g1', 'g2'))
-    young = wire.exchanges['g3']
-    young.started_ms += 98_000
+    recently_started = wire.exchanges['g3']
+    recently_started.started_ms += 98_000
     amount = int(RULE.of_gateway(LIMIT, len(NAMES)) / 2)
     assert not isinstance(reserve(wire, 'g3', amount), Reservation)
     assert isinstance(reserve(wire, 'g3', amount // 4), Reservation)
 
 
-def test_gateway_that_knows_no_others_yet_has_no_part_of_its_own() -> None:
-    wire = world()
+def test_gateway_without_rows_of_the_members_table_has_no_own_share() -> None:
+    wire = make_wire()
     wire.silent.update(('g1', 'g2'))
     wire.exchanges['g3']._members.are_listed = False
     assert not isinstance(reserve(wire, 'g3', 10), Reservation)
 
 
-def test_limiter_is_asked_again_after_a_while() -> None:
+def test_limiter_that_did_not_answer_is_queried_again_later() -> None:
     with virtual_clock() as clock:
-        wire = world()
+        wire = make_wire()
         wire.silent.add('g1')
         reserve(wire, 'g3', 100)
         wire.silent.clear()
@@ -154,16 +154,16 @@
         assert wire.queries == ['g1', 'g2', 'g1']
 
 
-def test_refusal_is_kept_for_a_moment() -> None:
+def test_refusal_is_cached() -> None:
     with virtual_clock() as clock:
-        wire = world()
+        wire = make_wire()
         while isinstance(reserve(wire, 'g3'), Reservation):
             pass
         asked = len(wire.queries)
         kept = reserve(wire, 'g3')
         assert isinstance(kept, Decision)
         assert (kept.ruling, len(wire.queries)) == (Ruling.OVER, asked)
-        # What counts less may still find room.
+        # A call with a smaller amount may still be within the limit.
         reserve(wire, 'g3', 1)
         assert len(wire.queries) == asked + 1
         clock.advance(0.2)
