--- a/limeshelf/membership/digest_exchange.py
+++ b/limeshelf/membership/digest_exchange.py
@@ -1,9 +1,11 @@
-"""Sends the other gateways what this one does, and takes in what they do.
+"""Exchanges status digests between gateways.
 
-Each gateway sends a digest to the relays of its data centre; relays sum the digests up
-for the others, in their data centre and elsewhere. Owns the digests and the sums that came;
-passes loads on to the directory of replicas, demand to the totals and claims to lead to the
-view of the leader. Who is sent what stands in :mod:`~limeshelf.membership.receivers`.
+Each gateway sends a digest to the relays of its data centre. Relays sum the digests for the other
+gateways of their data centre and for other data centres
+(:mod:`~limeshelf.membership.receivers`). Received loads go to the replica directory, demand to
+the totals, and claims to lead to the leader view.
+
+Owns the digests and sums received.
 """
 
 from __future__ import annotations
@@ -36,17 +38,18 @@
     from limeshelf.peers.node import PeerNode
     from limeshelf.replicas.directory import ReplicaDirectory
 
-#: A gateway sends a digest this often.
+#: Interval at which a gateway sends digests.
 DIGEST_INTERVAL_S = 0.25
-#: Stands for a number of gateways that is not known.
+#: Number of gateways in a message if the number is unknown.
 UNKNOWN_COUNT = 0
-#: Ends the id under which the sum of a data centre counts beside its gateways.
+#: Suffix of the sender's id in the sum of a data centre; it tells the sum from the sender's own
+#: digest.
 SUM_ID_SUFFIX = '+centre'
 
 
 @attrs.define
 class DigestExchange:
-    """Sends this gateway's digests and takes those of the others."""
+    """Sends this gateway's digests and applies those of the others."""
 
     instance_id: str
     node: PeerNode
@@ -72,24 +75,24 @@
         self._gateway_counter = GatewayCounter(self.members)
 
     def start(self) -> None:
-        """Take messages."""
+        """Register the message handlers."""
         self.node.add_handler(GatewayDigest, self._handle_digest)
         self.node.add_handler(DigestBundle, self._handle_bundle)
         self.node.add_handler(FleetSummary, self._handle_summary)
 
     @property
     def gateway_count(self) -> int | None:
-        """Return how many gateways there are, this one included; ``None`` while unknown.
+        """Return the number of gateways, this one included; ``None`` while unknown.
 
-        Those that are not heard now count, too (:mod:`~limeshelf.membership.gateway_count`).
+        Recently active gateways are included (:mod:`~limeshelf.membership.gateway_count`).
         """
         return self._gateway_counter.update(self._active_count())
 
     def _active_count(self) -> int:
-        """Return how many gateways are heard now, this one included.
+        """Return the number of active gateways, this one included.
 
-        Relays count digests, and what the relays of other data centres counted; the others
-        go by the last summary of a relay.
+        Relays count the digests they receive and add the counts of other data centres; other
+        gateways use the count in the latest summary from a relay.
         """
         if self.members.is_relay:
             return 1 + sum(self._gateways_in(digest) for digest in self._digests.unexpired())
@@ -99,7 +102,7 @@
         return self._gateways_per_sum.get(digest.instance_id, 1)
 
     async def run(self) -> None:
-        """Send digests, and as a relay what was made of those of the others."""
+        """Send digests at intervals and, as a relay, the sums of received digests."""
         while True:
             self._digest_count += 1
             digest = self._own_digest()
@@ -131,7 +134,7 @@
             own.address,
             own.data_centre,
             own.weight,
-            # Rises also when the process starts again.
+            # The number must also increase across restarts of the process.
             int(boottime_s() * 1000),
             self.in_force.version,
             self.leadership.fence,
@@ -143,7 +146,7 @@
         )
 
     def _send_summary(self, own: GatewayDigest) -> None:
-        """Send the gateways of this data centre what all gateways have under way."""
+        """Send the total loads of all gateways to the gateways of this data centre."""
         own_loads = [load for load in own.loads if load.calls]
         loads = sum_loads([*self._digests.loads(), *own_loads])
         gateways = self.gateway_count or UNKNOWN_COUNT
@@ -151,7 +154,7 @@
         self.node.send_all(receivers.own_centre(self.members), summary)
 
     def _send_bundle(self, own: GatewayDigest) -> None:
-        """Send what this data centre does to the leader and other relays, as one digest."""
+        """Send the sum of this data centre's digests to the leader and to other data centres."""
         leader = self.leader.current() or None
         addresses = receivers.of_bundle(self.members, leader, self._digest_count)
         if addresses:
@@ -161,11 +164,11 @@
             self.node.send_all(addresses, DigestBundle([summed], dispatcher, len(digests)))
 
     def _sum_digests(self, own: GatewayDigest, digests: list[GatewayDigest]) -> GatewayDigest:
-        """Return the digests of this data centre as one.
+        """Return the sum of the digests of this data centre.
 
-        With each by itself, the digests of 195 gateways in five data centres took some
-        2 MB a second between data centres, by their size and number. Who leads is not in
-        the sum; the leader's own messages say so.
+        Sent separately, the digests of 195 gateways in five data centres would take about 2 MB
+        per second between data centres, computed from their size and number. The sum contains no
+        claim to lead; the leader states it in its own messages.
         """
         speeds: dict[str, float] = {}
         for digest in digests:
@@ -195,7 +198,7 @@
         self.dispatchers.record_announced(envelope.data_centre, bundle.dispatcher)
         is_own_centre = envelope.data_centre == self.members.own.data_centre
         if is_own_centre and self.members.is_relay:
-            # It has the digests of this data centre themselves.
+            # A relay already has the separate digests of its data centre.
             return
         for digest in bundle.digests:
             if digest.instance_id != self.instance_id:
@@ -205,15 +208,15 @@
                 self._apply_digest(digest)
 
     def _record_sum(self, digest: GatewayDigest, gateways: int) -> None:
-        """Note how many gateways a sum holds; forget that of the relay before."""
+        """Record the number of gateways in a sum; drop the sum of the previous relay."""
         self._gateways_per_sum[digest.instance_id] = gateways
-        before = self._sum_ids.get(digest.data_centre)
+        previous_id = self._sum_ids.get(digest.data_centre)
         self._sum_ids[digest.data_centre] = digest.instance_id
-        if before is not None and before != digest.instance_id:
-            del self._gateways_per_sum[before]
-            self._digests.remove(before)
-            self.totals.forget_running(before)
-            self.directory.forget_peer(before)
+        if previous_id is not None and previous_id != digest.instance_id:
+            del self._gateways_per_sum[previous_id]
+            self._digests.remove(previous_id)
+            self.totals.forget_running(previous_id)
+            self.directory.forget_peer(previous_id)
 
     def _apply_digest(self, digest: GatewayDigest) -> None:
         if not self._digests.add(digest):
@@ -235,12 +238,12 @@
     def _handle_summary(self, envelope: Envelope) -> None:
         summary: FleetSummary = envelope.message
         self.members.note_message(envelope.sender, envelope.data_centre)
-        # Also as a relay: the second one sends nothing to other data centres, so that these take
-        # it for silent and send it their sums only now and then.
+        # Relays need this as well: the second relay sends nothing to other data centres, so it is
+        # inactive in their view and receives their sums only at the retry interval.
         for data_centre, address in summary.dispatchers.items():
             self.dispatchers.record_forwarded(data_centre, address)
         if self.members.is_relay or self.leader.is_self:
-            # These have the digests themselves.
+            # Relays and the leader have the digests and sums themselves.
             return
         self._summary_gateways = summary.gateways
         self.directory.take_total_loads(summary.loads)
--- a/limeshelf/membership/notice_exchange.py
+++ b/limeshelf/membership/notice_exchange.py
@@ -74,7 +74,7 @@
     def _send_to(self, addresses: list[str], replicas: list[Replica]) -> None:
         if replicas:
             self.node.send_all(
-                addresses, ReplicaNotices([_notice_from_replica(one) for one in replicas])
+                addresses, ReplicaNotices([_notice_from_replica(replica) for replica in replicas])
             )
 
 
--- a/tests/membership/test_digest_exchange.py
+++ b/tests/membership/test_digest_exchange.py
@@ -1,4 +1,4 @@
-"""What a gateway sends of its own doing, and what it makes of the digests of others."""
+"""Contents of a gateway's digest, and the effect of digests and sums it receives."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 @attrs.define
 class Node:
-    """Keeps what is sent."""
+    """Records the messages sent."""
 
     sent: list[tuple[list[str], Any]] = attrs.field(factory=list)
 
@@ -55,7 +55,7 @@
 
 @attrs.define
 class Totals:
-    """Keeps the demand that came."""
+    """Records the demand received."""
 
     taken: dict[str, list[KeyDemand]] = attrs.field(factory=dict)
 
@@ -72,14 +72,14 @@
 
 
 def exchange(own: str, *others: str, fence: int = 0) -> DigestExchange:
-    """Return the exchange of a gateway in data centre c1; all gateways are as heavy."""
+    """Return the exchange of a gateway in data centre c1; all gateways have the same weight."""
     members = Members(Member(own, 'c1', 1.0))
     for address in others:
         members.add(address, 'c1', 1.0)
     directory = ReplicaDirectory(read_record)
     directory.take_record(ReplicaRecord('r1', 'lm', 'ip:1', 'c1', 8, False, None, (), 1))
     leadership: Any = Leadership(fence)
-    known: dict[str, Any] = {
+    parts: dict[str, Any] = {
         'instance_id': f'i-{own}',
         'node': Node(),
         'members': members,
@@ -92,9 +92,9 @@
         'dispatchers': Dispatchers(members),
         'speed': ReadingSpeed(),
     }
-    node = known['node']
-    known['limits'] = LimitExchange(node, members, known['in_force'], RULE)
-    return DigestExchange(**known)
+    node = parts['node']
+    parts['limits'] = LimitExchange(node, members, parts['in_force'], RULE)
+    return DigestExchange(**parts)
 
 
 def digest(address: str, number: int, *, fence: int = 0, calls: int = 0) -> GatewayDigest:
@@ -103,144 +103,144 @@
     return GatewayDigest(f'i-{address}', address, 'c1', 1.0, number, 3, fence, loads, demands)
 
 
-def take(one: DigestExchange, message: GatewayDigest) -> None:
-    one._handle_digest(Envelope(message.address, 'c1', message))
+def receive_digest(gateway: DigestExchange, message: GatewayDigest) -> None:
+    gateway._handle_digest(Envelope(message.address, 'c1', message))
 
 
-def test_own_digest_holds_calls_under_way_demand_and_fence() -> None:
+def test_own_digest_contains_load_demand_and_fence() -> None:
     with virtual_clock():
-        one = exchange('g1', fence=5)
-        assert one._own_digest().loads == []
-        replica = one.directory.get('r1')
+        gateway = exchange('g1', fence=5)
+        assert gateway._own_digest().loads == []
+        replica = gateway.directory.get('r1')
         assert replica is not None
         replica.own.calls, replica.own.tokens = 1, 10
-        sent = one._own_digest()
+        sent = gateway._own_digest()
         assert sent.loads == [ReplicaLoad('r1', 1, 10)]
         assert (sent.fence, sent.demands) == (5, [KeyDemand(KEY, started=2)])
 
 
-def test_digest_brings_demand_loads_and_the_leader() -> None:
+def test_received_digest_updates_demand_loads_and_leader() -> None:
     with virtual_clock():
-        one = exchange('g1')
-        take(one, digest('g2', 4, fence=7, calls=2))
-        totals: Any = one.totals
+        gateway = exchange('g1')
+        receive_digest(gateway, digest('g2', 4, fence=7, calls=2))
+        totals: Any = gateway.totals
         assert totals.taken['i-g2'][0].started == 4
-        replica = one.directory.get('r1')
+        replica = gateway.directory.get('r1')
         assert replica is not None
-        assert one.directory.load_of(replica).calls == 2
-        assert one.leader.current() == 'g2'
-        leadership: Any = one.leadership
+        assert gateway.directory.load_of(replica).calls == 2
+        assert gateway.leader.current() == 'g2'
+        leadership: Any = gateway.leadership
         assert leadership.noted == 7
 
 
-def test_late_digest_changes_nothing() -> None:
+def test_superseded_digest_changes_nothing() -> None:
     with virtual_clock():
-        one = exchange('g1')
-        take(one, digest('g2', 4))
-        take(one, digest('g2', 3, fence=9))
-        totals: Any = one.totals
+        gateway = exchange('g1')
+        receive_digest(gateway, digest('g2', 4))
+        receive_digest(gateway, digest('g2', 3, fence=9))
+        totals: Any = gateway.totals
         assert totals.taken['i-g2'][0].started == 4
-        assert one.leader.current() is None
+        assert gateway.leader.current() is None
 
 
-def test_relay_counts_the_gateways_whose_digests_count() -> None:
+def test_relay_counts_gateways_by_digests_that_have_not_expired() -> None:
     with virtual_clock() as clock:
-        one = exchange('g1', 'g2', 'g3')
-        take(one, digest('g2', 1))
-        take(one, digest('g3', 1))
-        assert (one._active_count(), one.gateway_count) == (3, 3)
+        gateway = exchange('g1', 'g2', 'g3')
+        receive_digest(gateway, digest('g2', 1))
+        receive_digest(gateway, digest('g3', 1))
+        assert (gateway._active_count(), gateway.gateway_count) == (3, 3)
         clock.advance(DIGEST_TTL_S / 2)
-        take(one, digest('g3', 2))
+        receive_digest(gateway, digest('g3', 2))
         clock.advance(DIGEST_TTL_S * 0.6)
-        assert one._active_count() == 2
-        # The one that is not heard any more may go on serving.
-        assert one.gateway_count == 3
+        assert gateway._active_count() == 2
+        # The gateway that is no longer active may still serve calls.
+        assert gateway.gateway_count == 3
 
 
-def test_summary_holds_all_loads_the_own_among_them() -> None:
+def test_summary_includes_the_loads_of_its_sender() -> None:
     with virtual_clock():
-        one = exchange('g1', 'g2', 'g3')
-        take(one, digest('g2', 1, calls=2))
-        replica = one.directory.get('r1')
+        gateway = exchange('g1', 'g2', 'g3')
+        receive_digest(gateway, digest('g2', 1, calls=2))
+        replica = gateway.directory.get('r1')
         assert replica is not None
         replica.own.calls, replica.own.tokens = 1, 10
-        one._send_summary(one._own_digest())
-        node: Any = one.node
+        gateway._send_summary(gateway._own_digest())
+        node: Any = gateway.node
         summary = FleetSummary(2, [ReplicaLoad('r1', 3, 30)], {'c1': 'g2'})
         assert node.sent == [(['g2', 'g3'], summary)]
 
 
-def test_summary_counts_only_for_those_without_digests() -> None:
+def test_summary_is_applied_only_by_gateways_that_are_not_relays() -> None:
     with virtual_clock():
         summary = Envelope('g1', 'c1', FleetSummary(9, [ReplicaLoad('r1', 4, 40)]))
         other, relay = exchange('g3', 'g1', 'g2'), exchange('g1', 'g2', 'g3')
-        for one, calls in ((other, 4), (relay, 0)):
+        for gateway, calls in ((other, 4), (relay, 0)):
             for address in ('g1', 'g2'):
-                one.members.note_message(address, 'c1')
-            one._handle_summary(summary)
-            replica = one.directory.get('r1')
+                gateway.members.note_message(address, 'c1')
+            gateway._handle_summary(summary)
+            replica = gateway.directory.get('r1')
             assert replica is not None
-            assert one.directory.load_of(replica).calls == calls
+            assert gateway.directory.load_of(replica).calls == calls
         assert (other.gateway_count, relay.gateway_count) == (9, None)
         assert relay._active_count() == 1
 
 
 def test_first_relay_sends_the_sum_of_its_data_centre_to_the_leader() -> None:
-    """Before: each digest by itself, 2 MB a second between data centres of 195 gateways."""
+    """Separate digests of 195 gateways would take 2 MB per second between data centres."""
     with virtual_clock():
-        one = exchange('g1', 'g2')
-        take(one, digest('g2', 1, fence=4, calls=2))
-        take(one, digest('g3', 1, calls=1))
-        own = one._own_digest()
-        one._add_demand(own)
-        one._digest_count = 2
-        one._send_bundle(own)
-        node: Any = one.node
+        gateway = exchange('g1', 'g2')
+        receive_digest(gateway, digest('g2', 1, fence=4, calls=2))
+        receive_digest(gateway, digest('g3', 1, calls=1))
+        own = gateway._own_digest()
+        gateway._add_demand(own)
+        gateway._digest_count = 2
+        gateway._send_bundle(own)
+        node: Any = gateway.node
         ((addresses, bundle),) = node.sent
         assert addresses == ['g2']
         assert (bundle.gateways, bundle.dispatcher) == (3, 'g2')
         (summed,) = bundle.digests
         assert (summed.instance_id, summed.fence) == ('i-g1+centre', 0)
         assert summed.loads == [ReplicaLoad('r1', 3, 30)]
-        assert [(one.key, one.started) for one in summed.demands] == [(KEY, 4)]
+        assert [(demand.key, demand.started) for demand in summed.demands] == [(KEY, 4)]
 
 
-def test_sum_of_a_data_centre_counts_all_its_gateways() -> None:
+def test_sum_counts_all_gateways_of_its_data_centre() -> None:
     with virtual_clock() as clock:
-        one = exchange('g1', 'g2')
+        gateway = exchange('g1', 'g2')
         for sender, number in (('h1', 1), ('h1', 2), ('h2', 1)):
             summed = attrs.evolve(
                 digest(sender, number, calls=4), instance_id=f'{sender}+centre', data_centre='c2'
             )
             bundle = DigestBundle([summed], 'h2', 7)
-            one._handle_bundle(Envelope(sender, 'c2', bundle))
+            gateway._handle_bundle(Envelope(sender, 'c2', bundle))
             clock.advance(0.1)
-            replica = one.directory.get('r1')
+            replica = gateway.directory.get('r1')
             assert replica is not None
-            # The sum of a relay replaces that of the one before it.
-            assert (one.gateway_count, one.directory.load_of(replica).calls) == (8, 4)
+            # The sum of a relay replaces the sum of the previous relay.
+            assert (gateway.gateway_count, gateway.directory.load_of(replica).calls) == (8, 4)
 
 
-def test_digests_of_a_release_that_bundled_each_by_itself_count_once() -> None:
+def test_separate_digests_in_a_bundle_of_an_earlier_release_count_once() -> None:
     with virtual_clock():
-        one = exchange('g1', 'g2')
-        digests = [attrs.evolve(digest(one, 1), data_centre='c2') for one in ('h1', 'h2')]
-        one._handle_bundle(Envelope('h1', 'c2', DigestBundle(digests)))
-        assert one.gateway_count == 3
+        gateway = exchange('g1', 'g2')
+        digests = [attrs.evolve(digest(address, 1), data_centre='c2') for address in ('h1', 'h2')]
+        gateway._handle_bundle(Envelope('h1', 'c2', DigestBundle(digests)))
+        assert gateway.gateway_count == 3
 
 
-def test_relay_takes_no_sum_of_its_own_data_centre() -> None:
+def test_relay_ignores_the_sum_of_its_own_data_centre() -> None:
     with virtual_clock():
-        one = exchange('g1', 'g2')
-        take(one, digest('g2', 1, calls=2))
+        gateway = exchange('g1', 'g2')
+        receive_digest(gateway, digest('g2', 1, calls=2))
         summed = attrs.evolve(digest('g2', 1, calls=2), instance_id='i-g2+centre')
-        one._handle_bundle(Envelope('g2', 'c1', DigestBundle([summed], 'g2', 2)))
-        replica = one.directory.get('r1')
+        gateway._handle_bundle(Envelope('g2', 'c1', DigestBundle([summed], 'g2', 2)))
+        replica = gateway.directory.get('r1')
         assert replica is not None
-        assert (one.gateway_count, one.directory.load_of(replica).calls) == (2, 2)
+        assert (gateway.gateway_count, gateway.directory.load_of(replica).calls) == (2, 2)
 
 
-def test_dispatcher_of_another_centre_is_known_by_its_bundle_and_passed_on() -> None:
+def test_dispatcher_in_a_bundle_of_another_centre_is_recorded_and_forwarded() -> None:
     with virtual_clock():
         relay, other = exchange('g1', 'g2', 'g3'), exchange('g3', 'g1', 'g2')
         relay._handle_bundle(Envelope('h1', 'c2', DigestBundle([], 'h2')))
@@ -253,12 +253,14 @@
         assert other.dispatchers.of_centre('c2') == 'h2'
 
 
-def test_reading_that_one_gateway_learned_is_known_to_all_with_its_digest() -> None:
+def test_reading_speed_measured_by_one_gateway_is_shared_in_its_digest() -> None:
     with virtual_clock():
-        one, two = exchange('g1', 'g2'), exchange('g2', 'g1')
+        gateway, other = exchange('g1', 'g2'), exchange('g2', 'g1')
         for _ in range(30):
-            two.speed.learn('m1', 1000, 122.0)
-            take(one, attrs.evolve(two._own_digest(), number=one._digest_count + 1))
-            one._digest_count += 1
-        assert one.speed.read_ms('m1', 1000) == pytest.approx(100.0, rel=0.05)
-        assert two._own_digest().reading_ms == {}
+            other.speed.learn('m1', 1000, 122.0)
+            receive_digest(
+                gateway, attrs.evolve(other._own_digest(), number=gateway._digest_count + 1)
+            )
+            gateway._digest_count += 1
+        assert gateway.speed.read_ms('m1', 1000) == pytest.approx(100.0, rel=0.05)
+        assert other._own_digest().reading_ms == {}
