--- a/limeshelf/membership/crash_exchange.py
+++ b/limeshelf/membership/crash_exchange.py
@@ -74,20 +74,22 @@
 def _message_from_states(states: list[SuspectState]) -> CrashSuspects:
     groups: dict[ToldEnd, list[bytes]] = {}
     for state in states:
-        for told in state.told_ends():
-            groups.setdefault(told, []).append(bytes.fromhex(state.fingerprint))
-    return CrashSuspects([_ended_replica(told, calls) for told, calls in groups.items()])
+        for call_end in state.told_ends():
+            groups.setdefault(call_end, []).append(bytes.fromhex(state.fingerprint))
+    return CrashSuspects([_ended_replica(call_end, calls) for call_end, calls in groups.items()])
 
 
-def _ended_replica(told: ToldEnd, calls: list[bytes]) -> EndedReplica:
-    end = told.end
-    return EndedReplica(end.replica_id, end.born_ms, told.is_cleared, told.is_coincident, calls)
+def _ended_replica(call_end: ToldEnd, calls: list[bytes]) -> EndedReplica:
+    end = call_end.end
+    return EndedReplica(
+        end.replica_id, end.born_ms, call_end.is_cleared, call_end.is_coincident, calls
+    )
 
 
 def _states_from_message(message: CrashSuspects) -> Iterator[SuspectState]:
     """Yield a state for each call and end in the message."""
     for group in message.ends:
         end = ReplicaEnd(group.replica_id, group.born_ms)
-        told = ToldEnd(end, group.cleared, group.coincident)
+        call_end = ToldEnd(end, group.cleared, group.coincident)
         for call in group.calls:
-            yield SuspectState.from_ends(Fingerprint(call.hex()), [told])
+            yield SuspectState.from_ends(Fingerprint(call.hex()), [call_end])
--- a/limeshelf/membership/limit_exchange.py
+++ b/limeshelf/membership/limit_exchange.py
@@ -42,7 +42,7 @@
 
 @attrs.frozen
 class _Refusal:
-    """The refusal of an organisation's call; times are on the boot clock.
+    """A cached refusal of an organisation's call; times are on the boot clock.
 
     :ivar amount: usage of the refused call.
     :ivar at_s: when it was refused.
@@ -104,7 +104,7 @@
         self._limiter.take_report(own, self.started_ms, self._age_s(), used, now_s)
 
     def add_report(self, digest: GatewayDigest) -> None:
-        """Pass the usage that a gateway of this data centre reports to the limiter."""
+        """Add the usage report of a gateway of this data centre, if this gateway is a limiter."""
         if self._limiter is not None and digest.started_ms:
             age_s = (digest.number - digest.started_ms) / MS_PER_S
             self._limiter.take_report(
--- a/limeshelf/membership/members.py
+++ b/limeshelf/membership/members.py
@@ -66,9 +66,9 @@
     def note_message(self, address: str, data_centre: str) -> bool:
         """Record that a message from a gateway was received; return whether it was inactive."""
         member = self.add(address, data_centre)
-        was_silent = not member.is_active
+        was_inactive = not member.is_active
         member.last_message_s = boottime_s()
-        return was_silent
+        return was_inactive
 
     def note_slept(self, slept_s: float) -> None:
         """Exclude a suspension of this machine from the time since each gateway's last message."""
@@ -96,8 +96,8 @@
 
         Relays send several messages to all gateways of their data centre within that time.
         """
-        oldest_s = boottime_s() - RELAY_TIMEOUT_S
-        return any(member.last_message_s >= oldest_s for member in self.others())
+        min_message_s = boottime_s() - RELAY_TIMEOUT_S
+        return any(member.last_message_s >= min_message_s for member in self.others())
 
     def in_own_centre(self) -> list[Member]:
         """Return the other gateways of this data centre."""
@@ -105,7 +105,7 @@
         return [member for member in ranked if member is not self.own]
 
     def other_centres(self) -> set[str]:
-        """Return the known data centres except this one."""
+        """Return the known data centres except this gateway's own."""
         centres = {centre for centre, ranked in self._ranked.items() if ranked}
         return centres - {self.own.data_centre}
 
--- a/limeshelf/membership/receivers.py
+++ b/limeshelf/membership/receivers.py
@@ -36,8 +36,8 @@
     from limeshelf.membership.member import Member
     from limeshelf.membership.members import Members
 
-#: The first relay sends the sum to other data centres with every second digest, that is, every
-#: 0.5 s; it sends every sum to the leader.
+#: The first relay sends the sum to other data centres once in this many digests, which is every
+#: 0.5 s. It sends the sum to the leader with every digest.
 DIGESTS_PER_REMOTE_SUM = 2
 
 
@@ -52,7 +52,7 @@
     For a data centre without any relay, because all its gateways timed out, the first gateways by
     rank are contacted, and a random one in case those no longer exist. Otherwise two data centres
     separated by a network partition would never send each other a message again: after a
-    partition of 7 s they were still separated at the end of a test, 28 s later
+    partition of 7 s they were still separated at the end of a test run, 28 s later
     (tests/membership/test_reconnection_after_partition.py).
     """
     addresses: set[str] = set()
--- a/tests/membership/test_crash_exchange.py
+++ b/tests/membership/test_crash_exchange.py
@@ -135,7 +135,7 @@
         exchanges[5].suspects.note_finished(CALL)
 
     run_fleet(exchanges, scenario)
-    assert [one.suspects.state_of(CALL).open_count for one in exchanges] == [0] * 6
+    assert [exchange.suspects.state_of(CALL).open_count for exchange in exchanges] == [0] * 6
 
 
 def test_suspects_from_rows_of_the_store_are_not_broadcast() -> None:
--- a/tests/membership/test_members.py
+++ b/tests/membership/test_members.py
@@ -16,60 +16,64 @@
     return member_list
 
 
-def relays(known: Members) -> list[str]:
-    return [member.address for member in known.relays('c1')]
+def relays(member_list: Members) -> list[str]:
+    return [member.address for member in member_list.relays('c1')]
 
 
 def test_all_gateways_choose_the_heaviest_as_relays() -> None:
     with virtual_clock():
         for own in ('g1', 'g2', 'g3'):
-            known = members(own, *((name, 1.0) for name in ('g1', 'g2', 'g3') if name != own))
-            known.add('g9', 'c1', 5.0)
-            known.add('g8', 'c2', 9.0)
-            assert relays(known) == ['g9', 'g1']
+            member_list = members(
+                own, *((name, 1.0) for name in ('g1', 'g2', 'g3') if name != own)
+            )
+            member_list.add('g9', 'c1', 5.0)
+            member_list.add('g8', 'c2', 9.0)
+            assert relays(member_list) == ['g9', 'g1']
 
 
 def test_relay_that_timed_out_is_replaced_by_the_next() -> None:
     with virtual_clock() as clock:
-        known = members('g3', ('g1', 1.0), ('g2', 1.0))
-        assert relays(known) == ['g1', 'g2']
+        member_list = members('g3', ('g1', 1.0), ('g2', 1.0))
+        assert relays(member_list) == ['g1', 'g2']
         clock.advance(RELAY_TIMEOUT_S / 2)
-        known.note_message('g2', 'c1')
+        member_list.note_message('g2', 'c1')
         clock.advance(RELAY_TIMEOUT_S * 0.7)
-        assert relays(known) == ['g2', 'g3']
-        assert known.is_relay
-        assert not known.is_first_relay
+        assert relays(member_list) == ['g2', 'g3']
+        assert member_list.is_relay
+        assert not member_list.is_first_relay
 
 
 def test_relay_that_is_back_is_a_relay_again() -> None:
     with virtual_clock() as clock:
-        known = members('g3', ('g1', 1.0), ('g2', 1.0))
-        relays(known)
+        member_list = members('g3', ('g1', 1.0), ('g2', 1.0))
+        relays(member_list)
         clock.advance(10 * RELAY_TIMEOUT_S)
-        assert relays(known) == ['g3']
-        known.note_message('g1', 'c1')
-        assert relays(known) == ['g1', 'g3']
+        assert relays(member_list) == ['g3']
+        member_list.note_message('g1', 'c1')
+        assert relays(member_list) == ['g1', 'g3']
 
 
 def test_inactive_gateways_are_contacted_at_intervals() -> None:
     with virtual_clock() as clock:
-        known = members('g1', ('g2', 1.0))
+        member_list = members('g1', ('g2', 1.0))
         clock.advance(60.0)
-        assert known.addresses_to_contact(known.others()) == ['g2']
-        assert known.addresses_to_contact(known.others()) == []
+        assert member_list.addresses_to_contact(member_list.others()) == ['g2']
+        assert member_list.addresses_to_contact(member_list.others()) == []
         clock.advance(5.0)
-        assert known.addresses_to_contact(known.others()) == ['g2']
+        assert member_list.addresses_to_contact(member_list.others()) == ['g2']
 
 
 def test_gateway_that_announced_its_shutdown_is_inactive() -> None:
     with virtual_clock() as clock:
-        known = members('g3', ('g1', 1.0), ('g2', 1.0))
-        known.note_message('g1', 'c1')
-        known.note_message('g2', 'c1')
-        known.mark_leaving('g1')
+        member_list = members('g3', ('g1', 1.0), ('g2', 1.0))
+        member_list.note_message('g1', 'c1')
+        member_list.note_message('g2', 'c1')
+        member_list.mark_leaving('g1')
         clock.advance(RELAY_TIMEOUT_S * 0.9)
-        known.note_message('g2', 'c1')
-        assert not any(member.address == 'g1' and member.is_active for member in known.active())
+        member_list.note_message('g2', 'c1')
+        assert not any(
+            member.address == 'g1' and member.is_active for member in member_list.active()
+        )
 
 
 class Fleet:
--- a/tests/membership/test_notice_exchange.py
+++ b/tests/membership/test_notice_exchange.py
@@ -81,7 +81,7 @@
     rates: list[list[float | None]] = []
 
     def record_rates() -> None:
-        rates.append([replica_of(one).backpressure.rate_per_s for one in exchanges])
+        rates.append([replica_of(exchange).backpressure.rate_per_s for exchange in exchanges])
 
     run_steps(
         exchanges,
@@ -103,7 +103,7 @@
         exchanges,
         lambda: sender.notices.take_of_call(replica_of(sender), facts, boottime_s()),
     )
-    assert not any(replica_of(one).takes_calls for one in exchanges)
+    assert not any(replica_of(exchange).takes_calls for exchange in exchanges)
 
 
 def test_notice_does_not_apply_to_another_start_of_the_replica() -> None:
--- a/tests/membership/test_reconnection_after_partition.py
+++ b/tests/membership/test_reconnection_after_partition.py
@@ -54,7 +54,7 @@
             if not (self.is_partitioned and self.centres[address] != centre):
                 self.views[address].note_message(sender, centre)
 
-    def hears_other_centre(self, address: str) -> bool:
+    def receives_from_other_centre(self, address: str) -> bool:
         own = self.centres[address]
         return any(member.data_centre != own for member in self.views[address].active())
 
@@ -63,12 +63,12 @@
     with virtual_clock() as clock:
         fleet = Fleet({'a1': 'a', 'a2': 'a', 'a3': 'a', 'b1': 'b', 'b2': 'b'})
         fleet.run(clock, 5.0)
-        assert fleet.hears_other_centre('a1')
-        assert fleet.hears_other_centre('b1')
+        assert fleet.receives_from_other_centre('a1')
+        assert fleet.receives_from_other_centre('b1')
         fleet.is_partitioned = True
         fleet.run(clock, 10.0)
-        assert not fleet.hears_other_centre('a1')
+        assert not fleet.receives_from_other_centre('a1')
         fleet.is_partitioned = False
         fleet.run(clock, 3.0)
-        assert fleet.hears_other_centre('a1')
-        assert fleet.hears_other_centre('b1')
+        assert fleet.receives_from_other_centre('a1')
+        assert fleet.receives_from_other_centre('b1')
