--- a/limeshelf/membership/digest_exchange.py
+++ b/limeshelf/membership/digest_exchange.py
@@ -84,7 +84,8 @@
     def gateway_count(self) -> int | None:
         """Return the number of gateways, this one included; ``None`` while unknown.
 
-        Recently active gateways are included (:mod:`~limeshelf.membership.gateway_count`).
+        Gateways that were active until recently are included
+        (:mod:`~limeshelf.membership.gateway_count`).
         """
         return self._gateway_counter.update(self._active_count())
 
--- a/limeshelf/membership/limit_exchange.py
+++ b/limeshelf/membership/limit_exchange.py
@@ -71,7 +71,7 @@
         self._ledger = UsageLedger(rule.window_s)
         self._limiter: Limiter | None = None
         self._paces = Paces(rule)
-        self._questions: Questions[Decision] = Questions(node, _log_silent)
+        self._questions: Questions[Decision] = Questions(node, _log_unanswered)
         self._refusals: dict[str, _Refusal] = {}
         #: Whether no limiter decided on the latest call, and when a limiter last did.
         self._is_limiter_unavailable = False
@@ -216,5 +216,5 @@
         self._questions.answer(verdict.query_id, decision)
 
 
-def _log_silent(address: str) -> None:
+def _log_unanswered(address: str) -> None:
     log_change('limiter_silent', limiter=address, avoided_s=AVOID_S)
--- a/limeshelf/membership/registration.py
+++ b/limeshelf/membership/registration.py
@@ -30,7 +30,7 @@
     from limeshelf.peers.codec import Envelope
     from limeshelf.peers.node import PeerNode
 
-#: Upper bound of the pause after the first failed write of the row, and of all later pauses.
+#: Base and limit of the exponential back-off after failed writes of the row.
 RETRY_BASE_S = 0.2
 RETRY_LIMIT_S = 2.0
 #: Longest random pause before the row is written again after the store lost it; it spreads the
--- a/limeshelf/membership/state_exchange.py
+++ b/limeshelf/membership/state_exchange.py
@@ -73,8 +73,8 @@
     async def run(self) -> None:
         """Send replica states whenever this gateway is the leader, for ever."""
         while True:
-            limit_s = STATES_INTERVAL_S if self.leader.is_self else FOLLOWER_CHECK_INTERVAL_S
-            await self.changes.wait(limit_s, CHANGES_BATCH_WINDOW_S)
+            timeout_s = STATES_INTERVAL_S if self.leader.is_self else FOLLOWER_CHECK_INTERVAL_S
+            await self.changes.wait(timeout_s, CHANGES_BATCH_WINDOW_S)
             changed = self.changes.pop_replicas()
             if not self.leader.is_self:
                 continue
