--- a/limeshelf/membership/want_exchange.py
+++ b/limeshelf/membership/model_request_exchange.py
@@ -18,7 +18,7 @@
 
 
 @attrs.define
-class WantExchange:
+class ModelRequestExchange:
     """Passes requested models and adapters to the placement of the leader."""
 
     node: PeerNode
@@ -27,9 +27,9 @@
 
     def start(self) -> None:
         """Register the message handler."""
-        self.node.add_handler(ModelWanted, self._take_wanted)
+        self.node.add_handler(ModelWanted, self._handle_request)
 
-    def report(self, key: ModelKey) -> None:
+    def request(self, key: ModelKey) -> None:
         """Tell the leader that a call waits for *key*; do nothing if no leader is known."""
         leader = self.leader.current()
         if leader == LOCAL:
@@ -37,6 +37,6 @@
         elif leader is not None:
             self.node.send(leader, ModelWanted(key))
 
-    def _take_wanted(self, envelope: Envelope) -> None:
+    def _handle_request(self, envelope: Envelope) -> None:
         request: ModelWanted = envelope.message
         self.placement.want(request.key)
--- a/limeshelf/programs/components.py
+++ b/limeshelf/programs/components.py
@@ -39,12 +39,12 @@
 from limeshelf.membership.limit_exchange import LimitExchange
 from limeshelf.membership.member import Member
 from limeshelf.membership.members import Members
+from limeshelf.membership.model_request_exchange import ModelRequestExchange
 from limeshelf.membership.notice_exchange import NoticeExchange
 from limeshelf.membership.registration import Registration
 from limeshelf.membership.row_exchange import RowExchange
 from limeshelf.membership.state_changes import StateChanges
 from limeshelf.membership.state_exchange import StateExchange
-from limeshelf.membership.want_exchange import WantExchange
 from limeshelf.metrics.event_log import log_change
 from limeshelf.metrics.prometheus import GatewayMetrics
 from limeshelf.orders.sender import OrderSender
@@ -187,8 +187,8 @@
         self.notice_exchange = NoticeExchange(
             self.node, self.members, self.directory, self.notices
         )
-        self.wants = WantExchange(self.node, self.leader, self.placement)
-        self.meter = DemandMeter(self.directory, self.wants.report)
+        self.wants = ModelRequestExchange(self.node, self.leader, self.placement)
+        self.meter = DemandMeter(self.directory, self.wants.request)
         self.registration = Registration(instance_id, self.node, self.members, self.leader)
         self.limits = LimitExchange(self.node, self.members, self.in_force, limit_rule(settings))
         self.digests = DigestExchange(
--- a/tests/membership/test_want_exchange.py
+++ b/tests/membership/test_model_request_exchange.py
@@ -11,7 +11,7 @@
 from limeshelf.membership.member import Member
 from limeshelf.membership.members import Members
 from limeshelf.membership.messages import ModelWanted
-from limeshelf.membership.want_exchange import WantExchange
+from limeshelf.membership.model_request_exchange import ModelRequestExchange
 from limeshelf.peers.codec import Envelope
 from limeshelf.util.clock import virtual_clock
 
@@ -37,26 +37,28 @@
         self.wanted.append(key)
 
 
-def exchange(fence: int = 0) -> tuple[WantExchange, Parts]:
+def exchange(fence: int = 0) -> tuple[ModelRequestExchange, Parts]:
     parts: Any = Parts()
     leadership: Any = Leadership(fence)
-    return WantExchange(parts, LeaderView(Members(Member('own')), leadership), parts), parts
+    return ModelRequestExchange(
+        parts, LeaderView(Members(Member('own')), leadership), parts
+    ), parts
 
 
 def test_request_is_sent_to_the_leader_if_one_is_known() -> None:
     with virtual_clock():
         requests, parts = exchange()
-        requests.report(KEY)
+        requests.request(KEY)
         assert parts.sent == []
         requests.leader.record_claim('g1', 4)
-        requests.report(KEY)
+        requests.request(KEY)
         assert parts.sent == [('g1', ModelWanted(KEY))]
         assert parts.wanted == []
 
 
 def test_leader_handles_its_own_requests_and_those_of_others() -> None:
     requests, parts = exchange(fence=5)
-    requests.report(KEY)
-    requests._take_wanted(Envelope('g2', 'c1', ModelWanted(KEY)))
+    requests.request(KEY)
+    requests._handle_request(Envelope('g2', 'c1', ModelWanted(KEY)))
     assert parts.wanted == [KEY, KEY]
     assert parts.sent == []
