--- a/limeshelf/membership/row_forms.py
+++ b/limeshelf/membership/row_conversion.py
@@ -18,20 +18,20 @@
     from limeshelf.feeds.table_copy import TableCopy
 
 
-def position_from(era: int, version: int) -> Position:
+def position_from_message(era: int, version: int) -> Position:
     """Return the position for an era and a version from a message."""
     return Position(0 if era == NO_ERA else era, version)
 
 
-def rows_from(update: TableUpdate) -> list[Row]:
+def rows_from_update(update: TableUpdate) -> list[Row]:
     """Return the rows of an update."""
     return [
-        Row(row.key, row.value, position_from(row.era, row.version), row.gone)
+        Row(row.key, row.value, position_from_message(row.era, row.version), row.gone)
         for row in update.rows
     ]
 
 
-def update_of(copy: TableCopy, after: Position) -> TableUpdate:
+def update_from_copy(copy: TableCopy, after: Position) -> TableUpdate:
     """Return an update with the changes of a copy after a position."""
     rows = [
         TableRow(row.key, row.value, row.position.version, row.gone, row.position.era)
@@ -51,16 +51,16 @@
     )
 
 
-def query_of(positions: dict[str, Position], asked_ms: int) -> RowsQuery:
+def query_for_positions(positions: dict[str, Position], asked_ms: int) -> RowsQuery:
     """Return a query for the changes of each table after a position."""
     versions = {table: position.version for table, position in positions.items()}
     eras = {table: position.era for table, position in positions.items()}
     return RowsQuery(versions, asked_ms, eras)
 
 
-def asked_after(query: RowsQuery, table: str) -> Position | None:
+def requested_position(query: RowsQuery, table: str) -> Position | None:
     """Return the position after which a query requests a table; ``None`` if it does not."""
     version = query.versions.get(table)
     if version is None:
         return None
-    return position_from(query.eras.get(table, NO_ERA), version)
+    return position_from_message(query.eras.get(table, NO_ERA), version)
--- a/limeshelf/membership/row_exchange.py
+++ b/limeshelf/membership/row_exchange.py
@@ -18,12 +18,12 @@
 from limeshelf.feeds.store_clock import StoreClock
 from limeshelf.membership import receivers
 from limeshelf.membership.relays import RELAYS_PER_CENTRE
-from limeshelf.membership.row_forms import (
-    asked_after,
-    position_from,
-    query_of,
-    rows_from,
-    update_of,
+from limeshelf.membership.row_conversion import (
+    position_from_message,
+    query_for_positions,
+    requested_position,
+    rows_from_update,
+    update_from_copy,
 )
 from limeshelf.membership.row_messages import NO_ERA, RowsQuery, TableUpdate, TableUpdates
 from limeshelf.membership.staleness_log import StalenessLog
@@ -112,9 +112,9 @@
 
         :param after: position of the copy before the answer was applied.
         """
-        updates = [update_of(copy, after)]
+        updates = [update_from_copy(copy, after)]
         updates += [
-            update_of(other, other.position)
+            update_from_copy(other, other.position)
             for other in self.copies.values()
             if other is not copy and other.position != BEGINNING
         ]
@@ -164,14 +164,15 @@
         return copy.position if copy.table in self._fully_received else BEGINNING
 
     def _send_query(self, address: str, positions: dict[str, Position]) -> None:
-        self.node.send(address, query_of(positions, int(boottime_s() * MS_PER_S)))
+        self.node.send(address, query_for_positions(positions, int(boottime_s() * MS_PER_S)))
 
     def _handle_query(self, envelope: Envelope) -> None:
         query: RowsQuery = envelope.message
         updates = [
-            update_of(copy, after)
+            update_from_copy(copy, after)
             for copy in self.copies.values()
-            if (after := asked_after(query, copy.table)) is not None and copy.position >= after
+            if (after := requested_position(query, copy.table)) is not None
+            and copy.position >= after
         ]
         self.members.add(envelope.sender, envelope.data_centre)
         if updates:
@@ -195,7 +196,7 @@
             if continuity is Continuity.GAP:
                 missing[update.table] = copy.position
             elif continuity is Continuity.CONTINUES:
-                forwarded.append(update_of(copy, after))
+                forwarded.append(update_from_copy(copy, after))
         if self.clock.returned_s >= started_s:
             # The store's era has changed, so its clock must be determined again.
             missing = {name: copy.position for name, copy in self.copies.items()}
@@ -206,11 +207,11 @@
             self.node.send_all(addresses, TableUpdates(forwarded))
 
     def _apply_update(self, copy: TableCopy, update: TableUpdate, peer: str) -> Continuity:
-        upto = position_from(update.upto_era, update.upto)
+        upto = position_from_message(update.upto_era, update.upto)
         self.clock.enter(upto.era)
         return copy.take_update(
-            rows_from(update),
-            position_from(update.after_era, update.after),
+            rows_from_update(update),
+            position_from_message(update.after_era, update.after),
             upto,
             self._age_s(update),
             update.confirmed_ms,
--- a/tests/forms/test_messages.py
+++ b/tests/forms/test_messages.py
@@ -24,7 +24,11 @@
 import limeshelf.membership.messages
 import limeshelf.membership.row_messages
 import limeshelf.standalone.messages  # noqa: F401
-from limeshelf.membership.row_forms import asked_after, position_from, rows_from
+from limeshelf.membership.row_conversion import (
+    position_from_message,
+    requested_position,
+    rows_from_update,
+)
 from limeshelf.membership.row_messages import NO_ERA
 from limeshelf.peers.codec import Envelope, decode, encode
 from limeshelf.peers.messages import message_kinds
@@ -241,14 +245,14 @@
 def test_query_and_updates_of_a_gateway_that_knows_no_eras_of_the_store() -> None:
     """They count as of a store that states none."""
     query = decode(bytes.fromhex(ROWS_QUERY_WITHOUT_ERAS)).message
-    assert asked_after(query, 'servers') == at(102)
-    assert asked_after(query, 'members') is None
+    assert requested_position(query, 'servers') == at(102)
+    assert requested_position(query, 'members') is None
     updates = decode(bytes.fromhex(UPDATES_WITHOUT_ERAS)).message
     assert updates.store_era == NO_ERA
     (update,) = updates.words
-    assert position_from(update.after_era, update.after) == at(90)
-    assert position_from(update.upto_era, update.upto) == at(102)
-    assert [row.position for row in rows_from(update)] == [at(101), at(102)]
+    assert position_from_message(update.after_era, update.after) == at(90)
+    assert position_from_message(update.upto_era, update.upto) == at(102)
+    assert [row.position for row in rows_from_update(update)] == [at(101), at(102)]
 
 
 def test_digest_of_a_gateway_that_does_not_tell_since_when_calls_wait() -> None:
