--- a/limeshelf/membership/digest_exchange.py
+++ b/limeshelf/membership/digest_exchange.py
@@ -188,14 +188,14 @@
 
     def _handle_digest(self, envelope: Envelope) -> None:
         digest: GatewayDigest = envelope.message
-        if self.members.note_message(digest.address, digest.data_centre):
+        if self.members.record_message(digest.address, digest.data_centre):
             log_change('gateway_active', gateway=digest.instance_id, address=digest.address)
         self.members.add(digest.address, digest.data_centre, digest.weight)
         self._apply_digest(digest)
 
     def _handle_bundle(self, envelope: Envelope) -> None:
         bundle: DigestBundle = envelope.message
-        self.members.note_message(envelope.sender, envelope.data_centre)
+        self.members.record_message(envelope.sender, envelope.data_centre)
         self.dispatchers.record_announced(envelope.data_centre, bundle.dispatcher)
         is_own_centre = envelope.data_centre == self.members.own.data_centre
         if is_own_centre and self.members.is_relay:
@@ -238,7 +238,7 @@
 
     def _handle_summary(self, envelope: Envelope) -> None:
         summary: FleetSummary = envelope.message
-        self.members.note_message(envelope.sender, envelope.data_centre)
+        self.members.record_message(envelope.sender, envelope.data_centre)
         # Relays need this as well: the second relay sends nothing to other data centres, so it is
         # inactive in their view and receives their sums only at the retry interval.
         for data_centre, address in summary.dispatchers.items():
--- a/limeshelf/membership/gateway_count.py
+++ b/limeshelf/membership/gateway_count.py
@@ -40,7 +40,7 @@
         now_s = boottime_s()
         if active_count >= self._highest or now_s - self._highest_at_s > COUNT_RETENTION_S:
             self._highest, self._highest_at_s = active_count, now_s
-        is_listed = self.members.are_listed
+        is_listed = self.members.has_member_rows
         listed = len(self.members.others()) + 1
         if is_listed and now_s - self._started_s <= COUNT_RETENTION_S:
             return max(self._highest, listed)
--- a/limeshelf/membership/leader.py
+++ b/limeshelf/membership/leader.py
@@ -94,6 +94,6 @@
             self._last_leader_s = now_s
         return may_contend(
             leader_is_active=leader_is_active,
-            is_first_relay=self.members.are_listed and self.members.is_first_relay,
+            is_first_relay=self.members.has_member_rows and self.members.is_first_relay,
             leaderless_s=now_s - self._last_leader_s,
         )
--- a/limeshelf/membership/limit_exchange.py
+++ b/limeshelf/membership/limit_exchange.py
@@ -132,7 +132,7 @@
 
     def _fits_own_share(self, organisation: str, limit: UsageLimit, amount: int) -> bool:
         """Return whether a call without a limiter's decision fits this gateway's own share."""
-        if not self._members.are_listed:
+        if not self._members.has_member_rows:
             return False
         own_share = self._rule.of_gateway(limit, self._gateway_count(), self._age_s())
         return self._ledger.may_use(organisation, amount, own_share)
--- a/limeshelf/membership/members.py
+++ b/limeshelf/membership/members.py
@@ -23,13 +23,13 @@
     """The known gateways, including this one.
 
     :param own: this gateway.
-    :ivar are_listed: whether a row of the members table has been received. Until then, each of
-        hundreds of gateways that start together would consider itself a relay.
+    :ivar has_member_rows: whether a row of the members table has been received. Until then, each
+        of hundreds of gateways that start together would consider itself a relay.
     """
 
     def __init__(self, own: Member) -> None:
         self.own = own
-        self.are_listed = False
+        self.has_member_rows = False
         self._by_address: dict[str, Member] = {own.address: own}
         #: By data centre, the highest rank first. Kept sorted, because ranks are read about
         #: twenty times a second but change only when a gateway is added or its weight changes.
@@ -63,14 +63,14 @@
         """Change the weight by which this gateway is ranked."""
         self._update_member(self.own, self.own.data_centre, weight)
 
-    def note_message(self, address: str, data_centre: str) -> bool:
+    def record_message(self, address: str, data_centre: str) -> bool:
         """Record that a message from a gateway was received; return whether it was inactive."""
         member = self.add(address, data_centre)
         was_inactive = not member.is_active
         member.last_message_s = boottime_s()
         return was_inactive
 
-    def note_slept(self, slept_s: float) -> None:
+    def add_suspension(self, slept_s: float) -> None:
         """Exclude a suspension of this machine from the time since each gateway's last message."""
         for member in self.others():
             if member.last_message_s:
--- a/limeshelf/membership/registration.py
+++ b/limeshelf/membership/registration.py
@@ -113,7 +113,7 @@
             log_change('member_row_invalid', key=row.key)
             return False
         self.members.add(value.address, value.data_centre, value.weight)
-        self.members.are_listed = True
+        self.members.has_member_rows = True
         return True
 
     def announce_leaving(self) -> None:
--- a/limeshelf/membership/row_exchange.py
+++ b/limeshelf/membership/row_exchange.py
@@ -182,7 +182,7 @@
 
     def _handle_updates(self, envelope: Envelope) -> None:
         started_s = boottime_s()
-        self.members.note_message(envelope.sender, envelope.data_centre)
+        self.members.record_message(envelope.sender, envelope.data_centre)
         self._update_clock(envelope.message)
         missing: dict[str, Position] = {}
         forwarded: list[TableUpdate] = []
--- a/limeshelf/programs/components.py
+++ b/limeshelf/programs/components.py
@@ -263,7 +263,7 @@
         """Note that this machine was suspended."""
         log_change('woke', slept_ms=int(slept_s * MS_PER_S))
         self.metrics.observe_suspension()
-        self.members.note_slept(slept_s)
+        self.members.add_suspension(slept_s)
 
     def config_age_s(self) -> float:
         """Return for how long, at the most, the configuration may not have been the newest.
--- a/tests/gateway/test_suspended_machine.py
+++ b/tests/gateway/test_suspended_machine.py
@@ -80,7 +80,7 @@
     async def scenario(world: GatewayWorld) -> None:
         members = world.gateway.components.members
         peer = members.add('127.0.0.9:7001', 'z1')
-        members.note_message(peer.address, 'z1')
+        members.record_message(peer.address, 'z1')
         slept.slept_s += 6.0
         await asyncio.sleep(0.3)
         assert peer.is_active
--- a/tests/membership/test_broadcast_queue.py
+++ b/tests/membership/test_broadcast_queue.py
@@ -16,7 +16,7 @@
 def make_queue(sent: list[list[str]]) -> BroadcastQueue[str]:
     members = Members(Member('10.0.0.1:7001', 'z1', 1.0))
     members.add('10.0.0.2:7001', 'z1', 1.0)
-    members.note_message('10.0.0.2:7001', 'z1')
+    members.record_message('10.0.0.2:7001', 'z1')
     return BroadcastQueue(
         members, BATCH_WINDOW_S, lambda addresses, items: sent.append(items) if items else None
     )
--- a/tests/membership/test_crash_exchange.py
+++ b/tests/membership/test_crash_exchange.py
@@ -86,7 +86,7 @@
         for other in addresses:
             if other != address:
                 members.add(other, network.centres[other], 1.0)
-                members.note_message(other, network.centres[other])
+                members.record_message(other, network.centres[other])
         exchange = CrashExchange(Node(address, network), members, Suspects())
         exchange.start()
         exchanges.append(exchange)
--- a/tests/membership/test_digest_exchange.py
+++ b/tests/membership/test_digest_exchange.py
@@ -176,7 +176,7 @@
         other, relay = exchange('g3', 'g1', 'g2'), exchange('g1', 'g2', 'g3')
         for gateway, calls in ((other, 4), (relay, 0)):
             for address in ('g1', 'g2'):
-                gateway.members.note_message(address, 'c1')
+                gateway.members.record_message(address, 'c1')
             gateway._handle_summary(summary)
             replica = gateway.directory.get('r1')
             assert replica is not None
@@ -248,7 +248,7 @@
         relay._send_summary(relay._own_digest())
         node: Any = relay.node
         for address in ('g1', 'g2'):
-            other.members.note_message(address, 'c1')
+            other.members.record_message(address, 'c1')
         other._handle_summary(Envelope('g1', 'c1', node.sent[-1][1]))
         assert other.dispatchers.of_centre('c2') == 'h2'
 
--- a/tests/membership/test_dispatchers.py
+++ b/tests/membership/test_dispatchers.py
@@ -36,7 +36,7 @@
         view = dispatchers('g1', 'g2', 'g3')
         assert view.of_centre('c1') == 'g2'
         clock.advance(RELAY_TIMEOUT_S + 0.1)
-        view.members.note_message('g3', 'c1')
+        view.members.record_message('g3', 'c1')
         assert view.of_centre('c1') == 'g3'
 
 
--- a/tests/membership/test_gateway_count.py
+++ b/tests/membership/test_gateway_count.py
@@ -18,14 +18,14 @@
         members = Members(Member('g1', 'c1'))
         members.add('g2', 'c1')
         members.add('g3', 'c2')
-        members.are_listed = True
+        members.has_member_rows = True
         assert GatewayCounter(members).update(1) == 3
 
 
 def test_single_gateway_with_its_row_counts_one() -> None:
     with virtual_clock() as clock:
         members = Members(Member('g1', 'c1'))
-        members.are_listed = True
+        members.has_member_rows = True
         count = GatewayCounter(members)
         assert count.update(1) == 1
         clock.advance(COUNT_RETENTION_S + 1.0)
@@ -45,7 +45,7 @@
 def test_rows_of_gateways_that_no_longer_exist_stop_counting() -> None:
     with virtual_clock() as clock:
         members = Members(Member('g1', 'c1'))
-        members.are_listed = True
+        members.has_member_rows = True
         for number in range(40):
             members.add(f'h{number}', 'c1')
         count = GatewayCounter(members)
--- a/tests/membership/test_leader.py
+++ b/tests/membership/test_leader.py
@@ -22,7 +22,7 @@
 def make_view(fence: int = 0, *heavier: str) -> LeaderView:
     """Return the view of gateway ``own``, which holds the lease under *fence*."""
     members = Members(Member('own', 'c1', 1.0))
-    members.are_listed = True
+    members.has_member_rows = True
     for address in heavier:
         members.add(address, 'c1', 2.0)
     leadership: Any = Leadership(fence)
@@ -109,12 +109,12 @@
         leader_view.record_claim('g1', 4)
         waited_s = 0.0
         for address in ('g1', 'g2'):
-            leader_view.members.note_message(address, 'c1')
+            leader_view.members.record_message(address, 'c1')
         while not leader_view.may_contend():
             clock.advance(0.3)
             waited_s += 0.3
             for address in ('g1', 'g2'):
-                leader_view.members.note_message(address, 'c1')
+                leader_view.members.record_message(address, 'c1')
         assert (
             INACTIVE_AFTER_S - 0.3 + CONTEND_AFTER_S
             < waited_s
@@ -126,7 +126,7 @@
     """Hundreds of gateways that start together must not all read the lease row at once."""
     with virtual_clock() as clock:
         leader_view = make_view()
-        leader_view.members.are_listed = False
+        leader_view.members.has_member_rows = False
         assert not leader_view.may_contend()
         clock.advance(CONTEND_AFTER_S + 0.1)
         assert leader_view.may_contend()
--- a/tests/membership/test_limit_exchange.py
+++ b/tests/membership/test_limit_exchange.py
@@ -66,7 +66,7 @@
     wire = Wire()
     for name in NAMES:
         members = Members(Member(name, 'c1', 1.0))
-        members.are_listed = True
+        members.has_member_rows = True
         for other in NAMES:
             members.add(other, 'c1', 1.0)
         node: Any = Node(wire, name)
@@ -139,7 +139,7 @@
 def test_gateway_without_rows_of_the_members_table_has_no_own_share() -> None:
     wire = make_wire()
     wire.silent.update(('g1', 'g2'))
-    wire.exchanges['g3']._members.are_listed = False
+    wire.exchanges['g3']._members.has_member_rows = False
     assert not isinstance(reserve(wire, 'g3', 10), Reservation)
 
 
--- a/tests/membership/test_members.py
+++ b/tests/membership/test_members.py
@@ -36,7 +36,7 @@
         member_list = members('g3', ('g1', 1.0), ('g2', 1.0))
         assert relays(member_list) == ['g1', 'g2']
         clock.advance(RELAY_TIMEOUT_S / 2)
-        member_list.note_message('g2', 'c1')
+        member_list.record_message('g2', 'c1')
         clock.advance(RELAY_TIMEOUT_S * 0.7)
         assert relays(member_list) == ['g2', 'g3']
         assert member_list.is_relay
@@ -49,7 +49,7 @@
         relays(member_list)
         clock.advance(10 * RELAY_TIMEOUT_S)
         assert relays(member_list) == ['g3']
-        member_list.note_message('g1', 'c1')
+        member_list.record_message('g1', 'c1')
         assert relays(member_list) == ['g1', 'g3']
 
 
@@ -66,11 +66,11 @@
 def test_gateway_that_announced_its_shutdown_is_inactive() -> None:
     with virtual_clock() as clock:
         member_list = members('g3', ('g1', 1.0), ('g2', 1.0))
-        member_list.note_message('g1', 'c1')
-        member_list.note_message('g2', 'c1')
+        member_list.record_message('g1', 'c1')
+        member_list.record_message('g2', 'c1')
         member_list.mark_leaving('g1')
         clock.advance(RELAY_TIMEOUT_S * 0.9)
-        member_list.note_message('g2', 'c1')
+        member_list.record_message('g2', 'c1')
         assert not any(
             member.address == 'g1' and member.is_active for member in member_list.active()
         )
@@ -94,10 +94,10 @@
         for name, view in live.items():
             if view.is_relay:
                 for other in live.values():
-                    other.note_message(name, 'c1')
+                    other.record_message(name, 'c1')
             for relay in view.own_relays():
                 if relay.address in live:
-                    live[relay.address].note_message(name, 'c1')
+                    live[relay.address].record_message(name, 'c1')
         self.clock.advance(0.25)
 
     def relays_seen(self) -> set[tuple[str, ...]]:
--- a/tests/membership/test_receivers.py
+++ b/tests/membership/test_receivers.py
@@ -16,7 +16,7 @@
     for address in ('b1', 'b2', 'b3'):
         members.add(address, 'c2', 1.0)
     for member in members.others():
-        members.note_message(member.address, member.data_centre)
+        members.record_message(member.address, member.data_centre)
     return members
 
 
--- a/tests/membership/test_reconnection_after_partition.py
+++ b/tests/membership/test_reconnection_after_partition.py
@@ -52,7 +52,7 @@
         centre = self.centres[sender]
         for address in addresses:
             if not (self.is_partitioned and self.centres[address] != centre):
-                self.views[address].note_message(sender, centre)
+                self.views[address].record_message(sender, centre)
 
     def receives_from_other_centre(self, address: str) -> bool:
         own = self.centres[address]
--- a/tests/membership/test_registration.py
+++ b/tests/membership/test_registration.py
@@ -65,7 +65,7 @@
 
 def test_gateway_that_announced_its_shutdown_is_neither_active_nor_leader() -> None:
     own_registration = make_registration()
-    own_registration.members.note_message('g2', 'c1')
+    own_registration.members.record_message('g2', 'c1')
     own_registration.leader.record_claim('g2', 4)
     own_registration._handle_leaving(Envelope('g2', 'c1', GatewayLeaving('g-2')))
     assert own_registration.members.active() == []
--- a/tests/membership/test_row_exchange.py
+++ b/tests/membership/test_row_exchange.py
@@ -141,8 +141,8 @@
         assert [gateway.is_due() for gateway in (first, second, third)] == [True, False, False]
         clock.advance(FollowRule().stale_s + 1.5 * OVERDUE_STEP_S)
         for gateway in (first, second, third):
-            gateway.members.note_message('g1', 'c1')
-            gateway.members.note_message('g2', 'c1')
+            gateway.members.record_message('g1', 'c1')
+            gateway.members.record_message('g2', 'c1')
         assert [gateway.is_due() for gateway in (first, second, third)] == [True, True, False]
 
 
@@ -152,7 +152,7 @@
         gateway._handle_updates(update(0, 9))
         copy = gateway.copies['t']
         clock.advance(copy.rule.stale_s + 1.0)
-        gateway.members.note_message('g1', 'c1')
+        gateway.members.record_message('g1', 'c1')
         copy.note_confirmed(clock.now_s)
         assert gateway.is_due()
         gateway._handle_updates(update(9, 9))
@@ -178,7 +178,7 @@
         gateway = exchange('g2', 'g1')
         gateway.copies['u'] = TableCopy('u', lambda row: None)
         clock.advance(FollowRule().stale_s + 1.0)
-        gateway.members.note_message('g1', 'c1')
+        gateway.members.record_message('g1', 'c1')
         gateway._handle_updates(update(0, 9))
         assert gateway.is_due()
         gateway.copies['u'].take_update([], at(0), at(9), 0.0)
@@ -252,10 +252,10 @@
     with virtual_clock() as clock:
         gateway = exchange('g99', *others)
         for other in others:
-            gateway.members.note_message(other, 'c1')
+            gateway.members.record_message(other, 'c1')
         gateway._handle_updates(update(0, 9))
         clock.advance(FollowRule().stale_s + 0.01)
-        gateway.members.note_message('g00', 'c1')
+        gateway.members.record_message('g00', 'c1')
         assert not gateway.is_due()
         clock.advance(RELAY_TIMEOUT_S + 0.01)
         assert gateway.is_due()
--- a/tests/support/gateway.py
+++ b/tests/support/gateway.py
@@ -195,7 +195,7 @@
     def _know_that_it_is_alone(self) -> None:
         """Let the gateway know at once, as it does a second later by its row in the store."""
         parts = self.gateway.components
-        parts.members.are_listed = True
+        parts.members.has_member_rows = True
         parts.budgets.gateways = parts.digests.gateway_count
 
     async def call(
