--- a/limeshelf/membership/registration.py
+++ b/limeshelf/membership/registration.py
@@ -93,14 +93,14 @@
         own = self.members.own
         return msgspec.json.encode(MemberValue(own.address, own.data_centre, own.weight))
 
-    def note_return(self, copy: TableCopy) -> None:
+    def rewrite_if_lost(self, copy: TableCopy) -> None:
         """Have this gateway's row written again if a restore of the store lost or reverted it."""
         era = copy.position.era
         is_written = self._written is not None and self._written.era >= era
         if not is_written and copy.value_of_this_era(self.instance_id) != self._own_value():
             self._row_lost.set()
 
-    def take_row(self, row: Row) -> bool:
+    def apply_row(self, row: Row) -> bool:
         """Apply a row of the members table; return whether it could be decoded.
 
         A deleted row has no effect: gateways that stopped are found by becoming inactive.
--- a/limeshelf/membership/row_exchange.py
+++ b/limeshelf/membership/row_exchange.py
@@ -107,7 +107,7 @@
     def _centres(self) -> list[str]:
         return sorted(self.members.other_centres() | {self.members.own.data_centre})
 
-    def announce_page(self, copy: TableCopy, after: Position) -> None:
+    def broadcast_page(self, copy: TableCopy, after: Position) -> None:
         """Send other gateways the changes from the store's answer, and the age of other tables.
 
         :param after: position of the copy before the answer was applied.
--- a/limeshelf/programs/followed_tables.py
+++ b/limeshelf/programs/followed_tables.py
@@ -164,7 +164,7 @@
         ),
         TableCopy(
             MEMBER_TABLE,
-            _counted(MEMBER_TABLE, registration.take_row, metrics),
+            _counted(MEMBER_TABLE, registration.apply_row, metrics),
             MEMBER_RULE,
             OWN_RETURN,
         ),
@@ -180,8 +180,8 @@
             lambda copy: metrics.observe_return(copy.table, copy.position.era)
         )
     (_, _, members, quarantine) = copies
-    members.return_listeners.append(registration.note_return)
+    members.return_listeners.append(registration.rewrite_if_lost)
     quarantine.return_listeners.append(keeper.note_return)
     rows.copies.update({copy.table: copy for copy in copies})
     reach = StoreReach()
-    return [TableFollower(copy, store, rows, reach, rows.announce_page) for copy in copies]
+    return [TableFollower(copy, store, rows, reach, rows.broadcast_page) for copy in copies]
--- a/tests/forms/test_rows.py
+++ b/tests/forms/test_rows.py
@@ -324,7 +324,7 @@
 )
 def test_member_row_as_read(value: bytes, member: Member) -> None:
     reader = registration(Member('10.0.0.9:7001', 'z1', 1.0))
-    reader.take_row(Row('g-1', value, at(41)))
+    reader.apply_row(Row('g-1', value, at(41)))
     assert reader.members.others() == [member]
 
 
--- a/tests/membership/test_registration.py
+++ b/tests/membership/test_registration.py
@@ -59,7 +59,7 @@
 
 def test_row_that_cannot_be_decoded_adds_no_gateway() -> None:
     own_registration = make_registration()
-    own_registration.take_row(Row('g-2', b'{', at(3)))
+    own_registration.apply_row(Row('g-2', b'{', at(3)))
     assert own_registration.members.others() == []
 
 
@@ -90,7 +90,7 @@
         await asyncio.sleep(0.01)
         copy = TableCopy(MEMBER_TABLE, lambda row: None)
         copy.take_full(Page((Row('g-1', b'', at(50, 1)),), at(60, 1)))
-        copy.return_listeners.append(own_registration.note_return)
+        copy.return_listeners.append(own_registration.rewrite_if_lost)
         rows = () if left is None else (Row('g-1', left, at(30, 2)),)
         copy.take_full(Page(rows, at(40, 2)))
         await asyncio.sleep(0.01)
