--- a/limeshelf/membership/state_changes.py
+++ b/limeshelf/membership/state_changes.py
@@ -16,12 +16,12 @@
         self._replica_ids: set[str] = set()
         self._pending = asyncio.Event()
 
-    def note_replica(self, replica_id: str) -> None:
+    def add_replica(self, replica_id: str) -> None:
         """Record that the contents of a replica changed."""
         self._replica_ids.add(replica_id)
         self._pending.set()
 
-    def note_load(self) -> None:
+    def signal_load(self) -> None:
         """Signal that a model load was ordered; gateways with waiting calls need to know it."""
         self._pending.set()
 
--- a/limeshelf/programs/components.py
+++ b/limeshelf/programs/components.py
@@ -109,7 +109,7 @@
         )
         self.changes = StateChanges()
         self.directory = ReplicaDirectory(
-            read_record, self.changes.note_replica, self.metrics.observe_restart
+            read_record, self.changes.add_replica, self.metrics.observe_restart
         )
         self.notices = NoticeTaker(self.directory, count=self.metrics.observe_notice)
         self.members = Members(Member(node.address, settings.data_centre, settings.weight))
@@ -168,7 +168,7 @@
             self.in_force.get,
             settings.placement.window_s,
             self.dispatch.dispatcher.speed.read_ms,
-            self.changes.note_load,
+            self.changes.signal_load,
             self.lost_loads,
         )
         for kind in UnservedKind:
--- a/tests/membership/test_state_exchange.py
+++ b/tests/membership/test_state_exchange.py
@@ -113,8 +113,8 @@
 def test_changes_are_returned_once() -> None:
     async def run_scenario() -> None:
         changes = StateChanges()
-        changes.note_replica('r1')
-        changes.note_replica('r2')
+        changes.add_replica('r1')
+        changes.add_replica('r2')
         await asyncio.wait_for(changes.wait(timeout_s=30.0, batch_window_s=0.0), 5.0)
         assert changes.pop_replicas() == {'r1', 'r2'}
         assert changes.pop_replicas() == set()
