--- a/limeshelf/membership/notice_exchange.py
+++ b/limeshelf/membership/notice_exchange.py
@@ -1,8 +1,8 @@
-"""Tells other gateways what replicas ask of all of them, and takes in what they tell.
+"""Exchanges the notices of replicas that apply to all gateways: call rate and shutdown.
 
-It goes as :mod:`~limeshelf.membership.news`. A gateway that starts has missed it: who does not
-know learns it by its first answer from the replica, and tells who gives the turns there as it
-asks for one (:mod:`limeshelf.dispatch.permits`).
+Notices are broadcast through :mod:`~limeshelf.membership.broadcast_queue`. A gateway that starts
+later has missed them. It learns a replica's notice from the replica's first answer, and sends it
+to the replica's pacer with its request for a turn (:mod:`limeshelf.dispatch.permits`).
 """
 
 from __future__ import annotations
@@ -12,8 +12,8 @@
 
 import attrs
 
-from limeshelf.membership.messages import ReplicaNotices, ToldNotice
-from limeshelf.membership.news import News
+from limeshelf.membership.broadcast_queue import BroadcastQueue
+from limeshelf.membership.messages import ReplicaNoticeEntry, ReplicaNotices
 from limeshelf.replicas.notices import NoticeWay
 from limeshelf.util.clock import MS_PER_S, boottime_s
 
@@ -25,62 +25,64 @@
     from limeshelf.replicas.notices import NoticeTaker
     from limeshelf.replicas.replica import Replica
 
-#: Stands for an answer that never came, in milliseconds ago.
+#: Age in milliseconds that stands for an answer that was never received.
 NEVER_MS = 1 << 40
-#: After the first news, in seconds, others that come with it go in the same message.
-GATHER_S = 0.01
+#: Notices that change within this time are sent in one message.
+BATCH_WINDOW_S = 0.01
 
 
 @attrs.define
 class NoticeExchange:
-    """Sends and takes what replicas ask for."""
+    """Broadcasts changes of notices and applies those received."""
 
     node: PeerNode
     members: Members
     directory: ReplicaDirectory
     notices: NoticeTaker
-    _news: News[Replica] = attrs.field(init=False)
-    _teller_centre: str = ''
+    _broadcasts: BroadcastQueue[Replica] = attrs.field(init=False)
+    _sender_centre: str = ''
 
     def __attrs_post_init__(self) -> None:
-        self._news = News(self.members, GATHER_S, self._send_to)
+        self._broadcasts = BroadcastQueue(self.members, BATCH_WINDOW_S, self._send_to)
 
     def start(self) -> None:
-        """Take messages, and note what this gateway learns itself."""
-        self.notices.on_change = self._note_change
-        self.node.add_handler(ReplicaNotices, self._take)
+        """Register for messages, and for changes of notices at this gateway."""
+        self.notices.on_change = self._on_change
+        self.node.add_handler(ReplicaNotices, self._handle_notices)
 
-    def _note_change(self, replica: Replica, way: NoticeWay) -> None:
+    def _on_change(self, replica: Replica, way: NoticeWay) -> None:
         if way is NoticeWay.PEER:
-            self._news.note_told(replica.start, replica, self._teller_centre)
+            self._broadcasts.relay(replica.start, replica, self._sender_centre)
         else:
-            self._news.note_own(replica.start, replica)
+            self._broadcasts.publish(replica.start, replica)
 
-    def _take(self, envelope: Envelope) -> None:
-        self._teller_centre = envelope.data_centre
+    def _handle_notices(self, envelope: Envelope) -> None:
+        self._sender_centre = envelope.data_centre
         now_s = boottime_s()
-        for told in envelope.message.notices:
-            replica = self.directory.get(told.replica_id)
-            if replica is not None and replica.known_start.born_ms == told.born_ms:
-                known_s = now_s - told.known_ms_ago / MS_PER_S
-                self.notices.take_rate_of_peer(replica, told.rate_per_s, known_s)
-                if told.leaving:
+        for entry in envelope.message.notices:
+            replica = self.directory.get(entry.replica_id)
+            if replica is not None and replica.known_start.born_ms == entry.born_ms:
+                known_s = now_s - entry.known_ms_ago / MS_PER_S
+                self.notices.take_rate_of_peer(replica, entry.rate_per_s, known_s)
+                if entry.leaving:
                     self.notices.take_leaving_of_peer(replica)
 
     async def run(self) -> None:
-        """Send news as it comes."""
-        await self._news.run()
+        """Send queued notices in batches, for ever."""
+        await self._broadcasts.run()
 
     def _send_to(self, addresses: list[str], replicas: list[Replica]) -> None:
         if replicas:
-            self.node.send_all(addresses, ReplicaNotices([_told(one) for one in replicas]))
+            self.node.send_all(
+                addresses, ReplicaNotices([_notice_from_replica(replica) for replica in replicas])
+            )
 
 
-def _told(replica: Replica) -> ToldNotice:
+def _notice_from_replica(replica: Replica) -> ReplicaNoticeEntry:
     backpressure = replica.backpressure
     rate_per_s = backpressure.rate_per_s
     known_s = backpressure.ended_s if rate_per_s is None else backpressure.heard_s
-    return ToldNotice(
+    return ReplicaNoticeEntry(
         replica.replica_id,
         replica.known_start.born_ms,
         rate_per_s,
--- a/limeshelf/programs/components.py
+++ b/limeshelf/programs/components.py
@@ -39,12 +39,12 @@
 from limeshelf.membership.limit_exchange import LimitExchange
 from limeshelf.membership.member import Member
 from limeshelf.membership.members import Members
+from limeshelf.membership.model_request_exchange import ModelRequestExchange
 from limeshelf.membership.notice_exchange import NoticeExchange
 from limeshelf.membership.registration import Registration
 from limeshelf.membership.row_exchange import RowExchange
 from limeshelf.membership.state_changes import StateChanges
 from limeshelf.membership.state_exchange import StateExchange
-from limeshelf.membership.want_exchange import WantExchange
 from limeshelf.metrics.event_log import log_change
 from limeshelf.metrics.prometheus import GatewayMetrics
 from limeshelf.orders.sender import OrderSender
@@ -109,7 +109,7 @@
         )
         self.changes = StateChanges()
         self.directory = ReplicaDirectory(
-            read_record, self.changes.note_replica, self.metrics.observe_restart
+            read_record, self.changes.add_replica, self.metrics.observe_restart
         )
         self.notices = NoticeTaker(self.directory, count=self.metrics.observe_notice)
         self.members = Members(Member(node.address, settings.data_centre, settings.weight))
@@ -168,7 +168,7 @@
             self.in_force.get,
             settings.placement.window_s,
             self.dispatch.dispatcher.speed.read_ms,
-            self.changes.note_load,
+            self.changes.signal_load,
             self.lost_loads,
         )
         for kind in UnservedKind:
@@ -187,8 +187,8 @@
         self.notice_exchange = NoticeExchange(
             self.node, self.members, self.directory, self.notices
         )
-        self.wants = WantExchange(self.node, self.leader, self.placement)
-        self.meter = DemandMeter(self.directory, self.wants.report)
+        self.wants = ModelRequestExchange(self.node, self.leader, self.placement)
+        self.meter = DemandMeter(self.directory, self.wants.request)
         self.registration = Registration(instance_id, self.node, self.members, self.leader)
         self.limits = LimitExchange(self.node, self.members, self.in_force, limit_rule(settings))
         self.digests = DigestExchange(
@@ -263,7 +263,7 @@
         """Note that this machine was suspended."""
         log_change('woke', slept_ms=int(slept_s * MS_PER_S))
         self.metrics.observe_suspension()
-        self.members.note_slept(slept_s)
+        self.members.add_suspension(slept_s)
 
     def config_age_s(self) -> float:
         """Return for how long, at the most, the configuration may not have been the newest.
--- a/tests/membership/test_want_exchange.py
+++ b/tests/membership/test_model_request_exchange.py
@@ -1,4 +1,4 @@
-"""A wanted model is reported to whoever leads."""
+"""Model requests reach the placement of the leader."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from limeshelf.membership.member import Member
 from limeshelf.membership.members import Members
 from limeshelf.membership.messages import ModelWanted
-from limeshelf.membership.want_exchange import WantExchange
+from limeshelf.membership.model_request_exchange import ModelRequestExchange
 from limeshelf.peers.codec import Envelope
 from limeshelf.util.clock import virtual_clock
 
@@ -25,7 +25,7 @@
 
 @attrs.define
 class Parts:
-    """Stands for the node and the placement; keeps what comes."""
+    """Stands in for the node and the placement, and records their calls."""
 
     sent: list[tuple[str, Any]] = attrs.field(factory=list)
     wanted: list[ModelKey] = attrs.field(factory=list)
@@ -37,26 +37,28 @@
         self.wanted.append(key)
 
 
-def exchange(fence: int = 0) -> tuple[WantExchange, Parts]:
+def exchange(fence: int = 0) -> tuple[ModelRequestExchange, Parts]:
     parts: Any = Parts()
     leadership: Any = Leadership(fence)
-    return WantExchange(parts, LeaderView(Members(Member('own')), leadership), parts), parts
+    return ModelRequestExchange(
+        parts, LeaderView(Members(Member('own')), leadership), parts
+    ), parts
 
 
-def test_want_goes_to_the_leader_if_one_is_known() -> None:
+def test_request_is_sent_to_the_leader_if_one_is_known() -> None:
     with virtual_clock():
-        one, parts = exchange()
-        one.report(KEY)
+        requests, parts = exchange()
+        requests.request(KEY)
         assert parts.sent == []
-        one.leader.note_claim('g1', 4)
-        one.report(KEY)
+        requests.leader.record_claim('g1', 4)
+        requests.request(KEY)
         assert parts.sent == [('g1', ModelWanted(KEY))]
         assert parts.wanted == []
 
 
-def test_leader_takes_its_own_wants_and_those_of_others() -> None:
-    one, parts = exchange(fence=5)
-    one.report(KEY)
-    one._take_wanted(Envelope('g2', 'c1', ModelWanted(KEY)))
+def test_leader_handles_its_own_requests_and_those_of_others() -> None:
+    requests, parts = exchange(fence=5)
+    requests.request(KEY)
+    requests._handle_request(Envelope('g2', 'c1', ModelWanted(KEY)))
     assert parts.wanted == [KEY, KEY]
     assert parts.sent == []
