--- a/tests/dispatch/test_client.py
+++ b/tests/dispatch/test_client.py
@@ -102,7 +102,7 @@
 
 
 @in_loop
-async def test_granted_request_is_reported_as_read_and_ended_once_each() -> None:
+async def test_granted_request_is_reported_as_prefilled_and_ended_once_each() -> None:
     node = FakeNode(VerdictKind.GRANTED)
     grant = await client_of(node).request_replica(request())
     assert isinstance(grant, Grant)
--- a/tests/dispatch/test_selector.py
+++ b/tests/dispatch/test_selector.py
@@ -68,7 +68,7 @@
     return made.replica_id if made is not None else None
 
 
-def test_cost_adds_reading_calls_and_memory() -> None:
+def test_cost_adds_prefill_calls_and_memory() -> None:
     occupancy = Occupancy(calls=1, tokens=500, slots=4, memory_tokens=1000)
     assert call_cost(60.0, 300, occupancy) == pytest.approx(0.2 + 0.25 + 0.5)
 
