--- a/limeshelf/demand/__init__.py
+++ b/limeshelf/demand/__init__.py
@@ -1,1 +1,1 @@
-"""What callers ask of models, and what that needs of replicas."""
+"""Demand for models and adapters, and the replica capacity that it requires."""
--- a/limeshelf/demand/adapter_waits.py
+++ b/limeshelf/demand/adapter_waits.py
@@ -1,7 +1,7 @@
-"""How long adapters take at replicas that hold their model, as one gateway saw it.
+"""Estimates how long a missing adapter takes to load at replicas that hold its model.
 
-Owns the estimate for each service and the adapters that are missing at the moment. Relies on
-its caller to say when an adapter is missed and when it is found.
+Owns one estimate per service and the adapters that are missing at the moment, both as seen by
+this gateway. The caller reports each miss and each hit.
 """
 
 from __future__ import annotations
@@ -13,50 +13,51 @@
 if TYPE_CHECKING:
     from limeshelf.demand.keys import ModelKey
 
-#: Estimate before any adapter was seen to come.
-FIRST_GUESS_S = 0.15
-#: Weight of the newest wait in an estimate.
-NEWEST_SHARE = 0.2
-#: An adapter that was last missed longer ago than this teaches nothing when it is found, since
-#: nobody saw when it came. Waiting calls ask again each 50 ms.
-LAST_MISSED_S = 0.3
-#: One that is overdue is awaited for this share of the estimate longer.
-OVERDUE_SHARE = 0.5
+#: Estimate before the load of any adapter was observed.
+INITIAL_ESTIMATE_S = 0.15
+#: Weight of the newest sample in the moving average.
+SAMPLE_WEIGHT = 0.2
+#: A longer gap between the last miss of an adapter and the next look-up gives no sample, since
+#: the adapter may have been loaded at any time in the gap. Waiting calls look it up every 50 ms.
+MAX_MISS_GAP_S = 0.3
+#: Lower bound of the remaining wait for an overdue adapter, as a share of the estimate.
+MIN_REMAINING_SHARE = 0.5
 
 
 @attrs.define
-class _Missing:
-    """An adapter that no replica holds; times on the steady clock."""
+class _MissingAdapter:
+    """When an adapter was first and last missed, in boot-clock time."""
 
-    since_s: float
-    last_s: float
+    first_missed_s: float
+    last_missed_s: float
 
 
 @attrs.define
-class AdapterWaits:
-    """Learns how long adapters take, and says how long one that is missing still does.
+class AdapterWaitEstimator:
+    """Estimates the remaining wait for missing adapters from the waits observed before.
 
-    A fixed 0.25 s refused each call of a 0.4 s objective that missed one, although adapters
-    came sooner: 297 calls of one day were lost so, 123 with the learned wait, one play each.
+    With a fixed wait of 0.25 s, every call with an objective of 0.4 s that missed its adapter was
+    refused although adapters were loaded sooner: 297 calls lost in a simulated day, against 123
+    with the estimated wait (one run each).
     """
 
     _estimates_s: dict[str, float] = attrs.field(factory=dict)
-    _missing: dict[ModelKey, _Missing] = attrs.field(factory=dict)
+    _missing: dict[ModelKey, _MissingAdapter] = attrs.field(factory=dict)
 
-    def note_found(self, key: ModelKey, now_s: float) -> None:
-        """Note that a replica holds the adapter."""
+    def record_found(self, key: ModelKey, now_s: float) -> None:
+        """Record that a replica holds the adapter; update the estimate if it was missing."""
         missing = self._missing.pop(key, None)
-        if missing is None or now_s - missing.last_s > LAST_MISSED_S:
+        if missing is None or now_s - missing.last_missed_s > MAX_MISS_GAP_S:
             return
-        waited_s = now_s - missing.since_s
-        known_s = self._estimates_s.get(key.service, waited_s)
-        self._estimates_s[key.service] = known_s + NEWEST_SHARE * (waited_s - known_s)
+        waited_s = now_s - missing.first_missed_s
+        estimate_s = self._estimates_s.get(key.service, waited_s)
+        self._estimates_s[key.service] = estimate_s + SAMPLE_WEIGHT * (waited_s - estimate_s)
 
-    def wait_s(self, key: ModelKey, now_s: float) -> float:
-        """Return how much longer a missing adapter likely takes, in seconds."""
+    def remaining_wait_s(self, key: ModelKey, now_s: float) -> float:
+        """Record a miss of the adapter and return its expected remaining wait, in seconds."""
         missing = self._missing.get(key)
-        if missing is None or now_s - missing.last_s > LAST_MISSED_S:
-            missing = self._missing[key] = _Missing(now_s, now_s)
-        missing.last_s = now_s
-        estimate_s = self._estimates_s.get(key.service, FIRST_GUESS_S)
-        return max(OVERDUE_SHARE * estimate_s, estimate_s - (now_s - missing.since_s))
+        if missing is None or now_s - missing.last_missed_s > MAX_MISS_GAP_S:
+            missing = self._missing[key] = _MissingAdapter(now_s, now_s)
+        missing.last_missed_s = now_s
+        estimate_s = self._estimates_s.get(key.service, INITIAL_ESTIMATE_S)
+        return max(MIN_REMAINING_SHARE * estimate_s, estimate_s - (now_s - missing.first_missed_s))
--- a/limeshelf/demand/keys.py
+++ b/limeshelf/demand/keys.py
@@ -1,7 +1,6 @@
-"""What a call asks for, as a key, and what one gateway counted for a key.
+"""The key that a call requests (model and adapter), and the demand counters for a key.
 
-Owns the two encoded forms of demand: both are part of the gateways' messages, so
-their fields keep names and order. Relies on the parsed call alone.
+Both types are part of the messages between gateways, so their fields keep names and order.
 """
 
 from __future__ import annotations
@@ -15,9 +14,9 @@
 
 
 class ModelKey(msgspec.Struct, frozen=True, array_like=True):
-    """A model, or an adapter of it, of a service.
+    """A model of a service, or one of its adapters.
 
-    :param adapter: name of the adapter; empty for the model by itself.
+    :param adapter: name of the adapter; empty for the model without an adapter.
     """
 
     service: str
@@ -31,18 +30,19 @@
 
 
 class KeyDemand(msgspec.Struct, array_like=True):
-    """What one gateway counted for one key.
+    """Demand counters of one gateway for one key.
 
-    :ivar started: calls that began since the process started.
-    :ivar running: calls under way, those that wait included.
-    :ivar wanted: times that a call found no replica that holds the key.
+    :ivar started: calls that began since the gateway process started.
+    :ivar running: calls in progress, including those that wait for a replica.
+    :ivar wanted: times that no replica held the key when a call needed it.
     :ivar objective_ms: the shortest objective of the calls; 0 before any.
     :ivar tokens: prompt tokens of the calls that began.
-    :ivar refused: times that a call was refused since the replicas that hold the key had no
-        room for it in time.
-    :ivar served_ago_ms: since a replica last began the answer to a call; ``None`` before any.
-    :ivar unserved_ms: since the first call after that; ``None`` without one, and from a gateway
-        that does not tell.
+    :ivar refused: calls that were refused because the replicas that hold the key had no room in
+        time.
+    :ivar served_ago_ms: time since a replica last began to answer a call; ``None`` before any
+        answer.
+    :ivar unserved_ms: time since the first call after that answer; ``None`` without such a call,
+        and from a gateway that does not send it.
     """
 
     key: ModelKey
@@ -57,6 +57,6 @@
 
 
 def key_of(call: Call, service: str) -> ModelKey | None:
-    """Return what a call to a service asks for, or ``None`` for a plain call."""
+    """Return the key that a call to a service requests, or ``None`` if it names no model."""
     need = call.model_need
     return None if need is None else ModelKey(service, need.model, need.adapter)
--- a/limeshelf/demand/meter.py
+++ b/limeshelf/demand/meter.py
@@ -1,8 +1,8 @@
-"""What callers ask of models, as seen by one gateway.
+"""Counts the demand of one gateway for models and adapters, and estimates waits.
 
-Owns this gateway's counts for each model and adapter, and the loads that the leader
-announced; ``membership`` sends the counts and fills in the announcements. Relies on the
-directory of replicas for what they hold.
+Owns this gateway's counters for each key, and the model loads that the leader announced.
+``membership`` sends the counters and fills in the announcements. Reads from the replica
+directory what the replicas hold.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from limeshelf.demand.adapter_waits import AdapterWaits
+from limeshelf.demand.adapter_waits import AdapterWaitEstimator
 from limeshelf.demand.keys import KeyDemand, ModelKey, key_of
 from limeshelf.demand.service_ages import ServiceAges
 from limeshelf.demand.waits import CallOutlook, ModelOutlook, model_wait_s, plain_wait_s
@@ -26,22 +26,22 @@
     from limeshelf.replicas.directory import ReplicaDirectory
     from limeshelf.replicas.replica import Replica
 
-#: The same missing key is reported to the leader at most this often.
-REPORT_AGAIN_S = 0.1
-#: A digest holds the keys that were asked for within this time; all keys
-#: would be many times as large.
-RECENT_S = 3.0
-#: A key that was not asked for within this time is waited for by nobody; whoever asks then is
-#: the first again.
+#: Minimum interval between two reports to the leader that the same key is missing.
+MISSING_REPORT_INTERVAL_S = 0.1
+#: A digest contains only keys that were requested within this time; with all keys it would be
+#: many times as large.
+RECENT_REQUEST_S = 3.0
+#: A key that was not requested for this long has no waiting callers any more; the next request
+#: starts a new unserved period.
 UNSERVED_LIFE_S = 30.0
 
 
 class DemandMeter:
     """Counts the calls of this process by model and adapter.
 
-    :param on_missing: called with a key that a call asks for and no replica holds.
-    :ivar announced_s: when each model that the leader announced will likely be there, on
-        the clock of :func:`~limeshelf.util.clock.boottime_s`.
+    :param on_missing: called with a key that a call requests and no replica holds.
+    :ivar announced_s: when each load that the leader announced is expected to be complete, on the
+        clock of :func:`~limeshelf.util.clock.boottime_s`.
     """
 
     def __init__(
@@ -52,31 +52,31 @@
         self._on_missing = on_missing
         self._by_key: dict[ModelKey, KeyDemand] = {}
         self._reported_s: dict[ModelKey, float] = {}
-        self._asked_s: dict[ModelKey, float] = {}
-        self._ages: dict[ModelKey, ServiceAges] = {}
-        self._adapter_waits = AdapterWaits()
+        self._requested_s: dict[ModelKey, float] = {}
+        self._service_times: dict[ModelKey, ServiceAges] = {}
+        self._adapter_waits = AdapterWaitEstimator()
 
     def recent(self) -> list[KeyDemand]:
-        """Return copies of what was seen so far of the keys that were asked for lately.
+        """Return copies of the counters for recently requested keys.
 
-        Copies, since who takes them compares them with the ones before.
+        Copies, because the receiver keeps them to compute the next increments.
         """
         now_s = boottime_s()
-        oldest_s = now_s - RECENT_S
+        oldest_s = now_s - RECENT_REQUEST_S
         return [
             self._copy_of(demand, now_s)
             for key, demand in self._by_key.items()
-            if demand.running or self._asked_s.get(key, 0.0) >= oldest_s
+            if demand.running or self._requested_s.get(key, 0.0) >= oldest_s
         ]
 
     def _copy_of(self, demand: KeyDemand, now_s: float) -> KeyDemand:
         copied = msgspec.structs.replace(demand)
-        self._ages_of(demand.key).tell(copied, now_s)
+        self._service_times_of(demand.key).tell(copied, now_s)
         return copied
 
     @contextlib.contextmanager
     def track(self, call: Call, service: str, objective_s: float) -> Iterator[None]:
-        """Count a call while it is under way; a plain call is not counted."""
+        """Count a call as running while the context is open, if it names a model."""
         key = key_of(call, service)
         if key is None:
             yield
@@ -84,7 +84,7 @@
         demand = self._by_key.setdefault(key, KeyDemand(key))
         objective_ms = int(objective_s * 1000)
         demand.objective_ms = min(demand.objective_ms or objective_ms, objective_ms)
-        self._note_asked(key)
+        self._record_request(key)
         demand.started += 1
         demand.tokens += call.model_need.prompt_tokens if call.model_need else 0
         demand.running += 1
@@ -92,66 +92,66 @@
             yield
         finally:
             demand.running -= 1
-            self._asked_s[key] = boottime_s()
+            self._requested_s[key] = boottime_s()
 
-    def _note_asked(self, key: ModelKey) -> None:
-        """Begin to count since when a key goes unserved, unless somebody waits already."""
+    def _record_request(self, key: ModelKey) -> None:
+        """Start the unserved period of a key, unless an earlier caller still waits."""
         now_s = boottime_s()
-        ages = self._ages_of(key)
-        if now_s - self._asked_s.get(key, now_s) > UNSERVED_LIFE_S:
+        ages = self._service_times_of(key)
+        if now_s - self._requested_s.get(key, now_s) > UNSERVED_LIFE_S:
             ages.forget_waiting()
         ages.note_asked(now_s)
 
     def report_missing(self, call: Call, service: ServiceSpec) -> None:
-        """Count, and report to the leader, that no replica holds what the call needs."""
+        """Count, and report to the leader, that no replica holds the key of a call."""
         key = key_of(call, service.name)
         if key is None or service.engine is None:
             return
         now_s = boottime_s()
-        if now_s - self._reported_s.get(key, 0.0) < REPORT_AGAIN_S:
+        if now_s - self._reported_s.get(key, 0.0) < MISSING_REPORT_INTERVAL_S:
             return
         self._reported_s[key] = now_s
-        self._asked_s[key] = now_s
+        self._requested_s[key] = now_s
         self._by_key.setdefault(key, KeyDemand(key)).wanted += 1
         self._on_missing(key)
 
     def note_refused(self, call: Call, service: ServiceSpec) -> None:
-        """Count that the replicas which hold what the call needs had no room in time."""
+        """Count a call that was refused because the replicas with its key had no room in time."""
         key = key_of(call, service.name)
         if key is not None:
             self._by_key.setdefault(key, KeyDemand(key)).refused += 1
 
     def note_served(self, call: Call, service: ServiceSpec) -> None:
-        """Note that a replica began the answer to a call."""
+        """Record that a replica began to answer a call."""
         key = key_of(call, service.name)
         if key is not None:
             now_s = boottime_s()
-            self._asked_s[key] = now_s
-            self._ages_of(key).note_served(now_s)
+            self._requested_s[key] = now_s
+            self._service_times_of(key).note_served(now_s)
 
-    def _ages_of(self, key: ModelKey) -> ServiceAges:
-        return self._ages.setdefault(key, ServiceAges())
+    def _service_times_of(self, key: ModelKey) -> ServiceAges:
+        return self._service_times.setdefault(key, ServiceAges())
 
     def note_found(self, call: Call, service: ServiceSpec) -> None:
-        """Note that a replica holds what the call needs."""
+        """Record that a replica holds the key of a call."""
         key = key_of(call, service.name)
         if key is not None and key.adapter:
-            self._adapter_waits.note_found(key, boottime_s())
+            self._adapter_waits.record_found(key, boottime_s())
 
     def outlook(self, call: Call, service: ServiceSpec) -> CallOutlook:
-        """Return when a replica can likely run a call, and what is on its way for it."""
+        """Return when a replica is expected to be able to run a call, and why not earlier."""
         key = key_of(call, service.name)
         if key is None or service.engine is None:
             replicas = self._directory.of_service(service.name)
-            wait_s = max(plain_wait_s(bool(replicas)), _pause_left_s(replicas))
+            wait_s = max(plain_wait_s(bool(replicas)), _shortest_pause_left_s(replicas))
             return CallOutlook(wait_s, None, is_announced=key is None, model_held=False)
-        model = self._model_outlook(key, service.engine)
-        announced_in_s = model.announced_in_s
+        availability = self._availability(key, service.engine)
+        announced_in_s = availability.announced_in_s
         return CallOutlook(
-            max(model_wait_s(model), _pause_left_s(self._holders(key))),
+            max(model_wait_s(availability), _shortest_pause_left_s(self._holders(key))),
             announced_in_s,
             is_announced=announced_in_s is not None,
-            model_held=model.has_model,
+            model_held=availability.has_model,
         )
 
     def _holders(self, key: ModelKey) -> list[Replica]:
@@ -161,23 +161,25 @@
             if replica.holds(key.model, key.adapter)
         ]
 
-    def _model_outlook(self, key: ModelKey, engine: EngineSpec) -> ModelOutlook:
+    def _availability(self, key: ModelKey, engine: EngineSpec) -> ModelOutlook:
         replicas = self._directory.of_service(key.service)
         spec = engine.models.get(key.model)
         ready_s = self.announced_s.get(key.base)
         now_s = boottime_s()
         has_key = any(replica.holds(key.model, key.adapter) for replica in replicas)
         has_model = any(replica.holds(key.model) for replica in replicas)
-        misses_adapter = has_model and not has_key
+        adapter_missing = has_model and not has_key
         return ModelOutlook(
             has_key=has_key,
             has_model=has_model,
             announced_in_s=None if ready_s is None else ready_s - now_s,
             load_s=spec.load_s if spec else None,
-            adapter_wait_s=self._adapter_waits.wait_s(key, now_s) if misses_adapter else 0.0,
+            adapter_wait_s=self._adapter_waits.remaining_wait_s(key, now_s)
+            if adapter_missing
+            else 0.0,
         )
 
 
-def _pause_left_s(replicas: list[Replica]) -> float:
-    """Return how much longer none of some replicas wants a call of this gateway, in seconds."""
+def _shortest_pause_left_s(replicas: list[Replica]) -> float:
+    """Return the shortest remaining pause that the replicas asked this gateway for."""
     return min((replica.backpressure.pause_left_s for replica in replicas), default=0.0)
--- a/limeshelf/demand/model_demand.py
+++ b/limeshelf/demand/model_demand.py
@@ -1,7 +1,7 @@
-"""What all calls to a model keep busy at the replicas of a service.
+"""Computes how many replicas the demand for a model occupies.
 
-Owns the rule that turns averaged demand into a number of replicas; keeps nothing. Relies
-on the totals over all gateways and on the measured reading speeds.
+Keeps no state. The inputs are the averaged demand over all gateways and the measured prefill
+speeds.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 import attrs
 
 from limeshelf.demand.keys import ModelKey
-from limeshelf.demand.totals import LASTING_MEMORY_S, RATE_MEMORY_S, KeyTotals
+from limeshelf.demand.totals import LONG_TERM_TIME_CONSTANT_S, RATE_TIME_CONSTANT_S, KeyTotals
 from limeshelf.util.clock import MS_PER_S, boottime_s
 
 if TYPE_CHECKING:
@@ -21,24 +21,24 @@
 
     from limeshelf.calls.routes import EngineSpec, ModelSpec
 
-#: Share of a replica's time that may go to reading prompts before it counts as full; the rest
-#: goes to the steps of running calls. For planning only: what is granted is bounded by
+#: A replica counts as full when prefill takes this share of its time; the rest goes to the decode
+#: steps of running calls. For planning only: the calls that are granted are bounded by
 #: READING_DUTY of :mod:`limeshelf.dispatch.refusal`.
 PLANNED_READING_SHARE = 0.5
-#: A further copy serves only when its load is done, so demand that rises counts as what it will
-#: be then. While it rises evenly, the two averages lag behind it by their time constants; what
-#: the shorter exceeds the longer by says how fast it rises. With this in place of 0.6 of the
-#: difference, up to half more, whatever a load takes: see tests/demand/test_rise.py. At the
-#: most it counts as this share more.
-RISE_LIMIT_SHARE = 1.0
-#: Share of a replica's slots that is filled before another copy is worth it.
-FILLED_SLOTS_SHARE = 0.8
-#: An adapter that was asked for within this time needs a place.
-ACTIVE_ADAPTER_S = 1.5
-#: A call that found no copy counts as waiting for this long.
-WAITING_S = 3.0
-#: A model counts as awaited once it has gone unserved for longer than the first event of an answer
-#: takes: of a busy one, some call always waits for that.
+#: Upper bound of the rise that is added to the current demand, as a share of it. A further replica
+#: of a model serves calls only after its load, so rising demand is extrapolated to the end of the
+#: load. During a linear rise each average lags by its time constant, so their difference gives
+#: the slope. The previous rule, 0.6 of the difference, at most half of the demand, at any load
+#: time, foresaw less of a rise: see tests/demand/test_rise.py.
+MAX_RISE_SHARE = 1.0
+#: A replica counts as full when this share of its slots is used.
+PLANNED_SLOT_SHARE = 0.8
+#: An adapter that was requested within this time needs a place.
+ACTIVE_ADAPTER_AGE_S = 1.5
+#: A model counts as missing for this long after a call found no replica that holds it.
+RECENTLY_MISSING_S = 3.0
+#: Shortest unserved time after which a retry of an unserved call is expected. It is longer than
+#: the first event of an answer takes, since some call of a busy model always waits for that.
 AWAITED_AFTER_S = 2.0
 
 
@@ -46,17 +46,17 @@
 class ModelDemand:
     """The demand for one model with all its adapters.
 
-    :ivar calls_per_s: calls that will begin a second when a load is done.
-    :ivar lasting_calls_per_s: calls that begin a second, averaged over a longer time.
-    :ivar busy_replicas: replicas that the calls keep busy.
-    :ivar refused_per_s: calls that found its copies without room in time.
-    :ivar running: calls under way.
-    :ivar adapters: adapters that are asked for at the moment.
-    :ivar is_waiting: whether a call found no copy lately.
-    :ivar objective_s: shortest objective of the calls; 0 before any.
-    :ivar unserved_s: for how long the model was asked for and none of its calls was served; 0
-        where nobody waits.
-    :ivar is_awaited: whether one who asked for it unserved may still come back.
+    :ivar calls_per_s: calls started per second, extrapolated to the end of a model load.
+    :ivar lasting_calls_per_s: calls started per second, averaged over a longer time.
+    :ivar busy_replicas: replicas that the calls occupy.
+    :ivar refused_per_s: calls refused per second because no replica had room in time.
+    :ivar running: calls in progress.
+    :ivar adapters: adapters that were requested within :data:`ACTIVE_ADAPTER_AGE_S`.
+    :ivar is_waiting: whether a call recently found no replica that holds its key.
+    :ivar objective_s: shortest latency objective of the calls; 0 before any call.
+    :ivar unserved_s: time for which the model was requested without any call being served; 0 if
+        no call is unserved.
+    :ivar is_awaited: whether a caller that was not served may still retry.
     """
 
     calls_per_s: float = 0.0
@@ -71,7 +71,7 @@
     is_awaited: bool = False
 
 
-#: The demand for a model that nobody asks for.
+#: The demand for a model without calls.
 NO_DEMAND = ModelDemand()
 
 
@@ -81,24 +81,23 @@
     totals: dict[ModelKey, KeyTotals],
     read_ms: Callable[[str, float], float],
 ) -> dict[str, ModelDemand]:
-    """Return the demand for each model that the configuration gives the service.
+    """Return the demand for each model that the service has by the configuration.
 
-    :param read_ms: returns the time that reading so many tokens of a model takes, in
-        milliseconds.
+    :param read_ms: returns the prefill time of a number of tokens for a model, in milliseconds.
     """
     by_model: dict[str, list[tuple[ModelKey, KeyTotals]]] = {name: [] for name in engine.models}
     for key, key_totals in totals.items():
         if key.service == service and engine.knows(key.model, key.adapter):
             by_model[key.model].append((key, key_totals))
     return {
-        name: _demand(items, engine, engine.models[name], functools.partial(read_ms, name))
+        name: _model_demand(items, engine, engine.models[name], functools.partial(read_ms, name))
         if items
         else NO_DEMAND
         for name, items in by_model.items()
     }
 
 
-def _demand(
+def _model_demand(
     items: list[tuple[ModelKey, KeyTotals]],
     engine: EngineSpec,
     model: ModelSpec,
@@ -108,23 +107,23 @@
     totals = [key_totals for _, key_totals in items]
     running = sum(one.running for one in totals)
     adapters = sum(
-        1 for key, one in items if key.adapter and now_s - one.seen_s < ACTIVE_ADAPTER_S
+        1 for key, one in items if key.adapter and now_s - one.seen_s < ACTIVE_ADAPTER_AGE_S
     )
     calls_per_s = sum(one.calls_per_s for one in totals)
     lasting_calls_per_s = sum(one.lasting_calls_per_s for one in totals)
-    rise = rise_factor(calls_per_s, lasting_calls_per_s, model.load_s)
-    tokens_per_s = rise * sum(one.tokens_per_s for one in totals)
-    reading = read_ms(tokens_per_s) / MS_PER_S / PLANNED_READING_SHARE
-    slots = rise * running / (FILLED_SLOTS_SHARE * max(1, engine.slots))
-    places = adapters / max(1, engine.adapter_places)
+    growth = rise_factor(calls_per_s, lasting_calls_per_s, model.load_s)
+    tokens_per_s = growth * sum(one.tokens_per_s for one in totals)
+    prefill_replicas = read_ms(tokens_per_s) / MS_PER_S / PLANNED_READING_SHARE
+    slot_replicas = growth * running / (PLANNED_SLOT_SHARE * max(1, engine.slots))
+    place_replicas = adapters / max(1, engine.adapter_places)
     unserved_s = model_unserved_s(totals, now_s)
     return ModelDemand(
-        calls_per_s=rise * calls_per_s,
+        calls_per_s=growth * calls_per_s,
         lasting_calls_per_s=lasting_calls_per_s,
-        busy_replicas=max(reading, slots, places),
+        busy_replicas=max(prefill_replicas, slot_replicas, place_replicas),
         running=running,
         adapters=adapters,
-        is_waiting=any(now_s - one.missing_s < WAITING_S for one in totals),
+        is_waiting=any(now_s - one.last_missing_s < RECENTLY_MISSING_S for one in totals),
         objective_s=_shortest(one.objective_s for one in totals),
         refused_per_s=sum(one.refused_per_s for one in totals),
         unserved_s=unserved_s,
@@ -133,23 +132,23 @@
 
 
 def model_unserved_s(totals: list[KeyTotals], now_s: float) -> float:
-    """Return for how long a model was asked for, with any adapter, and served with none."""
+    """Return the time since a model was last served, with any adapter, while calls wait for it."""
     unserved_s = max((one.unserved_s(now_s) for one in totals), default=0.0)
     served_s = max((one.ages.served_s for one in totals), default=-math.inf)
     return min(unserved_s, now_s - served_s)
 
 
 def rise_factor(calls_per_s: float, lasting_calls_per_s: float, lead_s: float) -> float:
-    """Return the factor by which demand will likely have risen in some time.
+    """Return the factor by which demand is expected to grow, at least 1.
 
-    :param lead_s: that time, in seconds.
+    :param lead_s: how far to extrapolate, in seconds.
     """
     if calls_per_s <= 0:
         return 1.0
-    lag_s = RATE_MEMORY_S
-    slope_per_s = (calls_per_s - lasting_calls_per_s) / (LASTING_MEMORY_S - lag_s)
+    lag_s = RATE_TIME_CONSTANT_S
+    slope_per_s = (calls_per_s - lasting_calls_per_s) / (LONG_TERM_TIME_CONSTANT_S - lag_s)
     rise_share = slope_per_s * (lag_s + lead_s) / calls_per_s
-    return 1.0 + min(RISE_LIMIT_SHARE, max(0.0, rise_share))
+    return 1.0 + min(MAX_RISE_SHARE, max(0.0, rise_share))
 
 
 def _shortest(objectives_s: Iterable[float]) -> float:
--- a/limeshelf/demand/unserved.py
+++ b/limeshelf/demand/unserved.py
@@ -1,6 +1,6 @@
-"""What is asked for and served to nobody, as figures.
+"""Statistics of models and adapters whose calls go unserved.
 
-Owns nothing. Relies on the sums of demand, whole only at the leader.
+Keeps no state. Only the leader has the complete demand totals that they are computed from.
 """
 
 from __future__ import annotations
@@ -19,13 +19,13 @@
     from limeshelf.demand.keys import ModelKey
     from limeshelf.demand.totals import KeyTotals
 
-#: A key goes unserved for long from this wait on: by then callers who were refused first have
-#: come back (:data:`limeshelf.demand.totals.RETURN_LIFE_S`).
+#: A key that has gone unserved for longer than this counts as unserved for long: by then the
+#: callers that were refused first have retried (:data:`limeshelf.demand.totals.RETURN_LIFE_S`).
 LONG_UNSERVED_S = 10.0
 
 
 class UnservedKind(enum.StrEnum):
-    """What goes unserved: a model with any of its adapters, or one adapter."""
+    """What is counted: a model with all of its adapters, or a single adapter."""
 
     MODEL = 'model'
     ADAPTER = 'adapter'
@@ -33,10 +33,10 @@
 
 @attrs.frozen
 class Unserved:
-    """What goes unserved of one kind.
+    """Statistics of the unserved models, or of the unserved adapters.
 
-    :param longest_s: the longest time for which one has been asked for and served to nobody.
-    :param keys: how many have been for more than :data:`LONG_UNSERVED_S`.
+    :param longest_s: the longest time that one of them has gone unserved.
+    :param keys: how many have gone unserved for more than :data:`LONG_UNSERVED_S`.
     """
 
     longest_s: float = 0.0
@@ -44,19 +44,22 @@
 
 
 def unserved(kind: UnservedKind, totals: Mapping[ModelKey, KeyTotals], now_s: float) -> Unserved:
-    """Return what goes unserved of one kind."""
-    by_kind = {UnservedKind.MODEL: _model_waits_s, UnservedKind.ADAPTER: _adapter_waits_s}
-    waits_s = by_kind[kind](totals, now_s)
-    long = sum(wait_s > LONG_UNSERVED_S for wait_s in waits_s)
-    return Unserved(max(waits_s, default=0.0), long)
+    """Return the statistics of one kind."""
+    unserved_by_kind = {
+        UnservedKind.MODEL: _models_unserved_s,
+        UnservedKind.ADAPTER: _adapters_unserved_s,
+    }
+    times_s = unserved_by_kind[kind](totals, now_s)
+    long = sum(time_s > LONG_UNSERVED_S for time_s in times_s)
+    return Unserved(max(times_s, default=0.0), long)
 
 
-def _model_waits_s(totals: Mapping[ModelKey, KeyTotals], now_s: float) -> list[float]:
+def _models_unserved_s(totals: Mapping[ModelKey, KeyTotals], now_s: float) -> list[float]:
     by_model: defaultdict[ModelKey, list[KeyTotals]] = defaultdict(list)
     for key, one in totals.items():
         by_model[key.base].append(one)
     return [model_unserved_s(of_model, now_s) for of_model in by_model.values()]
 
 
-def _adapter_waits_s(totals: Mapping[ModelKey, KeyTotals], now_s: float) -> list[float]:
+def _adapters_unserved_s(totals: Mapping[ModelKey, KeyTotals], now_s: float) -> list[float]:
     return [one.unserved_s(now_s) for key, one in totals.items() if key.adapter]
--- a/limeshelf/demand/waits.py
+++ b/limeshelf/demand/waits.py
@@ -1,36 +1,36 @@
-"""How long until a replica can likely run a call, judged by one gateway.
+"""Estimates how long a call waits until a replica can run it.
 
-Owns the rule and its figures alone: no clock, no state. Relies on what the caller
-sees of replicas and on the loads that the leader announced.
+Pure functions of what a gateway knows about the replicas and of the loads that the leader
+announced; no clock and no state.
 """
 
 from __future__ import annotations
 
 import attrs
 
-#: How long a call to a plain service waits for a replica.
+#: Expected wait for a replica of a service without models, while it has none.
 PLAIN_WAIT_S = 1.0
-#: What the load of a model that the configuration does not name counts as.
-UNNAMED_LOAD_S = 1.0
-#: Least wait for a load that was announced: one that is overdue is awaited this much longer,
-#: since calls refused shortly before the model was there came back and were refused again.
+#: Assumed load time of a model that the configuration does not name.
+UNKNOWN_MODEL_LOAD_S = 1.0
+#: Lower bound of the wait for an announced load, also when it is overdue: calls that were refused
+#: shortly before the model was loaded retried and were refused again.
 OVERDUE_WAIT_S = 0.6
-#: From the first call to the begin of a load that nobody has announced yet.
-ORDER_WAIT_S = 1.0
+#: Expected time from the first call to the start of a load that is not announced yet.
+LOAD_START_DELAY_S = 1.0
 
 
 @attrs.frozen
 class ModelOutlook:
-    """What a gateway sees of the model, and the adapter, that a call asks for.
+    """What a gateway knows about the model and the adapter that a call requests.
 
-    :param has_key: whether a replica holds all that the call asks for.
-    :param has_model: whether a replica holds the model, with the adapter or without.
-    :param announced_in_s: seconds until the model is there by the leader's
-        announcement, below zero if overdue; ``None`` without one.
+    :param has_key: whether a replica holds the model and the adapter.
+    :param has_model: whether a replica holds the model, with or without the adapter.
+    :param announced_in_s: seconds until the model is loaded by the leader's announcement, negative
+        if overdue; ``None`` without an announcement.
     :param load_s: duration of the model's load from the weight store; ``None`` if the
         configuration does not name the model.
-    :param adapter_wait_s: seconds until the adapter is there, at a replica that holds its
-        model.
+    :param adapter_wait_s: expected seconds until a replica that holds the model has loaded the
+        adapter.
     """
 
     has_key: bool
@@ -42,13 +42,14 @@
 
 @attrs.frozen
 class CallOutlook:
-    """When, and why, a call can likely run.
-
-    :param wait_s: until a replica can likely run it, in seconds; 0 where one holds what it needs.
-    :param announced_in_s: until a copy of its model that the leader announced is there, in
-        seconds, below zero if overdue; ``None`` where none is on its way.
-    :param is_announced: whether the leader announced one; a plain call needs no announcement.
-    :param model_held: whether a replica holds its model, with its adapter or without.
+    """The expected wait of a call, and what it depends on.
+
+    :param wait_s: expected seconds until a replica can run the call; 0 if one can now.
+    :param announced_in_s: seconds until the model is loaded by the leader's announcement, negative
+        if overdue; ``None`` without an announcement.
+    :param is_announced: whether the leader announced a load of the model; always true for a call
+        that names no model.
+    :param model_held: whether a replica holds the model, with or without the adapter.
     """
 
     wait_s: float
@@ -70,5 +71,5 @@
         return outlook.adapter_wait_s
     if outlook.announced_in_s is not None:
         return max(OVERDUE_WAIT_S, outlook.announced_in_s)
-    load_s = UNNAMED_LOAD_S if outlook.load_s is None else outlook.load_s
-    return ORDER_WAIT_S + load_s
+    load_s = UNKNOWN_MODEL_LOAD_S if outlook.load_s is None else outlook.load_s
+    return LOAD_START_DELAY_S + load_s
--- a/tests/demand/test_meter.py
+++ b/tests/demand/test_meter.py
@@ -1,4 +1,4 @@
-"""What one gateway counts of its calls, and how long it expects them to wait."""
+"""The demand counters of one gateway, and the waits that it expects for calls."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from limeshelf.calls.call import Call, ModelNeed
 from limeshelf.calls.routes import EngineSpec, ModelSpec, ServiceSpec
-from limeshelf.demand.adapter_waits import FIRST_GUESS_S
+from limeshelf.demand.adapter_waits import INITIAL_ESTIMATE_S
 from limeshelf.demand.centre_demand import CentreDemand
 from limeshelf.demand.keys import KeyDemand, ModelKey
 from limeshelf.demand.meter import UNSERVED_LIFE_S, DemandMeter
@@ -29,7 +29,7 @@
 
 @attrs.define
 class Gateway:
-    """A meter beside the clock and the replicas that it relies on."""
+    """A meter with its clock and its replica directory."""
 
     clock: VirtualClock
     directory: ReplicaDirectory = attrs.field(factory=lambda: ReplicaDirectory(read_record))
@@ -54,7 +54,7 @@
         yield Gateway(clock)
 
 
-def test_calls_are_counted_while_under_way_and_told_for_some_seconds(gateway: Gateway) -> None:
+def test_calls_are_counted_while_running_and_reported_for_some_seconds(gateway: Gateway) -> None:
     meter = gateway.meter
     with meter.track(CALL, 'lm', 6.0), meter.track(CALL, 'lm', 1.0):
         expected = KeyDemand(
@@ -91,7 +91,7 @@
     assert gateway.wait_s == 5.0
     assert gateway.meter.outlook(CALL, SERVICE).is_announced
     gateway.add('lm', Holding('m1'))
-    assert gateway.wait_s == FIRST_GUESS_S
+    assert gateway.wait_s == INITIAL_ESTIMATE_S
 
 
 def test_no_wait_where_a_replica_holds_the_adapter(gateway: Gateway) -> None:
@@ -105,7 +105,7 @@
     assert gateway.meter.outlook(PLAIN_CALL, PLAIN_SERVICE).wait_s == 0.0
 
 
-def test_ages_of_what_is_asked_for_are_told(gateway: Gateway) -> None:
+def test_served_and_unserved_ages_are_reported(gateway: Gateway) -> None:
     meter = gateway.meter
     with meter.track(CALL, 'lm', 6.0):
         gateway.clock.advance(2.0)
@@ -119,7 +119,7 @@
         assert [(one.served_ago_ms, one.unserved_ms) for one in meter.recent()] == [(2000, 0)]
 
 
-def test_wait_that_nobody_renewed_for_long_is_forgotten(gateway: Gateway) -> None:
+def test_unserved_period_ends_without_further_requests(gateway: Gateway) -> None:
     meter = gateway.meter
     with meter.track(CALL, 'lm', 6.0):
         pass
@@ -128,8 +128,11 @@
         assert [demand.unserved_ms for demand in meter.recent()] == [0]
 
 
-def test_own_calls_of_a_gateway_are_new_to_its_sums_each_time(gateway: Gateway) -> None:
-    """They were new once: the leader planned without the calls of its own gateway."""
+def test_own_calls_of_a_gateway_are_added_to_its_sums_each_time(gateway: Gateway) -> None:
+    """Guards against a leader that plans without the calls of its own gateway.
+
+    The meter once handed out its own records, so later increments compared as unchanged.
+    """
     totals, centre = DemandTotals(), CentreDemand()
     for number in range(1, 6):
         with gateway.meter.track(CALL, 'lm', 6.0):
--- a/tests/demand/test_model_demand.py
+++ b/tests/demand/test_model_demand.py
@@ -1,4 +1,4 @@
-"""What all calls to a model keep busy at the replicas of a service."""
+"""How many replicas the demand for a model occupies."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from limeshelf.calls.routes import EngineSpec, ModelSpec
 from limeshelf.demand.keys import ModelKey
-from limeshelf.demand.model_demand import _demand, demand_by_model, rise_factor
+from limeshelf.demand.model_demand import _model_demand, demand_by_model, rise_factor
 from limeshelf.demand.totals import KeyTotals
 from limeshelf.util.clock import boottime_s
 
@@ -22,7 +22,7 @@
     return 0.055 * tokens
 
 
-def test_demand_adds_up_the_keys_of_a_model() -> None:
+def test_demand_sums_the_keys_of_a_model() -> None:
     now_s = boottime_s()
     totals = {
         ModelKey('lm', 'hot'): KeyTotals(
@@ -50,7 +50,7 @@
     assert hot.busy_replicas == pytest.approx(max(3000 * 0.055 / 1000 / 0.5, 4 / 6.4))
 
 
-def test_rising_demand_counts_as_what_it_will_be() -> None:
+def test_rising_demand_is_extrapolated_to_the_end_of_a_load() -> None:
     def replicas(lasting_rate: float) -> float:
         hot = KeyTotals(calls_per_s=10.0, lasting_calls_per_s=lasting_rate, tokens_per_s=10000.0)
         demands = demand_by_model('lm', ENGINE, {ModelKey('lm', 'hot'): hot}, read_ms)
@@ -58,7 +58,7 @@
 
     assert replicas(10.0) == pytest.approx(1.1)
     assert replicas(12.0) == pytest.approx(1.1)
-    # A load of 5 s: what the shorter average exceeds the longer by, over 7.5 s, in 7.5 s.
+    # Load time 5 s: the averages differ by the rise over 7.5 s, extrapolated over 7.5 s.
     assert replicas(5.0) == pytest.approx(1.1 * 1.5)
     assert replicas(0.0) == pytest.approx(1.1 * 2.0)
 
@@ -73,14 +73,14 @@
         (10.0, 0.0, 9.0, 2.0),
     ],
 )
-def test_rise_goes_on_for_the_time_of_a_load_up_to_twice_as_much(
+def test_rise_is_extrapolated_over_the_load_time_up_to_a_factor_of_two(
     calls_per_s: float, lasting_calls_per_s: float, lead_s: float, factor: float
 ) -> None:
     found = rise_factor(calls_per_s, lasting_calls_per_s, lead_s)
     assert found == pytest.approx(factor)
 
 
-def test_model_that_nobody_asks_for_has_no_demand() -> None:
+def test_model_without_calls_has_no_demand() -> None:
     demands = demand_by_model('lm', ENGINE, {}, read_ms)
-    worked_out = _demand([], ENGINE, ENGINE.models['hot'], functools.partial(read_ms, 'hot'))
-    assert demands == {name: worked_out for name in ENGINE.models}
+    computed = _model_demand([], ENGINE, ENGINE.models['hot'], functools.partial(read_ms, 'hot'))
+    assert demands == {name: computed for name in ENGINE.models}
--- a/tests/demand/test_reading_speed.py
+++ b/tests/demand/test_reading_speed.py
@@ -1,4 +1,4 @@
-"""How fast the prompts of a model are read."""
+"""The estimated prefill speed of each model."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from limeshelf.demand.reading_speed import FIRST_EVENT_OVERHEAD_MS, ReadingSpeed
 
 
-def test_guess_until_something_was_seen() -> None:
+def test_initial_estimate_without_samples() -> None:
     assert ReadingSpeed().read_ms('m', 1000) == pytest.approx(55.0)
 
 
@@ -19,21 +19,21 @@
     assert speed.read_ms('other', 1000) == pytest.approx(55.0)
 
 
-def test_one_sample_moves_the_speed_by_its_share() -> None:
+def test_one_sample_moves_the_estimate_by_its_weight() -> None:
     speed = ReadingSpeed()
     speed.learn('m', 1000, 105.0 + FIRST_EVENT_OVERHEAD_MS)
     assert speed.read_ms('m', 1000) == pytest.approx(55.0 + 0.2 * 50.0)
 
 
-def test_short_prompts_teach_nothing() -> None:
+def test_short_prompts_give_no_sample() -> None:
     speed = ReadingSpeed()
     speed.learn('m', 249, 1000.0)
     assert speed.read_ms('m', 1000) == pytest.approx(55.0)
 
 
-@pytest.mark.parametrize(('first_event_ms', 'most_ms'), [(1e6, 400.0), (0.0, 2.0)])
-def test_a_stalled_event_or_an_early_one_is_bounded(first_event_ms: float, most_ms: float) -> None:
+@pytest.mark.parametrize(('first_event_ms', 'expected_ms'), [(1e6, 400.0), (0.0, 2.0)])
+def test_samples_are_clamped(first_event_ms: float, expected_ms: float) -> None:
     speed = ReadingSpeed()
     for _ in range(100):
         speed.learn('m', 1000, first_event_ms)
-    assert speed.read_ms('m', 1000) == pytest.approx(most_ms, rel=0.01)
+    assert speed.read_ms('m', 1000) == pytest.approx(expected_ms, rel=0.01)
--- a/tests/demand/test_rise.py
+++ b/tests/demand/test_rise.py
@@ -1,10 +1,10 @@
-"""Benchmark: demand that rises evenly, as it is foreseen, and steady demand at its begin.
+"""Benchmark: extrapolation of a linear rise in demand, and of steady demand after its start.
 
-A model gets 10 calls a second and from some moment on more, up to 36 after 8 s; a load takes
-9 s. Foreseen 4 s after that moment, as a share of what is asked for when a load is done: 0.53
-before (0.6 of the difference, up to half more, whatever a load takes), 0.64 now. Steady
-demand five seconds after the first call counted as 1.18 of what it was (both averages began at
-zero, the longer one slower), as 1.00 now.
+A model gets 10 calls/s; then the rate rises linearly to 36 calls/s within 8 s. A load takes 9 s.
+The prediction 4 s into the rise is 0.64 of the rate at the end of a load. The former rule (0.6 of
+the difference of the averages, at most half of the demand, at any load time) gave 0.53.
+Steady demand, 5 s after the first call, is predicted at 1.00 of its rate. It was 1.18 while both
+averages started at zero and the long-term one lagged.
 """
 
 from __future__ import annotations
@@ -22,19 +22,19 @@
 RISE_S = 8.0
 
 
-def asked_per_s(since_s: float) -> float:
-    """Return the calls a second, some time after the rise began (below zero: before it)."""
+def rate_per_s(since_s: float) -> float:
+    """Return the calls per second at a time after the rise began (negative: before it)."""
     return 10.0 + 26.0 * min(1.0, max(0.0, since_s / RISE_S))
 
 
-def foreseen_per_s(before_s: float, after_s: float) -> float:
-    """Return what is foreseen after the rise has begun; there were calls for *before_s*."""
+def predicted_per_s(before_s: float, after_s: float) -> float:
+    """Return the prediction *after_s* into the rise, after *before_s* of steady calls."""
     with virtual_clock() as clock:
         totals = DemandTotals()
         totals.take('g-1', [KeyDemand(KEY)])
         started = 0.0
         for step in range(int((before_s + after_s) / STEP_S)):
-            started += STEP_S * asked_per_s(step * STEP_S - before_s)
+            started += STEP_S * rate_per_s(step * STEP_S - before_s)
             clock.advance(STEP_S)
             totals.take('g-1', [KeyDemand(KEY, started=int(started))])
             found = totals.step()[KEY]
@@ -42,10 +42,10 @@
         return factor * found.calls_per_s
 
 
-def test_rise_is_foreseen() -> None:
-    expected = asked_per_s(4.0 + LOAD_S)
-    assert foreseen_per_s(30.0, 4.0) / expected == pytest.approx(0.64, abs=0.03)
+def test_rise_is_predicted() -> None:
+    expected = rate_per_s(4.0 + LOAD_S)
+    assert predicted_per_s(30.0, 4.0) / expected == pytest.approx(0.64, abs=0.03)
 
 
-def test_steady_demand_is_not_taken_for_a_rise_at_its_begin() -> None:
-    assert foreseen_per_s(5.0, 0.0) / 10.0 == pytest.approx(1.0, abs=0.03)
+def test_steady_demand_is_not_predicted_to_rise_after_its_start() -> None:
+    assert predicted_per_s(5.0, 0.0) / 10.0 == pytest.approx(1.0, abs=0.03)
--- a/tests/demand/test_totals.py
+++ b/tests/demand/test_totals.py
@@ -1,4 +1,4 @@
-"""What the leader makes of the demand that all gateways counted."""
+"""The averaged demand over all gateways."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def test_shortest_objective_of_all_gateways_is_known() -> None:
-    """It was sent in every digest and dropped: no idle model was ever unloaded."""
+    """Guards against dropping the objective of a digest: no idle model was ever unloaded."""
     totals = DemandTotals()
     totals.take('g-1', [KeyDemand(KEY, started=1, running=1, objective_ms=6000)])
     totals.take('g-2', [KeyDemand(KEY, started=1, running=1, objective_ms=1000)])
@@ -35,7 +35,7 @@
         assert demand.lasting_calls_per_s == pytest.approx(20.0, rel=0.1)
 
 
-def test_calls_from_before_a_gateway_was_heard_are_not_new() -> None:
+def test_many_calls_before_the_first_message_of_a_gateway_are_not_counted() -> None:
     with virtual_clock() as clock:
         totals = DemandTotals()
         clock.advance(1.0)
@@ -44,7 +44,7 @@
         assert totals.step()[KEY].calls_per_s == pytest.approx(3.0 / 1.0)
 
 
-def test_restarted_gateway_takes_no_calls_back() -> None:
+def test_restart_of_a_gateway_does_not_lower_the_rate() -> None:
     with virtual_clock() as clock:
         totals = DemandTotals()
         totals.take('g-1', [KeyDemand(KEY, started=3)])
@@ -56,7 +56,7 @@
         assert 0.0 <= totals.step()[KEY].calls_per_s <= before
 
 
-def test_running_calls_of_a_silent_gateway_end_to_count() -> None:
+def test_running_calls_of_a_silent_gateway_expire() -> None:
     with virtual_clock() as clock:
         totals = DemandTotals()
         totals.take('g-1', [KeyDemand(KEY, running=2)])
@@ -68,7 +68,7 @@
 
 
 def waiting(unserved_s: float, started: int = 1, served_ago_s: float | None = None) -> KeyDemand:
-    """Return what a gateway tells of a key for which somebody waits."""
+    """Return the counters of a gateway for a key with an unserved call."""
     served_ago_ms = None if served_ago_s is None else int(1000 * served_ago_s)
     return KeyDemand(
         KEY, started=started, served_ago_ms=served_ago_ms, unserved_ms=int(1000 * unserved_s)
@@ -76,11 +76,11 @@
 
 
 def served(ago_s: float = 0.0, started: int = 1) -> KeyDemand:
-    """Return what a gateway tells of a key whose last call was served."""
+    """Return the counters of a gateway for a key whose last call was served."""
     return KeyDemand(KEY, started=started, served_ago_ms=int(1000 * ago_s))
 
 
-def test_what_is_asked_for_goes_unserved_until_the_first_call_is_served() -> None:
+def test_key_is_unserved_until_the_first_call_is_served() -> None:
     with virtual_clock() as clock:
         totals = DemandTotals()
         totals.take('g-1', [waiting(0.0)])
@@ -91,7 +91,7 @@
         assert key.is_awaited(boottime_s())
         totals.take('g-2', [served(started=2)])
         assert key.unserved_s(boottime_s()) == 0.0
-        # The first gateway's caller was refused before that; its next one comes now.
+        # The call at the first gateway was refused before that; its next call begins below.
         totals.take('g-1', [waiting(5.0)])
         assert key.unserved_s(boottime_s()) == 0.0
         clock.advance(1.0)
@@ -100,7 +100,7 @@
         assert key.unserved_s(boottime_s()) == pytest.approx(2.0)
 
 
-def test_wait_is_known_to_who_hears_one_message() -> None:
+def test_one_message_carries_the_whole_unserved_time() -> None:
     with virtual_clock() as clock:
         totals = DemandTotals()
         totals.take('g-1', [waiting(17.0)])
@@ -110,8 +110,8 @@
         assert totals.latest()[KEY].unserved_s(boottime_s()) == pytest.approx(20.0)
 
 
-def test_sum_of_another_relay_ends_no_wait_and_begins_none() -> None:
-    """A relay's sum that was not heard before made all calls of the day count as served now."""
+def test_sum_from_another_relay_neither_ends_nor_restarts_the_unserved_period() -> None:
+    """Guards against counting all calls in the first sum of another relay as served just now."""
     with virtual_clock() as clock:
         totals = DemandTotals()
         totals.take('relay-1', [waiting(0.0)])
@@ -121,7 +121,7 @@
         assert totals.latest()[KEY].unserved_s(boottime_s()) == pytest.approx(15.0)
 
 
-def test_key_that_nobody_asked_for_in_a_while_is_waited_for_by_nobody() -> None:
+def test_unserved_period_expires_without_requests() -> None:
     with virtual_clock() as clock:
         totals = DemandTotals()
         totals.note_missing(KEY)
@@ -136,7 +136,7 @@
         assert key.unserved_s(boottime_s()) == pytest.approx(1.0)
 
 
-def test_gateway_that_does_not_tell_ages_waits_for_nothing() -> None:
+def test_gateway_that_sends_no_ages_adds_no_unserved_time() -> None:
     with virtual_clock() as clock:
         totals = DemandTotals()
         totals.take('old', [KeyDemand(KEY, started=1)])
@@ -146,7 +146,7 @@
 
 
 @pytest.mark.parametrize('ages', [(-5, -5), (10**12, 10**12), (0, None), (None, 10**12)])
-def test_ages_that_nobody_could_tell_break_nothing(ages: tuple[int | None, int | None]) -> None:
+def test_implausible_ages_are_tolerated(ages: tuple[int | None, int | None]) -> None:
     with virtual_clock():
         totals = DemandTotals()
         demand = KeyDemand(KEY, started=1, served_ago_ms=ages[0], unserved_ms=ages[1])
--- a/tests/demand/test_unserved.py
+++ b/tests/demand/test_unserved.py
@@ -1,4 +1,4 @@
-"""How long models and adapters go unserved, and how many for long."""
+"""Statistics of unserved models and adapters."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 OTHER = ModelKey('lm', 'm', 'a2')
 
 
-def figures(totals: DemandTotals) -> dict[UnservedKind, Unserved]:
+def unserved_stats(totals: DemandTotals) -> dict[UnservedKind, Unserved]:
     return {kind: unserved(kind, totals.latest(), boottime_s()) for kind in UnservedKind}
 
 
-def test_nothing_asked_for_is_nothing_unserved() -> None:
-    assert set(figures(DemandTotals()).values()) == {Unserved()}
+def test_no_requests_give_empty_statistics() -> None:
+    assert set(unserved_stats(DemandTotals()).values()) == {Unserved()}
 
 
 def test_model_counts_once_for_all_its_adapters() -> None:
@@ -30,32 +30,32 @@
         clock.advance(LONG_UNSERVED_S - 2.0)
         totals.note_missing(OTHER)
         clock.advance(4.0)
-        found = figures(totals)
+        found = unserved_stats(totals)
         assert found[UnservedKind.MODEL].keys == 1
         assert found[UnservedKind.ADAPTER].keys == 1
         for one in found.values():
             assert one.longest_s == pytest.approx(LONG_UNSERVED_S + 2.0)
 
 
-def test_wait_of_just_ten_seconds_is_not_yet_long() -> None:
+def test_unserved_time_counts_as_long_above_ten_seconds() -> None:
     with virtual_clock() as clock:
         totals = DemandTotals()
         totals.note_missing(MODEL)
         clock.advance(LONG_UNSERVED_S - 0.1)
-        assert figures(totals)[UnservedKind.MODEL].keys == 0
+        assert unserved_stats(totals)[UnservedKind.MODEL].keys == 0
         clock.advance(0.2)
-        assert figures(totals)[UnservedKind.MODEL].keys == 1
+        assert unserved_stats(totals)[UnservedKind.MODEL].keys == 1
 
 
-def test_model_that_is_asked_for_by_itself_is_no_adapter() -> None:
+def test_request_without_adapter_counts_for_no_adapter() -> None:
     with virtual_clock() as clock:
         totals = DemandTotals()
         totals.note_missing(MODEL)
         clock.advance(LONG_UNSERVED_S + 1.0)
-        assert figures(totals)[UnservedKind.ADAPTER] == Unserved()
+        assert unserved_stats(totals)[UnservedKind.ADAPTER] == Unserved()
 
 
-def test_answer_to_one_adapter_serves_the_model_and_not_the_other() -> None:
+def test_answer_for_one_adapter_serves_the_model_but_no_other_adapter() -> None:
     with virtual_clock() as clock:
         totals = DemandTotals()
         totals.take('g', [KeyDemand(ADAPTER, started=1, unserved_ms=0)])
@@ -63,23 +63,23 @@
         totals.note_missing(OTHER)
         clock.advance(LONG_UNSERVED_S + 1.0)
         totals.take('g', [KeyDemand(ADAPTER, started=1, served_ago_ms=0)])
-        found = figures(totals)
+        found = unserved_stats(totals)
         assert found[UnservedKind.MODEL] == Unserved()
         assert found[UnservedKind.ADAPTER].keys == 1
 
 
-def test_models_of_one_name_in_two_services_are_two() -> None:
+def test_models_of_the_same_name_in_two_services_count_separately() -> None:
     with virtual_clock() as clock:
         totals = DemandTotals()
         totals.note_missing(MODEL)
         totals.note_missing(ModelKey('lm2', 'm'))
         clock.advance(LONG_UNSERVED_S + 1.0)
-        assert figures(totals)[UnservedKind.MODEL].keys == 2
+        assert unserved_stats(totals)[UnservedKind.MODEL].keys == 2
 
 
-def test_what_nobody_asks_for_any_more_counts_no_more() -> None:
+def test_unserved_keys_expire_without_requests() -> None:
     with virtual_clock() as clock:
         totals = DemandTotals()
         totals.note_missing(ADAPTER)
         clock.advance(UNSERVED_LIFE_S + 0.1)
-        assert set(figures(totals).values()) == {Unserved()}
+        assert set(unserved_stats(totals).values()) == {Unserved()}
--- a/tests/demand/test_waits.py
+++ b/tests/demand/test_waits.py
@@ -1,4 +1,4 @@
-"""How long until a replica can likely run a call."""
+"""The expected wait of a call until a replica can run it."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
         (attrs.evolve(ABSENT, load_s=None), 2.0),
     ],
 )
-def test_wait_for_a_model(outlook: ModelOutlook, wait_s: float) -> None:
+def test_expected_wait_for_a_model(outlook: ModelOutlook, wait_s: float) -> None:
     assert model_wait_s(outlook) == wait_s
 
 
-def test_plain_service_without_replicas_is_waited_for() -> None:
+def test_plain_service_has_an_expected_wait_only_without_replicas() -> None:
     assert plain_wait_s(has_replica=True) == 0.0
     assert plain_wait_s(has_replica=False) == 1.0
