--- a/limeshelf/orders/attempts.py
+++ b/limeshelf/orders/attempts.py
@@ -1,7 +1,6 @@
-"""How often an order is tried, and when its task is given up.
+"""Retry rules for orders: the next step after an outcome, polling intervals and timeouts.
 
-Owns these rules and their figures; relies on the task and the outcome alone.
-:mod:`limeshelf.orders.task_runner` applies them.
+Pure functions of the task and the outcome, applied by :mod:`limeshelf.orders.task_runner`.
 """
 
 from __future__ import annotations
@@ -14,70 +13,69 @@
 if TYPE_CHECKING:
     from limeshelf.orders.task import OrderTask
 
-#: Orders that are sent for one task; only an answer that leaves its effect open leads to
-#: another one.
+#: Maximum number of orders for one task. An order is sent again only if its effect is unknown.
 MAX_ATTEMPTS = 4
-#: Time between polls while an adapter, or a whole model, is on its way.
+#: Interval between polls while an adapter, or a model, is loaded or unloaded.
 ADAPTER_POLL_S = 0.03
 MODEL_POLL_S = 0.25
-#: After an order about an adapter whose effect is open, the number of orders in a report counts
-#: from this time on; reports are some 100 ms old.
-ADAPTER_SETTLE_S = 0.16
-#: The same after an order about a whole model.
-MODEL_SETTLE_S = 0.25
-#: A load of an adapter that has not come after this time is given up, and the unload of one.
-#: It comes late while the weight store is overloaded.
-ADAPTER_LIMIT_S = 4.0
-#: An unload of a model waits for the calls that run on it; with a shorter wait, moves failed.
-MODEL_UNLOAD_LIMIT_S = 20.0
-#: A load may take this many times what the configuration says before it is given up.
-LOAD_LIMIT_FACTOR = 4.0
-#: Before this share of the likely time of a load, polls would only cost.
+#: After an adapter order with unknown effect, the order number of a report is trusted only once
+#: this time has passed, since reports are about 100 ms old.
+ADAPTER_REPORT_LAG_S = 0.16
+#: The same after a model order.
+MODEL_REPORT_LAG_S = 0.25
+#: The load or unload of an adapter is given up after this time. Adapters are loaded late while the
+#: weight store is overloaded.
+ADAPTER_TIMEOUT_S = 4.0
+#: The unload of a model waits for its running calls; moves failed with a shorter timeout.
+MODEL_UNLOAD_TIMEOUT_S = 20.0
+#: A load is given up after this many times the load time in the configuration.
+LOAD_TIMEOUT_FACTOR = 4.0
+#: A model load is not polled before this share of its expected time, when it cannot be complete.
 UNPOLLED_LOAD_SHARE = 0.8
 
 _REFUSALS = (OrderOutcome.FENCED_OFF, OrderOutcome.GONE, OrderOutcome.REJECTED)
 
 
 class NextStep(enum.Enum):
-    """What follows an attempt."""
+    """What to do after an order was sent for a task."""
 
-    #: The next task may go out.
-    GO_ON = enum.auto()
-    #: Poll until the replica shows the effect.
+    #: Start the next task.
+    START_NEXT_TASK = enum.auto()
+    #: Poll until the replica reports the effect.
     AWAIT_EFFECT = enum.auto()
-    #: Learn from a settled report whether the order took effect; if not, send again.
-    SETTLE = enum.auto()
+    #: Check in a current report whether the order took effect; if not, send it again.
+    CHECK_EFFECT = enum.auto()
     GIVE_UP = enum.auto()
 
 
 def next_step(task: OrderTask, outcome: OrderOutcome) -> NextStep:
-    """Return what follows an attempt that ended with *outcome*.
+    """Return the next step after an order that ended with *outcome*.
 
-    An order without an answer counts as ``BUSY_OR_STALE``. The load of an adapter
-    that was taken lets the next task go out at once, since adapters may be on their
-    way together; a whole model occupies the replica until it has come or gone.
+    An order without an answer counts as ``BUSY_OR_STALE``. After an accepted adapter load the next
+    task starts at once, since a replica can load several adapters at the same time; it loads or
+    unloads one model at a time.
     """
     if outcome in _REFUSALS:
         return NextStep.GIVE_UP
     if outcome is OrderOutcome.BUSY_OR_STALE:
-        return NextStep.SETTLE
+        return NextStep.CHECK_EFFECT
     if task.adapter and (outcome is OrderOutcome.HOLDS_ALREADY or task.kind is OrderKind.LOAD):
-        return NextStep.GO_ON
+        return NextStep.START_NEXT_TASK
     return NextStep.AWAIT_EFFECT
 
 
-def time_limit_s(task: OrderTask) -> float:
-    """Return after how many seconds without effect a task is given up."""
+def task_timeout_s(task: OrderTask) -> float:
+    """Return the seconds after which a task without effect is given up."""
     if task.kind is OrderKind.UNLOAD and not task.adapter:
-        return MODEL_UNLOAD_LIMIT_S
-    return max(ADAPTER_LIMIT_S, task.load_s * LOAD_LIMIT_FACTOR)
+        return MODEL_UNLOAD_TIMEOUT_S
+    return max(ADAPTER_TIMEOUT_S, task.load_s * LOAD_TIMEOUT_FACTOR)
 
 
 def poll_interval_s(task: OrderTask) -> float:
-    """Return the seconds between polls while a task's effect is awaited."""
+    """Return the seconds between polls while a task waits for its effect."""
     return ADAPTER_POLL_S if task.adapter else MODEL_POLL_S
 
 
-def settle_interval_s(task: OrderTask) -> float:
-    """Return the seconds after an open order from which a report counts."""
-    return ADAPTER_SETTLE_S if task.adapter else MODEL_SETTLE_S
+def report_lag_s(task: OrderTask) -> float:
+    """Return the seconds after an order with unknown effect until a report is trusted."""
+    return ADAPTER_REPORT_LAG_S if task.adapter else MODEL_REPORT_LAG_S
--- a/limeshelf/orders/capacity.py
+++ b/limeshelf/orders/capacity.py
@@ -1,10 +1,9 @@
-"""Whether a load fits in a replica's memory: the promise that it is never overcommitted.
+"""Checks that a load fits in a replica's memory, so that it is never overcommitted.
 
-Counts everything that may be there at once: what is known to be held, what the last
-report lists, what is on its way by that report, and each load that was sent and has
-not been seen to arrive or to be void. What is merely planned does not count: its
-own load is checked before it goes out.
-Owns the rule alone; relies on :mod:`limeshelf.orders.pending` for loads that were sent.
+Counts everything that may be in memory at once: what the replica is known to hold, what its last
+report lists as held or loading, and each load that was sent and has not been confirmed as complete
+or void (:mod:`limeshelf.orders.pending`). Planned loads do not count: each is checked before it is
+sent. Keeps no state.
 """
 
 from __future__ import annotations
@@ -26,16 +25,15 @@
 
 @attrs.frozen
 class PossibleContents:
-    """What may be in the memory of one replica at this moment.
+    """Everything that may be in the memory of one replica at this moment.
 
-    :param held: models with their ready adapters, by reports and answers of the replica.
-    :param reported: the same by the last report. An answer that something is
-        missing takes it out of *held* but frees no room
+    :param held: models with their ready adapters, by the replica's reports and answers to calls.
+    :param reported: the same by the last report. An answer that something is missing removes it
+        from *held* but frees no room
         (tests/orders/test_capacity.py::test_answer_of_a_replica_frees_no_room).
-    :param loading: adapters that the last report lists as on their way; also one
-        that was given up may still come
-        (tests/orders/test_capacity.py::test_adapter_on_its_way_takes_a_place).
-    :param unconfirmed: loads that were sent and may arrive.
+    :param loading: adapters that the last report lists as loading; one whose load was given up
+        may still complete (tests/orders/test_capacity.py::test_loading_adapter_takes_a_place).
+    :param unconfirmed: loads that were sent and may still complete.
     """
 
     held: Mapping[str, frozenset[str]]
@@ -45,7 +43,7 @@
 
     @classmethod
     def of_replica(cls, replica: Replica, pending: PendingOrders) -> PossibleContents:
-        """Return what may be at a replica now."""
+        """Return what may be in the memory of *replica* now."""
         report = replica.report
         return cls(
             replica.holdings,
@@ -55,29 +53,29 @@
         )
 
     def items(self) -> set[Loadable]:
-        """Return every model and adapter that may be there."""
+        """Return every model and adapter that may be in memory."""
         items = set(self.unconfirmed)
         items.update(Loadable(*item) for item in self.loading)
         for model, adapters in self.held.items():
-            items |= _with_adapters(model, adapters)
+            items |= _model_and_adapters(model, adapters)
         for holding in self.reported:
-            items |= _with_adapters(holding.model, holding.adapters)
+            items |= _model_and_adapters(holding.model, holding.adapters)
         return items
 
 
-def _with_adapters(model: str, adapters: Iterable[str]) -> set[Loadable]:
+def _model_and_adapters(model: str, adapters: Iterable[str]) -> set[Loadable]:
     return {Loadable(model), *(Loadable(model, adapter) for adapter in adapters)}
 
 
 @attrs.frozen
 class RoomCheck:
-    """What would be in memory with a load, against what the engine bears.
+    """Memory and adapter places used with a load, and the limits of the engine.
 
     :param used_mb: weights and adapters together, in megabytes; models that the
-        configuration no longer names count as nothing.
-    :param capacity_mb: room for weights and adapters together, in megabytes.
-    :param adapters: adapters of all models.
-    :param adapter_places: adapters that a replica holds at once.
+        configuration no longer names count as 0.
+    :param capacity_mb: memory for weights and adapters together, in megabytes.
+    :param adapters: number of adapters of all models.
+    :param adapter_places: number of adapters that a replica can hold at once.
     """
 
     used_mb: float
@@ -87,35 +85,34 @@
 
     @property
     def fits(self) -> bool:
-        """Return whether the load may go out."""
+        """Return whether the load may be sent."""
         return self.used_mb <= self.capacity_mb and self.adapters <= self.adapter_places
 
 
 @attrs.frozen
 class ModelUnknown:
-    """The configuration in force does not name the model, so its size is unknown."""
+    """The current configuration does not name the model, so its size is unknown."""
 
     @property
     def fits(self) -> bool:
-        """Return that the load may not go out."""
+        """Return false: the load may not be sent."""
         return False
 
 
 def check_room(
     load: Loadable, contents: PossibleContents, engine: EngineSpec | None
 ) -> RoomCheck | ModelUnknown:
-    """Return whether *load* fits beside all that may be there.
+    """Return whether *load* fits in addition to everything that may be in memory.
 
-    :param engine: what the replicas of the service bear; ``None`` where no
-        configuration in force says so.
+    :param engine: limits of the service's replicas; ``None`` if they are not configured.
     """
     if engine is None or load.model not in engine.models:
         return ModelUnknown()
     items = contents.items() | {load}
-    known = engine.models
+    specs = engine.models
     adapters = [item for item in items if item.adapter]
     used_mb = sum(
-        known[item.model].size_mb for item in items if not item.adapter and item.model in known
+        specs[item.model].size_mb for item in items if not item.adapter and item.model in specs
     )
-    used_mb += sum(known[item.model].adapter_mb for item in adapters if item.model in known)
+    used_mb += sum(specs[item.model].adapter_mb for item in adapters if item.model in specs)
     return RoomCheck(used_mb, engine.capacity_mb, len(adapters), engine.adapter_places)
--- a/limeshelf/orders/order.py
+++ b/limeshelf/orders/order.py
@@ -1,6 +1,6 @@
-"""Orders to replicas: what they say, how they are answered, and the port that sends them.
+"""Types for orders to replicas: content, outcome, and the transport that sends them.
 
-Owns these types alone; the adapter to the users' platform implements the port.
+The client of the users' platform (:mod:`limeshelf.platform.orders`) implements the transport.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class OrderKind(enum.StrEnum):
-    """What a replica is ordered to do."""
+    """What an order tells a replica to do."""
 
     LOAD = 'load'
     UNLOAD = 'unload'
@@ -28,28 +28,29 @@
     """How a replica answered an order."""
 
     TAKEN = 'taken'
-    #: It is as ordered already; an idle adapter that goes at once is answered so too.
+    #: The state is as ordered already. Also the answer if an idle adapter is unloaded at once.
     HOLDS_ALREADY = 'holds_already'
-    #: Another order is under way, or it has taken another number of orders. Also where
-    #: no answer came.
+    #: The replica carries out another order, or the expected order number does not match. Also
+    #: used if no answer came.
     BUSY_OR_STALE = 'busy_or_stale'
-    #: It has seen a higher fence. Also where this process may not order any more.
+    #: The replica has seen a higher fence. Also used if this process may not send orders any more.
     FENCED_OFF = 'fenced_off'
-    #: Another replica stands at the address.
+    #: Another replica answered at the address.
     GONE = 'gone'
-    #: It refuses for another reason. Also a load that is withheld for want of room.
+    #: The replica refused for another reason. Also used for a load that is withheld because it
+    #: does not fit.
     REJECTED = 'rejected'
 
 
 @attrs.frozen
 class ReplicaOrder:
-    """One order of a holder under its fence.
+    """One order of the lease holder to a replica.
 
-    :param adapter: empty where the model itself is meant.
-    :param expected_number: orders that the replica must have taken so far;
-        with it, an order that comes late finds another number and has no effect.
+    :param adapter: empty for an order about the model itself.
+    :param expected_number: number of orders that the replica must have accepted so far; it differs
+        when the order arrives late, so that a late order has no effect.
     :param holder: instance that holds the lease.
-    :param fence: of the term under which it orders.
+    :param fence: fence of the holder's term.
     """
 
     kind: OrderKind
@@ -70,13 +71,13 @@
 
 @dataclass(eq=False)
 class ReplicaSilent(LimeshelfError):
-    """A replica gave no usable answer; an order may have been taken."""
+    """A replica gave no usable answer; it may have accepted an order."""
 
     replica_id: str
 
 
 class OrderWire(Protocol):
-    """Sends orders to replicas and asks for their reports."""
+    """Sends orders to replicas and fetches their reports."""
 
     async def report(self, address: str, replica_id: str) -> ReplicaReport:
         """Return a replica's report; raises :exc:`ReplicaSilent`."""
@@ -84,4 +85,4 @@
     async def order(
         self, address: str, replica_id: str, order: ReplicaOrder
     ) -> ReplicaOrderAnswer:
-        """Send an order; raises :exc:`ReplicaSilent` where it may have been taken."""
+        """Send an order; raises :exc:`ReplicaSilent` if it may have been accepted."""
--- a/limeshelf/orders/pending.py
+++ b/limeshelf/orders/pending.py
@@ -1,9 +1,8 @@
-"""What is under way at one replica: the only owner of that state.
+"""Pending loads and unloads at one replica, and the state of its polls and its claim.
 
-Holds which loads are planned, sent or unconfirmed, which adapters are about to be
-unloaded, whether the replica answers polls and which fence it was shown. Others
-report what happened by the ``note_`` methods and by ``expect``.
-Relies on the boot clock only.
+The only owner of this state: which loads are planned, sent or unconfirmed, which items are about
+to be unloaded, whether the replica answers polls, and which fence it has accepted. Callers report
+events through the ``record_`` and ``expect`` methods. All times are of the boot clock.
 """
 
 from __future__ import annotations
@@ -19,139 +18,140 @@
     from limeshelf.orders.task import Loadable
     from limeshelf.replicas.record import ReplicaReport
 
-#: A poll answered this long after the replica was claimed shows what came before the claim.
+#: A poll answered this long after a claim includes the effect of every order before the claim.
 #: Reports are 100 to 200 ms old.
 REPORT_SETTLE_S = 0.35
-#: Reports count whatever number of orders they name once this process has sent none there for
-#: this long: an order that was counted here did not arrive. Reports are 100 to 200 ms old.
-ORDERS_SETTLE_S = 0.8
-#: For this long a poll of our own counts as fresh. Orders by what a predecessor sent
-#: overcommitted memory.
-FRESH_S = 1.5
-#: An order that got no answer is carried out at most this much later, in seconds: 2 to 12 s are
-#: seen on the users' platform.
-LATE_ORDER_S = 15.0
-#: A replica that left this many polls in a row unanswered counts as lost.
+#: Once this process has sent the replica no order for this long, a report is trusted even if its
+#: order number is lower than expected: an order counted here did not arrive. Reports are 100 to
+#: 200 ms old.
+LAST_ORDER_LAG_S = 0.8
+#: An answered poll of this process counts as fresh for this long. Orders based on state received
+#: from the preceding leader overcommitted memory.
+POLL_FRESH_S = 1.5
+#: An order without an answer is carried out at most this much later; delays of 2 to 12 s occur on
+#: the users' platform.
+MAX_ORDER_DELAY_S = 15.0
+#: A replica counts as lost after this many consecutive unanswered polls.
 LOST_AFTER_POLLS = 2
 
 
 class PendingOrders:
-    """Orders to one start of a replica that may not have shown their effect yet.
+    """Orders to one start of a replica whose effect may not have been reported yet.
 
-    :param earlier: those to the start before: an order names the replica by its id, so one
-        that was not answered may still be carried out by the new start.
+    :param previous: orders to the preceding start of the replica. An order names the replica by
+        its id, so the new start may still carry out an unanswered one.
     """
 
-    def __init__(self, earlier: PendingOrders | None = None) -> None:
-        #: Held while orders go out: one replica has one order under way at a time.
+    def __init__(self, previous: PendingOrders | None = None) -> None:
+        #: Held while a task sends orders: a replica carries out one order at a time.
         self.lock = asyncio.Lock()
         self._ready_at_s: dict[Loadable, float] = {}
         self._unloading: set[Loadable] = set()
         self._sent: set[Loadable] = set()
-        #: Loads without an answer, with the number of orders that each expected.
+        #: Load orders without an answer, with the order number that each expected.
         self._unanswered: dict[Loadable, int] = {}
         self._missed_polls = 0
         self._polled_s = 0.0
-        #: When a poll last showed all that had been ordered by then.
+        #: When a poll last included the effect of all orders sent before it.
         self._confirmed_s = 0.0
         self._ordered_s = 0.0
         self._claimed_fence = 0
         self._claimed_s = 0.0
-        self._earlier = earlier
-        self._began_s = boottime_s()
+        self._previous = previous
+        self._created_s = boottime_s()
 
     # Planned loads and unloads.
 
     def expect(self, item: Loadable, ready_s: float) -> None:
-        """Count *item* as on its way; it is likely there at *ready_s* on the boot clock."""
+        """Add *item* to the expected loads; *ready_s* is when it is expected to be complete."""
         self._ready_at_s[item] = ready_s
 
-    def expect_if_new(self, item: Loadable, ready_s: float) -> None:
-        """Count *item* as on its way, unless a time for it is known already."""
+    def expect_if_absent(self, item: Loadable, ready_s: float) -> None:
+        """Add *item* to the expected loads, unless it is among them already."""
         self._ready_at_s.setdefault(item, ready_s)
 
     def ordered_loads(self) -> set[Loadable]:
-        """Return the loads that were ordered and have neither come nor been given up."""
+        """Return the loads that were sent and have neither completed nor been given up."""
         return set(self._sent)
 
     def note_ended(self, item: Loadable) -> bool:
-        """Note that a load has come or was given up; return whether it was ordered."""
+        """Remove a load that completed or was given up; return whether it was sent."""
         was_sent = item in self._sent
         self._ready_at_s.pop(item, None)
         self._sent.discard(item)
         return was_sent
 
     def note_unloading(self, item: Loadable) -> None:
-        """Note that *item* is about to be unloaded."""
+        """Mark *item* as about to be unloaded."""
         self._unloading.add(item)
 
     def note_unload_ended(self, items: Iterable[Loadable]) -> None:
-        """Note that unloads are done or were given up."""
+        """Remove the marks of unloads that completed or were given up."""
         self._unloading.difference_update(items)
 
     def expects(self, item: Loadable) -> bool:
-        """Return whether *item* is on its way."""
+        """Return whether the load of *item* is expected."""
         return item in self._ready_at_s
 
     def ready_times_s(self) -> Mapping[Loadable, float]:
-        """Return what is on its way, with the boot clock's time when it is likely there."""
+        """Return the expected loads with the time when each is expected to be complete."""
         return self._ready_at_s
 
     def models_expected(self) -> set[str]:
-        """Return the whole models that are on their way."""
+        """Return the models whose load is expected, without adapter loads."""
         return {item.model for item in self._ready_at_s if not item.adapter}
 
     def is_unloading(self, item: Loadable) -> bool:
         """Return whether *item* is about to be unloaded."""
         return item in self._unloading
 
-    # Loads that may take memory before a report shows them.
+    # Loads that may occupy memory before a report lists them.
 
     def note_sent(self, item: Loadable) -> None:
-        """Note that the order to load *item* goes out."""
+        """Record that an order to load *item* is being sent."""
         self._sent.add(item)
 
-    def note_unanswered(self, item: Loadable, expected_number: int) -> None:
-        """Note that an order to load *item* got no answer and may take effect late.
+    def record_load_unanswered(self, item: Loadable, expected_number: int) -> None:
+        """Record that an order to load *item* got no answer and may take effect late.
 
-        :param expected_number: orders that the replica must have taken for that.
+        :param expected_number: order number that the order expected.
         """
         self._unanswered[item] = expected_number
 
     def unconfirmed_loads(self) -> frozenset[Loadable]:
-        """Return the loads that may be in memory, or arrive, before a report shows them."""
+        """Return the loads that may occupy memory, now or later, before a report lists them."""
         loads = frozenset(self._sent) | frozenset(self._unanswered)
-        if self._earlier is None:
+        if self._previous is None:
             return loads
-        if boottime_s() - self._began_s > LATE_ORDER_S:
-            self._earlier = None
+        if boottime_s() - self._created_s > MAX_ORDER_DELAY_S:
+            self._previous = None
             return loads
-        return loads | self._earlier.unconfirmed_loads()
+        return loads | self._previous.unconfirmed_loads()
 
-    def note_ordered(self) -> None:
-        """Note that an order goes out."""
+    def record_order_sent(self) -> None:
+        """Record that an order is being sent."""
         self._ordered_s = boottime_s()
 
     @property
     def is_settled(self) -> bool:
-        """Return whether nothing was ordered there for longer than reports lag."""
-        return boottime_s() - self._ordered_s > ORDERS_SETTLE_S
+        """Return whether the last order was sent longer ago than reports lag."""
+        return boottime_s() - self._ordered_s > LAST_ORDER_LAG_S
 
     # Polls, and the fence that the replica was shown.
 
-    def note_report(self, report: ReplicaReport, counts: bool = True) -> None:
-        """Note the answer to a poll of this process.
+    def note_report(self, report: ReplicaReport, is_current: bool = True) -> None:
+        """Record the answer to a poll of this process.
 
-        Once the replica has taken a later order, an unanswered load can no longer
-        take effect: it expects a lower number.
+        Once the replica has accepted a later order, an unanswered load can no longer take effect,
+        because it expects a lower order number.
 
-        :param counts: whether it describes a time after the last known order. One that
-            does not shows that the replica is there, and no more
+        :param is_current: whether the report includes the last known order. One that does not only
+            shows that the replica is reachable
             (tests/orders/test_sender.py::test_late_report_confirms_nothing).
         """
         self._missed_polls = 0
         self._polled_s = boottime_s()
-        if not counts:
+        if not is_current:
             return
         self._confirmed_s = self._polled_s
         if not report.busy:
@@ -162,39 +162,40 @@
             }
 
     def note_missed_poll(self) -> None:
-        """Note a poll without an answer.
+        """Record a poll without an answer, and drop the claim.
 
-        Orders that a cut held up may arrive when it heals, so the replica has to be
-        claimed anew (tests/orders/test_sender.py::test_replica_back_in_reach).
+        Orders delayed by a network partition may arrive when it heals, so the replica must be
+        claimed again (tests/orders/test_sender.py::test_replica_is_reachable_again).
         """
         self._missed_polls += 1
         self._claimed_fence = 0
 
     def note_claimed(self, fence: int) -> None:
-        """Note that the replica was shown *fence*."""
+        """Record that the replica has accepted *fence*."""
         self._claimed_fence = fence
         self._claimed_s = boottime_s()
 
     def is_claimed_under(self, fence: int) -> bool:
-        """Return whether *fence* was shown to the replica, and it answered since."""
+        """Return whether the replica has accepted *fence* and answered every poll since."""
         return self._claimed_fence == fence
 
     @property
     def missed_polls(self) -> int:
-        """Return how many polls in a row the replica has left unanswered."""
+        """Return the number of consecutive unanswered polls."""
         return self._missed_polls
 
     @property
     def is_lost(self) -> bool:
-        """Return whether the replica has not answered for so long that it counts as lost."""
+        """Return whether enough consecutive polls were unanswered to count the replica as lost."""
         return self._missed_polls >= LOST_AFTER_POLLS
 
     @property
     def is_fresh(self) -> bool:
-        """Return whether this process itself saw lately what the replica does.
+        """Return whether a recent poll of this process shows the replica's state.
 
-        What a predecessor sent may lack a load that is still under way. Once a poll has
-        shown what it left behind, late ones do as well: they lack own orders only.
+        The state received from the preceding leader may lack a load in progress. Polls later than
+        :data:`REPORT_SETTLE_S` after the claim include all of them; an outdated report can then
+        lack only orders of this process.
         """
-        settled_s = self._claimed_s + REPORT_SETTLE_S
-        return boottime_s() - self._polled_s < FRESH_S and self._confirmed_s > settled_s
+        trusted_from_s = self._claimed_s + REPORT_SETTLE_S
+        return boottime_s() - self._polled_s < POLL_FRESH_S and self._confirmed_s > trusted_from_s
--- a/limeshelf/orders/sender.py
+++ b/limeshelf/orders/sender.py
@@ -1,8 +1,9 @@
-"""Single orders and polls to replicas: checks, sends and notes what came of them.
+"""Sends single orders and polls to replicas and records their outcome.
 
-Owns one :class:`PendingOrders` for each replica. Relies on the directory for what
-replicas hold, on the leadership for the term, and on :mod:`limeshelf.orders.capacity`
-for whether a load fits. :mod:`limeshelf.orders.task_runner` repeats and waits.
+Owns one :class:`PendingOrders` per start of a replica. Before it is sent, each order is checked
+against the term (:class:`~limeshelf.lease.leadership.Leadership`), the replica's last report and
+its memory (:mod:`limeshelf.orders.capacity`). :mod:`limeshelf.orders.task_runner` repeats orders
+and waits for their effect.
 """
 
 from __future__ import annotations
@@ -35,16 +36,17 @@
     from limeshelf.replicas.replica import Replica
 
 
-#: Answers to a claim that show that the replica has noted its fence.
-_CLAIMED = (OrderOutcome.TAKEN, OrderOutcome.HOLDS_ALREADY)
+#: Outcomes of a claim after which the replica has stored its fence.
+_CLAIM_ACCEPTED = (OrderOutcome.TAKEN, OrderOutcome.HOLDS_ALREADY)
 
 
 class OrderSender:
-    """Sends orders to replicas under the term in force, and polls them.
+    """Sends orders to replicas under the current term, and polls them.
 
-    :param holder: names this process's machine in orders.
-    :param config: returns the configuration in force, which says what an engine bears.
-    :param on_load_in_doubt: called with each load on its way to a replica that is silent.
+    :param holder: name of this instance in orders.
+    :param config: returns the current configuration, which gives the limits of an engine.
+    :param on_load_in_doubt: called with each load that was sent to a replica that leaves a poll
+        unanswered.
     """
 
     def __init__(
@@ -67,7 +69,7 @@
         self._pending: dict[ReplicaStart, PendingOrders] = {}
 
     def pending(self, replica: Replica) -> PendingOrders:
-        """Return what is under way at this start of a replica."""
+        """Return the pending orders of the current start of a replica."""
         found = self._pending.get(replica.start)
         if found is None:
             earlier = ReplicaStart(replica.replica_id, replica.start.number - 1)
@@ -76,14 +78,14 @@
         return found
 
     async def poll(self, replica: Replica, settled: bool = False) -> bool:
-        """Ask a replica for its report; return whether it answered.
+        """Fetch a replica's report; return whether it answered.
 
-        One that asked this gateway for a pause is not asked.
+        A replica that has asked this gateway to pause is not polled.
 
-        :param settled: nothing was ordered there for longer than reports lag.
+        :param settled: whether the last order was sent longer ago than reports lag.
         """
         if replica.backpressure.is_paused:
-            # Nothing shows that it is lost, and nothing is ordered there without a new report.
+            # Not a missed poll: a pause is no sign of loss, and orders need a new report anyway.
             return False
         pending = self.pending(replica)
         settled = settled or pending.is_settled
@@ -91,25 +93,25 @@
         try:
             report = await self._wire.report(replica.record.address, replica.replica_id)
         except ReplicaSilent:
-            # No line for each poll: the caller sees it, and the replica counts as lost
-            # after some.
+            # Not logged for each poll: the caller handles it, and the replica counts as lost after
+            # several.
             pending.note_missed_poll()
             for item in pending.ordered_loads():
                 self._on_load_in_doubt(replica, item)
             return False
-        counts = self._directory.take_report(
+        is_current = self._directory.take_report(
             replica.replica_id, report, settled=settled, asked_s=asked_s
         )
-        pending.note_report(report, counts)
+        pending.note_report(report, is_current)
         return True
 
     async def claim(self, replica: Replica, engine: EngineSpec) -> None:
-        """Make a replica note the term's fence, by an order that changes nothing.
+        """Make a replica store the term's fence, by an order that changes nothing.
 
-        From then on the replica refuses what a predecessor ordered, where it compares
-        fences (tests/orders/test_sender.py::test_claim_shuts_a_predecessor_out). An answer
-        that it is busy, or has taken another number of orders, claims nothing
-        (tests/orders/test_sender.py::test_claim_that_is_not_taken_claims_nothing).
+        From then on a replica that compares fences refuses the orders of preceding leaders
+        (tests/orders/test_sender.py::test_claim_fences_off_a_preceding_leader). If the replica
+        answers that it is busy or that the order number differs, it is not claimed
+        (tests/orders/test_sender.py::test_claim_that_is_not_accepted_has_no_effect).
         """
         term = self._leadership.term
         if term is None or not await self.poll(replica):
@@ -117,9 +119,9 @@
         task = claim_task(replica, engine)
         order = self._order_for(replica, task, term.fence)
         try:
-            answer = await self._send_in_time(replica, order)
+            answer = await self._send_within_lease(replica, order)
         except ReplicaSilent:
-            # Not claimed, so nothing is planned for it; the next poll claims it again.
+            # Not claimed, so no load is planned for it; the claim is repeated at the next poll.
             return
         log_change(
             'claim',
@@ -133,13 +135,15 @@
         )
         if answer.outcome is OrderOutcome.FENCED_OFF:
             self._leadership.end('fenced_off')
-        elif answer.outcome in _CLAIMED:
+        elif answer.outcome in _CLAIM_ACCEPTED:
             self.pending(replica).note_claimed(term.fence)
 
-    async def _send_in_time(self, replica: Replica, order: ReplicaOrder) -> ReplicaOrderAnswer:
-        """Send an order that leaves while this process may order, or not at all.
+    async def _send_within_lease(
+        self, replica: Replica, order: ReplicaOrder
+    ) -> ReplicaOrderAnswer:
+        """Send an order and wait for its answer, at most while this process may send orders.
 
-        :raises ReplicaSilent: no answer came in that time; it may have been taken.
+        :raises ReplicaSilent: no answer came in that time; the order may have been accepted.
         """
         left_s = self._leadership.order_time_left_s()
         if left_s <= 0:
@@ -150,10 +154,10 @@
         except TimeoutError:
             raise ReplicaSilent(replica.replica_id) from None
 
-    async def _obstacle(self, replica: Replica, task: OrderTask) -> OrderOutcome | None:
-        """Return why an order cannot go out now, or ``None`` if it can."""
-        known = replica.order_number is not None and self.pending(replica).is_fresh
-        if not known and not await self.poll(replica):
+    async def _reason_to_withhold(self, replica: Replica, task: OrderTask) -> OrderOutcome | None:
+        """Return the outcome of an order that must not be sent now, or ``None`` if it may be."""
+        is_known = replica.order_number is not None and self.pending(replica).is_fresh
+        if not is_known and not await self.poll(replica):
             return OrderOutcome.BUSY_OR_STALE
         if replica.report is not None and replica.report.busy:
             return OrderOutcome.BUSY_OR_STALE
@@ -185,33 +189,33 @@
         return ReplicaOrder(task.kind, task.model, task.adapter, expected, self._holder, fence)
 
     async def send(self, replica: Replica, task: OrderTask) -> OrderOutcome:
-        """Send one order for *task*, if nothing stands against it; return how it ended.
+        """Send one order for *task* unless a check forbids it; return its outcome.
 
-        Without an answer it ends as ``BUSY_OR_STALE``: whether it took effect is open.
-        The caller holds the lock of the replica's pending orders.
+        Without an answer the outcome is ``BUSY_OR_STALE``: the effect of the order is unknown.
+        The caller must hold the lock of the replica's pending orders.
         """
-        obstacle = await self._obstacle(replica, task)
-        if obstacle is not None:
-            return obstacle
+        withheld = await self._reason_to_withhold(replica, task)
+        if withheld is not None:
+            return withheld
         term = self._leadership.term
         may_order = self._leadership.order_time_left_s() > 0
         if term is None or not may_order or not replica.takes_calls:
             return OrderOutcome.FENCED_OFF
         order = self._order_for(replica, task, term.fence)
         pending = self.pending(replica)
-        pending.note_ordered()
+        pending.record_order_sent()
         if task.kind is OrderKind.LOAD:
             pending.note_sent(task.item)
         status = 0
         try:
-            answer = await self._send_in_time(replica, order)
+            answer = await self._send_within_lease(replica, order)
             outcome, status = answer.outcome, answer.status
         except ReplicaSilent:
             outcome = OrderOutcome.BUSY_OR_STALE
             if task.kind is OrderKind.LOAD:
-                pending.note_unanswered(task.item, order.expected_number)
+                pending.record_load_unanswered(task.item, order.expected_number)
         self._log_order(replica, order, status, outcome)
-        self._note_outcome(replica, task, order.expected_number, outcome)
+        self._apply_outcome(replica, task, order.expected_number, outcome)
         return outcome
 
     def _log_order(
@@ -230,22 +234,22 @@
             outcome=outcome,
         )
 
-    def _note_outcome(
+    def _apply_outcome(
         self, replica: Replica, task: OrderTask, expected: int, outcome: OrderOutcome
     ) -> None:
-        at_once = _unloaded_at_once(replica, task, outcome)
-        if outcome is OrderOutcome.TAKEN or at_once:
+        unloaded = _unloaded_at_once(replica, task, outcome)
+        if outcome is OrderOutcome.TAKEN or unloaded:
             replica.order_number = max(replica.order_number or 0, expected + 1)
-        if at_once:
+        if unloaded:
             drop_adapter(replica, task.model, task.adapter)
         if outcome is OrderOutcome.FENCED_OFF:
             self._leadership.end('fenced_off')
 
 
 def _unloaded_at_once(replica: Replica, task: OrderTask, outcome: OrderOutcome) -> bool:
-    """Return whether an idle adapter went without delay, which counts as an order.
+    """Return whether an idle adapter was unloaded at once, which the replica counts as an order.
 
-    The same answer to the unload of what is not there counts as none.
+    The unload of an adapter that it does not hold gets the same answer, but is not counted.
     """
     if task.kind is not OrderKind.UNLOAD or not task.adapter:
         return False
--- a/limeshelf/orders/task.py
+++ b/limeshelf/orders/task.py
@@ -1,6 +1,7 @@
-"""What an order is about: a model or an adapter to load or to unload at a replica.
+"""Tasks for orders: a model or an adapter to load or unload at a replica.
 
-Owns nothing; relies on the replica's holdings, by its last report or answer.
+Keeps no state. Whether a task is done is read from the replica's holdings, by its last report or
+answer.
 """
 
 from __future__ import annotations
@@ -17,9 +18,9 @@
 
 
 class Loadable(NamedTuple):
-    """A model, or one adapter of it.
+    """A model, or one of its adapters.
 
-    :param adapter: empty where the model itself is meant.
+    :param adapter: empty for the model itself.
     """
 
     model: str
@@ -28,10 +29,10 @@
 
 @attrs.frozen
 class OrderTask:
-    """Something to load or unload at a replica; may take several orders.
+    """A load or an unload at a replica; it may need several orders.
 
-    :param adapter: empty where the model itself is meant.
-    :param load_s: how long the load of a model likely takes, in seconds; 0 for all else.
+    :param adapter: empty for the model itself.
+    :param load_s: expected duration of the load of a model, in seconds; 0 for other tasks.
     """
 
     kind: OrderKind
@@ -41,17 +42,17 @@
 
     @property
     def item(self) -> Loadable:
-        """Return what is loaded or unloaded."""
+        """Return the model or adapter to load or unload."""
         return Loadable(self.model, self.adapter)
 
     @property
     def loads_model(self) -> bool:
-        """Return whether a whole model is loaded."""
+        """Return whether the task is the load of a model."""
         return self.kind is OrderKind.LOAD and not self.adapter
 
     def is_done(self, replica: Replica) -> bool:
-        """Return whether the replica is seen to hold, or not to hold, the item."""
-        # Not holds(): a model that retires takes no calls but is still in memory
+        """Return whether the replica's holdings show the effect of the task."""
+        # Not replica.holds(): a retiring model gets no calls but is still in memory
         # (tests/orders/test_sender.py::test_load_waits_for_late_unload).
         adapters = replica.holdings.get(self.model)
         held = adapters is not None and (not self.adapter or self.adapter in adapters)
@@ -59,10 +60,10 @@
 
 
 def claim_task(replica: Replica, engine: EngineSpec) -> OrderTask:
-    """Return the order of a claim: the unload of something that a replica does not hold.
+    """Return the task of a claim: the unload of something that the replica does not hold.
 
-    It names something that exists: a replica cannot take an order about what does not, so
-    whether it notes the fence of one is open.
+    It names a configured model or adapter. A replica cannot accept an order about an unknown one,
+    and may not store the fence of such an order.
     """
     loading = set(replica.report.loading) if replica.report else set()
     for model, spec in engine.models.items():
--- a/tests/orders/test_attempts.py
+++ b/tests/orders/test_attempts.py
@@ -1,10 +1,10 @@
-"""What follows an attempt, and when a task is given up."""
+"""The next step after an order, and the timeouts of tasks."""
 
 from __future__ import annotations
 
 import pytest
 
-from limeshelf.orders.attempts import NextStep, next_step, time_limit_s
+from limeshelf.orders.attempts import NextStep, next_step, task_timeout_s
 from limeshelf.orders.order import OrderKind, OrderOutcome
 from limeshelf.orders.task import OrderTask
 
@@ -24,8 +24,8 @@
 
 
 @pytest.mark.parametrize('task', ALL)
-def test_open_effect_is_settled_before_another_attempt(task: OrderTask) -> None:
-    assert next_step(task, OrderOutcome.BUSY_OR_STALE) is NextStep.SETTLE
+def test_unknown_effect_is_checked_before_another_order(task: OrderTask) -> None:
+    assert next_step(task, OrderOutcome.BUSY_OR_STALE) is NextStep.CHECK_EFFECT
 
 
 @pytest.mark.parametrize(
@@ -33,11 +33,11 @@
     [
         (LOAD_MODEL, NextStep.AWAIT_EFFECT, NextStep.AWAIT_EFFECT),
         (UNLOAD_MODEL, NextStep.AWAIT_EFFECT, NextStep.AWAIT_EFFECT),
-        (LOAD_ADAPTER, NextStep.GO_ON, NextStep.GO_ON),
-        (UNLOAD_ADAPTER, NextStep.AWAIT_EFFECT, NextStep.GO_ON),
+        (LOAD_ADAPTER, NextStep.START_NEXT_TASK, NextStep.START_NEXT_TASK),
+        (UNLOAD_ADAPTER, NextStep.AWAIT_EFFECT, NextStep.START_NEXT_TASK),
     ],
 )
-def test_only_adapters_let_the_next_order_go_out_at_once(
+def test_only_after_adapter_orders_the_next_task_starts_at_once(
     task: OrderTask, taken: NextStep, holds_already: NextStep
 ) -> None:
     assert next_step(task, OrderOutcome.TAKEN) is taken
@@ -45,7 +45,7 @@
 
 
 @pytest.mark.parametrize(
-    ('task', 'limit_s'),
+    ('task', 'timeout_s'),
     [
         (LOAD_MODEL, 20.0),
         (OrderTask(OrderKind.LOAD, 'm1', '', 0.5), 4.0),
@@ -54,5 +54,5 @@
         (UNLOAD_ADAPTER, 4.0),
     ],
 )
-def test_task_is_given_up_after_its_limit(task: OrderTask, limit_s: float) -> None:
-    assert time_limit_s(task) == limit_s
+def test_task_timeout(task: OrderTask, timeout_s: float) -> None:
+    assert task_timeout_s(task) == timeout_s
--- a/tests/orders/test_capacity.py
+++ b/tests/orders/test_capacity.py
@@ -1,4 +1,4 @@
-"""What counts as being in a replica's memory before a load is ordered."""
+"""What counts as being in a replica's memory when a load is checked."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     load: Loadable,
     report: ReplicaReport,
     prepare: Callable[[PendingOrders], None] = lambda pending: None,
-    happen: Callable[[ReplicaDirectory, Replica], None] = lambda directory, replica: None,
+    change: Callable[[ReplicaDirectory, Replica], None] = lambda directory, replica: None,
 ) -> bool:
     directory = ReplicaDirectory(read_record)
     directory.take_record(ReplicaRecord('r1', 'lm', 'ip:1', 'z1', 8, False, None, (), 1))
@@ -39,7 +39,7 @@
     assert isinstance(replica, Replica)
     pending = PendingOrders()
     prepare(pending)
-    happen(directory, replica)
+    change(directory, replica)
     return check_room(load, PossibleContents.of_replica(replica, pending), ENGINE).fits
 
 
@@ -47,49 +47,51 @@
     return (Holding('m1', frozenset(adapters)),)
 
 
-def test_adapter_on_its_way_takes_a_place() -> None:
+def test_loading_adapter_takes_a_place() -> None:
     load = Loadable('m1', 'a3')
     assert fits(load, ReplicaReport(holding('a1'), False, 1))
-    on_its_way = ReplicaReport(holding('a1'), False, 1, loading=(('m1', 'a2'),))
-    assert not fits(load, on_its_way)
+    with_loading = ReplicaReport(holding('a1'), False, 1, loading=(('m1', 'a2'),))
+    assert not fits(load, with_loading)
 
 
-def test_unconfirmed_load_takes_its_room() -> None:
+def test_unconfirmed_load_takes_room() -> None:
     load = Loadable('m3')
     report = ReplicaReport(holding(), False, 1)
     assert fits(load, report)
-    assert not fits(load, report, lambda pending: pending.note_unanswered(Loadable('m2'), 1))
+    assert not fits(
+        load, report, lambda pending: pending.record_load_unanswered(Loadable('m2'), 1)
+    )
     assert not fits(load, report, lambda pending: pending.note_sent(Loadable('m2')))
 
 
-def test_weights_and_adapters_share_the_room() -> None:
+def test_weights_and_adapters_share_the_memory() -> None:
     full = ReplicaReport((*holding('a1', 'a2'), Holding('m2')), False, 1)
     assert not fits(Loadable('m3'), full)
     assert not fits(Loadable('m1', 'a3'), full)
 
 
 def test_answer_of_a_replica_frees_no_room() -> None:
-    """A call got the answer that its model is missing; the replica's report says otherwise."""
+    """A call was answered that its model is missing, but the replica's last report lists it."""
 
     def answer_model_missing(directory: ReplicaDirectory, replica: Replica) -> None:
         forget_holding(replica, 'm2', '')
 
     full = ReplicaReport((Holding('m1'), Holding('m2')), False, 1)
-    assert not fits(Loadable('m3'), full, happen=answer_model_missing)
+    assert not fits(Loadable('m3'), full, change=answer_model_missing)
 
     def answer_adapter_missing(directory: ReplicaDirectory, replica: Replica) -> None:
         forget_holding(replica, 'm1', 'a1')
 
     places_full = ReplicaReport(holding('a1', 'a2'), False, 1)
-    assert not fits(Loadable('m1', 'a3'), places_full, happen=answer_adapter_missing)
+    assert not fits(Loadable('m1', 'a3'), places_full, change=answer_adapter_missing)
 
 
-def test_adapter_that_was_unloaded_by_an_order_frees_its_place() -> None:
+def test_adapter_unloaded_by_an_order_frees_its_place() -> None:
     def unloaded(directory: ReplicaDirectory, replica: Replica) -> None:
         drop_adapter(replica, 'm1', 'a1')
 
     places_full = ReplicaReport(holding('a1', 'a2'), False, 1)
-    assert fits(Loadable('m1', 'a3'), places_full, happen=unloaded)
+    assert fits(Loadable('m1', 'a3'), places_full, change=unloaded)
 
 
 def test_planned_load_takes_no_room_before_it_is_sent() -> None:
@@ -124,6 +126,6 @@
     assert not ModelUnknown().fits
 
 
-def test_held_model_that_the_configuration_dropped_counts_as_nothing() -> None:
+def test_held_model_without_configuration_counts_as_zero() -> None:
     contents = PossibleContents(held={'old': frozenset({'a1'})})
     assert check_room(Loadable('m1'), contents, ENGINE) == RoomCheck(70.0, 150.0, 1, 2)
--- a/tests/orders/test_pending.py
+++ b/tests/orders/test_pending.py
@@ -1,4 +1,4 @@
-"""What is under way at one replica, and how much is known of it."""
+"""Pending orders at one replica, its polls and its claim."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
     return ReplicaReport((), busy, order_number)
 
 
-def test_planned_loads_keep_their_first_time_until_they_end() -> None:
+def test_expected_loads_keep_their_first_time_until_they_end() -> None:
     pending = PendingOrders()
     pending.expect(M1, 7.0)
-    pending.expect_if_new(M1, 9.0)
-    pending.expect_if_new(A1, 3.0)
+    pending.expect_if_absent(M1, 9.0)
+    pending.expect_if_absent(A1, 3.0)
     assert dict(pending.ready_times_s()) == {M1: 7.0, A1: 3.0}
     assert pending.models_expected() == {'m1'}
     pending.note_ended(M1)
@@ -34,10 +34,10 @@
     assert not pending.is_unloading(A1)
 
 
-def test_unanswered_load_outlives_its_task_until_a_later_order_was_taken() -> None:
+def test_unanswered_load_stays_unconfirmed_until_a_later_order_is_accepted() -> None:
     pending = PendingOrders()
     pending.note_sent(M1)
-    pending.note_unanswered(M1, 4)
+    pending.record_load_unanswered(M1, 4)
     pending.note_ended(M1)
     assert pending.unconfirmed_loads() == {M1}
     pending.note_report(report(4))
@@ -58,7 +58,7 @@
     assert pending.is_lost
 
 
-def test_missed_poll_takes_the_claim_back() -> None:
+def test_missed_poll_drops_the_claim() -> None:
     pending = PendingOrders()
     pending.note_claimed(5)
     assert pending.is_claimed_under(5)
