--- a/limeshelf/lease/__init__.py
+++ b/limeshelf/lease/__init__.py
@@ -1,1 +1,1 @@
-"""The lease under which one gateway gives orders, and its fence."""
+"""The lease that lets one gateway send orders, and its fencing token."""
--- a/limeshelf/lease/leadership.py
+++ b/limeshelf/lease/leadership.py
@@ -1,29 +1,29 @@
-"""Who leads: the lease under which one gateway gives orders, and its fence.
+"""Leader election: the lease that lets one gateway send orders, and its fence.
 
-Owns the term of this process. Relies on the store for one writer of the row at a time,
-and, where replicas compare fences, on them for shutting out a predecessor.
+Owns the term of this process. The store's conditional writes allow one writer of the lease row
+at a time; replicas that compare fences refuse the orders of a preceding leader.
 
-The end of a lease lets others take it; it does not end the term of its holder. While the
-store is away the last holder goes on planning: nobody else could take its place. Whether it
-also goes on ordering depends on the replicas:
+When a lease expires, another gateway may acquire it; the term of its holder does not end by that.
+While the store is unreachable the last holder goes on planning, since no other gateway can replace
+it. Whether it also goes on sending orders depends on the replicas:
 
-* where they compare fences it does, since nobody else would place models, and the first
-  order of a successor at a replica shuts it out there;
-* where they do not, it orders only while the lease surely is its own
-  (:meth:`Leadership.order_time_left_s`). Without that bound a leader that had been cut off
-  with its data centre for 5 s ordered under its old fence 0.4 s after its successor.
+* If they compare fences, it does, since no other gateway would place models; the first order of a
+  successor to a replica fences it off there.
+* If they do not, it sends orders only while its lease is certainly valid
+  (:meth:`Leadership.order_time_left_s`). Without that bound, a leader that had been partitioned
+  with its data centre for 5 s sent an order under its old fence 0.4 s after its successor.
 
-A term is of one era of the store. When the store comes back from an older copy, the row may be
-that of an earlier holder, or none: the holder begins another term there, under a higher fence, and
-the others wait for as long as the last renewal that they do not see may let its holder order.
+A term belongs to one era of the store. After the store was restored from an older copy, the row
+may be that of an earlier holder, or missing. The holder then begins a new term with a higher
+fence; contenders wait for as long as a renewal that the store lost may still let its holder send
+orders.
 
-A term ends when a renewal finds the row in other hands, when a replica or a peer shows a
-higher fence, or at a stop.
+A term ends when a renewal finds another holder in the row, when a replica or a peer shows a higher
+fence, or when the process stops.
 
-The lease of our own wire (:mod:`limeshelf.standalone.lease.keeper`) stays apart from
-this one. Its table states no clock, so contenders watch the row for longer than a
-lease's life, and some of its upstreams check no fence, so the holder judges before it
-orders whether the lease still is valid.
+The standalone system has a lease of its own (:mod:`limeshelf.standalone.lease.keeper`). Its table
+has no clock, so contenders watch the row for longer than the lease lasts; some of its upstreams
+check no fence, so the holder checks before each order that its lease is still valid.
 """
 
 from __future__ import annotations
@@ -46,47 +46,47 @@
     from limeshelf.feeds.rows import RowTable
     from limeshelf.lease.row_reader import LeaseView
 
-#: A holder renews when this share of the lease has passed since the last renewal.
+#: The holder renews once this share of the lease time has passed since the last renewal.
 RENEW_SHARE = 0.35
-#: Where replicas do not compare fences, no order leaves this shortly before the lease may be
-#: over: time for its way to the replica, and for clocks that run at unlike speeds.
+#: If replicas do not compare fences, no order is sent within this time before the lease may
+#: expire. It covers the transmission to the replica and clock drift.
 ORDER_MARGIN_S = 0.2
 
 
 @attrs.define
 class Term:
-    """One holding of the lease.
-
-    :ivar fence: rises with each term, whoever holds it.
-    :ivar renewed_s: from when the lease lasts, on the boot clock: a moment before the
-        store told the time from which the row's end was counted.
-    :ivar row_position: of that write.
-    :ivar store_ahead_s: by how much the store's clock is ahead of the boot clock, as of the
-        last read of the row. Too much by the time of that read, never too little, so no
-        row's end that is counted by it is early.
+    """A period of holding the lease under one fence.
+
+    :ivar fence: fencing token; higher than that of every earlier term of any holder.
+    :ivar renewed_s: start of the current lease period on the boot clock; not later than the start
+        from which the row's expiry is computed.
+    :ivar row_position: position of the row as last written.
+    :ivar store_clock_offset_s: store clock minus boot clock, as of the last read of the row. It is
+        too high by at most the duration of that read and never too low, so that an expiry computed
+        from it is never early.
     """
 
     fence: int
     renewed_s: float
     row_position: Position
-    store_ahead_s: float = 0.0
+    store_clock_offset_s: float = 0.0
 
     def renewal_is_due(self, now_s: float, lease_s: float) -> bool:
         """Return whether to renew now.
 
-        :param lease_s: life of a lease without renewal.
+        :param lease_s: duration of a lease without renewal.
         """
         return now_s - self.renewed_s > RENEW_SHARE * lease_s
 
 
 class Leadership:
-    """Competes for the lease row; holds, renews and gives back.
+    """Acquires, renews and releases the lease.
 
-    :param holder: names this process's machine in the row and in orders.
-    :param lease_s: life of a lease without renewal.
+    :param holder: name of this instance in the row and in orders.
+    :param lease_s: duration of a lease without renewal.
     :param replicas_check_fences: whether replicas refuse an order with a lower fence than
         one they have seen.
-    :param clock: knows when the store last came back from a copy.
+    :param clock: gives the time when the store was last restored from a copy.
     """
 
     def __init__(
@@ -114,13 +114,13 @@
 
     @property
     def store_is_lost(self) -> bool:
-        """Return whether the store failed the last step."""
+        """Return whether the store was unavailable in the last step that used it."""
         return self._store_lost
 
     def order_time_left_s(self) -> float:
-        """Return for how much longer orders may leave, in seconds; 0 if none may.
+        """Return for how much longer orders may be sent, in seconds; 0 if none may.
 
-        Infinite under a term where the replicas themselves refuse a predecessor's orders.
+        Infinite during a term if the replicas themselves refuse the orders of a preceding leader.
         """
         if self.term is None:
             return 0.0
@@ -130,52 +130,57 @@
         return max(0.0, end_s - boottime_s())
 
     def note_fence(self, fence: int) -> None:
-        """Note a fence that somebody else uses or a replica has seen."""
+        """Record a fence that a peer uses or a replica has seen; a higher one ends the term."""
         self._highest_fence = max(self._highest_fence, fence)
         if self.term is not None and fence > self.term.fence:
             self.end('superseded')
 
     def end(self, cause: str) -> None:
-        """End the term; no order goes out under it any more."""
+        """End the term; no order is sent under it any more."""
         if self.term is not None:
             log_change('term_ended', fence=self.term.fence, cause=cause)
             self.term = None
 
     async def step(self) -> None:
-        """Renew the lease, or take it if it is free; nothing once it was given back."""
+        """Renew the lease if due, or acquire it if it is free; no effect after :meth:`release`."""
         if self._released:
             return
         try:
             if self.term is None:
-                await self._contend()
+                await self._acquire_if_free()
             elif self.term.renewal_is_due(boottime_s(), self._lease_s):
                 await self._renew(self.term)
             else:
                 return
         except (PlatformUnavailable, PlatformUnknown) as error:
-            # The term goes on (see above), and the next step asks again. A write whose
-            # effect is unknown needs no more: its row names this holder, who may take it.
-            self._note_store(lost_by=type(error).__name__)
+            # The term goes on (see the module docstring), and the next step tries again. A write
+            # with unknown effect needs no clean-up: its row names this holder, which may acquire
+            # the lease again.
+            self._log_store_reachability(error_name=type(error).__name__)
             return
-        self._note_store(lost_by='')
+        self._log_store_reachability(error_name='')
 
-    def _note_store(self, lost_by: str) -> None:
-        """Log when a step is the first that the store failed, or the first that it did not."""
-        if bool(lost_by) == self._store_lost:
+    def _log_store_reachability(self, error_name: str) -> None:
+        """Log when the store becomes unavailable or available again.
+
+        :param error_name: name of the error of this step; empty without one.
+        """
+        if bool(error_name) == self._store_lost:
             return
-        self._store_lost = bool(lost_by)
-        if lost_by:
-            log_change('lease_store_lost', fence=self.fence, cause=lost_by)
+        self._store_lost = bool(error_name)
+        if error_name:
+            log_change('lease_store_lost', fence=self.fence, cause=error_name)
         else:
             log_change('lease_store_reached', fence=self.fence)
 
-    async def _contend(self) -> None:
+    async def _acquire_if_free(self) -> None:
         view = await self._read()
         if view.is_unreadable:
-            # The fence of the row before is not known; each rose with a write to the store.
+            # The fence of the overwritten row is unknown. It was not above the store's version,
+            # which rises with each write.
             self._highest_fence = max(self._highest_fence, view.position.version)
-        if self._reader.may_be_taken(view):
-            await self._take(view)
+        if self._reader.may_be_acquired(view):
+            await self._acquire(view)
 
     async def _read(self) -> LeaseView:
         view = await self._reader.read()
@@ -183,78 +188,79 @@
             self._highest_fence = max(self._highest_fence, view.value.fence)
         return view
 
-    async def _take(self, view: LeaseView) -> None:
-        """Begin a term, if nobody else writes the row first."""
+    async def _acquire(self, view: LeaseView) -> None:
+        """Write the row and begin a term, unless another contender writes first."""
         fence = next_fence(self._highest_fence, view.value, view.page.position)
         written = await self._write(fence, view.position, view.page.now_ms)
         if written is None or written.era != view.era or self._released:
-            # Another contender wrote first, the store came back from a copy meanwhile, or this
-            # process stops: no term, so no event.
+            # Another contender wrote first, the store was restored from a copy meanwhile, or this
+            # process is stopping: no term begins, and nothing is logged.
             return
-        self.term = Term(fence, view.asked_s, written, view.store_ahead_s)
+        self.term = Term(fence, view.requested_s, written, view.store_clock_offset_s)
         self._highest_fence = max(self._highest_fence, fence)
         log_change('term_begun', fence=fence, era=written.era, row_version=written.version)
 
     async def _renew(self, term: Term) -> None:
-        """Write the row anew; it is read before only if it is not as this process left it."""
+        """Renew by a conditional write; read the row only if it has changed since the last one."""
         began_s = boottime_s()
-        now_ms = int((began_s + term.store_ahead_s) * MS_PER_S)
+        now_ms = int((began_s + term.store_clock_offset_s) * MS_PER_S)
         written = await self._write(term.fence, term.row_position, now_ms)
         if written is None:
             await self._renew_from_row(term)
             return
         if written.era != term.row_position.era:
-            # Its condition held by chance, perhaps for the row of a later holder.
-            self._end_term(term, 'store_returned')
+            # The condition held by chance, and the row may have been that of a later holder.
+            self._end_if_current(term, 'store_returned')
             return
         term.renewed_s = began_s
         term.row_position = written
 
     async def _renew_from_row(self, term: Term) -> None:
-        """Renew a row that changed since the last answer that came.
+        """Read the row after a failed condition, and renew if this process still holds the lease.
 
-        The change may be a write of this process whose answer was lost.
+        The row may have been changed by a write of this process whose answer was lost.
         """
         view = await self._read()
         if view.era > term.row_position.era:
-            await self._take_again(term, view)
+            await self._reacquire(term, view)
             return
         if view.value is None or view.value.fence != term.fence:
-            self._end_term(term, 'row_taken')
+            self._end_if_current(term, 'row_taken')
             return
         if self.term is not term:
-            # It ended while the store was asked; a fence is never taken up again.
+            # The term ended during the read; a fence is never reused.
             return
         written = await self._write(term.fence, view.position, view.page.now_ms)
         if written is None:
-            self._end_term(term, 'condition_failed')
+            self._end_if_current(term, 'condition_failed')
             return
-        term.renewed_s = view.asked_s
+        term.renewed_s = view.requested_s
         term.row_position = written
-        term.store_ahead_s = view.store_ahead_s
+        term.store_clock_offset_s = view.store_clock_offset_s
 
-    async def _take_again(self, term: Term, view: LeaseView) -> None:
-        """Begin another term in a later era of the store, in which the row of *term* is lost.
+    async def _reacquire(self, term: Term, view: LeaseView) -> None:
+        """Begin a new term in a later era of the store, which has lost the row of *term*.
 
-        While its lease lasts nobody else can hold one. Later than that somebody may have, as of
-        a write that is lost as well; *term* goes on meanwhile as while the store is away.
+        While the lease of *term* lasts, no other process can hold one. After that another may have
+        acquired it by a write that is lost as well, so the reader decides; until it allows the
+        write, *term* goes on as while the store is unreachable.
         """
-        if view.was_taken_in_this_era:
-            self._end_term(term, 'row_taken')
+        if view.was_acquired_in_this_era:
+            self._end_if_current(term, 'row_taken')
             return
-        lasts = view.asked_s < term.renewed_s + self._lease_s
-        if self.term is term and (lasts or self._reader.may_be_taken(view)):
-            await self._take(view)
+        is_valid = view.requested_s < term.renewed_s + self._lease_s
+        if self.term is term and (is_valid or self._reader.may_be_acquired(view)):
+            await self._acquire(view)
 
-    def _end_term(self, term: Term, cause: str) -> None:
-        """End *term*, unless it has ended already and another one has begun."""
+    def _end_if_current(self, term: Term, cause: str) -> None:
+        """End *term* if it is still the current one."""
         if self.term is term:
             self.end(cause)
 
     async def _write(self, fence: int, expected: Position, now_ms: int) -> Position | None:
-        """Write the row and return its position, ``None`` if another writer was first.
+        """Write the row and return its position; ``None`` if the condition failed.
 
-        :param now_ms: time on the store's clock from which the lease's life counts.
+        :param now_ms: start of the lease period on the store's clock.
         """
         value = LeaseValue(self._holder, fence, now_ms + int(self._lease_s * 1000))
         try:
@@ -263,7 +269,7 @@
             return None
 
     async def release(self) -> None:
-        """Give the lease back, so that a successor need not wait; it is not taken again."""
+        """Release the lease for good, so that a successor need not wait for it to expire."""
         self._released = True
         term = self.term
         if term is None:
@@ -273,5 +279,5 @@
         try:
             await self._store.write(LEASE_TABLE, LEASE_KEY, value.encode(), term.row_position)
         except (ConditionFailed, PlatformUnavailable, PlatformUnknown) as error:
-            # Nothing is lost but time: the row's end lets a successor in.
+            # This only costs time: a successor can acquire the lease once the row has expired.
             log_change('lease_not_released', fence=term.fence, cause=type(error).__name__)
--- a/limeshelf/lease/row.py
+++ b/limeshelf/lease/row.py
@@ -1,9 +1,9 @@
-"""The lease row in the platform's store: what it says, and when it may be taken.
+"""The lease row in the platform's store: its format, and when a contender may acquire it.
 
-Owns the form of the row. It is free once its end has passed on the store's clock, which
-each answer of the store has, or if it names the contender itself: a holder whose answer
-was lost, or that starts again. Nobody needs to watch a row through a lease's life, and
-clocks of machines are not compared.
+The lease is free once its expiry has passed on the store's clock, or if the row names the
+contender itself, whose answer was lost or which has restarted. Every answer of the store carries
+its clock, so a contender need not watch the row for the duration of a lease, and clocks of
+different machines are not compared.
 """
 
 from __future__ import annotations
@@ -21,15 +21,15 @@
 
 LEASE_TABLE = 'lease'
 LEASE_KEY = 'placement'
-#: Versions of one era of the store, and so fences of one, are fewer.
-FENCES_AN_ERA = 2**32
+#: Upper bound of the store's versions in one era, and so of the fences of one era.
+FENCES_PER_ERA = 2**32
 
 
 class LeaseValue(msgspec.Struct):
     """The value of the lease row.
 
-    :ivar fence: rises with each holder.
-    :ivar until_ms: on the store's own clock; 0 once the lease was given back.
+    :ivar fence: fence of the holder's term.
+    :ivar until_ms: expiry on the store's clock; 0 once the lease was released.
     """
 
     holder: str
@@ -37,7 +37,7 @@
     until_ms: int
 
     def encode(self) -> bytes:
-        """Return the row's value as the store keeps it."""
+        """Return the value as stored in the row."""
         return msgspec.json.encode(self)
 
 
@@ -45,7 +45,7 @@
 
 
 def find_row(page: Page) -> Row | None:
-    """Return the lease row of a page, if there is one."""
+    """Return the lease row of a page, or ``None``."""
     for row in page.rows:
         if row.key == LEASE_KEY:
             return row
@@ -53,9 +53,9 @@
 
 
 def read_value(row: Row | None) -> LeaseValue | None:
-    """Return what a lease row says, or ``None`` without a row.
+    """Return the decoded value of a lease row, or ``None`` without a row.
 
-    :raises InvalidDocument: the value is not that of a lease.
+    :raises InvalidDocument: the value is not a lease.
     """
     if row is None:
         return None
@@ -66,25 +66,25 @@
 
 
 def is_free(value: LeaseValue | None, now_ms: int, contender: str) -> bool:
-    """Return whether *contender* may take the lease.
+    """Return whether *contender* may acquire the lease.
 
-    :param now_ms: on the store's clock.
+    :param now_ms: current time on the store's clock.
     """
     return value is None or value.until_ms <= now_ms or value.holder == contender
 
 
 def next_fence(highest_seen: int, value: LeaseValue | None, position: Position) -> int:
-    """Return the fence of a new term: above the row's, and above any seen elsewhere.
+    """Return the fence of a new term: above that of the row, and above any seen elsewhere.
 
-    Where the store states an era, also above all fences of earlier ones, and above those of rows
-    that a late write of an earlier one has replaced: each was taken at an earlier position.
+    If the store has eras, it is also above all fences of earlier eras, and above those of rows
+    that a late write from an earlier era has replaced: these were written at earlier positions.
 
-    :param position: of the store when the row was read.
+    :param position: position of the store when the row was read.
     """
-    lowest = position.era * FENCES_AN_ERA + position.version if position.era else 0
+    lowest = position.era * FENCES_PER_ERA + position.version if position.era else 0
     return max(highest_seen, value.fence if value else 0, lowest) + 1
 
 
-def was_taken_in(era: int, value: LeaseValue | None) -> bool:
-    """Return whether the term of a row began in an era of the store."""
-    return value is not None and value.fence // FENCES_AN_ERA == era
+def was_acquired_in(era: int, value: LeaseValue | None) -> bool:
+    """Return whether the term of a row began in the given era of the store."""
+    return value is not None and value.fence // FENCES_PER_ERA == era
--- a/limeshelf/lease/row_reader.py
+++ b/limeshelf/lease/row_reader.py
@@ -1,7 +1,7 @@
-"""Reads the lease's row, and decides whether it may be taken by what it says.
+"""Reads the lease row, and decides whether the lease may be acquired.
 
-Owns since when a row that cannot be read has stood, and since when an era of the store is known.
-Relies on the store for the row and its clock.
+Owns the times since when an unreadable row has been seen, and since when the current era of the
+store has been known.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
     find_row,
     is_free,
     read_value,
-    was_taken_in,
+    was_acquired_in,
 )
 from limeshelf.metrics.event_log import log_change
 from limeshelf.util.clock import MS_PER_S, boottime_s
@@ -31,20 +31,20 @@
 
 @attrs.frozen
 class LeaseView:
-    """The lease's row as one read of the store showed it.
+    """The lease row as one read of the store returned it.
 
-    :ivar asked_s: before the store answered, on the boot clock.
-    :ivar value: what the row says; ``None`` without a row, and where it cannot be read.
+    :ivar requested_s: when the read was sent, on the boot clock.
+    :ivar value: decoded value; ``None`` without a row, and if the row cannot be decoded.
     """
 
-    asked_s: float
+    requested_s: float
     page: Page
     row: Row | None
     value: LeaseValue | None
 
     @property
     def position(self) -> Position:
-        """Return the position of the row, as the condition of a write."""
+        """Return the position of the row, for the condition of a write."""
         return self.row.position if self.row else BEGINNING
 
     @property
@@ -54,26 +54,26 @@
 
     @property
     def is_unreadable(self) -> bool:
-        """Return whether another writer put something else there."""
+        """Return whether there is a row that cannot be decoded; another writer wrote it."""
         return self.row is not None and self.value is None
 
     @property
-    def was_taken_in_this_era(self) -> bool:
+    def was_acquired_in_this_era(self) -> bool:
         """Return whether the term of the row began in the era in which it was read."""
-        return was_taken_in(self.era, self.value)
+        return was_acquired_in(self.era, self.value)
 
     @property
-    def store_ahead_s(self) -> float:
-        """Return by how much the store's clock is ahead of the boot clock, at the most."""
-        return self.page.now_ms / MS_PER_S - self.asked_s
+    def store_clock_offset_s(self) -> float:
+        """Return an upper bound of the store clock minus the boot clock."""
+        return self.page.now_ms / MS_PER_S - self.requested_s
 
 
 class LeaseReader:
-    """Reads the row for one process that holds the lease or competes for it.
+    """Reads the lease row for a process that holds the lease or competes for it.
 
-    :param holder: names this process's machine in the row.
-    :param lease_s: life of a lease without renewal.
-    :param clock: knows when the store last came back from a copy.
+    :param holder: name of this instance in the row.
+    :param lease_s: duration of a lease without renewal.
+    :param clock: gives the time when the store was last restored from a copy.
     """
 
     def __init__(self, store: RowTable, holder: str, lease_s: float, clock: StoreClock) -> None:
@@ -87,28 +87,28 @@
         self._unreadable_since_s = 0.0
 
     async def read(self) -> LeaseView:
-        """Ask the store for the row."""
-        asked_s = boottime_s()
+        """Read the lease row from the store."""
+        requested_s = boottime_s()
         page = await self._store.read(LEASE_TABLE)
         if page.position.era != self._era:
             self._era = page.position.era
             self._era_seen_s = boottime_s()
         row = find_row(page)
-        return LeaseView(asked_s, page, row, self._value_of(row))
+        return LeaseView(requested_s, page, row, self._value_of(row))
 
-    def may_be_taken(self, view: LeaseView) -> bool:
-        """Return whether nobody else holds the lease, as far as the row and its era say."""
-        if view.is_unreadable and not self._outlasted(view.position):
+    def may_be_acquired(self, view: LeaseView) -> bool:
+        """Return whether no other process can hold the lease, by the row and the store's era."""
+        if view.is_unreadable and not self._unreadable_for_whole_lease(view.position):
             return False
         if not is_free(view.value, view.page.now_ms, self._holder):
             return False
-        return view.was_taken_in_this_era or self._lost_leases_are_over(view.value)
+        return view.was_acquired_in_this_era or self._lost_leases_have_expired(view.value)
 
-    def _lost_leases_are_over(self, value: LeaseValue | None) -> bool:
-        """Return whether nobody orders by a renewal that the store lost as it came back."""
+    def _lost_leases_have_expired(self, value: LeaseValue | None) -> bool:
+        """Return whether every lease renewed by a write that the store has lost has expired."""
         since_s = self._clock.returned_s
         if math.isinf(since_s) and value is not None:
-            # This process does not know when it came back; before it was first read.
+            # The time of the restore is unknown; it was before the first read in this era.
             since_s = self._era_seen_s
         return boottime_s() - since_s > self._lease_s
 
@@ -120,13 +120,13 @@
                 self._note_unreadable(row.position, error)
             return None
 
-    def _outlasted(self, position: Position) -> bool:
-        """Return whether a row that cannot be read has stood for a whole lease.
+    def _unreadable_for_whole_lease(self, position: Position) -> bool:
+        """Return whether an unreadable row has been in place for longer than a lease lasts.
 
-        It may have replaced that of a holder, who finds it when its renewal is due.
+        It may have replaced the row of a holder, which notices that only at its next renewal.
         """
-        stands_s = boottime_s() - self._unreadable_since_s
-        return self._unreadable_position == position and stands_s > self._lease_s
+        age_s = boottime_s() - self._unreadable_since_s
+        return self._unreadable_position == position and age_s > self._lease_s
 
     def _note_unreadable(self, position: Position, error: InvalidDocument) -> None:
         if self._unreadable_position != position:
--- a/tests/lease/test_leadership.py
+++ b/tests/lease/test_leadership.py
@@ -1,4 +1,4 @@
-"""One holder of the lease at a time, through lost, late and refused writes."""
+"""At most one holder of the lease, with lost, late and refused writes."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 LEASE_S = 1.2
 
 
-def play(scenario: Any) -> None:
+def run_scenario(scenario: Any) -> None:
     async def run() -> None:
         store = StoreStandIn()
         client = StoreClient(await store.start())
@@ -30,7 +30,7 @@
     asyncio.run(run())
 
 
-def test_only_one_holds_and_fences_rise() -> None:
+def test_only_one_holds_the_lease_and_fences_rise() -> None:
     async def scenario(store: StoreStandIn, first: Leadership, second: Leadership) -> None:
         await asyncio.gather(first.step(), second.step())
         assert sorted([first.fence, second.fence]) == [0, 1]
@@ -39,10 +39,10 @@
         await other.step()
         assert (holder.fence, other.fence) == (0, 2)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_silent_holder_is_followed_after_its_lease() -> None:
+def test_lease_of_a_silent_holder_is_acquired_after_its_expiry() -> None:
     async def scenario(store: StoreStandIn, first: Leadership, second: Leadership) -> None:
         await first.step()
         await second.step()
@@ -55,10 +55,10 @@
         first.note_fence(2)
         assert first.fence == 0
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_holder_goes_on_while_the_store_is_away() -> None:
+def test_term_goes_on_while_the_store_is_unavailable() -> None:
     async def scenario(store: StoreStandIn, first: Leadership, second: Leadership) -> None:
         await first.step()
         store.faults.status = 503
@@ -71,11 +71,11 @@
         await second.step()
         assert second.fence == 0
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_renewal_is_one_call() -> None:
-    """Before: two, a read and a write."""
+    """A renewal used to take two calls, a read and a write."""
 
     async def scenario(store: StoreStandIn, first: Leadership, second: Leadership) -> None:
         await first.step()
@@ -87,10 +87,10 @@
         await second.step()
         assert (first.fence, second.fence) == (1, 0)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_renewal_whose_answer_was_lost_is_followed_by_another() -> None:
+def test_renewal_succeeds_after_one_whose_answer_was_lost() -> None:
     async def scenario(store: StoreStandIn, first: Leadership, second: Leadership) -> None:
         await first.step()
         store.faults.lose_answers = True
@@ -102,10 +102,10 @@
         await second.step()
         assert (first.fence, second.fence) == (1, 0)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_lost_answer_of_a_take_over_makes_no_second_holder() -> None:
+def test_acquisition_whose_answer_was_lost_makes_no_second_holder() -> None:
     async def scenario(store: StoreStandIn, first: Leadership, second: Leadership) -> None:
         store.faults.lose_answers = True
         await first.step()
@@ -117,10 +117,10 @@
         assert first.fence == 2
         assert store._tables[LEASE_TABLE][LEASE_KEY].version > 1
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_overtaken_holder_ends_its_term_at_the_next_renewal() -> None:
+def test_replaced_holder_ends_its_term_at_the_next_renewal() -> None:
     async def scenario(store: StoreStandIn, first: Leadership, second: Leadership) -> None:
         await first.step()
         await asyncio.sleep(LEASE_S + 0.2)
@@ -129,10 +129,10 @@
         await first.step()
         assert (first.fence, second.fence) == (0, 2)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_lost_store_is_logged_once_and_again_when_it_is_reached(
+def test_store_outage_is_logged_once_at_its_start_and_once_at_its_end(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     events: list[tuple[str, dict[str, Any]]] = []
@@ -149,7 +149,7 @@
         for _ in range(3):
             await first.step()
 
-    play(scenario)
+    run_scenario(scenario)
     assert [event for event, _ in events] == [
         'lease_store_lost',
         'term_begun',
@@ -158,8 +158,8 @@
     assert events[0][1] == {'fence': 0, 'cause': 'PlatformUnavailable'}
 
 
-def test_row_of_another_writer_is_outlasted_and_then_taken() -> None:
-    """It may stand in place of a holder's, who learns of it when its renewal is due."""
+def test_unreadable_row_is_replaced_after_the_time_of_a_lease() -> None:
+    """It may have replaced the row of a holder, which notices that only at its next renewal."""
 
     async def scenario(store: StoreStandIn, first: Leadership, second: Leadership) -> None:
         await first.step()
@@ -174,10 +174,10 @@
         await second.step()
         assert second.fence > 1
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_contender_that_knows_no_fence_takes_none_of_before_again() -> None:
+def test_fence_is_not_reused_after_an_unreadable_row() -> None:
     async def scenario(store: StoreStandIn, first: Leadership, second: Leadership) -> None:
         for _ in range(3):
             await first.step()
@@ -189,4 +189,4 @@
         await second.step()
         assert second.fence > fence
 
-    play(scenario)
+    run_scenario(scenario)
--- a/tests/lease/test_order_time.py
+++ b/tests/lease/test_order_time.py
@@ -1,7 +1,7 @@
-"""Where replicas compare no fences, at most one holder may order at any moment.
+"""If replicas do not compare fences, at most one holder may send orders at any moment.
 
-A state machine lets holders step, freeze, lose the store and lose answers on one virtual
-clock; the store's clock runs beside it from another start.
+A state machine makes holders step, pause, lose the store and lose answers on one virtual clock;
+the store's clock has a constant offset from it.
 """
 
 from __future__ import annotations
@@ -33,16 +33,16 @@
     from collections.abc import Callable
 
 LEASE_S = 2.4
-#: The store's clock minus that of the machines.
-STORE_AHEAD_S = 5000.0
+#: Store clock minus boot clock.
+STORE_CLOCK_OFFSET_S = 5000.0
 
 
 @attrs.define
 class LeaseStore:
-    """The lease row under conditions; calls take time, fail, or lose their answers.
+    """A store with conditional writes of the lease row; calls may be slow, fail or lose answers.
 
-    :ivar call_s: time that passes before a call is done, and again before its answer.
-    :ivar late: writes that are carried out later, if their condition still holds.
+    :ivar call_s: time that passes before a call is carried out, and again before its answer.
+    :ivar late: writes to be carried out later, if their condition still holds.
     """
 
     clock: VirtualClock
@@ -53,9 +53,9 @@
     late: list[tuple[bytes, Position]] = attrs.field(factory=list)
 
     async def read(self, table: str) -> Page:
-        self._reach()
+        self._fail_if_away()
         self.clock.advance(self.call_s)
-        now_ms = int((self.clock.now_s + STORE_AHEAD_S) * 1000)
+        now_ms = int((self.clock.now_s + STORE_CLOCK_OFFSET_S) * 1000)
         page = Page((self.row,) if self.row else (), at(1), now_ms)
         self.clock.advance(self.call_s)
         return page
@@ -63,7 +63,7 @@
     async def write(
         self, table: str, key: str, value: bytes, expected: Position | None
     ) -> Position:
-        self._reach()
+        self._fail_if_away()
         self.clock.advance(self.call_s)
         if self.loses_answers:
             self.late.append((value, expected or BEGINNING))
@@ -81,13 +81,13 @@
         self.row = Row(LEASE_KEY, value, at(position.version + 1), False)
         return self.row.position
 
-    def _reach(self) -> None:
+    def _fail_if_away(self) -> None:
         if self.away:
             raise PlatformUnavailable('store')
 
 
 class Holders(RuleBasedStateMachine):
-    """Three processes that compete for the lease."""
+    """Three contenders for the lease."""
 
     @initialize()
     def begin(self) -> None:
@@ -111,7 +111,7 @@
         self.clock.advance(seconds)
 
     @rule(away=st.booleans())
-    def cut(self, away: bool) -> None:
+    def set_store_away(self, away: bool) -> None:
         self.store.away = away
 
     @rule(loses=st.booleans())
@@ -125,25 +125,25 @@
         self.store.late.clear()
 
     @rule(holder=st.integers(0, 2))
-    def hear_of_the_newest_fence(self, holder: int) -> None:
+    def learn_highest_fence(self, holder: int) -> None:
         fence = max(one.fence for one in self.holders)
         self.holders[holder].note_fence(fence)
 
     @rule(holder=st.integers(0, 2))
-    def stop_and_start_again(self, holder: int) -> None:
+    def restart(self, holder: int) -> None:
         asyncio.run(self.holders[holder].release())
         store: Any = self.store
         self.holders[holder] = Leadership(store, f'g-{holder}', LEASE_S, False)
 
     @invariant()
-    def at_most_one_orders(self) -> None:
+    def at_most_one_may_order(self) -> None:
         if hasattr(self, 'holders'):
             ordering = [one.fence for one in self.holders if one.order_time_left_s() > 0]
             assert len(ordering) <= 1
             assert not ordering or ordering[0] == max(one.fence for one in self.holders)
 
 
-def test_at_most_one_holder_orders_at_any_moment() -> None:
+def test_at_most_one_holder_may_order_at_any_moment() -> None:
     run_state_machine_as_test(  # type: ignore[no-untyped-call]
         Holders, settings=settings(max_examples=150, stateful_step_count=40, deadline=None)
     )
@@ -152,7 +152,7 @@
 def leader(
     clock: VirtualClock, checked: bool, call_s: float = 0.0
 ) -> tuple[LeaseStore, Leadership]:
-    """Return a process that has taken the lease, and its store."""
+    """Return a store and a leadership that has acquired the lease."""
     store = LeaseStore(clock, call_s=call_s)
     as_table: Any = store
     leadership = Leadership(as_table, 'g-1', LEASE_S, checked)
@@ -161,7 +161,7 @@
     return store, leadership
 
 
-def test_holder_without_the_store_stops_ordering_before_its_lease_is_over() -> None:
+def test_holder_without_the_store_stops_ordering_before_its_lease_expires() -> None:
     with virtual_clock() as clock:
         store, leadership = leader(clock, checked=False)
         store.away = True
@@ -170,7 +170,7 @@
         assert leadership.order_time_left_s() > 0
         clock.advance(0.02)
         assert leadership.order_time_left_s() == 0
-        # It goes on dispatching, and orders again once the row is renewed.
+        # The term goes on, and orders may be sent again once the lease is renewed.
         assert leadership.fence == 1
         store.away = False
         asyncio.run(leadership.step())
@@ -186,15 +186,15 @@
         assert leadership.order_time_left_s() == math.inf
 
 
-def test_frozen_holder_may_not_order_when_it_wakes() -> None:
+def test_suspended_holder_may_not_order_when_it_resumes() -> None:
     with virtual_clock() as clock:
         _, leadership = leader(clock, checked=False)
         clock.advance(LEASE_S)
         assert leadership.order_time_left_s() == 0
 
 
-def test_time_of_the_answer_does_not_count_for_the_holder() -> None:
-    """A slow answer names a time on the store's clock that is already past."""
+def test_duration_of_store_calls_does_not_extend_the_lease() -> None:
+    """The store's time in a slow answer is already past when the answer arrives."""
     with virtual_clock() as clock:
         _, leadership = leader(clock, checked=False, call_s=0.5)
         assert leadership.order_time_left_s() <= LEASE_S - ORDER_MARGIN_S - 4 * 0.5 + 1e-6
@@ -202,10 +202,10 @@
 
 @attrs.define
 class InterruptedStore:
-    """A store during whose writes something else happens."""
+    """A store that calls a function before each write."""
 
     store: LeaseStore
-    happens: Callable[[], None]
+    before_write: Callable[[], None]
 
     async def read(self, table: str) -> Page:
         return await self.store.read(table)
@@ -213,11 +213,11 @@
     async def write(
         self, table: str, key: str, value: bytes, expected: Position | None
     ) -> Position:
-        self.happens()
+        self.before_write()
         return await self.store.write(table, key, value, expected)
 
 
-def test_term_that_ended_while_it_was_renewed_does_not_begin_again() -> None:
+def test_term_that_ends_during_its_renewal_is_not_resumed() -> None:
     with virtual_clock() as clock:
         store, leadership = leader(clock, checked=True)
         interrupted: Any = InterruptedStore(store, lambda: leadership.note_fence(7))
@@ -227,7 +227,7 @@
         assert leadership.fence == 0
 
 
-def test_lease_that_was_given_back_is_not_taken_again() -> None:
+def test_released_lease_is_not_acquired_again() -> None:
     with virtual_clock() as clock:
         _, leadership = leader(clock, checked=True)
         asyncio.run(leadership.release())
--- a/tests/lease/test_returned_store.py
+++ b/tests/lease/test_returned_store.py
@@ -1,4 +1,4 @@
-"""The lease over returns of the store from an older copy: one holder, and fences that rise."""
+"""The lease after the store was restored from an older copy: one holder, and rising fences."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 LEASE_S = 1.2
 
 
-def play(scenario: Any, replicas_check_fences: bool = True) -> None:
+def run_scenario(scenario: Any, replicas_check_fences: bool = True) -> None:
     async def run() -> None:
         store = StoreStandIn(era=1)
         address = await store.start()
@@ -35,7 +35,7 @@
     asyncio.run(run())
 
 
-def test_holder_whose_row_is_lost_leads_on_under_a_higher_fence() -> None:
+def test_holder_whose_row_is_lost_goes_on_with_a_higher_fence() -> None:
     async def scenario(store: StoreStandIn, first: Leadership, second: Leadership) -> None:
         await second.step()
         await second.release()
@@ -48,7 +48,7 @@
         assert first.fence > before
         assert store.rows(LEASE_TABLE)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_contender_waits_for_a_lease_that_the_store_has_lost() -> None:
@@ -67,10 +67,10 @@
         await second.step()
         assert second.fence == 0
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_contender_takes_a_lost_lease_once_its_holder_may_order_no_more() -> None:
+def test_contender_acquires_a_lost_lease_once_its_holder_may_not_order() -> None:
     async def scenario(store: StoreStandIn, first: Leadership, second: Leadership) -> None:
         await first.step()
         await second.step()
@@ -83,10 +83,10 @@
         await first.step()
         assert first.fence == 0
 
-    play(scenario, replicas_check_fences=False)
+    run_scenario(scenario, replicas_check_fences=False)
 
 
-def test_late_write_of_an_earlier_era_gives_no_fence_out_again() -> None:
+def test_fence_is_not_reused_after_a_late_write_of_an_earlier_era() -> None:
     async def scenario(store: StoreStandIn, first: Leadership, second: Leadership) -> None:
         await first.step()
         earlier = store.rows(LEASE_TABLE)[0]['Value']
@@ -100,11 +100,11 @@
         await second.step()
         assert second.fence > taken
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_condition_of_an_earlier_era_that_holds_by_chance_makes_no_holder() -> None:
-    """The version of the row that it asks for may be that of another holder's row by now."""
+def test_condition_of_an_earlier_era_that_holds_by_chance_is_no_renewal() -> None:
+    """The expected version may by now be that of another holder's row."""
 
     async def scenario(store: StoreStandIn, first: Leadership, second: Leadership) -> None:
         await first.step()
@@ -120,4 +120,4 @@
         await first.step()
         assert first.fence > other.fence
 
-    play(scenario)
+    run_scenario(scenario)
--- a/tests/lease/test_row.py
+++ b/tests/lease/test_row.py
@@ -1,4 +1,4 @@
-"""When the lease may be taken, under which fence, and when it is renewed."""
+"""When the lease may be acquired, with which fence, and when it is renewed."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     is_free,
     next_fence,
     read_value,
-    was_taken_in,
+    was_acquired_in,
 )
 from tests.support.positions import at
 
@@ -31,37 +31,37 @@
     ],
     ids=['no row', 'held', 'ended', 'given back', 'own'],
 )
-def test_lease_is_free_after_its_end_or_for_its_holder(
+def test_lease_is_free_after_its_expiry_or_for_its_holder(
     value: LeaseValue | None, free: bool
 ) -> None:
     assert is_free(value, NOW_MS, 'g-1') is free
 
 
-def test_fence_rises_above_the_row_and_all_that_was_seen() -> None:
+def test_fence_is_above_the_row_and_all_seen_fences() -> None:
     assert next_fence(0, None, at(40)) == 1
     assert next_fence(3, LeaseValue('g-2', 8, 0), at(40)) == 9
     assert next_fence(9, LeaseValue('g-2', 8, 0), at(40)) == 10
 
 
-def test_fence_of_a_later_era_rises_above_all_of_earlier_ones() -> None:
-    """Whatever the store has lost, and whatever a late write has put into the row."""
+def test_fence_of_a_later_era_is_above_all_of_earlier_eras() -> None:
+    """Also after the store has lost rows, or a late write has replaced the row."""
     before = next_fence(0, None, at(9_000_000, 1))
     after = next_fence(0, LeaseValue('g-2', 3, 0), at(5, 2))
     assert before < after
-    assert not was_taken_in(2, LeaseValue('g-2', before, 0))
-    assert was_taken_in(2, LeaseValue('g-2', after, 0))
+    assert not was_acquired_in(2, LeaseValue('g-2', before, 0))
+    assert was_acquired_in(2, LeaseValue('g-2', after, 0))
     assert next_fence(0, LeaseValue('g-1', before, 0), at(6, 2)) > after
 
 
-def test_value_reads_back_from_its_row() -> None:
+def test_value_is_decoded_from_its_row() -> None:
     value = LeaseValue('g-1', 2, 7)
     other = Row('else', b'{}', at(3))
     row = Row(LEASE_KEY, value.encode(), at(4))
     page = Page((other, row), at(4), NOW_MS)
     assert find_row(page) is row
-    assert read_value, was_taken_in(row) == value
+    assert read_value, was_acquired_in(row) == value
     assert find_row(Page((other,), at(4), NOW_MS)) is None
-    assert read_value, was_taken_in(None) is None
+    assert read_value, was_acquired_in(None) is None
 
 
 def test_renewal_is_due_after_its_share_of_the_lease() -> None:
