--- a/tests/demand/test_unserved.py
+++ b/tests/demand/test_unserved.py
@@ -15,12 +15,12 @@
 OTHER = ModelKey('lm', 'm', 'a2')
 
 
-def unserved_stats(totals: DemandTotals) -> dict[UnservedKind, Unserved]:
+def stats_by_kind(totals: DemandTotals) -> dict[UnservedKind, Unserved]:
     return {kind: unserved(kind, totals.latest(), boottime_s()) for kind in UnservedKind}
 
 
 def test_no_requests_give_empty_statistics() -> None:
-    assert set(unserved_stats(DemandTotals()).values()) == {Unserved()}
+    assert set(stats_by_kind(DemandTotals()).values()) == {Unserved()}
 
 
 def test_model_counts_once_for_all_its_adapters() -> None:
@@ -30,7 +30,7 @@
         clock.advance(LONG_UNSERVED_S - 2.0)
         totals.note_missing(OTHER)
         clock.advance(4.0)
-        found = unserved_stats(totals)
+        found = stats_by_kind(totals)
         assert found[UnservedKind.MODEL].keys == 1
         assert found[UnservedKind.ADAPTER].keys == 1
         for one in found.values():
@@ -42,9 +42,9 @@
         totals = DemandTotals()
         totals.note_missing(MODEL)
         clock.advance(LONG_UNSERVED_S - 0.1)
-        assert unserved_stats(totals)[UnservedKind.MODEL].keys == 0
+        assert stats_by_kind(totals)[UnservedKind.MODEL].keys == 0
         clock.advance(0.2)
-        assert unserved_stats(totals)[UnservedKind.MODEL].keys == 1
+        assert stats_by_kind(totals)[UnservedKind.MODEL].keys == 1
 
 
 def test_request_without_adapter_counts_for_no_adapter() -> None:
@@ -52,7 +52,7 @@
         totals = DemandTotals()
         totals.note_missing(MODEL)
         clock.advance(LONG_UNSERVED_S + 1.0)
-        assert unserved_stats(totals)[UnservedKind.ADAPTER] == Unserved()
+        assert stats_by_kind(totals)[UnservedKind.ADAPTER] == Unserved()
 
 
 def test_answer_for_one_adapter_serves_the_model_but_no_other_adapter() -> None:
@@ -63,7 +63,7 @@
         totals.note_missing(OTHER)
         clock.advance(LONG_UNSERVED_S + 1.0)
         totals.take('g', [KeyDemand(ADAPTER, started=1, served_ago_ms=0)])
-        found = unserved_stats(totals)
+        found = stats_by_kind(totals)
         assert found[UnservedKind.MODEL] == Unserved()
         assert found[UnservedKind.ADAPTER].keys == 1
 
@@ -74,7 +74,7 @@
         totals.note_missing(MODEL)
         totals.note_missing(ModelKey('lm2', 'm'))
         clock.advance(LONG_UNSERVED_S + 1.0)
-        assert unserved_stats(totals)[UnservedKind.MODEL].keys == 2
+        assert stats_by_kind(totals)[UnservedKind.MODEL].keys == 2
 
 
 def test_unserved_keys_expire_without_requests() -> None:
@@ -82,4 +82,4 @@
         totals = DemandTotals()
         totals.note_missing(ADAPTER)
         clock.advance(UNSERVED_LIFE_S + 0.1)
-        assert set(unserved_stats(totals).values()) == {Unserved()}
+        assert set(stats_by_kind(totals).values()) == {Unserved()}
