--- a/limeshelf/demand/totals.py
+++ b/limeshelf/demand/totals.py
@@ -30,7 +30,7 @@
 #: A key that was not requested within this time is removed, so that the table shrinks again. Many
 #: times the long-term time constant.
 KEY_EXPIRY_S = 120.0
-#: A refused caller retries within a third of the longest time that it waits, or a little later.
+#: A refused caller retries within a third of its longest wait, plus a short delay.
 RETURN_LIFE_S = 10.0
 #: Lower bound of the interval between two updates, since rates are divided by it.
 MIN_STEP_S = 1e-3
--- a/limeshelf/lease/leadership.py
+++ b/limeshelf/lease/leadership.py
@@ -114,7 +114,7 @@
 
     @property
     def store_is_lost(self) -> bool:
-        """Return whether the store was unavailable in the last step that used it."""
+        """Return whether the last attempt to use the store failed."""
         return self._store_lost
 
     def order_time_left_s(self) -> float:
@@ -153,7 +153,7 @@
             else:
                 return
         except (PlatformUnavailable, PlatformUnknown) as error:
-            # The term goes on (see the module docstring), and the next step tries again. A write
+            # The term goes on (see the module docstring), and the next call tries again. A write
             # with unknown effect needs no clean-up: its row names this holder, which may acquire
             # the lease again.
             self._log_store_reachability(error_name=type(error).__name__)
@@ -163,7 +163,7 @@
     def _log_store_reachability(self, error_name: str) -> None:
         """Log when the store becomes unavailable or available again.
 
-        :param error_name: name of the error of this step; empty without one.
+        :param error_name: name of the error of this attempt; empty without one.
         """
         if bool(error_name) == self._store_lost:
             return
@@ -176,8 +176,8 @@
     async def _acquire_if_free(self) -> None:
         view = await self._read()
         if view.is_unreadable:
-            # The fence of the overwritten row is unknown. It was not above the store's version,
-            # which rises with each write.
+            # The fence of the overwritten row is unknown. Each term needs a write to the store, so
+            # without eras no fence is above the row's version; next_fence() covers eras.
             self._highest_fence = max(self._highest_fence, view.position.version)
         if self._reader.may_be_acquired(view):
             await self._acquire(view)
--- a/limeshelf/lease/row_reader.py
+++ b/limeshelf/lease/row_reader.py
@@ -117,7 +117,7 @@
             return read_value(row)
         except InvalidDocument as error:
             if row is not None:
-                self._note_unreadable(row.position, error)
+                self._record_unreadable(row.position, error)
             return None
 
     def _unreadable_for_whole_lease(self, position: Position) -> bool:
@@ -128,7 +128,7 @@
         age_s = boottime_s() - self._unreadable_since_s
         return self._unreadable_position == position and age_s > self._lease_s
 
-    def _note_unreadable(self, position: Position, error: InvalidDocument) -> None:
+    def _record_unreadable(self, position: Position, error: InvalidDocument) -> None:
         if self._unreadable_position != position:
             self._unreadable_position = position
             self._unreadable_since_s = boottime_s()
--- a/limeshelf/orders/attempts.py
+++ b/limeshelf/orders/attempts.py
@@ -30,7 +30,8 @@
 MODEL_UNLOAD_TIMEOUT_S = 20.0
 #: A load is given up after this many times the load time in the configuration.
 LOAD_TIMEOUT_FACTOR = 4.0
-#: A model load is not polled before this share of its expected time, when it cannot be complete.
+#: Share of the expected load time of a model in which no polls are sent, since they would only
+#: cost calls.
 UNPOLLED_LOAD_SHARE = 0.8
 
 _REFUSALS = (OrderOutcome.FENCED_OFF, OrderOutcome.GONE, OrderOutcome.REJECTED)
--- a/limeshelf/orders/order.py
+++ b/limeshelf/orders/order.py
@@ -1,6 +1,6 @@
 """Types for orders to replicas: content, outcome, and the transport that sends them.
 
-The client of the users' platform (:mod:`limeshelf.platform.orders`) implements the transport.
+The client of the users' platform implements the transport.
 """
 
 from __future__ import annotations
@@ -47,8 +47,8 @@
     """One order of the lease holder to a replica.
 
     :param adapter: empty for an order about the model itself.
-    :param expected_number: number of orders that the replica must have accepted so far; it differs
-        when the order arrives late, so that a late order has no effect.
+    :param expected_number: number of orders that the replica must have accepted so far. A late
+        order no longer matches it, and so has no effect.
     :param holder: instance that holds the lease.
     :param fence: fence of the holder's term.
     """
--- a/limeshelf/orders/pending.py
+++ b/limeshelf/orders/pending.py
@@ -137,7 +137,7 @@
         """Return whether the last order was sent longer ago than reports lag."""
         return boottime_s() - self._ordered_s > LAST_ORDER_LAG_S
 
-    # Polls, and the fence that the replica was shown.
+    # Polls, and the fence that the replica has accepted.
 
     def note_report(self, report: ReplicaReport, is_current: bool = True) -> None:
         """Record the answer to a poll of this process.
@@ -145,7 +145,7 @@
         Once the replica has accepted a later order, an unanswered load can no longer take effect,
         because it expects a lower order number.
 
-        :param is_current: whether the report includes the last known order. One that does not only
+        :param is_current: whether the report includes the last known order. Otherwise it only
             shows that the replica is reachable
             (tests/orders/test_sender.py::test_late_report_confirms_nothing).
         """
