--- a/limeshelf/demand/model_demand.py
+++ b/limeshelf/demand/model_demand.py
@@ -24,7 +24,7 @@
 #: A replica counts as full when prefill takes this share of its time; the rest goes to the decode
 #: steps of running calls. For planning only: the calls that are granted are bounded by
 #: READING_DUTY of :mod:`limeshelf.dispatch.refusal`.
-PLANNED_READING_SHARE = 0.5
+PLANNED_PREFILL_SHARE = 0.5
 #: Upper bound of the rise that is added to the current demand, as a share of it. A further replica
 #: of a model serves calls only after its load, so rising demand is extrapolated to the end of the
 #: load. During a linear rise each average lags by its time constant, so their difference gives
@@ -79,18 +79,20 @@
     service: str,
     engine: EngineSpec,
     totals: dict[ModelKey, KeyTotals],
-    read_ms: Callable[[str, float], float],
+    prefill_ms: Callable[[str, float], float],
 ) -> dict[str, ModelDemand]:
     """Return the demand for each model that the service has by the configuration.
 
-    :param read_ms: returns the prefill time of a number of tokens for a model, in milliseconds.
+    :param prefill_ms: returns the prefill time of a number of tokens for a model, in milliseconds.
     """
     by_model: dict[str, list[tuple[ModelKey, KeyTotals]]] = {name: [] for name in engine.models}
     for key, key_totals in totals.items():
         if key.service == service and engine.knows(key.model, key.adapter):
             by_model[key.model].append((key, key_totals))
     return {
-        name: _model_demand(items, engine, engine.models[name], functools.partial(read_ms, name))
+        name: _model_demand(
+            items, engine, engine.models[name], functools.partial(prefill_ms, name)
+        )
         if items
         else NO_DEMAND
         for name, items in by_model.items()
@@ -101,7 +103,7 @@
     items: list[tuple[ModelKey, KeyTotals]],
     engine: EngineSpec,
     model: ModelSpec,
-    read_ms: Callable[[float], float],
+    prefill_ms: Callable[[float], float],
 ) -> ModelDemand:
     now_s = boottime_s()
     totals = [key_totals for _, key_totals in items]
@@ -113,7 +115,7 @@
     lasting_calls_per_s = sum(one.lasting_calls_per_s for one in totals)
     growth = rise_factor(calls_per_s, lasting_calls_per_s, model.load_s)
     tokens_per_s = growth * sum(one.tokens_per_s for one in totals)
-    prefill_replicas = read_ms(tokens_per_s) / MS_PER_S / PLANNED_READING_SHARE
+    prefill_replicas = prefill_ms(tokens_per_s) / MS_PER_S / PLANNED_PREFILL_SHARE
     slot_replicas = growth * running / (PLANNED_SLOT_SHARE * max(1, engine.slots))
     place_replicas = adapters / max(1, engine.adapter_places)
     unserved_s = model_unserved_s(totals, now_s)
--- a/limeshelf/demand/reading_speed.py
+++ b/limeshelf/demand/prefill_speed.py
@@ -22,18 +22,18 @@
 FIRST_EVENT_OVERHEAD_MS = 22.0
 
 
-class ReadingSpeed:
+class PrefillSpeed:
     """Prefill time per prompt token, by model."""
 
     def __init__(self) -> None:
         self._ms_per_token: dict[str, float] = {}
         self._updated_models: set[str] = set()
 
-    def read_ms(self, model: str, tokens: float) -> float:
+    def prefill_ms(self, model: str, tokens: float) -> float:
         """Return the expected prefill time of *tokens* prompt tokens, in milliseconds."""
         return tokens * self._ms_per_token.get(model, INITIAL_MS_PER_TOKEN)
 
-    def learn(self, model: str, tokens: int, first_event_ms: float) -> None:
+    def add_sample(self, model: str, tokens: int, first_event_ms: float) -> None:
         """Add a sample: a prompt that was prefilled alone.
 
         :param tokens: prompt tokens that the replica had to prefill.
@@ -46,13 +46,13 @@
         self._update(model, sample_ms)
         self._updated_models.add(model)
 
-    def take_learned(self) -> dict[str, float]:
+    def take_updates(self) -> dict[str, float]:
         """Return the estimates that own samples changed since the last call, to send to peers."""
         updated = {model: self._ms_per_token[model] for model in self._updated_models}
         self._updated_models.clear()
         return updated
 
-    def take_from_peer(self, ms_per_token: dict[str, float]) -> None:
+    def merge_peer_estimates(self, ms_per_token: dict[str, float]) -> None:
         """Merge the estimates of a peer; a gateway measures only the calls that it grants."""
         for model, ms in ms_per_token.items():
             self._update(model, ms)
--- a/limeshelf/dispatch/__init__.py
+++ b/limeshelf/dispatch/__init__.py
@@ -9,5 +9,5 @@
 calls a second; :mod:`~limeshelf.dispatch.turns` asks for those that no grant brings),
 :mod:`~limeshelf.dispatch.refusal` (when to refuse). What they go by:
 :mod:`~limeshelf.dispatch.granted_load`, :mod:`~limeshelf.dispatch.prompt_blocks`,
-:mod:`~limeshelf.demand.reading_speed`.
+:mod:`~limeshelf.demand.prefill_speed`.
 """
--- a/limeshelf/dispatch/dispatcher.py
+++ b/limeshelf/dispatch/dispatcher.py
@@ -14,7 +14,7 @@
 import math
 from typing import TYPE_CHECKING
 
-from limeshelf.demand.reading_speed import ReadingSpeed
+from limeshelf.demand.prefill_speed import PrefillSpeed
 from limeshelf.dispatch.granted import GrantedRequests
 from limeshelf.dispatch.messages import (
     DispatchProgress,
@@ -68,7 +68,7 @@
         data_centre: str,
         paces: ReplicaPaces | None = None,
     ) -> None:
-        self.speed = ReadingSpeed()
+        self.speed = PrefillSpeed()
         self._config = config
         self._answer = answer
         self._queue = RequestQueue()
@@ -182,7 +182,7 @@
             if one.urgency(now_s) <= urgency
         }
         ahead_ms = sum(
-            share * self.speed.read_ms(model, one.query.prompt_tokens)
+            share * self.speed.prefill_ms(model, one.query.prompt_tokens)
             for one, share in ahead.items()
         )
         position = QueuePosition(
@@ -212,7 +212,7 @@
             request.ends_s,
             replica,
             unread_tokens,
-            read_ms=self.speed.read_ms(query.key.model, unread_tokens),
+            read_ms=self.speed.prefill_ms(query.key.model, unread_tokens),
             granted_s=now_s,
             has_turn=self._takes_turn(replica, now_s),
         )
@@ -231,7 +231,7 @@
     def _note_read(self, granted: GrantedRequest) -> None:
         if granted.read_alone:
             first_event_ms = granted.elapsed_ms(boottime_s())
-            self.speed.learn(granted.query.key.model, granted.unread_tokens, first_event_ms)
+            self.speed.add_sample(granted.query.key.model, granted.unread_tokens, first_event_ms)
         self._selector.load(granted.replica).end_reading(granted)
 
     def _end_overdue(self, now_s: float) -> None:
--- a/limeshelf/dispatch/refusal.py
+++ b/limeshelf/dispatch/refusal.py
@@ -12,7 +12,7 @@
 import attrs
 
 #: Part of the time that replicas read while requests wait for them; the rest goes to the steps
-#: of running calls. ``PLANNED_READING_SHARE`` of the demand is
+#: of running calls. ``PLANNED_PREFILL_SHARE`` of the demand is
 #: another: it sizes copies for demand to come.
 READING_DUTY = 0.65
 #: Part of the time to the objective that a wait may take; the rest is left for reading the
--- a/limeshelf/dispatch/selector.py
+++ b/limeshelf/dispatch/selector.py
@@ -26,7 +26,7 @@
 
     from limeshelf.calls.routes import EngineSpec
     from limeshelf.demand.keys import ModelKey
-    from limeshelf.demand.reading_speed import ReadingSpeed
+    from limeshelf.demand.prefill_speed import PrefillSpeed
     from limeshelf.dispatch.messages import DispatchQuery
     from limeshelf.dispatch.requests import QueuedRequest
     from limeshelf.replicas.directory import ReplicaDirectory
@@ -47,7 +47,7 @@
     def __init__(
         self,
         directory: ReplicaDirectory,
-        speed: ReadingSpeed,
+        speed: PrefillSpeed,
         owner_of: Callable[[str], str | None],
         data_centre: str,
         paces: ReplicaPaces | None = None,
@@ -128,7 +128,7 @@
             return None
         load.end_overdue_reading(now_s)
         window = self._window(replica, query, engine)
-        read_ms = self._speed.read_ms(query.key.model, load.blocks.unread_tokens(query, now_s))
+        read_ms = self._speed.prefill_ms(query.key.model, load.blocks.unread_tokens(query, now_s))
         if not window.admits(load.read_ms_since(now_s - window.span_s), read_ms):
             return None
         occupancy = self._occupancy(replica, load, engine)
--- a/limeshelf/membership/digest_exchange.py
+++ b/limeshelf/membership/digest_exchange.py
@@ -25,7 +25,7 @@
 if TYPE_CHECKING:
     from limeshelf.calls.in_force import ConfigInForce
     from limeshelf.demand.meter import DemandMeter
-    from limeshelf.demand.reading_speed import ReadingSpeed
+    from limeshelf.demand.prefill_speed import PrefillSpeed
     from limeshelf.demand.totals import DemandTotals
     from limeshelf.lease.leadership import Leadership
     from limeshelf.membership.dispatchers import Dispatchers
@@ -58,7 +58,7 @@
     totals: DemandTotals
     in_force: ConfigInForce
     dispatchers: Dispatchers
-    speed: ReadingSpeed
+    speed: PrefillSpeed
     limits: LimitExchange
     _book: DigestBook = attrs.field(factory=DigestBook)
     _centre_demand: CentreDemand = attrs.field(factory=CentreDemand)
@@ -137,7 +137,7 @@
             self.leadership.fence,
             loads,
             self.meter.recent(),
-            self.speed.take_learned(),
+            self.speed.take_updates(),
             self.limits.report(),
             self.limits.started_ms,
         )
@@ -223,7 +223,7 @@
             self.leader.note_claim(digest.address, digest.fence)
         self.directory.take_peer_loads(digest.instance_id, digest.loads)
         self._take_demand(digest)
-        self.speed.take_from_peer(digest.reading_ms)
+        self.speed.merge_peer_estimates(digest.reading_ms)
         if digest.data_centre == self.members.own.data_centre:
             self.limits.take_report(digest)
 
--- a/limeshelf/programs/components.py
+++ b/limeshelf/programs/components.py
@@ -167,7 +167,7 @@
             tasks,
             self.in_force.get,
             settings.placement.window_s,
-            self.dispatch.dispatcher.speed.read_ms,
+            self.dispatch.dispatcher.speed.prefill_ms,
             self.changes.note_load,
             self.lost_loads,
         )
--- a/tests/demand/test_model_demand.py
+++ b/tests/demand/test_model_demand.py
@@ -18,7 +18,7 @@
 )
 
 
-def read_ms(model: str, tokens: float) -> float:
+def prefill_ms(model: str, tokens: float) -> float:
     return 0.055 * tokens
 
 
@@ -44,7 +44,7 @@
         ModelKey('lm', 'hot', 'a2'): KeyTotals(seen_s=now_s - 60.0),
         ModelKey('lm2', 'hot'): KeyTotals(calls_per_s=50.0),
     }
-    hot = demand_by_model('lm', ENGINE, totals, read_ms)['hot']
+    hot = demand_by_model('lm', ENGINE, totals, prefill_ms)['hot']
     assert (hot.calls_per_s, hot.running, hot.objective_s) == (3.0, 4.0, 1.0)
     assert hot.adapters == 1
     assert hot.busy_replicas == pytest.approx(max(3000 * 0.055 / 1000 / 0.5, 4 / 6.4))
@@ -53,7 +53,7 @@
 def test_rising_demand_is_extrapolated_to_the_end_of_a_load() -> None:
     def replicas(lasting_rate: float) -> float:
         hot = KeyTotals(calls_per_s=10.0, lasting_calls_per_s=lasting_rate, tokens_per_s=10000.0)
-        demands = demand_by_model('lm', ENGINE, {ModelKey('lm', 'hot'): hot}, read_ms)
+        demands = demand_by_model('lm', ENGINE, {ModelKey('lm', 'hot'): hot}, prefill_ms)
         return demands['hot'].busy_replicas
 
     assert replicas(10.0) == pytest.approx(1.1)
@@ -81,6 +81,8 @@
 
 
 def test_model_without_calls_has_no_demand() -> None:
-    demands = demand_by_model('lm', ENGINE, {}, read_ms)
-    computed = _model_demand([], ENGINE, ENGINE.models['hot'], functools.partial(read_ms, 'hot'))
+    demands = demand_by_model('lm', ENGINE, {}, prefill_ms)
+    computed = _model_demand(
+        [], ENGINE, ENGINE.models['hot'], functools.partial(prefill_ms, 'hot')
+    )
     assert demands == {name: computed for name in ENGINE.models}
--- a/tests/dispatch/test_selector.py
+++ b/tests/dispatch/test_selector.py
@@ -9,7 +9,7 @@
 
 from limeshelf.calls.routes import EngineSpec
 from limeshelf.demand.keys import ModelKey
-from limeshelf.demand.reading_speed import ReadingSpeed
+from limeshelf.demand.prefill_speed import PrefillSpeed
 from limeshelf.dispatch.granted_load import GrantedReading
 from limeshelf.dispatch.limits import Occupancy
 from limeshelf.dispatch.messages import DispatchQuery
@@ -39,7 +39,7 @@
             f'r{number}', 'lm', f'ip:{number}', data_centre, 4, False, None, (Holding('m'),), 1
         )
         directory.take_record(record)
-    return HolderSelector(directory, ReadingSpeed(), lambda data_centre: LOCAL, 'z1')
+    return HolderSelector(directory, PrefillSpeed(), lambda data_centre: LOCAL, 'z1')
 
 
 def replica(selector: HolderSelector, replica_id: str) -> Replica:
--- a/tests/membership/test_digest_exchange.py
+++ b/tests/membership/test_digest_exchange.py
@@ -9,7 +9,7 @@
 
 from limeshelf.calls.in_force import ConfigInForce
 from limeshelf.demand.keys import KeyDemand, ModelKey
-from limeshelf.demand.reading_speed import ReadingSpeed
+from limeshelf.demand.prefill_speed import PrefillSpeed
 from limeshelf.membership.digest_exchange import DigestExchange
 from limeshelf.membership.digests import DIGEST_LIFE_S
 from limeshelf.membership.dispatchers import Dispatchers
@@ -90,7 +90,7 @@
         'totals': Totals(),
         'in_force': ConfigInForce(),
         'dispatchers': Dispatchers(members),
-        'speed': ReadingSpeed(),
+        'speed': PrefillSpeed(),
     }
     node = known['node']
     known['limits'] = LimitExchange(node, members, known['in_force'], RULE)
@@ -257,8 +257,8 @@
     with virtual_clock():
         one, two = exchange('g1', 'g2'), exchange('g2', 'g1')
         for _ in range(30):
-            two.speed.learn('m1', 1000, 122.0)
+            two.speed.add_sample('m1', 1000, 122.0)
             take(one, attrs.evolve(two._own_digest(), number=one._digest_count + 1))
             one._digest_count += 1
-        assert one.speed.read_ms('m1', 1000) == pytest.approx(100.0, rel=0.05)
+        assert one.speed.prefill_ms('m1', 1000) == pytest.approx(100.0, rel=0.05)
         assert two._own_digest().reading_ms == {}
