--- a/limeshelf/account/starved.py
+++ b/limeshelf/account/starved.py
@@ -22,7 +22,7 @@
 #: Nor if all its calls came within this time, in seconds.
 LEAST_SPAN_S = 8.0
 #: A key that was not asked for within this time is waited for by nobody, in seconds; as the
-#: leader counts it (:data:`limeshelf.demand.meter.UNSERVED_LIFE_S`).
+#: leader counts it (:data:`limeshelf.demand.meter.UNSERVED_EXPIRY_S`).
 UNSERVED_LIFE_S = 30.0
 #: Answers from this status on show no model that serves.
 STATUS_CLIENT_ERROR = 400
--- a/limeshelf/demand/meter.py
+++ b/limeshelf/demand/meter.py
@@ -15,7 +15,7 @@
 from limeshelf.demand.adapter_waits import AdapterWaitEstimator
 from limeshelf.demand.keys import KeyDemand, ModelKey, key_of
 from limeshelf.demand.service_ages import ServiceAges
-from limeshelf.demand.waits import CallOutlook, ModelOutlook, model_wait_s, plain_wait_s
+from limeshelf.demand.waits import CallWaitEstimate, ModelAvailability, model_wait_s, plain_wait_s
 from limeshelf.util.clock import boottime_s
 
 if TYPE_CHECKING:
@@ -33,21 +33,21 @@
 RECENT_REQUEST_S = 3.0
 #: A key that was not requested for this long has no waiting callers any more; the next request
 #: starts a new unserved period.
-UNSERVED_LIFE_S = 30.0
+UNSERVED_EXPIRY_S = 30.0
 
 
 class DemandMeter:
     """Counts the calls of this process by model and adapter.
 
     :param on_missing: called with a key that a call requests and no replica holds.
-    :ivar announced_s: when each load that the leader announced is expected to be complete, on the
-        clock of :func:`~limeshelf.util.clock.boottime_s`.
+    :ivar announced_ready_s: when each load that the leader announced is expected to be complete,
+        on the clock of :func:`~limeshelf.util.clock.boottime_s`.
     """
 
     def __init__(
         self, directory: ReplicaDirectory, on_missing: Callable[[ModelKey], None]
     ) -> None:
-        self.announced_s: dict[ModelKey, float] = {}
+        self.announced_ready_s: dict[ModelKey, float] = {}
         self._directory = directory
         self._on_missing = on_missing
         self._by_key: dict[ModelKey, KeyDemand] = {}
@@ -98,7 +98,7 @@
         """Start the unserved period of a key, unless an earlier caller still waits."""
         now_s = boottime_s()
         ages = self._service_times_of(key)
-        if now_s - self._requested_s.get(key, now_s) > UNSERVED_LIFE_S:
+        if now_s - self._requested_s.get(key, now_s) > UNSERVED_EXPIRY_S:
             ages.forget_waiting()
         ages.note_asked(now_s)
 
@@ -115,13 +115,13 @@
         self._by_key.setdefault(key, KeyDemand(key)).wanted += 1
         self._on_missing(key)
 
-    def note_refused(self, call: Call, service: ServiceSpec) -> None:
+    def count_refused(self, call: Call, service: ServiceSpec) -> None:
         """Count a call that was refused because the replicas with its key had no room in time."""
         key = key_of(call, service.name)
         if key is not None:
             self._by_key.setdefault(key, KeyDemand(key)).refused += 1
 
-    def note_served(self, call: Call, service: ServiceSpec) -> None:
+    def record_served(self, call: Call, service: ServiceSpec) -> None:
         """Record that a replica began to answer a call."""
         key = key_of(call, service.name)
         if key is not None:
@@ -132,22 +132,22 @@
     def _service_times_of(self, key: ModelKey) -> ServiceAges:
         return self._service_times.setdefault(key, ServiceAges())
 
-    def note_found(self, call: Call, service: ServiceSpec) -> None:
+    def record_key_held(self, call: Call, service: ServiceSpec) -> None:
         """Record that a replica holds the key of a call."""
         key = key_of(call, service.name)
         if key is not None and key.adapter:
             self._adapter_waits.record_found(key, boottime_s())
 
-    def outlook(self, call: Call, service: ServiceSpec) -> CallOutlook:
+    def estimate_wait(self, call: Call, service: ServiceSpec) -> CallWaitEstimate:
         """Return when a replica is expected to be able to run a call, and why not earlier."""
         key = key_of(call, service.name)
         if key is None or service.engine is None:
             replicas = self._directory.of_service(service.name)
             wait_s = max(plain_wait_s(bool(replicas)), _shortest_pause_left_s(replicas))
-            return CallOutlook(wait_s, None, is_announced=key is None, model_held=False)
+            return CallWaitEstimate(wait_s, None, is_announced=key is None, model_held=False)
         availability = self._availability(key, service.engine)
         announced_in_s = availability.announced_in_s
-        return CallOutlook(
+        return CallWaitEstimate(
             max(model_wait_s(availability), _shortest_pause_left_s(self._holders(key))),
             announced_in_s,
             is_announced=announced_in_s is not None,
@@ -161,15 +161,15 @@
             if replica.holds(key.model, key.adapter)
         ]
 
-    def _availability(self, key: ModelKey, engine: EngineSpec) -> ModelOutlook:
+    def _availability(self, key: ModelKey, engine: EngineSpec) -> ModelAvailability:
         replicas = self._directory.of_service(key.service)
         spec = engine.models.get(key.model)
-        ready_s = self.announced_s.get(key.base)
+        ready_s = self.announced_ready_s.get(key.base)
         now_s = boottime_s()
         has_key = any(replica.holds(key.model, key.adapter) for replica in replicas)
         has_model = any(replica.holds(key.model) for replica in replicas)
         adapter_missing = has_model and not has_key
-        return ModelOutlook(
+        return ModelAvailability(
             has_key=has_key,
             has_model=has_model,
             announced_in_s=None if ready_s is None else ready_s - now_s,
--- a/limeshelf/demand/totals.py
+++ b/limeshelf/demand/totals.py
@@ -13,7 +13,7 @@
 import attrs
 
 from limeshelf.demand.count_deltas import CountDeltaTracker
-from limeshelf.demand.meter import UNSERVED_LIFE_S
+from limeshelf.demand.meter import UNSERVED_EXPIRY_S
 from limeshelf.demand.service_ages import ServiceAges
 from limeshelf.util.clock import boottime_s
 
@@ -64,7 +64,7 @@
 
     def was_requested_recently(self, now_s: float) -> bool:
         """Return whether the last request is recent enough for the unserved period to count."""
-        return now_s - self.seen_s <= UNSERVED_LIFE_S
+        return now_s - self.seen_s <= UNSERVED_EXPIRY_S
 
     def unserved_s(self, now_s: float) -> float:
         """Return for how long calls for the key have gone unserved, in seconds."""
@@ -84,7 +84,7 @@
         self.seen_s = now_s
 
     def clear_unserved_if_expired(self, now_s: float) -> None:
-        """End the unserved period if the key was not requested for :data:`UNSERVED_LIFE_S`."""
+        """End the unserved period if the key was not requested for :data:`UNSERVED_EXPIRY_S`."""
         if not self.was_requested_recently(now_s):
             self.ages.forget_waiting()
 
--- a/limeshelf/demand/waits.py
+++ b/limeshelf/demand/waits.py
@@ -20,7 +20,7 @@
 
 
 @attrs.frozen
-class ModelOutlook:
+class ModelAvailability:
     """What a gateway knows about the model and the adapter that a call requests.
 
     :param has_key: whether a replica holds the model and the adapter.
@@ -41,7 +41,7 @@
 
 
 @attrs.frozen
-class CallOutlook:
+class CallWaitEstimate:
     """The expected wait of a call, and what it depends on.
 
     :param wait_s: expected seconds until a replica can run the call; 0 if one can now.
@@ -63,13 +63,13 @@
     return 0.0 if has_replica else PLAIN_WAIT_S
 
 
-def model_wait_s(outlook: ModelOutlook) -> float:
+def model_wait_s(availability: ModelAvailability) -> float:
     """Return the expected wait of a call to a model, in seconds; 0 if it can run now."""
-    if outlook.has_key:
+    if availability.has_key:
         return 0.0
-    if outlook.has_model:
-        return outlook.adapter_wait_s
-    if outlook.announced_in_s is not None:
-        return max(OVERDUE_WAIT_S, outlook.announced_in_s)
-    load_s = UNKNOWN_MODEL_LOAD_S if outlook.load_s is None else outlook.load_s
+    if availability.has_model:
+        return availability.adapter_wait_s
+    if availability.announced_in_s is not None:
+        return max(OVERDUE_WAIT_S, availability.announced_in_s)
+    load_s = UNKNOWN_MODEL_LOAD_S if availability.load_s is None else availability.load_s
     return LOAD_START_DELAY_S + load_s
--- a/limeshelf/gateway/attempts.py
+++ b/limeshelf/gateway/attempts.py
@@ -54,7 +54,7 @@
         result = await self._exchange(state, selected, organisation)
         state.note_result(result)
         if isinstance(result, WholeAnswer) and result.facts.status < STATUS_SERVER_ERROR:
-            self.demand.note_served(state.call, state.service)
+            self.demand.record_served(state.call, state.service)
         self._learn(state, selected.replica, result)
         self.quarantine.note_result(state, selected.replica, result, sent_s)
 
@@ -103,7 +103,7 @@
 
     def _note_first_event(self, state: CallState, selected: Selected) -> None:
         selected.note_first_event()
-        self.demand.note_served(state.call, state.service)
+        self.demand.record_served(state.call, state.service)
 
     def _learn(self, state: CallState, replica: Replica, result: Result) -> None:
         need = state.call.model_need
--- a/limeshelf/gateway/lines.py
+++ b/limeshelf/gateway/lines.py
@@ -13,7 +13,7 @@
 
 if TYPE_CHECKING:
     from limeshelf.calls.call import Call
-    from limeshelf.demand.waits import CallOutlook
+    from limeshelf.demand.waits import CallWaitEstimate
     from limeshelf.gateway.exchange import Result
     from limeshelf.gateway.settling import Refuse
     from limeshelf.gateway.state import CallState
@@ -102,7 +102,7 @@
     )
 
 
-def log_no_replica(state: CallState, expected_wait_s: float, outlook: CallOutlook) -> None:
+def log_no_replica(state: CallState, expected_wait_s: float, outlook: CallWaitEstimate) -> None:
     """Log that no replica holds what the call needs, nor will in time.
 
     :param outlook: what this gateway sees of the model; whether a load is on its way tells a time
--- a/limeshelf/gateway/pipeline.py
+++ b/limeshelf/gateway/pipeline.py
@@ -47,7 +47,7 @@
     from limeshelf.calls.routes import ServingConfig
     from limeshelf.calls.wire import CallWire
     from limeshelf.demand.meter import DemandMeter
-    from limeshelf.demand.waits import CallOutlook
+    from limeshelf.demand.waits import CallWaitEstimate
     from limeshelf.gateway.access import AccessGuard
     from limeshelf.gateway.answer import Answer
     from limeshelf.gateway.attempts import AttemptRunner
@@ -202,12 +202,12 @@
             if isinstance(selection, NoRoom):
                 return self._refuse_overloaded(state, selection.wait_s)
             if isinstance(selection, Selected):
-                self._demand.note_found(state.call, state.service)
+                self._demand.record_key_held(state.call, state.service)
                 if state.sends and not self._budgets.of(state.service.name).try_retry():
                     selection.note_end()
                     return give_up(state.progress(), RefusalReason.UPSTREAM_REFUSED)
                 return selection
-            outlook = self._demand.outlook(state.call, state.service)
+            outlook = self._demand.estimate_wait(state.call, state.service)
             decided = decide_absent(_absent(state, outlook))
             if isinstance(decided, RefuseUntilReady):
                 return _refuse_no_replica(state, decided, outlook)
@@ -215,8 +215,8 @@
 
     def _refuse_overloaded(self, state: CallState, queue_wait_s: float) -> Ending:
         left_s = state.left_s
-        self._demand.note_refused(state.call, state.service)
-        copy_in_s = self._demand.outlook(state.call, state.service).announced_in_s
+        self._demand.count_refused(state.call, state.service)
+        copy_in_s = self._demand.estimate_wait(state.call, state.service).announced_in_s
         log_overloaded(state, queue_wait_s, copy_in_s)
         retry_after_s = come_back.when_room_s(queue_wait_s, copy_in_s, left_s)
         return give_up(state.progress(), RefusalReason.OVERLOADED, retry_after_s)
@@ -229,7 +229,7 @@
         await self._directory.wait_for_change(hold.wait_s)
 
 
-def _absent(state: CallState, outlook: CallOutlook) -> AbsentModel:
+def _absent(state: CallState, outlook: CallWaitEstimate) -> AbsentModel:
     return AbsentModel(
         route=state.route,
         expected_wait_s=outlook.wait_s,
@@ -247,7 +247,7 @@
 
 
 def _refuse_no_replica(
-    state: CallState, refusal: RefuseUntilReady, outlook: CallOutlook
+    state: CallState, refusal: RefuseUntilReady, outlook: CallWaitEstimate
 ) -> Ending:
     log_no_replica(state, refusal.expected_wait_s, outlook)
     return give_up(state.progress(), RefusalReason.NO_READY_REPLICA, refusal.retry_after_s)
--- a/limeshelf/membership/state_exchange.py
+++ b/limeshelf/membership/state_exchange.py
@@ -89,11 +89,11 @@
             for replica in self.directory.all()
             if replica.report is not None and (whole or replica.replica_id in changed)
         ]
-        self.meter.announced_s = self.placement.awaited()
+        self.meter.announced_ready_s = self.placement.awaited()
         now_s = boottime_s()
         awaited = [
             AwaitedLoad(key, int((ready_s - now_s) * 1000))
-            for key, ready_s in self.meter.announced_s.items()
+            for key, ready_s in self.meter.announced_ready_s.items()
         ]
         may_order = self.leadership.order_time_left_s() > 0
         message = ReplicaStates(self.leadership.fence, states, awaited, whole, may_order)
@@ -115,6 +115,6 @@
         for state in message.states:
             self.directory.take_report(state.replica_id, report_of(state), StatementWay.PEER)
         now_s = boottime_s()
-        self.meter.announced_s = {
+        self.meter.announced_ready_s = {
             awaited.key: now_s + awaited.left_ms / 1000 for awaited in message.awaited
         }
--- a/tests/account/test_starved.py
+++ b/tests/account/test_starved.py
@@ -146,7 +146,7 @@
 
 
 def test_logs_forget_a_wait_when_the_leader_does() -> None:
-    assert UNSERVED_LIFE_S == meter.UNSERVED_LIFE_S
+    assert UNSERVED_LIFE_S == meter.UNSERVED_EXPIRY_S
 
 
 def test_call_asks_when_it_comes_in_and_is_served_when_its_answer_begins() -> None:
--- a/tests/demand/test_meter.py
+++ b/tests/demand/test_meter.py
@@ -12,7 +12,7 @@
 from limeshelf.demand.adapter_waits import INITIAL_ESTIMATE_S
 from limeshelf.demand.centre_demand import CentreDemand
 from limeshelf.demand.keys import KeyDemand, ModelKey
-from limeshelf.demand.meter import UNSERVED_LIFE_S, DemandMeter
+from limeshelf.demand.meter import UNSERVED_EXPIRY_S, DemandMeter
 from limeshelf.demand.totals import DemandTotals
 from limeshelf.platform.replicas import read_record
 from limeshelf.replicas.directory import ReplicaDirectory
@@ -45,7 +45,7 @@
 
     @property
     def wait_s(self) -> float:
-        return self.meter.outlook(CALL, SERVICE).wait_s
+        return self.meter.estimate_wait(CALL, SERVICE).wait_s
 
 
 @pytest.fixture
@@ -72,7 +72,7 @@
         assert gateway.meter.recent() == []
     gateway.meter.report_missing(PLAIN_CALL, PLAIN_SERVICE)
     assert gateway.missing == []
-    assert gateway.meter.outlook(PLAIN_CALL, PLAIN_SERVICE).is_announced
+    assert gateway.meter.estimate_wait(PLAIN_CALL, PLAIN_SERVICE).is_announced
 
 
 def test_a_missing_key_is_reported_at_most_ten_times_a_second(gateway: Gateway) -> None:
@@ -86,10 +86,10 @@
 
 def test_wait_follows_what_replicas_hold_and_what_was_announced(gateway: Gateway) -> None:
     assert gateway.wait_s == 1.0 + 8.0
-    assert not gateway.meter.outlook(CALL, SERVICE).is_announced
-    gateway.meter.announced_s = {ModelKey('lm', 'm1'): gateway.clock.now_s + 5.0}
+    assert not gateway.meter.estimate_wait(CALL, SERVICE).is_announced
+    gateway.meter.announced_ready_s = {ModelKey('lm', 'm1'): gateway.clock.now_s + 5.0}
     assert gateway.wait_s == 5.0
-    assert gateway.meter.outlook(CALL, SERVICE).is_announced
+    assert gateway.meter.estimate_wait(CALL, SERVICE).is_announced
     gateway.add('lm', Holding('m1'))
     assert gateway.wait_s == INITIAL_ESTIMATE_S
 
@@ -100,9 +100,9 @@
 
 
 def test_plain_call_waits_only_without_replicas(gateway: Gateway) -> None:
-    assert gateway.meter.outlook(PLAIN_CALL, PLAIN_SERVICE).wait_s == 1.0
+    assert gateway.meter.estimate_wait(PLAIN_CALL, PLAIN_SERVICE).wait_s == 1.0
     gateway.add('web')
-    assert gateway.meter.outlook(PLAIN_CALL, PLAIN_SERVICE).wait_s == 0.0
+    assert gateway.meter.estimate_wait(PLAIN_CALL, PLAIN_SERVICE).wait_s == 0.0
 
 
 def test_served_and_unserved_ages_are_reported(gateway: Gateway) -> None:
@@ -110,8 +110,8 @@
     with meter.track(CALL, 'lm', 6.0):
         gateway.clock.advance(2.0)
         assert [(one.served_ago_ms, one.unserved_ms) for one in meter.recent()] == [(None, 2000)]
-        meter.note_served(CALL, SERVICE)
-        meter.note_served(PLAIN_CALL, PLAIN_SERVICE)
+        meter.record_served(CALL, SERVICE)
+        meter.record_served(PLAIN_CALL, PLAIN_SERVICE)
         gateway.clock.advance(1.0)
         assert [(one.served_ago_ms, one.unserved_ms) for one in meter.recent()] == [(1000, None)]
     gateway.clock.advance(1.0)
@@ -123,7 +123,7 @@
     meter = gateway.meter
     with meter.track(CALL, 'lm', 6.0):
         pass
-    gateway.clock.advance(UNSERVED_LIFE_S + 0.1)
+    gateway.clock.advance(UNSERVED_EXPIRY_S + 0.1)
     with meter.track(CALL, 'lm', 6.0):
         assert [demand.unserved_ms for demand in meter.recent()] == [0]
 
--- a/tests/demand/test_totals.py
+++ b/tests/demand/test_totals.py
@@ -5,7 +5,7 @@
 import pytest
 
 from limeshelf.demand.keys import KeyDemand, ModelKey
-from limeshelf.demand.meter import UNSERVED_LIFE_S
+from limeshelf.demand.meter import UNSERVED_EXPIRY_S
 from limeshelf.demand.totals import RETURN_LIFE_S, DemandTotals
 from limeshelf.util.clock import boottime_s, virtual_clock
 
@@ -129,7 +129,7 @@
         clock.advance(RETURN_LIFE_S + 0.1)
         assert not key.is_awaited(boottime_s())
         assert key.unserved_s(boottime_s()) > RETURN_LIFE_S
-        clock.advance(UNSERVED_LIFE_S)
+        clock.advance(UNSERVED_EXPIRY_S)
         assert key.unserved_s(boottime_s()) == 0.0
         totals.note_missing(KEY)
         clock.advance(1.0)
--- a/tests/demand/test_unserved.py
+++ b/tests/demand/test_unserved.py
@@ -5,7 +5,7 @@
 import pytest
 
 from limeshelf.demand.keys import KeyDemand, ModelKey
-from limeshelf.demand.meter import UNSERVED_LIFE_S
+from limeshelf.demand.meter import UNSERVED_EXPIRY_S
 from limeshelf.demand.totals import DemandTotals
 from limeshelf.demand.unserved import LONG_UNSERVED_S, Unserved, UnservedKind, unserved
 from limeshelf.util.clock import boottime_s, virtual_clock
@@ -81,5 +81,5 @@
     with virtual_clock() as clock:
         totals = DemandTotals()
         totals.note_missing(ADAPTER)
-        clock.advance(UNSERVED_LIFE_S + 0.1)
+        clock.advance(UNSERVED_EXPIRY_S + 0.1)
         assert set(stats_by_kind(totals).values()) == {Unserved()}
--- a/tests/demand/test_waits.py
+++ b/tests/demand/test_waits.py
@@ -5,15 +5,15 @@
 import attrs
 import pytest
 
-from limeshelf.demand.waits import ModelOutlook, model_wait_s, plain_wait_s
+from limeshelf.demand.waits import ModelAvailability, model_wait_s, plain_wait_s
 
-ABSENT = ModelOutlook(
+ABSENT = ModelAvailability(
     has_key=False, has_model=False, announced_in_s=None, load_s=8.0, adapter_wait_s=0.25
 )
 
 
 @pytest.mark.parametrize(
-    ('outlook', 'wait_s'),
+    ('availability', 'wait_s'),
     [
         (attrs.evolve(ABSENT, has_key=True, has_model=True, announced_in_s=4.0), 0.0),
         (attrs.evolve(ABSENT, has_model=True, announced_in_s=4.0), 0.25),
@@ -24,8 +24,8 @@
         (attrs.evolve(ABSENT, load_s=None), 2.0),
     ],
 )
-def test_expected_wait_for_a_model(outlook: ModelOutlook, wait_s: float) -> None:
-    assert model_wait_s(outlook) == wait_s
+def test_expected_wait_for_a_model(availability: ModelAvailability, wait_s: float) -> None:
+    assert model_wait_s(availability) == wait_s
 
 
 def test_plain_service_has_an_expected_wait_only_without_replicas() -> None:
--- a/tests/gateway/test_lines.py
+++ b/tests/gateway/test_lines.py
@@ -9,7 +9,7 @@
 
 from limeshelf.calls.call import ModelNeed
 from limeshelf.calls.wire import AnswerFacts
-from limeshelf.demand.waits import CallOutlook
+from limeshelf.demand.waits import CallWaitEstimate
 from limeshelf.gateway import lines
 from limeshelf.gateway.exchange import Broken, BrokenBy, Delivered, NeverRan, Result, WholeAnswer
 from limeshelf.gateway.state import CallState
@@ -63,7 +63,7 @@
 def test_refusal_for_lack_of_a_replica_tells_the_bounds_of_the_wait(
     written: dict[str, Any],
 ) -> None:
-    outlook = CallOutlook(0.25, None, is_announced=False, model_held=True)
+    outlook = CallWaitEstimate(0.25, None, is_announced=False, model_held=True)
     lines.log_no_replica(held_state(0.5), 0.25, outlook)
     check_wait(written, 'refused_no_replica')
     assert written['expected_wait_ms'] == 250
@@ -73,7 +73,7 @@
 
 
 def test_refusal_tells_the_time_of_a_load_that_was_ordered(written: dict[str, Any]) -> None:
-    outlook = CallOutlook(1.5, 1.5, is_announced=True, model_held=False)
+    outlook = CallWaitEstimate(1.5, 1.5, is_announced=True, model_held=False)
     lines.log_no_replica(held_state(0.5), 1.5, outlook)
     assert written['announced_in_ms'] == 1500
 
--- a/tests/membership/test_state_exchange.py
+++ b/tests/membership/test_state_exchange.py
@@ -28,7 +28,7 @@
 
 @attrs.define
 class Meter:
-    announced_s: dict[Any, float] = attrs.field(factory=dict)
+    announced_ready_s: dict[Any, float] = attrs.field(factory=dict)
 
 
 @attrs.define
--- a/tests/placement/fleet_play.py
+++ b/tests/placement/fleet_play.py
@@ -16,7 +16,7 @@
 
 from limeshelf.calls.routes import EngineSpec, ModelSpec
 from limeshelf.demand.keys import KeyDemand, ModelKey
-from limeshelf.demand.meter import UNSERVED_LIFE_S
+from limeshelf.demand.meter import UNSERVED_EXPIRY_S
 from limeshelf.demand.model_demand import demand_by_model
 from limeshelf.demand.service_ages import ServiceAges
 from limeshelf.demand.totals import RETURN_LIFE_S, DemandTotals
@@ -93,7 +93,7 @@
         found: list[list[float]] = []
         current: list[float] = []
         for at_s, is_served in self.calls:
-            if current and at_s - current[-1] > UNSERVED_LIFE_S:
+            if current and at_s - current[-1] > UNSERVED_EXPIRY_S:
                 found.append(current)
                 current = []
             if current or not is_served:
@@ -132,7 +132,7 @@
         counts.started += 1
         counts.objective_ms = objective_ms
         now_s = boottime_s()
-        if now_s - self.asked_s.get(key, now_s) > UNSERVED_LIFE_S:
+        if now_s - self.asked_s.get(key, now_s) > UNSERVED_EXPIRY_S:
             self.ages[key].forget_waiting()
         self.asked_s[key] = now_s
         self.ages[key].note_asked(now_s)
--- a/tests/placement/tier_play.py
+++ b/tests/placement/tier_play.py
@@ -15,7 +15,7 @@
 from limeshelf.admission.absent_model import AbsentModel, Hold, decide_absent
 from limeshelf.demand.keys import ModelKey
 from limeshelf.demand.model_demand import demand_by_model
-from limeshelf.demand.waits import ModelOutlook, model_wait_s
+from limeshelf.demand.waits import ModelAvailability, model_wait_s
 from limeshelf.placement.planner import CopyPlanner, MoveReason
 from limeshelf.util.clock import virtual_clock
 from tests.placement import fleet_play as fleet
@@ -134,7 +134,7 @@
         held = any(call.model in one.serving for one in self.replicas)
         spec = self.engine.models[call.model]
         in_s = None if at_s is None else at_s - now_s
-        outlook = ModelOutlook(held, held, in_s, spec.load_s, 0.0)
+        outlook = ModelAvailability(held, held, in_s, spec.load_s, 0.0)
         waited_s = self._waited_s(call)
         left_s = call.route.timeout_s - waited_s
         return AbsentModel(
