--- a/limeshelf/demand/centre_demand.py
+++ b/limeshelf/demand/centre_demand.py
@@ -14,7 +14,7 @@
 from limeshelf.demand.count_deltas import CountDeltaTracker
 from limeshelf.demand.keys import KeyDemand, ModelKey
 from limeshelf.demand.meter import RECENT_REQUEST_S
-from limeshelf.demand.service_ages import ServiceAges
+from limeshelf.demand.serving_state import ServingState
 from limeshelf.util.clock import boottime_s
 
 if TYPE_CHECKING:
@@ -28,7 +28,7 @@
         self._tracker = CountDeltaTracker()
         self._sums: dict[ModelKey, KeyDemand] = {}
         self._requested_s: dict[ModelKey, float] = {}
-        self._service_times: dict[ModelKey, ServiceAges] = {}
+        self._serving_states: dict[ModelKey, ServingState] = {}
 
     def take(self, instance_id: str, demands: Iterable[KeyDemand]) -> None:
         """Add what one gateway has counted since its previous message."""
@@ -42,8 +42,8 @@
             if demand.objective_ms:
                 shortest_ms = min(total.objective_ms or demand.objective_ms, demand.objective_ms)
                 total.objective_ms = shortest_ms
-            self._service_times.setdefault(demand.key, ServiceAges()).merge(
-                ServiceAges.from_demand(demand, now_s), any(delta), now_s
+            self._serving_states.setdefault(demand.key, ServingState()).merge(
+                ServingState.from_demand(demand, now_s), any(delta), now_s
             )
             if demand.running or any(delta):
                 self._requested_s[demand.key] = now_s
@@ -64,5 +64,5 @@
 
     def _copy_of_sum(self, key: ModelKey, running: int, now_s: float) -> KeyDemand:
         demand = msgspec.structs.replace(self._sums[key], running=running)
-        self._service_times[key].tell(demand, now_s)
+        self._serving_states[key].write_ages(demand, now_s)
         return demand
--- a/limeshelf/demand/meter.py
+++ b/limeshelf/demand/meter.py
@@ -14,7 +14,7 @@
 
 from limeshelf.demand.adapter_waits import AdapterWaitEstimator
 from limeshelf.demand.keys import KeyDemand, ModelKey, key_of
-from limeshelf.demand.service_ages import ServiceAges
+from limeshelf.demand.serving_state import ServingState
 from limeshelf.demand.waits import CallWaitEstimate, ModelAvailability, model_wait_s, plain_wait_s
 from limeshelf.util.clock import boottime_s
 
@@ -53,7 +53,7 @@
         self._by_key: dict[ModelKey, KeyDemand] = {}
         self._reported_s: dict[ModelKey, float] = {}
         self._requested_s: dict[ModelKey, float] = {}
-        self._service_times: dict[ModelKey, ServiceAges] = {}
+        self._serving_states: dict[ModelKey, ServingState] = {}
         self._adapter_waits = AdapterWaitEstimator()
 
     def recent(self) -> list[KeyDemand]:
@@ -71,7 +71,7 @@
 
     def _copy_of(self, demand: KeyDemand, now_s: float) -> KeyDemand:
         copied = msgspec.structs.replace(demand)
-        self._service_times_of(demand.key).tell(copied, now_s)
+        self._serving_state_of(demand.key).write_ages(copied, now_s)
         return copied
 
     @contextlib.contextmanager
@@ -97,10 +97,10 @@
     def _record_request(self, key: ModelKey) -> None:
         """Start the unserved period of a key, unless an earlier caller still waits."""
         now_s = boottime_s()
-        ages = self._service_times_of(key)
+        state = self._serving_state_of(key)
         if now_s - self._requested_s.get(key, now_s) > UNSERVED_EXPIRY_S:
-            ages.forget_waiting()
-        ages.note_asked(now_s)
+            state.clear_unserved()
+        state.record_request(now_s)
 
     def report_missing(self, call: Call, service: ServiceSpec) -> None:
         """Count, and report to the leader, that no replica holds the key of a call."""
@@ -127,10 +127,10 @@
         if key is not None:
             now_s = boottime_s()
             self._requested_s[key] = now_s
-            self._service_times_of(key).note_served(now_s)
+            self._serving_state_of(key).record_served(now_s)
 
-    def _service_times_of(self, key: ModelKey) -> ServiceAges:
-        return self._service_times.setdefault(key, ServiceAges())
+    def _serving_state_of(self, key: ModelKey) -> ServingState:
+        return self._serving_states.setdefault(key, ServingState())
 
     def record_key_held(self, call: Call, service: ServiceSpec) -> None:
         """Record that a replica holds the key of a call."""
--- a/limeshelf/demand/model_demand.py
+++ b/limeshelf/demand/model_demand.py
@@ -136,7 +136,7 @@
 def model_unserved_s(totals: list[KeyTotals], now_s: float) -> float:
     """Return the time since a model was last served, with any adapter, while calls wait for it."""
     unserved_s = max((one.unserved_s(now_s) for one in totals), default=0.0)
-    served_s = max((one.ages.served_s for one in totals), default=-math.inf)
+    served_s = max((one.serving_state.served_s for one in totals), default=-math.inf)
     return min(unserved_s, now_s - served_s)
 
 
--- a/limeshelf/demand/service_ages.py
+++ b/limeshelf/demand/serving_state.py
@@ -15,7 +15,7 @@
 
 
 @attrs.define
-class ServiceAges:
+class ServingState:
     """When a key was last served and first requested after that, in boot-clock time.
 
     :ivar served_s: when a replica last began to answer a call.
@@ -25,23 +25,23 @@
     served_s: float = -math.inf
     unserved_since_s: float | None = None
 
-    def note_asked(self, now_s: float) -> None:
+    def record_request(self, now_s: float) -> None:
         """Record that a call requests the key."""
         if self.unserved_since_s is None:
             self.unserved_since_s = now_s
 
-    def note_served(self, now_s: float) -> None:
+    def record_served(self, now_s: float) -> None:
         """Record that a replica began to answer a call."""
         self.served_s = max(self.served_s, now_s)
         if self.unserved_since_s is not None and self.unserved_since_s <= self.served_s:
             self.unserved_since_s = None
 
-    def merge(self, other: ServiceAges, has_new_calls: bool, now_s: float) -> None:
+    def merge(self, other: ServingState, has_new_calls: bool, now_s: float) -> None:
         """Merge the observations of another gateway or data centre.
 
         :param has_new_calls: whether calls for the key began there since its previous message.
         """
-        self.note_served(other.served_s)
+        self.record_served(other.served_s)
         since_s = other.unserved_since_s
         if since_s is not None and since_s <= self.served_s:
             # A later call was served elsewhere; when the first call after that began is unknown.
@@ -50,11 +50,11 @@
             own_s = self.unserved_since_s
             self.unserved_since_s = since_s if own_s is None else min(own_s, since_s)
 
-    def forget_waiting(self) -> None:
+    def clear_unserved(self) -> None:
         """End the unserved period: no caller waits any more."""
         self.unserved_since_s = None
 
-    def tell(self, demand: KeyDemand, now_s: float) -> None:
+    def write_ages(self, demand: KeyDemand, now_s: float) -> None:
         """Set the age fields of a message to be sent now."""
         if math.isfinite(self.served_s):
             demand.served_ago_ms = _ms(now_s - self.served_s)
@@ -62,14 +62,14 @@
             demand.unserved_ms = _ms(now_s - self.unserved_since_s)
 
     @classmethod
-    def from_demand(cls, demand: KeyDemand, now_s: float) -> ServiceAges:
-        """Return the times from the ages in a message that has just arrived."""
-        ages = cls()
+    def from_demand(cls, demand: KeyDemand, now_s: float) -> ServingState:
+        """Return the state from the ages in a message that has just arrived."""
+        state = cls()
         if demand.served_ago_ms is not None:
-            ages.served_s = now_s - max(0, demand.served_ago_ms) / MS_PER_S
+            state.served_s = now_s - max(0, demand.served_ago_ms) / MS_PER_S
         if demand.unserved_ms is not None:
-            ages.unserved_since_s = now_s - max(0, demand.unserved_ms) / MS_PER_S
-        return ages
+            state.unserved_since_s = now_s - max(0, demand.unserved_ms) / MS_PER_S
+        return state
 
 
 def _ms(seconds: float) -> int:
--- a/limeshelf/demand/totals.py
+++ b/limeshelf/demand/totals.py
@@ -14,7 +14,7 @@
 
 from limeshelf.demand.count_deltas import CountDeltaTracker
 from limeshelf.demand.meter import UNSERVED_EXPIRY_S
-from limeshelf.demand.service_ages import ServiceAges
+from limeshelf.demand.serving_state import ServingState
 from limeshelf.util.clock import boottime_s
 
 if TYPE_CHECKING:
@@ -49,7 +49,7 @@
     :ivar last_missing_s: when a call last found no replica that holds the key.
     :ivar seen_s: when the key was last requested.
     :ivar objective_s: the shortest latency objective of its calls; 0 before any call.
-    :ivar ages: when it was last served, and since when it has gone unserved.
+    :ivar serving_state: when it was last served, and since when it has gone unserved.
     """
 
     calls_per_s: float = 0.0
@@ -60,7 +60,7 @@
     last_missing_s: float = 0.0
     seen_s: float = 0.0
     objective_s: float = 0.0
-    ages: ServiceAges = attrs.field(factory=ServiceAges)
+    serving_state: ServingState = attrs.field(factory=ServingState)
 
     def was_requested_recently(self, now_s: float) -> bool:
         """Return whether the last request is recent enough for the unserved period to count."""
@@ -68,7 +68,7 @@
 
     def unserved_s(self, now_s: float) -> float:
         """Return for how long calls for the key have gone unserved, in seconds."""
-        since_s = self.ages.unserved_since_s
+        since_s = self.serving_state.unserved_since_s
         if since_s is None or not self.was_requested_recently(now_s):
             return 0.0
         return now_s - since_s
@@ -80,13 +80,13 @@
     def record_request(self, now_s: float) -> None:
         """Record a request for the key."""
         self.clear_unserved_if_expired(now_s)
-        self.ages.note_asked(now_s)
+        self.serving_state.record_request(now_s)
         self.seen_s = now_s
 
     def clear_unserved_if_expired(self, now_s: float) -> None:
         """End the unserved period if the key was not requested for :data:`UNSERVED_EXPIRY_S`."""
         if not self.was_requested_recently(now_s):
-            self.ages.forget_waiting()
+            self.serving_state.clear_unserved()
 
 
 @attrs.define
@@ -126,15 +126,15 @@
         for demand, delta in self._tracker.deltas(instance_id, demands):
             self._add_arrivals(demand.key, delta)
             self._update_objective(demand)
-            self._update_service_times(demand, delta, now_s)
+            self._update_serving_state(demand, delta, now_s)
 
-    def _update_service_times(self, demand: KeyDemand, delta: CountDelta, now_s: float) -> None:
+    def _update_serving_state(self, demand: KeyDemand, delta: CountDelta, now_s: float) -> None:
         has_new_calls = bool(delta.started or delta.wanted)
         if not (has_new_calls or demand.running) and demand.key not in self._totals:
             return
         totals = self._totals_of(demand.key)
         totals.clear_unserved_if_expired(now_s)
-        totals.ages.merge(ServiceAges.from_demand(demand, now_s), has_new_calls, now_s)
+        totals.serving_state.merge(ServingState.from_demand(demand, now_s), has_new_calls, now_s)
         if delta.wanted:
             totals.last_missing_s = now_s
         if has_new_calls or demand.running:
--- a/tests/demand/test_centre_demand.py
+++ b/tests/demand/test_centre_demand.py
@@ -51,8 +51,12 @@
                 assert abs(found.calls_per_s - expected.calls_per_s) < 1e-6
                 assert found.last_missing_s == expected.last_missing_s
                 assert found.running == expected.running
-                assert found.ages.served_s == pytest.approx(expected.ages.served_s)
-                assert found.ages.unserved_since_s == pytest.approx(expected.ages.unserved_since_s)
+                assert found.serving_state.served_s == pytest.approx(
+                    expected.serving_state.served_s
+                )
+                assert found.serving_state.unserved_since_s == pytest.approx(
+                    expected.serving_state.unserved_since_s
+                )
 
 
 def _advance_ages(counts: list[dict[ModelKey, KeyDemand]], passed_ms: int) -> None:
--- a/tests/gateway/test_unserved_figures.py
+++ b/tests/gateway/test_unserved_figures.py
@@ -29,7 +29,7 @@
         # No engine has it, so that nobody serves it meanwhile.
         key = ModelKey(ENGINE, 'unheard-of', 'a1')
         parts.placement.totals.note_missing(key)
-        parts.placement.totals.latest()[key].ages.unserved_since_s = boottime_s() - 12.0
+        parts.placement.totals.latest()[key].serving_state.unserved_since_s = boottime_s() - 12.0
         figures = unserved_figures(world)
         for kind in ('model', 'adapter'):
             assert figures[f'keys{{kind="{kind}"}}'] == 1.0
--- a/tests/placement/fleet_play.py
+++ b/tests/placement/fleet_play.py
@@ -18,7 +18,7 @@
 from limeshelf.demand.keys import KeyDemand, ModelKey
 from limeshelf.demand.meter import UNSERVED_EXPIRY_S
 from limeshelf.demand.model_demand import demand_by_model
-from limeshelf.demand.service_ages import ServiceAges
+from limeshelf.demand.serving_state import ServingState
 from limeshelf.demand.totals import RETURN_LIFE_S, DemandTotals
 from limeshelf.orders.pending import REPORT_SETTLE_S, PendingOrders
 from limeshelf.orders.task import Loadable
@@ -116,7 +116,7 @@
     leader: DemandTotals = attrs.field(factory=DemandTotals)
     heir: DemandTotals = attrs.field(factory=DemandTotals)
     counts: dict[ModelKey, KeyDemand] = attrs.field(factory=dict)
-    ages: dict[ModelKey, ServiceAges] = attrs.field(factory=dict)
+    ages: dict[ModelKey, ServingState] = attrs.field(factory=dict)
     asked_s: dict[ModelKey, float] = attrs.field(factory=dict)
     loses_wishes: bool = False
     is_doubled: bool = False
@@ -124,7 +124,7 @@
     _before: list[KeyDemand] = attrs.field(factory=list)
 
     def of(self, key: ModelKey) -> KeyDemand:
-        self.ages.setdefault(key, ServiceAges())
+        self.ages.setdefault(key, ServingState())
         return self.counts.setdefault(key, KeyDemand(key))
 
     def began(self, key: ModelKey, objective_ms: int) -> KeyDemand:
@@ -133,13 +133,13 @@
         counts.objective_ms = objective_ms
         now_s = boottime_s()
         if now_s - self.asked_s.get(key, now_s) > UNSERVED_EXPIRY_S:
-            self.ages[key].forget_waiting()
+            self.ages[key].clear_unserved()
         self.asked_s[key] = now_s
-        self.ages[key].note_asked(now_s)
+        self.ages[key].record_request(now_s)
         return counts
 
     def note_served(self, key: ModelKey) -> None:
-        self.ages[key].note_served(boottime_s())
+        self.ages[key].record_served(boottime_s())
 
     def send(self) -> None:
         """Send the counts to both, as the faults have it."""
@@ -156,7 +156,7 @@
 
     def _told(self, counts: KeyDemand) -> KeyDemand:
         told = msgspec.structs.replace(counts)
-        self.ages[counts.key].tell(told, boottime_s())
+        self.ages[counts.key].write_ages(told, boottime_s())
         return told
 
     def replace_leader(self) -> None:
--- a/tests/placement/test_adapters.py
+++ b/tests/placement/test_adapters.py
@@ -9,7 +9,7 @@
 
 from limeshelf.calls.routes import EngineSpec, ModelSpec
 from limeshelf.demand.keys import ModelKey
-from limeshelf.demand.service_ages import ServiceAges
+from limeshelf.demand.serving_state import ServingState
 from limeshelf.demand.totals import RETURN_LIFE_S, KeyTotals
 from limeshelf.orders.pending import REPORT_SETTLE_S, PendingOrders
 from limeshelf.orders.task import Loadable
@@ -67,7 +67,7 @@
         now_s = boottime_s()
         key = ModelKey('lm', 'm1', adapter)
         self.totals[key] = KeyTotals(
-            seen_s=now_s - ago_s, ages=ServiceAges(unserved_since_s=now_s - since_s)
+            seen_s=now_s - ago_s, serving_state=ServingState(unserved_since_s=now_s - since_s)
         )
 
     def due(self) -> list[str]:
