--- a/benchmarks/placement_round.py
+++ b/benchmarks/placement_round.py
@@ -114,7 +114,7 @@
         for _ in range(20):
             self.take_demand()
             self._clock.advance(0.2)
-            self.totals.step()
+            self.totals.update_averages()
         for replica in self.directory.all():
             self.sender.pending(replica).note_claimed(FENCE)
         self._clock.advance(1.1 * REPORT_SETTLE_S)
@@ -145,7 +145,7 @@
                 demand.running = self._random.randrange(2)
                 demand.wanted += self._random.randrange(2)
             shown = [counts_now(demand) for demand in self.demands]
-            self.totals.take(f'g-{number}', shown)
+            self.totals.add_counters(f'g-{number}', shown)
 
     def demand(self) -> dict[str, ModelDemand]:
         """Return the demand for each model."""
@@ -206,7 +206,7 @@
             'all moves': lambda: world.plan_moves(world.watch.copies(SERVICE)),
             'demand and a look that finds no move': lambda: world.look_once_more(moved),
             'waiting adapters': world.plan_adapters,
-            'sums of demand': world.totals.step,
+            'sums of demand': world.totals.update_averages,
         }
         costs = {name: best_ms(part) for name, part in parts.items()}
         adapters = world.plan_adapters()
--- a/limeshelf/demand/centre_demand.py
+++ b/limeshelf/demand/centre_demand.py
@@ -30,7 +30,7 @@
         self._requested_s: dict[ModelKey, float] = {}
         self._serving_states: dict[ModelKey, ServingState] = {}
 
-    def take(self, instance_id: str, demands: Iterable[KeyDemand]) -> None:
+    def add_counters(self, instance_id: str, demands: Iterable[KeyDemand]) -> None:
         """Add what one gateway has counted since its previous message."""
         now_s = boottime_s()
         for demand, delta in self._tracker.deltas(instance_id, demands):
--- a/limeshelf/demand/model_demand.py
+++ b/limeshelf/demand/model_demand.py
@@ -39,7 +39,7 @@
 RECENTLY_MISSING_S = 3.0
 #: Shortest unserved time after which a retry of an unserved call is expected. It is longer than
 #: the first event of an answer takes, since some call of a busy model always waits for that.
-AWAITED_AFTER_S = 2.0
+RETRY_EXPECTED_AFTER_S = 2.0
 
 
 @attrs.frozen
@@ -47,28 +47,28 @@
     """The demand for one model with all its adapters.
 
     :ivar calls_per_s: calls started per second, extrapolated to the end of a model load.
-    :ivar lasting_calls_per_s: calls started per second, averaged over a longer time.
+    :ivar long_term_calls_per_s: calls started per second, averaged over a longer time.
     :ivar busy_replicas: replicas that the calls occupy.
     :ivar refused_per_s: calls refused per second because no replica had room in time.
     :ivar running: calls in progress.
     :ivar adapters: adapters that were requested within :data:`ACTIVE_ADAPTER_AGE_S`.
-    :ivar is_waiting: whether a call recently found no replica that holds its key.
+    :ivar recently_missing: whether a call recently found no replica that holds its key.
     :ivar objective_s: shortest latency objective of the calls; 0 before any call.
     :ivar unserved_s: time for which the model was requested without any call being served; 0 if
         no call is unserved.
-    :ivar is_awaited: whether a caller that was not served may still retry.
+    :ivar may_be_retried: whether a caller that was not served may still retry.
     """
 
     calls_per_s: float = 0.0
-    lasting_calls_per_s: float = 0.0
+    long_term_calls_per_s: float = 0.0
     busy_replicas: float = 0.0
     running: float = 0.0
     adapters: int = 0
-    is_waiting: bool = False
+    recently_missing: bool = False
     objective_s: float = 0.0
     refused_per_s: float = 0.0
     unserved_s: float = 0.0
-    is_awaited: bool = False
+    may_be_retried: bool = False
 
 
 #: The demand for a model without calls.
@@ -109,11 +109,13 @@
     totals = [key_totals for _, key_totals in items]
     running = sum(one.running for one in totals)
     adapters = sum(
-        1 for key, one in items if key.adapter and now_s - one.seen_s < ACTIVE_ADAPTER_AGE_S
+        1
+        for key, one in items
+        if key.adapter and now_s - one.last_requested_s < ACTIVE_ADAPTER_AGE_S
     )
     calls_per_s = sum(one.calls_per_s for one in totals)
-    lasting_calls_per_s = sum(one.lasting_calls_per_s for one in totals)
-    growth = rise_factor(calls_per_s, lasting_calls_per_s, model.load_s)
+    long_term_calls_per_s = sum(one.long_term_calls_per_s for one in totals)
+    growth = rise_factor(calls_per_s, long_term_calls_per_s, model.load_s)
     tokens_per_s = growth * sum(one.tokens_per_s for one in totals)
     prefill_replicas = prefill_ms(tokens_per_s) / MS_PER_S / PLANNED_PREFILL_SHARE
     slot_replicas = growth * running / (PLANNED_SLOT_SHARE * max(1, engine.slots))
@@ -121,26 +123,27 @@
     unserved_s = model_unserved_s(totals, now_s)
     return ModelDemand(
         calls_per_s=growth * calls_per_s,
-        lasting_calls_per_s=lasting_calls_per_s,
+        long_term_calls_per_s=long_term_calls_per_s,
         busy_replicas=max(prefill_replicas, slot_replicas, place_replicas),
         running=running,
         adapters=adapters,
-        is_waiting=any(now_s - one.last_missing_s < RECENTLY_MISSING_S for one in totals),
+        recently_missing=any(now_s - one.last_missing_s < RECENTLY_MISSING_S for one in totals),
         objective_s=_shortest(one.objective_s for one in totals),
         refused_per_s=sum(one.refused_per_s for one in totals),
         unserved_s=unserved_s,
-        is_awaited=unserved_s >= AWAITED_AFTER_S and any(one.is_awaited(now_s) for one in totals),
+        may_be_retried=unserved_s >= RETRY_EXPECTED_AFTER_S
+        and any(one.may_be_retried(now_s) for one in totals),
     )
 
 
 def model_unserved_s(totals: list[KeyTotals], now_s: float) -> float:
-    """Return the time since a model was last served, with any adapter, while calls wait for it."""
+    """Return for how long a model was requested, with any adapter, and no call was served."""
     unserved_s = max((one.unserved_s(now_s) for one in totals), default=0.0)
     served_s = max((one.serving_state.served_s for one in totals), default=-math.inf)
     return min(unserved_s, now_s - served_s)
 
 
-def rise_factor(calls_per_s: float, lasting_calls_per_s: float, lead_s: float) -> float:
+def rise_factor(calls_per_s: float, long_term_calls_per_s: float, lead_s: float) -> float:
     """Return the factor by which demand is expected to grow, at least 1.
 
     :param lead_s: how far to extrapolate, in seconds.
@@ -148,7 +151,7 @@
     if calls_per_s <= 0:
         return 1.0
     lag_s = RATE_TIME_CONSTANT_S
-    slope_per_s = (calls_per_s - lasting_calls_per_s) / (LONG_TERM_TIME_CONSTANT_S - lag_s)
+    slope_per_s = (calls_per_s - long_term_calls_per_s) / (LONG_TERM_TIME_CONSTANT_S - lag_s)
     rise_share = slope_per_s * (lag_s + lead_s) / calls_per_s
     return 1.0 + min(MAX_RISE_SHARE, max(0.0, rise_share))
 
--- a/limeshelf/demand/totals.py
+++ b/limeshelf/demand/totals.py
@@ -31,7 +31,7 @@
 #: times the long-term time constant.
 KEY_EXPIRY_S = 120.0
 #: A refused caller retries within a third of its longest wait, plus a short delay.
-RETURN_LIFE_S = 10.0
+RETRY_WINDOW_S = 10.0
 #: Lower bound of the interval between two updates, since rates are divided by it.
 MIN_STEP_S = 1e-3
 
@@ -41,30 +41,30 @@
     """The demand for one key over all gateways.
 
     :ivar calls_per_s: calls started, averaged over :data:`RATE_TIME_CONSTANT_S`.
-    :ivar lasting_calls_per_s: the same, averaged over :data:`LONG_TERM_TIME_CONSTANT_S`.
+    :ivar long_term_calls_per_s: the same, averaged over :data:`LONG_TERM_TIME_CONSTANT_S`.
     :ivar tokens_per_s: prompt tokens of the calls started, averaged like ``calls_per_s``.
     :ivar refused_per_s: calls refused because the replicas that hold the key had no room in time,
         averaged like ``calls_per_s``.
     :ivar running: calls in progress.
     :ivar last_missing_s: when a call last found no replica that holds the key.
-    :ivar seen_s: when the key was last requested.
+    :ivar last_requested_s: when the key was last requested.
     :ivar objective_s: the shortest latency objective of its calls; 0 before any call.
     :ivar serving_state: when it was last served, and since when it has gone unserved.
     """
 
     calls_per_s: float = 0.0
-    lasting_calls_per_s: float = 0.0
+    long_term_calls_per_s: float = 0.0
     tokens_per_s: float = 0.0
     refused_per_s: float = 0.0
     running: float = 0.0
     last_missing_s: float = 0.0
-    seen_s: float = 0.0
+    last_requested_s: float = 0.0
     objective_s: float = 0.0
     serving_state: ServingState = attrs.field(factory=ServingState)
 
     def was_requested_recently(self, now_s: float) -> bool:
         """Return whether the last request is recent enough for the unserved period to count."""
-        return now_s - self.seen_s <= UNSERVED_EXPIRY_S
+        return now_s - self.last_requested_s <= UNSERVED_EXPIRY_S
 
     def unserved_s(self, now_s: float) -> float:
         """Return for how long calls for the key have gone unserved, in seconds."""
@@ -73,15 +73,15 @@
             return 0.0
         return now_s - since_s
 
-    def is_awaited(self, now_s: float) -> bool:
+    def may_be_retried(self, now_s: float) -> bool:
         """Return whether a caller that was not served may still retry."""
-        return self.unserved_s(now_s) > 0 and now_s - self.seen_s <= RETURN_LIFE_S
+        return self.unserved_s(now_s) > 0 and now_s - self.last_requested_s <= RETRY_WINDOW_S
 
     def record_request(self, now_s: float) -> None:
         """Record a request for the key."""
         self.clear_unserved_if_expired(now_s)
         self.serving_state.record_request(now_s)
-        self.seen_s = now_s
+        self.last_requested_s = now_s
 
     def clear_unserved_if_expired(self, now_s: float) -> None:
         """End the unserved period if the key was not requested for :data:`UNSERVED_EXPIRY_S`."""
@@ -115,10 +115,10 @@
         #: A lower bound of when the first known call began.
         self._first_call_s = math.inf
 
-    def take(self, instance_id: str, demands: list[KeyDemand]) -> None:
+    def add_counters(self, instance_id: str, demands: list[KeyDemand]) -> None:
         """Add the counters of one gateway, or the sums of a data centre."""
         now_s = boottime_s()
-        self.forget_running(instance_id)
+        self.remove_running(instance_id)
         self._received_s[instance_id] = now_s
         running = {demand.key: demand.running for demand in demands if demand.running}
         self._running[instance_id] = running
@@ -138,9 +138,9 @@
         if delta.wanted:
             totals.last_missing_s = now_s
         if has_new_calls or demand.running:
-            totals.seen_s = now_s
+            totals.last_requested_s = now_s
 
-    def forget_running(self, instance_id: str) -> None:
+    def remove_running(self, instance_id: str) -> None:
         """Remove the running calls of a gateway: it is silent, or a later message covers them."""
         self._received_s.pop(instance_id, None)
         self._running_sums.subtract(self._running.pop(instance_id, {}))
@@ -166,7 +166,7 @@
             objective_s = demand.objective_ms / 1000
             totals.objective_s = min(totals.objective_s or objective_s, objective_s)
 
-    def note_missing(self, key: ModelKey) -> None:
+    def record_missing(self, key: ModelKey) -> None:
         """Record that a call has just found no replica that holds *key*."""
         totals = self._totals_of(key)
         now_s = boottime_s()
@@ -174,10 +174,10 @@
         totals.record_request(now_s)
 
     def latest(self) -> dict[ModelKey, KeyTotals]:
-        """Return the averages as of the last :meth:`step`."""
+        """Return the averages as of the last :meth:`update_averages`."""
         return self._totals
 
-    def step(self) -> dict[ModelKey, KeyTotals]:
+    def update_averages(self) -> dict[ModelKey, KeyTotals]:
         """Update the averages to the current time and return them."""
         now_s = boottime_s()
         passed_s = max(MIN_STEP_S, now_s - self._updated_s)
@@ -188,11 +188,11 @@
             self._totals_of(key)
         for key, totals in list(self._totals.items()):
             arrivals = self._arrivals.get(key, _NO_ARRIVALS)
-            _update_averages(totals, arrivals, passed_s, history_s)
+            _update_key_averages(totals, arrivals, passed_s, history_s)
             totals.running = float(self._running_sums[key])
             if totals.running or arrivals.calls:
-                totals.seen_s = now_s
-            elif now_s - totals.seen_s > KEY_EXPIRY_S:
+                totals.last_requested_s = now_s
+            elif now_s - totals.last_requested_s > KEY_EXPIRY_S:
                 del self._totals[key]
                 del self._running_sums[key]
         self._arrivals.clear()
@@ -204,10 +204,10 @@
             sender for sender, received_s in self._received_s.items() if received_s < oldest_s
         ]
         for instance_id in silent:
-            self.forget_running(instance_id)
+            self.remove_running(instance_id)
 
 
-def _update_averages(
+def _update_key_averages(
     totals: KeyTotals, arrivals: _Arrivals, passed_s: float, history_s: float
 ) -> None:
     """Update the exponential moving averages of a key to the current time.
@@ -221,6 +221,6 @@
     long_term_weight = min(1.0, passed_s / min(LONG_TERM_TIME_CONSTANT_S, history_s))
     calls_per_s = arrivals.calls / passed_s
     totals.calls_per_s += weight * (calls_per_s - totals.calls_per_s)
-    totals.lasting_calls_per_s += long_term_weight * (calls_per_s - totals.lasting_calls_per_s)
+    totals.long_term_calls_per_s += long_term_weight * (calls_per_s - totals.long_term_calls_per_s)
     totals.tokens_per_s += weight * (arrivals.tokens / passed_s - totals.tokens_per_s)
     totals.refused_per_s += weight * (arrivals.refused / passed_s - totals.refused_per_s)
--- a/limeshelf/demand/unserved.py
+++ b/limeshelf/demand/unserved.py
@@ -20,7 +20,7 @@
     from limeshelf.demand.totals import KeyTotals
 
 #: A key that has gone unserved for longer than this counts as unserved for long: by then the
-#: callers that were refused first have retried (:data:`limeshelf.demand.totals.RETURN_LIFE_S`).
+#: callers that were refused first have retried (:data:`limeshelf.demand.totals.RETRY_WINDOW_S`).
 LONG_UNSERVED_S = 10.0
 
 
@@ -32,7 +32,7 @@
 
 
 @attrs.frozen
-class Unserved:
+class UnservedStats:
     """Statistics of the unserved models, or of the unserved adapters.
 
     :param longest_s: the longest time that one of them has gone unserved.
@@ -43,7 +43,9 @@
     keys: int = 0
 
 
-def unserved(kind: UnservedKind, totals: Mapping[ModelKey, KeyTotals], now_s: float) -> Unserved:
+def unserved_stats(
+    kind: UnservedKind, totals: Mapping[ModelKey, KeyTotals], now_s: float
+) -> UnservedStats:
     """Return the statistics of one kind."""
     unserved_by_kind = {
         UnservedKind.MODEL: _models_unserved_s,
@@ -51,7 +53,7 @@
     }
     times_s = unserved_by_kind[kind](totals, now_s)
     long = sum(time_s > LONG_UNSERVED_S for time_s in times_s)
-    return Unserved(max(times_s, default=0.0), long)
+    return UnservedStats(max(times_s, default=0.0), long)
 
 
 def _models_unserved_s(totals: Mapping[ModelKey, KeyTotals], now_s: float) -> list[float]:
--- a/limeshelf/membership/digest_exchange.py
+++ b/limeshelf/membership/digest_exchange.py
@@ -212,7 +212,7 @@
         if before is not None and before != digest.instance_id:
             del self._bundled_gateways[before]
             self._book.forget(before)
-            self.totals.forget_running(before)
+            self.totals.remove_running(before)
             self.directory.forget_peer(before)
 
     def _note_digest(self, digest: GatewayDigest) -> None:
@@ -228,9 +228,9 @@
             self.limits.take_report(digest)
 
     def _take_demand(self, digest: GatewayDigest) -> None:
-        self.totals.take(digest.instance_id, digest.demands)
+        self.totals.add_counters(digest.instance_id, digest.demands)
         if digest.data_centre == self.members.own.data_centre:
-            self._centre_demand.take(digest.instance_id, digest.demands)
+            self._centre_demand.add_counters(digest.instance_id, digest.demands)
 
     def _take_summary(self, envelope: Envelope) -> None:
         summary: FleetSummary = envelope.message
--- a/limeshelf/placement/adapters.py
+++ b/limeshelf/placement/adapters.py
@@ -111,7 +111,7 @@
             for key, demand in self.totals.items()
             if key.service == self.service
             and key.adapter
-            and demand.is_awaited(now_s)
+            and demand.may_be_retried(now_s)
             and self.engine.knows(key.model, key.adapter)
         ]
         return sorted(due, key=lambda key: -self._demand(key).unserved_s(now_s))
@@ -214,18 +214,21 @@
     def _eviction_order(self, key: ModelKey) -> tuple[float, float]:
         """Return what orders adapters for eviction; an unload waits for the calls that run."""
         demand = self._demand(key)
-        return demand.running, demand.seen_s
+        return demand.running, demand.last_requested_s
 
     def _is_awaited(self, key: ModelKey, now_s: float) -> bool:
         demand = self._demand(key)
-        return demand.unserved_s(now_s) >= AWAITED_AFTER_S and now_s - demand.seen_s <= AWAITED_S
+        return (
+            demand.unserved_s(now_s) >= AWAITED_AFTER_S
+            and now_s - demand.last_requested_s <= AWAITED_S
+        )
 
     def _has_turn(self, key: ModelKey, now_s: float) -> bool:
         return self._demand(key).unserved_s(now_s) >= TURN_AFTER_S
 
     def _is_idle(self, key: ModelKey, now_s: float) -> bool:
         demand = self._demand(key)
-        return demand.running == 0 and now_s - demand.seen_s > KEEP_S
+        return demand.running == 0 and now_s - demand.last_requested_s > KEEP_S
 
     def _demand(self, key: ModelKey) -> KeyTotals:
         return self.totals.get(key, _NO_DEMAND)
--- a/limeshelf/placement/eviction.py
+++ b/limeshelf/placement/eviction.py
@@ -40,7 +40,7 @@
     losses = worth.losses(replica)
     evicted: list[str] = []
     for name in losses:
-        if survey.demand(name).is_awaited:
+        if survey.demand(name).may_be_retried:
             continue
         evicted.append(name)
         needed_mb -= survey.size_mb(name)
--- a/limeshelf/placement/model_worth.py
+++ b/limeshelf/placement/model_worth.py
@@ -119,13 +119,13 @@
         demand = self._demand(model)
         calls_per_s = max(
             demand.calls_per_s / max(1.0, demand.busy_replicas),
-            min(demand.lasting_calls_per_s, LASTING_LIMIT_PER_S),
+            min(demand.long_term_calls_per_s, LASTING_LIMIT_PER_S),
         )
         if not self._can_wait[model]:
             calls_per_s = max(calls_per_s, self._expected_per_s)
         worth = ONLY_COPY_WORTH_PER_S + ONLY_COPY_FACTOR * calls_per_s
         starved = STARVED_WORTH_PER_S_PER_S * self._starved_s.get(model, 0.0)
-        waiting = WAITING_WORTH_PER_S if demand.is_waiting else 0.0
+        waiting = WAITING_WORTH_PER_S if demand.recently_missing else 0.0
         return worth + min(STARVED_LIMIT_PER_S, starved) + waiting
 
     def _judge_secured(self, model: str) -> float:
--- a/limeshelf/placement/planner.py
+++ b/limeshelf/placement/planner.py
@@ -195,14 +195,14 @@
 
     def outlook(self, replicas: list[ReplicaCopies], store_allowed: bool = True) -> WaitingOutlook:
         """Return what becomes of the models that calls wait for and that have no copy."""
-        if not any(demand.is_waiting for demand in self._demands.values()):
+        if not any(demand.recently_missing for demand in self._demands.values()):
             return WaitingOutlook()
         survey = CopySurvey.take(self._engine, self._demands, replicas)
         worth = CopyWorth(survey, self._first_copies, self._starved_s, self._models)
         waiting = [
             name
             for name in self._engine.models
-            if survey.demand(name).is_waiting and not survey.copies(name).total
+            if survey.demand(name).recently_missing and not survey.copies(name).total
         ]
         waiting.sort(key=lambda name: (-worth.idle_gain(name), name))
         loadable = [name for name in waiting if name not in self._barred]
--- a/limeshelf/placement/service.py
+++ b/limeshelf/placement/service.py
@@ -13,7 +13,7 @@
 from limeshelf.demand.keys import ModelKey
 from limeshelf.demand.model_demand import demand_by_model
 from limeshelf.demand.totals import DemandTotals
-from limeshelf.demand.unserved import Unserved, unserved
+from limeshelf.demand.unserved import UnservedStats, unserved_stats
 from limeshelf.placement.adapters import AdapterPlanner
 from limeshelf.placement.move_runner import MoveRunner
 from limeshelf.placement.pace import LoadPace
@@ -103,7 +103,7 @@
         while True:
             await self._until_due()
             self._planned_s = boottime_s()
-            loads = self.totals.step()
+            loads = self.totals.update_averages()
             config = self._config()
             if not self.may_order() or config is None:
                 continue
@@ -181,7 +181,7 @@
 
         What can't be brought now, or whose wish is lost on its way, comes with a later plan.
         """
-        self.totals.note_missing(key)
+        self.totals.record_missing(key)
         engine = self._engine_of(key)
         if not self._replicas.is_coming_or_held(key):
             self._wanted.set()
@@ -212,11 +212,11 @@
         fence = self._leadership.fence
         return AdapterPlanner(service, engine, self._directory, self.totals.latest(), fence)
 
-    def unserved(self, kind: UnservedKind) -> Unserved:
+    def unserved(self, kind: UnservedKind) -> UnservedStats:
         """Return what goes unserved of a kind; nothing while another process leads."""
         if not self.may_order():
-            return Unserved()
-        return unserved(kind, self.totals.latest(), boottime_s())
+            return UnservedStats()
+        return unserved_stats(kind, self.totals.latest(), boottime_s())
 
     def awaited(self) -> dict[ModelKey, float]:
         """Return the models on their way or to be ordered next, with the time of each.
--- a/limeshelf/placement/turns.py
+++ b/limeshelf/placement/turns.py
@@ -74,7 +74,7 @@
 def _is_due(model: str, survey: CopySurvey) -> bool:
     demand = survey.demand(model)
     copies = survey.copies(model)
-    if not demand.is_awaited or copies.total > min(1, copies.ready):
+    if not demand.may_be_retried or copies.total > min(1, copies.ready):
         return False
     limit_s = SECOND_COPY_AFTER_S if copies.ready else TURN_AFTER_S
     return demand.unserved_s >= limit_s
--- a/tests/demand/test_centre_demand.py
+++ b/tests/demand/test_centre_demand.py
@@ -45,7 +45,7 @@
             elif demand.unserved_ms is None:
                 demand.unserved_ms = 0
             _send_counts(single, summed, centre, counts)
-            from_sums, from_counts = summed.step(), single.step()
+            from_sums, from_counts = summed.update_averages(), single.update_averages()
             for one, expected in from_counts.items():
                 found = from_sums.get(one, KeyTotals())
                 assert abs(found.calls_per_s - expected.calls_per_s) < 1e-6
@@ -76,9 +76,9 @@
     """Send copies of all counters, once by gateway and once as the sums of the data centre."""
     sent = [[_copy(demand) for demand in one.values()] for one in counts]
     for number, demands in enumerate(sent):
-        single.take(f'g-{number}', demands)
-        centre.take(f'g-{number}', demands)
-    summed.take('centre', [_copy(demand) for demand in centre.recent(sent)])
+        single.add_counters(f'g-{number}', demands)
+        centre.add_counters(f'g-{number}', demands)
+    summed.add_counters('centre', [_copy(demand) for demand in centre.recent(sent)])
 
 
 def _copy(demand: KeyDemand) -> KeyDemand:
@@ -96,8 +96,8 @@
 def test_keys_without_recent_requests_are_left_out() -> None:
     with virtual_clock() as clock:
         centre = CentreDemand()
-        centre.take('g-1', [KeyDemand(KEYS[0], started=1)])
+        centre.add_counters('g-1', [KeyDemand(KEYS[0], started=1)])
         assert len(centre.recent([])) == 1
         clock.advance(RECENT_REQUEST_S + 0.1)
-        centre.take('g-1', [KeyDemand(KEYS[0], started=1)])
+        centre.add_counters('g-1', [KeyDemand(KEYS[0], started=1)])
         assert centre.recent([]) == []
--- a/tests/demand/test_meter.py
+++ b/tests/demand/test_meter.py
@@ -137,8 +137,8 @@
     for number in range(1, 6):
         with gateway.meter.track(CALL, 'lm', 6.0):
             demands = gateway.meter.recent()
-            totals.take('own', demands)
-            centre.take('own', demands)
+            totals.add_counters('own', demands)
+            centre.add_counters('own', demands)
         gateway.clock.advance(0.25)
         assert [demand.started for demand in centre.recent([demands])] == [number]
-        assert totals.step()[ADAPTER].calls_per_s > 1.0
+        assert totals.update_averages()[ADAPTER].calls_per_s > 1.0
--- a/tests/demand/test_model_demand.py
+++ b/tests/demand/test_model_demand.py
@@ -27,21 +27,21 @@
     totals = {
         ModelKey('lm', 'hot'): KeyTotals(
             calls_per_s=2.0,
-            lasting_calls_per_s=2.0,
+            long_term_calls_per_s=2.0,
             tokens_per_s=2000.0,
             running=3.0,
-            seen_s=now_s,
+            last_requested_s=now_s,
             objective_s=6.0,
         ),
         ModelKey('lm', 'hot', 'a1'): KeyTotals(
             calls_per_s=1.0,
-            lasting_calls_per_s=1.0,
+            long_term_calls_per_s=1.0,
             tokens_per_s=1000.0,
             running=1.0,
-            seen_s=now_s,
+            last_requested_s=now_s,
             objective_s=1.0,
         ),
-        ModelKey('lm', 'hot', 'a2'): KeyTotals(seen_s=now_s - 60.0),
+        ModelKey('lm', 'hot', 'a2'): KeyTotals(last_requested_s=now_s - 60.0),
         ModelKey('lm2', 'hot'): KeyTotals(calls_per_s=50.0),
     }
     hot = demand_by_model('lm', ENGINE, totals, prefill_ms)['hot']
@@ -51,8 +51,10 @@
 
 
 def test_rising_demand_is_extrapolated_to_the_end_of_a_load() -> None:
-    def replicas(lasting_rate: float) -> float:
-        hot = KeyTotals(calls_per_s=10.0, lasting_calls_per_s=lasting_rate, tokens_per_s=10000.0)
+    def replicas(long_term_rate: float) -> float:
+        hot = KeyTotals(
+            calls_per_s=10.0, long_term_calls_per_s=long_term_rate, tokens_per_s=10000.0
+        )
         demands = demand_by_model('lm', ENGINE, {ModelKey('lm', 'hot'): hot}, prefill_ms)
         return demands['hot'].busy_replicas
 
@@ -64,7 +66,7 @@
 
 
 @pytest.mark.parametrize(
-    ('calls_per_s', 'lasting_calls_per_s', 'lead_s', 'factor'),
+    ('calls_per_s', 'long_term_calls_per_s', 'lead_s', 'factor'),
     [
         (0.0, 5.0, 9.0, 1.0),
         (10.0, 12.0, 9.0, 1.0),
@@ -74,9 +76,9 @@
     ],
 )
 def test_rise_is_extrapolated_over_the_load_time_up_to_a_factor_of_two(
-    calls_per_s: float, lasting_calls_per_s: float, lead_s: float, factor: float
+    calls_per_s: float, long_term_calls_per_s: float, lead_s: float, factor: float
 ) -> None:
-    found = rise_factor(calls_per_s, lasting_calls_per_s, lead_s)
+    found = rise_factor(calls_per_s, long_term_calls_per_s, lead_s)
     assert found == pytest.approx(factor)
 
 
--- a/tests/demand/test_rise.py
+++ b/tests/demand/test_rise.py
@@ -31,14 +31,14 @@
     """Return the prediction *after_s* into the rise, after *before_s* of steady calls."""
     with virtual_clock() as clock:
         totals = DemandTotals()
-        totals.take('g-1', [KeyDemand(KEY)])
+        totals.add_counters('g-1', [KeyDemand(KEY)])
         started = 0.0
         for step in range(int((before_s + after_s) / STEP_S)):
             started += STEP_S * rate_per_s(step * STEP_S - before_s)
             clock.advance(STEP_S)
-            totals.take('g-1', [KeyDemand(KEY, started=int(started))])
-            found = totals.step()[KEY]
-        factor = rise_factor(found.calls_per_s, found.lasting_calls_per_s, LOAD_S)
+            totals.add_counters('g-1', [KeyDemand(KEY, started=int(started))])
+            found = totals.update_averages()[KEY]
+        factor = rise_factor(found.calls_per_s, found.long_term_calls_per_s, LOAD_S)
         return factor * found.calls_per_s
 
 
--- a/tests/gateway/test_unserved_figures.py
+++ b/tests/gateway/test_unserved_figures.py
@@ -28,7 +28,7 @@
         assert unserved_figures(world) == nothing
         # No engine has it, so that nobody serves it meanwhile.
         key = ModelKey(ENGINE, 'unheard-of', 'a1')
-        parts.placement.totals.note_missing(key)
+        parts.placement.totals.record_missing(key)
         parts.placement.totals.latest()[key].serving_state.unserved_since_s = boottime_s() - 12.0
         figures = unserved_figures(world)
         for kind in ('model', 'adapter'):
--- a/tests/membership/test_digest_exchange.py
+++ b/tests/membership/test_digest_exchange.py
@@ -59,10 +59,10 @@
 
     taken: dict[str, list[KeyDemand]] = attrs.field(factory=dict)
 
-    def take(self, process: str, demands: list[KeyDemand]) -> None:
+    def add_counters(self, process: str, demands: list[KeyDemand]) -> None:
         self.taken[process] = demands
 
-    def forget_running(self, process: str) -> None:
+    def remove_running(self, process: str) -> None:
         del self.taken[process]
 
 
--- a/tests/placement/builders.py
+++ b/tests/placement/builders.py
@@ -27,7 +27,7 @@
     """Return the demand of so many calls that keep so many replicas busy."""
     return ModelDemand(
         calls_per_s=calls_per_s,
-        lasting_calls_per_s=calls_per_s,
+        long_term_calls_per_s=calls_per_s,
         busy_replicas=replicas or calls_per_s / 10,
         running=calls_per_s / 2,
         objective_s=1.0,
@@ -38,8 +38,8 @@
     """Return the demand of few calls that can wait for a load."""
     return ModelDemand(
         calls_per_s=calls_per_s,
-        lasting_calls_per_s=calls_per_s,
+        long_term_calls_per_s=calls_per_s,
         busy_replicas=0.03,
-        is_waiting=waits,
+        recently_missing=waits,
         objective_s=6.0,
     )
--- a/tests/placement/fleet_play.py
+++ b/tests/placement/fleet_play.py
@@ -19,7 +19,7 @@
 from limeshelf.demand.meter import UNSERVED_EXPIRY_S
 from limeshelf.demand.model_demand import demand_by_model
 from limeshelf.demand.serving_state import ServingState
-from limeshelf.demand.totals import RETURN_LIFE_S, DemandTotals
+from limeshelf.demand.totals import RETRY_WINDOW_S, DemandTotals
 from limeshelf.orders.pending import REPORT_SETTLE_S, PendingOrders
 from limeshelf.orders.task import Loadable
 from limeshelf.placement.adapters import AdapterMove, AdapterPlanner
@@ -150,8 +150,8 @@
         if self.is_disordered:
             messages = [now, self._before]
         for message in messages:
-            self.leader.take('g1', message)
-            self.heir.take('g1', message)
+            self.leader.add_counters('g1', message)
+            self.heir.add_counters('g1', message)
         self._before = now
 
     def _told(self, counts: KeyDemand) -> KeyDemand:
@@ -163,8 +163,8 @@
         self.leader, self.heir = self.heir, self.leader
 
     def step(self) -> None:
-        self.leader.step()
-        self.heir.step()
+        self.leader.update_averages()
+        self.heir.update_averages()
 
 
 @attrs.define
@@ -286,7 +286,7 @@
                 return True
         counts.wanted += 1
         if not self.gateway.loses_wishes:
-            self.gateway.leader.note_missing(key)
+            self.gateway.leader.record_missing(key)
             self._bring([key])
         return False
 
@@ -404,7 +404,7 @@
         if not holders:
             counts.wanted += 1
             if not self.gateway.loses_wishes:
-                self.gateway.leader.note_missing(key)
+                self.gateway.leader.record_missing(key)
             return False
         replica = min(holders, key=lambda one: one.running)
         if replica.running >= self.engine.slots:
@@ -451,7 +451,7 @@
         now_s = self.line.clock.now_s
         self.unused.discard(model)
         called_s, was_served = self.records[ModelKey(SERVICE, model)].calls[-1]
-        if not was_served and now_s - called_s < RETURN_LIFE_S:
+        if not was_served and now_s - called_s < RETRY_WINDOW_S:
             self.gone_too_soon.append((now_s, model, brought))
 
     def _loaded(self, replica: ModelReplica, model: str) -> None:
--- a/tests/placement/test_adapters.py
+++ b/tests/placement/test_adapters.py
@@ -10,7 +10,7 @@
 from limeshelf.calls.routes import EngineSpec, ModelSpec
 from limeshelf.demand.keys import ModelKey
 from limeshelf.demand.serving_state import ServingState
-from limeshelf.demand.totals import RETURN_LIFE_S, KeyTotals
+from limeshelf.demand.totals import RETRY_WINDOW_S, KeyTotals
 from limeshelf.orders.pending import REPORT_SETTLE_S, PendingOrders
 from limeshelf.orders.task import Loadable
 from limeshelf.placement.adapters import (
@@ -59,7 +59,7 @@
 
     def seen(self, adapter: str, ago_s: float, running: float = 0.0) -> None:
         self.totals[ModelKey('lm', 'm1', adapter)] = KeyTotals(
-            seen_s=boottime_s() - ago_s, running=running
+            last_requested_s=boottime_s() - ago_s, running=running
         )
 
     def unserved(self, adapter: str, since_s: float, ago_s: float = 0.1) -> None:
@@ -67,7 +67,8 @@
         now_s = boottime_s()
         key = ModelKey('lm', 'm1', adapter)
         self.totals[key] = KeyTotals(
-            seen_s=now_s - ago_s, serving_state=ServingState(unserved_since_s=now_s - since_s)
+            last_requested_s=now_s - ago_s,
+            serving_state=ServingState(unserved_since_s=now_s - since_s),
         )
 
     def due(self) -> list[str]:
@@ -171,7 +172,7 @@
     fleet.clock.advance(60.0)
     fleet.unserved('a1', 2.0)
     fleet.unserved('a2', 5.0)
-    fleet.unserved('a3', 20.0, ago_s=RETURN_LIFE_S + 0.1)
+    fleet.unserved('a3', 20.0, ago_s=RETRY_WINDOW_S + 0.1)
     fleet.unserved('no-such', 9.0)
     fleet.seen('a4', ago_s=0.1)
     assert fleet.due() == ['a2', 'a1']
--- a/tests/placement/test_planner.py
+++ b/tests/placement/test_planner.py
@@ -168,11 +168,11 @@
 demands = st.builds(
     ModelDemand,
     calls_per_s=st.floats(0, 40),
-    lasting_calls_per_s=st.floats(0, 40),
+    long_term_calls_per_s=st.floats(0, 40),
     busy_replicas=st.floats(0, 4),
     running=st.floats(0, 40),
     adapters=st.integers(0, 9),
-    is_waiting=st.booleans(),
+    recently_missing=st.booleans(),
     objective_s=st.sampled_from([0.0, 1.0, 6.0]),
 )
 
--- a/tests/placement/test_quick_look.py
+++ b/tests/placement/test_quick_look.py
@@ -40,11 +40,11 @@
         calls_per_s * chance.random(),
         busy_replicas=chance.choice([0.0, 0.03, 2.0]),
         running=chance.choice([0.0, 1.0]),
-        is_waiting=chance.random() < 0.2,
+        recently_missing=chance.random() < 0.2,
         objective_s=chance.choice([0.4, 5.0, 5.0, 5.0]),
         refused_per_s=chance.choice([0.0, 0.0, 1.0]) * chance.random(),
         unserved_s=chance.choice([0.0, 0.0, 0.0, 8.0, 15.0]),
-        is_awaited=chance.random() < 0.2,
+        may_be_retried=chance.random() < 0.2,
     )
 
 
--- a/tests/placement/test_service.py
+++ b/tests/placement/test_service.py
@@ -153,14 +153,14 @@
             ReplicaOrderClient(), directory, leadership, 'g-1', GatewayMetrics(), lambda: config
         )
         service = service_of(directory, leadership, sender, tasks, config)
-        step = service.totals.step
+        step = service.totals.update_averages
 
         def counted() -> Any:
             nonlocal rounds
             rounds += 1
             return step()
 
-        service.totals.step = counted  # type: ignore[method-assign]
+        service.totals.update_averages = counted  # type: ignore[method-assign]
         running = asyncio.create_task(service.run())
         for _ in range(int(seconds * wants_per_s)):
             service.want(ModelKey('lm', 'm1'))
@@ -213,7 +213,7 @@
         running = asyncio.create_task(service.run())
         for calls in range(1, 40):
             demands = [KeyDemand(ModelKey('lm', name), calls, 0, calls, 5000) for name in waiting]
-            service.totals.take('g-2', demands)
+            service.totals.add_counters('g-2', demands)
             await asyncio.sleep(0.1)
         told.update({key.model: at_s - boottime_s() for key, at_s in service.awaited().items()})
         running.cancel()
--- a/tests/placement/test_shift.py
+++ b/tests/placement/test_shift.py
@@ -25,19 +25,19 @@
 ENGINE = EngineSpec(48, 100_000, 230.0, 8, 1.6, MODELS)
 
 
-def urgent(calls_per_s: float = 0.0, is_waiting: bool = False) -> ModelDemand:
+def urgent(calls_per_s: float = 0.0, recently_missing: bool = False) -> ModelDemand:
     return ModelDemand(
         calls_per_s,
         calls_per_s,
         busy_replicas=calls_per_s / 20,
         running=calls_per_s * 2,
-        is_waiting=is_waiting,
+        recently_missing=recently_missing,
         objective_s=0.4,
     )
 
 
 def patient() -> ModelDemand:
-    return ModelDemand(0.3, 0.3, 0.03, is_waiting=True, objective_s=5.0)
+    return ModelDemand(0.3, 0.3, 0.03, recently_missing=True, objective_s=5.0)
 
 
 @attrs.define
@@ -101,7 +101,7 @@
     before = {'now': urgent(20), **others, **{name: patient() for name in PATIENT}}
     for _ in range(10):
         fleet.step(before)
-    after = {**before, 'now': urgent(5), 'next': urgent(30, is_waiting=True)}
+    after = {**before, 'now': urgent(5), 'next': urgent(30, recently_missing=True)}
     return fleet.until_copies('next', copies, after)
 
 
--- a/tests/placement/test_turns.py
+++ b/tests/placement/test_turns.py
@@ -17,8 +17,8 @@
 from tests.placement.builders import busy, engine, replica, seldom
 
 
-def waiting(unserved_s: float, is_awaited: bool = True) -> ModelDemand:
-    return attrs.evolve(seldom(0.1), unserved_s=unserved_s, is_awaited=is_awaited)
+def waiting(unserved_s: float, may_be_retried: bool = True) -> ModelDemand:
+    return attrs.evolve(seldom(0.1), unserved_s=unserved_s, may_be_retried=may_be_retried)
 
 
 def due(replicas: list[ReplicaCopies], **demands: ModelDemand) -> list[str]:
@@ -89,7 +89,7 @@
     move = planned(replicas, **demands)
     assert move is not None
     assert (move.model, move.evicted) == ('hot', ('big',))
-    demands['big'] = attrs.evolve(demands['big'], unserved_s=3.0, is_awaited=True)
+    demands['big'] = attrs.evolve(demands['big'], unserved_s=3.0, may_be_retried=True)
     move = planned(replicas, **demands)
     assert move is None or move.evicted == ()
 
@@ -100,7 +100,7 @@
     demands = {name: waiting(15.0) for name in ('rare', 'small', 'other')}
     move = planned(replicas, **demands, hot=busy(400, replicas=9.0))
     assert move is None
-    served = attrs.evolve(demands['other'], unserved_s=0.0, is_awaited=False)
+    served = attrs.evolve(demands['other'], unserved_s=0.0, may_be_retried=False)
     move = planned(replicas, **{**demands, 'other': served}, hot=busy(400, replicas=9.0))
     assert move is not None
     assert (move.model, move.evicted) == ('hot', ('other',))
@@ -108,7 +108,7 @@
 
 def test_nothing_is_loaded_for_callers_who_are_gone() -> None:
     replicas = [replica('r1', 'hot', 'big')]
-    assert due(replicas, rare=waiting(20.0, is_awaited=False)) == []
+    assert due(replicas, rare=waiting(20.0, may_be_retried=False)) == []
 
 
 def test_model_that_goes_unserved_beside_its_copy_gets_another_one() -> None:
--- a/tests/placement/test_unserved.py
+++ b/tests/placement/test_unserved.py
@@ -307,13 +307,13 @@
     with virtual_clock() as clock:
         play = ModelPlay.of(clock, 2, 1, ['urgent-0', 'urgent-1', 'patient-0'])
         totals = play.gateway.leader
-        totals.take('g2', [])
+        totals.add_counters('g2', [])
         for _ in range(150):
             clock.advance(ROUND_S)
-            totals.take('g2', [BAD_COUNTS[name]])
+            totals.add_counters('g2', [BAD_COUNTS[name]])
             used = [KeyDemand(key(f'urgent-{n}'), 0, 9, 0, 400, 0, 0, 0) for n in range(2)]
-            totals.take('g1', used)
-            totals.step()
+            totals.add_counters('g1', used)
+            totals.update_averages()
             demands = demand_by_model(SERVICE, play.engine, totals.latest(), lambda *_: 0.0)
             plan = CopyPlanner(play.engine, demands, {})
             assert plan.next_move([one.copies for one in play.replicas]) is None
@@ -325,9 +325,9 @@
         play = play_adapters(clock, 0.5, 5.0)
         bad = KeyDemand(key('m1', 'no-such'), count, count, count, 0, count, count, count)
         real = KeyDemand(key('m1', NINTH), count, 0, count, 0, count, count, 0)
-        play.gateway.leader.take('g2', [])
+        play.gateway.leader.add_counters('g2', [])
         play.line.every(
-            lambda: 1.0, lambda: play.gateway.leader.take('g2', [bad, real]), first_s=0.0
+            lambda: 1.0, lambda: play.gateway.leader.add_counters('g2', [bad, real]), first_s=0.0
         )
         play.line.run(60.0)
         eight = sum_up(play, EIGHT)
