--- a/benchmarks/placement_round.py
+++ b/benchmarks/placement_round.py
@@ -20,7 +20,7 @@
 from limeshelf.demand.totals import DemandTotals
 from limeshelf.lease.leadership import Term
 from limeshelf.metrics.prometheus import GatewayMetrics
-from limeshelf.orders.pending import REPORT_SETTLE_S
+from limeshelf.orders.pending import CLAIM_REPORT_LAG_S
 from limeshelf.orders.sender import OrderSender
 from limeshelf.placement.adapters import AdapterPlanner
 from limeshelf.placement.planner import CopyPlanner
@@ -116,11 +116,11 @@
             self._clock.advance(0.2)
             self.totals.update_averages()
         for replica in self.directory.all():
-            self.sender.pending(replica).note_claimed(FENCE)
-        self._clock.advance(1.1 * REPORT_SETTLE_S)
+            self.sender.pending(replica).record_claim(FENCE)
+        self._clock.advance(1.1 * CLAIM_REPORT_LAG_S)
         for replica in self.directory.all():
             assert replica.report is not None
-            self.sender.pending(replica).note_report(replica.report)
+            self.sender.pending(replica).record_report(replica.report)
 
     def _demands(self) -> list[KeyDemand]:
         models = self._random.sample(sorted(self.engine.models), WANTED_MODELS)
--- a/limeshelf/orders/order.py
+++ b/limeshelf/orders/order.py
@@ -70,19 +70,19 @@
 
 
 @dataclass(eq=False)
-class ReplicaSilent(LimeshelfError):
+class ReplicaUnresponsive(LimeshelfError):
     """A replica gave no usable answer; it may have accepted an order."""
 
     replica_id: str
 
 
-class OrderWire(Protocol):
+class OrderTransport(Protocol):
     """Sends orders to replicas and fetches their reports."""
 
     async def report(self, address: str, replica_id: str) -> ReplicaReport:
-        """Return a replica's report; raises :exc:`ReplicaSilent`."""
+        """Return a replica's report; raises :exc:`ReplicaUnresponsive`."""
 
     async def order(
         self, address: str, replica_id: str, order: ReplicaOrder
     ) -> ReplicaOrderAnswer:
-        """Send an order; raises :exc:`ReplicaSilent` if it may have been accepted."""
+        """Send an order; raises :exc:`ReplicaUnresponsive` if it may have been accepted."""
--- a/limeshelf/orders/pending.py
+++ b/limeshelf/orders/pending.py
@@ -20,7 +20,7 @@
 
 #: A poll answered this long after a claim includes the effect of every order before the claim.
 #: Reports are 100 to 200 ms old.
-REPORT_SETTLE_S = 0.35
+CLAIM_REPORT_LAG_S = 0.35
 #: Once this process has sent the replica no order for this long, a report is trusted even if its
 #: order number is lower than expected: an order counted here did not arrive. Reports are 100 to
 #: 200 ms old.
@@ -62,42 +62,42 @@
 
     # Planned loads and unloads.
 
-    def expect(self, item: Loadable, ready_s: float) -> None:
+    def expect_load(self, item: Loadable, ready_s: float) -> None:
         """Add *item* to the expected loads; *ready_s* is when it is expected to be complete."""
         self._ready_at_s[item] = ready_s
 
-    def expect_if_absent(self, item: Loadable, ready_s: float) -> None:
+    def expect_load_if_absent(self, item: Loadable, ready_s: float) -> None:
         """Add *item* to the expected loads, unless it is among them already."""
         self._ready_at_s.setdefault(item, ready_s)
 
-    def ordered_loads(self) -> set[Loadable]:
+    def sent_loads(self) -> set[Loadable]:
         """Return the loads that were sent and have neither completed nor been given up."""
         return set(self._sent)
 
-    def note_ended(self, item: Loadable) -> bool:
+    def record_load_ended(self, item: Loadable) -> bool:
         """Remove a load that completed or was given up; return whether it was sent."""
         was_sent = item in self._sent
         self._ready_at_s.pop(item, None)
         self._sent.discard(item)
         return was_sent
 
-    def note_unloading(self, item: Loadable) -> None:
+    def mark_unloading(self, item: Loadable) -> None:
         """Mark *item* as about to be unloaded."""
         self._unloading.add(item)
 
-    def note_unload_ended(self, items: Iterable[Loadable]) -> None:
+    def unmark_unloading(self, items: Iterable[Loadable]) -> None:
         """Remove the marks of unloads that completed or were given up."""
         self._unloading.difference_update(items)
 
-    def expects(self, item: Loadable) -> bool:
+    def is_load_expected(self, item: Loadable) -> bool:
         """Return whether the load of *item* is expected."""
         return item in self._ready_at_s
 
-    def ready_times_s(self) -> Mapping[Loadable, float]:
+    def expected_ready_s(self) -> Mapping[Loadable, float]:
         """Return the expected loads with the time when each is expected to be complete."""
         return self._ready_at_s
 
-    def models_expected(self) -> set[str]:
+    def expected_models(self) -> set[str]:
         """Return the models whose load is expected, without adapter loads."""
         return {item.model for item in self._ready_at_s if not item.adapter}
 
@@ -107,7 +107,7 @@
 
     # Loads that may occupy memory before a report lists them.
 
-    def note_sent(self, item: Loadable) -> None:
+    def record_load_sent(self, item: Loadable) -> None:
         """Record that an order to load *item* is being sent."""
         self._sent.add(item)
 
@@ -133,13 +133,13 @@
         self._ordered_s = boottime_s()
 
     @property
-    def is_settled(self) -> bool:
+    def is_past_report_lag(self) -> bool:
         """Return whether the last order was sent longer ago than reports lag."""
         return boottime_s() - self._ordered_s > LAST_ORDER_LAG_S
 
     # Polls, and the fence that the replica has accepted.
 
-    def note_report(self, report: ReplicaReport, is_current: bool = True) -> None:
+    def record_report(self, report: ReplicaReport, is_current: bool = True) -> None:
         """Record the answer to a poll of this process.
 
         Once the replica has accepted a later order, an unanswered load can no longer take effect,
@@ -161,7 +161,7 @@
                 if expected >= report.order_number
             }
 
-    def note_missed_poll(self) -> None:
+    def record_missed_poll(self) -> None:
         """Record a poll without an answer, and drop the claim.
 
         Orders delayed by a network partition may arrive when it heals, so the replica must be
@@ -170,7 +170,7 @@
         self._missed_polls += 1
         self._claimed_fence = 0
 
-    def note_claimed(self, fence: int) -> None:
+    def record_claim(self, fence: int) -> None:
         """Record that the replica has accepted *fence*."""
         self._claimed_fence = fence
         self._claimed_s = boottime_s()
@@ -194,8 +194,8 @@
         """Return whether a recent poll of this process shows the replica's state.
 
         The state received from the preceding leader may lack a load in progress. Polls later than
-        :data:`REPORT_SETTLE_S` after the claim include all of them; an outdated report can then
+        :data:`CLAIM_REPORT_LAG_S` after the claim include all of them; an outdated report can then
         lack only orders of this process.
         """
-        trusted_from_s = self._claimed_s + REPORT_SETTLE_S
+        trusted_from_s = self._claimed_s + CLAIM_REPORT_LAG_S
         return boottime_s() - self._polled_s < POLL_FRESH_S and self._confirmed_s > trusted_from_s
--- a/limeshelf/orders/sender.py
+++ b/limeshelf/orders/sender.py
@@ -16,7 +16,7 @@
 
 from limeshelf.metrics.event_log import log_change
 from limeshelf.orders.capacity import PossibleContents, RoomCheck, check_room
-from limeshelf.orders.order import OrderKind, OrderOutcome, ReplicaOrder, ReplicaSilent
+from limeshelf.orders.order import OrderKind, OrderOutcome, ReplicaOrder, ReplicaUnresponsive
 from limeshelf.orders.pending import PendingOrders
 from limeshelf.orders.task import OrderTask, claim_task
 from limeshelf.replicas.holdings import drop_adapter
@@ -30,7 +30,7 @@
     from limeshelf.calls.routes import EngineSpec, ServingConfig
     from limeshelf.lease.leadership import Leadership
     from limeshelf.metrics.prometheus import GatewayMetrics
-    from limeshelf.orders.order import OrderWire, ReplicaOrderAnswer
+    from limeshelf.orders.order import OrderTransport, ReplicaOrderAnswer
     from limeshelf.orders.task import Loadable
     from limeshelf.replicas.directory import ReplicaDirectory
     from limeshelf.replicas.replica import Replica
@@ -51,7 +51,7 @@
 
     def __init__(
         self,
-        wire: OrderWire,
+        transport: OrderTransport,
         directory: ReplicaDirectory,
         leadership: Leadership,
         holder: str,
@@ -59,7 +59,7 @@
         config: Callable[[], ServingConfig | None],
         on_load_in_doubt: Callable[[Replica, Loadable], None] = lambda replica, item: None,
     ) -> None:
-        self._wire = wire
+        self._transport = transport
         self._directory = directory
         self._leadership = leadership
         self._holder = holder
@@ -77,32 +77,32 @@
             self._pending[replica.start] = found
         return found
 
-    async def poll(self, replica: Replica, settled: bool = False) -> bool:
+    async def poll(self, replica: Replica, past_report_lag: bool = False) -> bool:
         """Fetch a replica's report; return whether it answered.
 
         A replica that has asked this gateway to pause is not polled.
 
-        :param settled: whether the last order was sent longer ago than reports lag.
+        :param past_report_lag: whether the last order was sent longer ago than reports lag.
         """
         if replica.backpressure.is_paused:
             # Not a missed poll: a pause is no sign of loss, and orders need a new report anyway.
             return False
         pending = self.pending(replica)
-        settled = settled or pending.is_settled
+        past_report_lag = past_report_lag or pending.is_past_report_lag
         asked_s = boottime_s()
         try:
-            report = await self._wire.report(replica.record.address, replica.replica_id)
-        except ReplicaSilent:
+            report = await self._transport.report(replica.record.address, replica.replica_id)
+        except ReplicaUnresponsive:
             # Not logged for each poll: the caller handles it, and the replica counts as lost after
             # several.
-            pending.note_missed_poll()
-            for item in pending.ordered_loads():
+            pending.record_missed_poll()
+            for item in pending.sent_loads():
                 self._on_load_in_doubt(replica, item)
             return False
         is_current = self._directory.take_report(
-            replica.replica_id, report, settled=settled, asked_s=asked_s
+            replica.replica_id, report, settled=past_report_lag, asked_s=asked_s
         )
-        pending.note_report(report, is_current)
+        pending.record_report(report, is_current)
         return True
 
     async def claim(self, replica: Replica, engine: EngineSpec) -> None:
@@ -120,7 +120,7 @@
         order = self._order_for(replica, task, term.fence)
         try:
             answer = await self._send_within_lease(replica, order)
-        except ReplicaSilent:
+        except ReplicaUnresponsive:
             # Not claimed, so no load is planned for it; the claim is repeated at the next poll.
             return
         log_change(
@@ -136,23 +136,25 @@
         if answer.outcome is OrderOutcome.FENCED_OFF:
             self._leadership.end('fenced_off')
         elif answer.outcome in _CLAIM_ACCEPTED:
-            self.pending(replica).note_claimed(term.fence)
+            self.pending(replica).record_claim(term.fence)
 
     async def _send_within_lease(
         self, replica: Replica, order: ReplicaOrder
     ) -> ReplicaOrderAnswer:
         """Send an order and wait for its answer, at most while this process may send orders.
 
-        :raises ReplicaSilent: no answer came in that time; the order may have been accepted.
+        :raises ReplicaUnresponsive: no answer came in that time; the order may have been accepted.
         """
         left_s = self._leadership.order_time_left_s()
         if left_s <= 0:
-            raise ReplicaSilent(replica.replica_id)
+            raise ReplicaUnresponsive(replica.replica_id)
         try:
             async with boot_timeout(left_s) if math.isfinite(left_s) else asyncio.timeout(None):
-                return await self._wire.order(replica.record.address, replica.replica_id, order)
+                return await self._transport.order(
+                    replica.record.address, replica.replica_id, order
+                )
         except TimeoutError:
-            raise ReplicaSilent(replica.replica_id) from None
+            raise ReplicaUnresponsive(replica.replica_id) from None
 
     async def _reason_to_withhold(self, replica: Replica, task: OrderTask) -> OrderOutcome | None:
         """Return the outcome of an order that must not be sent now, or ``None`` if it may be."""
@@ -205,12 +207,12 @@
         pending = self.pending(replica)
         pending.record_order_sent()
         if task.kind is OrderKind.LOAD:
-            pending.note_sent(task.item)
+            pending.record_load_sent(task.item)
         status = 0
         try:
             answer = await self._send_within_lease(replica, order)
             outcome, status = answer.outcome, answer.status
-        except ReplicaSilent:
+        except ReplicaUnresponsive:
             outcome = OrderOutcome.BUSY_OR_STALE
             if task.kind is OrderKind.LOAD:
                 pending.record_load_unanswered(task.item, order.expected_number)
--- a/limeshelf/orders/task_runner.py
+++ b/limeshelf/orders/task_runner.py
@@ -53,7 +53,7 @@
         pending = self._sender.pending(replica)
         loads = [task for task in tasks if task.kind is OrderKind.LOAD]
         for task in loads:
-            pending.expect_if_absent(task.item, boottime_s() + task.load_s)
+            pending.expect_load_if_absent(task.item, boottime_s() + task.load_s)
         retired = {task.model for task in tasks if task not in loads and not task.adapter}
         replica.retiring |= retired
         try:
@@ -67,7 +67,7 @@
         finally:
             replica.retiring -= retired
             for task in loads:
-                if pending.note_ended(task.item):
+                if pending.record_load_ended(task.item):
                     self._on_load_ended(replica, task)
 
     async def _wait_for_adapters(self, replica: Replica, loads: list[OrderTask]) -> bool:
@@ -97,9 +97,9 @@
         deadline_s = boottime_s() + task_timeout_s(task)
         while boottime_s() < deadline_s and replica.takes_calls:
             await asyncio.sleep(report_lag_s(task))
-            # Without settled=True, a wrongly counted order number would never be corrected
+            # Without past_report_lag=True, a wrongly counted order number would never be corrected
             # (tests/orders/test_sender.py::test_wrong_order_number_is_corrected).
-            answered = await self._sender.poll(replica, settled=True)
+            answered = await self._sender.poll(replica, past_report_lag=True)
             if answered and replica.report and not replica.report.busy:
                 return True
         return False
--- a/limeshelf/placement/adapters.py
+++ b/limeshelf/placement/adapters.py
@@ -129,7 +129,7 @@
         adapter = Loadable(key.model, key.adapter)
         holders = [one for one in self._holders(key.model) if one.holds(key.model, key.adapter)]
         others = [one for one in self._holders(key.model) if one not in holders]
-        if any(pending_orders[one.replica_id].expects(adapter) for one in others):
+        if any(pending_orders[one.replica_id].is_load_expected(adapter) for one in others):
             return None
         if holders and not self._needs_another_place(key, holders, pending_orders):
             return None
@@ -169,7 +169,7 @@
     ) -> _Option | None:
         loading = _count_loading(replica, pending)
         is_known = pending.is_fresh and pending.is_claimed_under(self.fence)
-        if not is_known or pending.models_expected() or loading >= MAX_LOADING:
+        if not is_known or pending.expected_models() or loading >= MAX_LOADING:
             return None
         place = self._find_place(replica, pending, loading, is_turn)
         if place is None:
@@ -196,7 +196,7 @@
             for model, adapters in replica.holdings.items()
             for adapter in adapters
             if not pending.is_unloading(Loadable(model, adapter))
-            and not pending.expects(Loadable(model, adapter))
+            and not pending.is_load_expected(Loadable(model, adapter))
         ]
         if len(held) + loading < self.engine.adapter_places:
             return AdapterPlace()
@@ -238,7 +238,7 @@
     """Return the adapters on their way, by the replica's report or by orders to it.
 
     A report lists also those that were given up here and still come
-    (tests/orders/test_capacity.py::test_adapter_on_its_way_takes_a_place).
+    (tests/orders/test_capacity.py::test_loading_adapter_takes_a_place).
     """
     reported = set(replica.report.loading) if replica.report else set()
-    return sum(1 for _, adapter in reported | set(pending.ready_times_s()) if adapter)
+    return sum(1 for _, adapter in reported | set(pending.expected_ready_s()) if adapter)
--- a/limeshelf/placement/move_runner.py
+++ b/limeshelf/placement/move_runner.py
@@ -77,7 +77,7 @@
         ready_s = boottime_s() + move.load_s + (UNLOAD_S if move.evicted else 0.0)
         tasks = [OrderTask(OrderKind.UNLOAD, name) for name in move.evicted]
         tasks.append(OrderTask(OrderKind.LOAD, move.model, '', move.load_s))
-        self._sender.pending(replica).expect(Loadable(move.model), ready_s)
+        self._sender.pending(replica).expect_load(Loadable(move.model), ready_s)
         self._on_load()
         self._tasks.spawn(self._run(replica, tasks), 'move')
 
@@ -98,11 +98,11 @@
         pending = self._sender.pending(move.replica)
         load = OrderTask(OrderKind.LOAD, move.key.model, move.key.adapter)
         tasks = [load]
-        pending.expect(load.item, boottime_s())
+        pending.expect_load(load.item, boottime_s())
         if move.evicted is not None:
             unload = OrderTask(OrderKind.UNLOAD, move.evicted.model, move.evicted.adapter)
             tasks = [unload, load]
-            pending.note_unloading(unload.item)
+            pending.mark_unloading(unload.item)
         self._tasks.spawn(self._run_adapter(move, tasks), 'adapter')
 
     async def _run_adapter(self, move: AdapterMove, tasks: list[OrderTask]) -> None:
@@ -122,7 +122,7 @@
         try:
             done = await self._runner.run(replica, tasks)
         finally:
-            self._sender.pending(replica).note_unload_ended(task.item for task in tasks)
+            self._sender.pending(replica).unmark_unloading(task.item for task in tasks)
         if not done:
             last = tasks[-1]
             log_change(
--- a/limeshelf/placement/replica_watch.py
+++ b/limeshelf/placement/replica_watch.py
@@ -88,7 +88,7 @@
             return
         if not self._sender.pending(replica).is_claimed_under(self._leadership.fence):
             # New in this term, or back in reach: what was ordered before may
-            # arrive just now (tests/orders/test_sender.py::test_replica_back_in_reach).
+            # arrive just now (tests/orders/test_sender.py::test_replica_is_reachable_again).
             await self._sender.claim(replica, engine)
 
     def copies(self, service: str) -> list[ReplicaCopies]:
@@ -104,7 +104,7 @@
         return ReplicaCopies(
             replica.replica_id,
             set(replica.holdings) - replica.retiring,
-            pending.models_expected(),
+            pending.expected_models(),
             is_idle=self._may_take_orders(replica, pending),
             data_centre=replica.record.data_centre,
             in_memory=report.in_memory if report else frozenset(),
@@ -117,7 +117,7 @@
         return (
             pending.is_fresh
             and pending.is_claimed_under(self._leadership.fence)
-            and not pending.models_expected()
+            and not pending.expected_models()
             and not busy
             and not replica.health.is_suspended()
             and not replica.backpressure.is_paused
@@ -127,14 +127,16 @@
         """Return whether a model is at some replica or on its way to one."""
         model = Loadable(key.model)
         replicas = self._directory.of_service(key.service)
-        coming = any(self._sender.pending(replica).expects(model) for replica in replicas)
+        coming = any(self._sender.pending(replica).is_load_expected(model) for replica in replicas)
         return coming or any(replica.holds(key.model) for replica in replicas)
 
     def awaited(self) -> dict[ModelKey, float]:
         """Return the models on their way, with the boot clock's time when each is likely there."""
         awaited: dict[ModelKey, float] = {}
         for replica in self._directory.all():
-            for (model, adapter), ready_s in self._sender.pending(replica).ready_times_s().items():
+            for (model, adapter), ready_s in (
+                self._sender.pending(replica).expected_ready_s().items()
+            ):
                 if not adapter:
                     key = ModelKey(replica.record.service, model)
                     awaited[key] = min(ready_s, awaited.get(key, ready_s))
@@ -143,7 +145,7 @@
 
 def _free_in_s(pending: PendingOrders) -> float:
     """Return how long the loads of whole models under way at a replica likely take yet."""
-    ready_s = [at_s for item, at_s in pending.ready_times_s().items() if not item.adapter]
+    ready_s = [at_s for item, at_s in pending.expected_ready_s().items() if not item.adapter]
     return max(0.0, max(ready_s, default=0.0) - boottime_s())
 
 
--- a/limeshelf/platform/orders.py
+++ b/limeshelf/platform/orders.py
@@ -14,7 +14,12 @@
 import msgspec
 
 from limeshelf.errors import InvalidDocument
-from limeshelf.orders.order import OrderOutcome, ReplicaOrder, ReplicaOrderAnswer, ReplicaSilent
+from limeshelf.orders.order import (
+    OrderOutcome,
+    ReplicaOrder,
+    ReplicaOrderAnswer,
+    ReplicaUnresponsive,
+)
 from limeshelf.platform.headers import EXPECT_INSTANCE, STATUS_MISDIRECTED, read_notice
 from limeshelf.platform.replicas import read_report
 from limeshelf.platform.sessions import open_session
@@ -65,7 +70,7 @@
 
 
 class ReplicaOrderClient:
-    """Implements :class:`limeshelf.orders.order.OrderWire`.
+    """Implements :class:`limeshelf.orders.order.OrderTransport`.
 
     :param on_notice: called with the id of a replica and what it asks for in the head of any
         answer. Another replica may have given a misdirected one, which is not heard.
@@ -80,24 +85,24 @@
     async def report(self, address: str, replica_id: str) -> ReplicaReport:
         """Return a replica's report.
 
-        :raises ReplicaSilent: no usable report came in time.
+        :raises ReplicaUnresponsive: no usable report came in time.
         """
         status, body = await self._call(
             'GET', address, '/report', replica_id, None, REPORT_ANSWER_S
         )
         if status != STATUS_OK:
-            raise ReplicaSilent(replica_id)
+            raise ReplicaUnresponsive(replica_id)
         try:
             return read_report(body)
         except InvalidDocument:
-            raise ReplicaSilent(replica_id) from None
+            raise ReplicaUnresponsive(replica_id) from None
 
     async def order(
         self, address: str, replica_id: str, order: ReplicaOrder
     ) -> ReplicaOrderAnswer:
         """Send an order.
 
-        :raises ReplicaSilent: no answer came in time; the order may have been taken.
+        :raises ReplicaUnresponsive: no answer came in time; the order may have been taken.
         """
         body = _Order(
             op=order.kind.value,
@@ -133,7 +138,7 @@
                         self._on_notice(replica_id, read_notice(answer.status, answer.headers))
                     return answer.status, await answer.read()
         except (TimeoutError, aiohttp.ClientError, OSError):
-            raise ReplicaSilent(replica_id) from None
+            raise ReplicaUnresponsive(replica_id) from None
 
     def _open(self) -> aiohttp.ClientSession:
         if self._session is None:
--- a/tests/forms/test_platform_wire.py
+++ b/tests/forms/test_platform_wire.py
@@ -27,7 +27,7 @@
     OrderOutcome,
     ReplicaOrder,
     ReplicaOrderAnswer,
-    ReplicaSilent,
+    ReplicaUnresponsive,
 )
 from limeshelf.platform.orders import ReplicaOrderClient
 from limeshelf.platform.store import StoreClient
@@ -310,7 +310,7 @@
 
 @pytest.mark.parametrize(('status', 'body'), [(421, FULL_REPORT), (200, 'no JSON')])
 def test_unusable_report_as_read(status: int, body: str) -> None:
-    with pytest.raises(ReplicaSilent):
+    with pytest.raises(ReplicaUnresponsive):
         ask_replica(Peer([(status, body)]), report_call)
 
 
--- a/tests/orders/test_capacity.py
+++ b/tests/orders/test_capacity.py
@@ -61,7 +61,7 @@
     assert not fits(
         load, report, lambda pending: pending.record_load_unanswered(Loadable('m2'), 1)
     )
-    assert not fits(load, report, lambda pending: pending.note_sent(Loadable('m2')))
+    assert not fits(load, report, lambda pending: pending.record_load_sent(Loadable('m2')))
 
 
 def test_weights_and_adapters_share_the_memory() -> None:
@@ -96,7 +96,7 @@
 
 def test_planned_load_takes_no_room_before_it_is_sent() -> None:
     report = ReplicaReport(holding(), False, 1)
-    assert fits(Loadable('m3'), report, lambda pending: pending.expect(Loadable('m2'), 5.0))
+    assert fits(Loadable('m3'), report, lambda pending: pending.expect_load(Loadable('m2'), 5.0))
 
 
 def test_each_model_and_adapter_counts_once() -> None:
--- a/tests/orders/test_sender.py
+++ b/tests/orders/test_sender.py
@@ -13,7 +13,7 @@
 from limeshelf.lease.leadership import Term
 from limeshelf.metrics.prometheus import GatewayMetrics
 from limeshelf.orders.order import OrderKind, OrderOutcome
-from limeshelf.orders.pending import REPORT_SETTLE_S
+from limeshelf.orders.pending import CLAIM_REPORT_LAG_S
 from limeshelf.orders.sender import OrderSender
 from limeshelf.orders.task import Loadable, OrderTask
 from limeshelf.orders.task_runner import TaskRunner
@@ -256,7 +256,7 @@
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
         # The task has ended, so the load counts only because its order was not answered.
-        assert not pending.expects(Loadable('m2'))
+        assert not pending.is_load_expected(Loadable('m2'))
         assert pending.unconfirmed_loads() == {Loadable('m2')}
         replica.order_number += 1
         await system.sender.poll(system.replica)
@@ -276,7 +276,7 @@
     async def scenario(system: System) -> None:
         pending = system.sender.pending(system.replica)
         await system.sender.claim(system.replica, ENGINE)
-        await asyncio.sleep(1.1 * REPORT_SETTLE_S)
+        await asyncio.sleep(1.1 * CLAIM_REPORT_LAG_S)
         system.replica.order_number = 1
         pending.record_order_sent()
         assert await system.sender.poll(system.replica)
@@ -297,7 +297,7 @@
     async def scenario(system: System) -> None:
         await system.sender.claim(system.replica, ENGINE)
         system.replica.order_number = 3
-        await asyncio.sleep(1.1 * REPORT_SETTLE_S)
+        await asyncio.sleep(1.1 * CLAIM_REPORT_LAG_S)
         assert await system.sender.poll(system.replica)
         assert system.replica.order_number == 0
         assert system.sender.pending(system.replica).is_fresh
@@ -361,7 +361,7 @@
         await system.sender.claim(system.replica, ENGINE)
         assert pending.is_claimed_under(5)
         assert not pending.is_fresh
-        await asyncio.sleep(REPORT_SETTLE_S + 0.05)
+        await asyncio.sleep(CLAIM_REPORT_LAG_S + 0.05)
         await system.sender.poll(system.replica)
         assert pending.is_fresh
         reachable, system.replica.record = (
--- a/tests/placement/fleet_play.py
+++ b/tests/placement/fleet_play.py
@@ -20,7 +20,7 @@
 from limeshelf.demand.model_demand import demand_by_model
 from limeshelf.demand.serving_state import ServingState
 from limeshelf.demand.totals import RETRY_WINDOW_S, DemandTotals
-from limeshelf.orders.pending import REPORT_SETTLE_S, PendingOrders
+from limeshelf.orders.pending import CLAIM_REPORT_LAG_S, PendingOrders
 from limeshelf.orders.task import Loadable
 from limeshelf.placement.adapters import AdapterMove, AdapterPlanner
 from limeshelf.placement.pace import LoadPace
@@ -262,8 +262,8 @@
             play.directory.take_record(
                 ReplicaRecord(name, SERVICE, f'ip:{name}', 'z1', 16, False, None, (), 1)
             )
-            replica.pending.note_claimed(FENCE)
-        clock.advance(1.1 * REPORT_SETTLE_S)
+            replica.pending.record_claim(FENCE)
+        clock.advance(1.1 * CLAIM_REPORT_LAG_S)
         play._report()
         play.line.every(lambda: COUNTS_S, play._report, COUNTS_S)
         return play
@@ -274,7 +274,7 @@
         for name, replica in self.replicas.items():
             report = replica.report()
             self.directory.take_report(name, report)
-            replica.pending.note_report(report)
+            replica.pending.record_report(report)
             for note in replica.unreported:
                 note()
             replica.unreported.clear()
@@ -320,11 +320,11 @@
         item = Loadable('m1', move.key.adapter)
         gone = move.evicted
         now_s = self.line.clock.now_s
-        replica.pending.expect(item, now_s)
+        replica.pending.expect_load(item, now_s)
         start_s = max(now_s, replica.free_s)
         unload_s = 0.0
         if gone is not None:
-            replica.pending.note_unloading(Loadable('m1', gone.adapter))
+            replica.pending.mark_unloading(Loadable('m1', gone.adapter))
             unload_s = ADAPTER_UNLOAD_S + ADAPTER_CALL_S * bool(replica.running.get(gone.adapter))
             self.line.after(
                 start_s + unload_s - now_s, lambda: self._unloaded(replica, gone.adapter)
@@ -335,13 +335,13 @@
     def _unloaded(self, replica: AdapterReplica, adapter: str) -> None:
         replica.held.discard(adapter)
         gone = [Loadable('m1', adapter)]
-        replica.unreported.append(lambda: replica.pending.note_unload_ended(gone))
+        replica.unreported.append(lambda: replica.pending.unmark_unloading(gone))
         self._ordered(replica)
 
     def _loaded(self, replica: AdapterReplica, item: Loadable) -> None:
         replica.held.add(item.adapter)
         assert len(replica.held) <= self.engine.adapter_places
-        replica.unreported.append(lambda: replica.pending.note_ended(item))
+        replica.unreported.append(lambda: replica.pending.record_load_ended(item))
         self._ordered(replica)
 
     def _ordered(self, replica: AdapterReplica) -> None:
--- a/tests/placement/test_adapters.py
+++ b/tests/placement/test_adapters.py
@@ -11,7 +11,7 @@
 from limeshelf.demand.keys import ModelKey
 from limeshelf.demand.serving_state import ServingState
 from limeshelf.demand.totals import RETRY_WINDOW_S, KeyTotals
-from limeshelf.orders.pending import REPORT_SETTLE_S, PendingOrders
+from limeshelf.orders.pending import CLAIM_REPORT_LAG_S, PendingOrders
 from limeshelf.orders.task import Loadable
 from limeshelf.placement.adapters import (
     AWAITED_S,
@@ -53,9 +53,9 @@
         report = ReplicaReport(held, False, 1, loading=on_their_way)
         self.directory.take_report(name, report)
         self.pending[name] = PendingOrders()
-        self.pending[name].note_claimed(FENCE)
-        self.clock.advance(1.1 * REPORT_SETTLE_S)
-        self.pending[name].note_report(report)
+        self.pending[name].record_claim(FENCE)
+        self.clock.advance(1.1 * CLAIM_REPORT_LAG_S)
+        self.pending[name].record_report(report)
 
     def seen(self, adapter: str, ago_s: float, running: float = 0.0) -> None:
         self.totals[ModelKey('lm', 'm1', adapter)] = KeyTotals(
@@ -108,10 +108,10 @@
 
 def test_adapter_that_is_there_or_on_its_way_is_not_loaded_again(fleet: Fleet) -> None:
     fleet.add('r1')
-    fleet.pending['r1'].expect(Loadable('m1', 'a6'), boottime_s())
+    fleet.pending['r1'].expect_load(Loadable('m1', 'a6'), boottime_s())
     fleet.add('r2')
     assert fleet.plan() is None
-    fleet.pending['r1'].note_ended(Loadable('m1', 'a6'))
+    fleet.pending['r1'].record_load_ended(Loadable('m1', 'a6'))
     assert fleet.plan() == ('r1', None)
     fleet.add('r3', 'a6')
     assert fleet.plan() is None
@@ -142,21 +142,21 @@
 def test_few_adapters_load_at_once_at_one_replica(fleet: Fleet) -> None:
     fleet.add('r1', 'a5', loading=('a1', 'a2', 'a3'))
     assert fleet.plan() == ('r1', 'a5')
-    fleet.pending['r1'].expect(Loadable('m1', 'a4'), boottime_s())
+    fleet.pending['r1'].expect_load(Loadable('m1', 'a4'), boottime_s())
     assert fleet.plan() is None
 
 
 def test_replica_that_loads_a_whole_model_takes_no_adapter(fleet: Fleet) -> None:
     fleet.add('r1')
-    fleet.pending['r1'].expect(Loadable('m2'), boottime_s())
+    fleet.pending['r1'].expect_load(Loadable('m2'), boottime_s())
     assert fleet.plan() is None
 
 
 def test_replica_that_was_not_claimed_takes_no_adapter(fleet: Fleet) -> None:
     fleet.add('r1')
-    fleet.pending['r1'].note_claimed(FENCE - 1)
-    fleet.clock.advance(1.1 * REPORT_SETTLE_S)
-    fleet.pending['r1'].note_report(ReplicaReport((), False, 1))
+    fleet.pending['r1'].record_claim(FENCE - 1)
+    fleet.clock.advance(1.1 * CLAIM_REPORT_LAG_S)
+    fleet.pending['r1'].record_report(ReplicaReport((), False, 1))
     assert fleet.plan() is None
     fleet.add('r2')
     assert fleet.plan() == ('r2', None)
@@ -164,7 +164,7 @@
 
 def test_replica_without_a_fresh_poll_takes_no_adapter(fleet: Fleet) -> None:
     fleet.add('r1')
-    fleet.pending['r1'].note_claimed(1)
+    fleet.pending['r1'].record_claim(1)
     assert fleet.plan() is None
 
 
@@ -225,9 +225,9 @@
 def test_adapter_at_a_replica_that_answers_no_poll_is_loaded_at_another(fleet: Fleet) -> None:
     fleet.add('r1', 'a6')
     fleet.add('r2', 'a1')
-    fleet.pending['r1'].note_missed_poll()
+    fleet.pending['r1'].record_missed_poll()
     assert fleet.plan() is None
-    fleet.pending['r1'].note_missed_poll()
+    fleet.pending['r1'].record_missed_poll()
     assert fleet.plan() == ('r2', None)
 
 
--- a/tests/placement/test_replica_watch.py
+++ b/tests/placement/test_replica_watch.py
@@ -10,7 +10,7 @@
 from limeshelf.demand.keys import ModelKey
 from limeshelf.lease.leadership import Term
 from limeshelf.metrics.prometheus import GatewayMetrics
-from limeshelf.orders.pending import LOST_AFTER_POLLS, REPORT_SETTLE_S
+from limeshelf.orders.pending import CLAIM_REPORT_LAG_S, LOST_AFTER_POLLS
 from limeshelf.orders.sender import OrderSender
 from limeshelf.orders.task import Loadable
 from limeshelf.placement.replica_watch import SETTLED_S, ReplicaWatch
@@ -70,9 +70,9 @@
 
 def claim_and_poll(world: World, clock: list[float], report: ReplicaReport) -> None:
     pending = world.pending('r1')
-    pending.note_claimed(FENCE)
-    clock[0] += REPORT_SETTLE_S + 0.01
-    pending.note_report(report)
+    pending.record_claim(FENCE)
+    clock[0] += CLAIM_REPORT_LAG_S + 0.01
+    pending.record_report(report)
     world.directory.take_report('r1', report)
 
 
@@ -81,7 +81,7 @@
     assert world.idle() == []
     claim_and_poll(world, clock, ReplicaReport((Holding('m1'),), False, 0))
     assert world.idle() == ['r1']
-    world.pending('r1').note_claimed(FENCE - 1)
+    world.pending('r1').record_claim(FENCE - 1)
     assert world.idle() == []
 
 
@@ -94,9 +94,9 @@
 def test_replica_with_a_model_on_its_way_takes_no_order(clock: list[float]) -> None:
     world = World()
     claim_and_poll(world, clock, ReplicaReport((Holding('m1'),), False, 0))
-    world.pending('r1').expect(Loadable('m1', 'a1'), 0.0)
+    world.pending('r1').expect_load(Loadable('m1', 'a1'), 0.0)
     assert world.idle() == ['r1']
-    world.pending('r1').expect(Loadable('m2'), 0.0)
+    world.pending('r1').expect_load(Loadable('m2'), 0.0)
     assert world.idle() == []
     assert [copies.loading for copies in world.watch.copies('lm')] == [{'m2'}, set()]
 
@@ -104,9 +104,9 @@
 def test_replica_is_free_when_its_load_is_done(monkeypatch: pytest.MonkeyPatch) -> None:
     world = World()
     monkeypatch.setattr('limeshelf.placement.replica_watch.boottime_s', lambda: 100.0)
-    world.pending('r1').expect(Loadable('m3'), 104.0)
-    world.pending('r1').expect(Loadable('m1', 'a1'), 109.0)
-    world.pending('r2').expect(Loadable('m3'), 99.0)
+    world.pending('r1').expect_load(Loadable('m3'), 104.0)
+    world.pending('r1').expect_load(Loadable('m1', 'a1'), 109.0)
+    world.pending('r2').expect_load(Loadable('m3'), 99.0)
     assert [copies.free_in_s for copies in world.watch.copies('lm')] == [4.0, 0.0]
 
 
@@ -126,13 +126,13 @@
 def test_lost_replica_is_not_planned_for() -> None:
     world = World()
     for _ in range(LOST_AFTER_POLLS):
-        world.pending('r1').note_missed_poll()
+        world.pending('r1').record_missed_poll()
     assert [copies.replica_id for copies in world.watch.copies('lm')] == ['r2']
 
 
 def test_replica_that_calls_cannot_reach_is_lost_with_the_first_missed_poll() -> None:
     world = World()
-    world.pending('r1').note_missed_poll()
+    world.pending('r1').record_missed_poll()
     assert [copies.replica_id for copies in world.watch.copies('lm')] == ['r1', 'r2']
     replica = world.directory.get('r1')
     assert replica is not None
@@ -159,9 +159,9 @@
 
 def test_awaited_model_comes_with_its_earliest_load() -> None:
     world = World()
-    world.pending('r1').expect(Loadable('m3'), 9.0)
-    world.pending('r2').expect(Loadable('m3'), 7.0)
-    world.pending('r2').expect(Loadable('m1', 'a1'), 1.0)
+    world.pending('r1').expect_load(Loadable('m3'), 9.0)
+    world.pending('r2').expect_load(Loadable('m3'), 7.0)
+    world.pending('r2').expect_load(Loadable('m1', 'a1'), 1.0)
     assert world.watch.awaited() == {ModelKey('lm', 'm3'): 7.0}
     assert world.watch.is_coming_or_held(ModelKey('lm', 'm3'))
     assert world.watch.is_coming_or_held(ModelKey('lm', 'm1', 'a9'))
--- a/tests/placement/test_service.py
+++ b/tests/placement/test_service.py
@@ -16,7 +16,7 @@
 from limeshelf.lease.leadership import Term
 from limeshelf.metrics.prometheus import GatewayMetrics
 from limeshelf.orders.order import OrderKind, OrderOutcome, ReplicaOrder, ReplicaOrderAnswer
-from limeshelf.orders.pending import REPORT_SETTLE_S
+from limeshelf.orders.pending import CLAIM_REPORT_LAG_S
 from limeshelf.orders.sender import OrderSender
 from limeshelf.placement.service import LEAST_ROUND_S, PlacementService
 from limeshelf.platform.orders import ReplicaOrderClient
@@ -106,7 +106,7 @@
         assert replica is not None
         await sender.claim(replica, ENGINE)
         stand_in.orders.clear()
-        await asyncio.sleep(REPORT_SETTLE_S + 0.05)
+        await asyncio.sleep(CLAIM_REPORT_LAG_S + 0.05)
         await sender.poll(replica)
         service.want(ModelKey('lm', 'm1', adapter))
         # What is on its way is not ordered again.
