--- a/limeshelf/lease/leadership.py
+++ b/limeshelf/lease/leadership.py
@@ -104,7 +104,7 @@
         self._holder = holder
         self._lease_s = lease_s
         self._highest_fence = 0
-        self._store_lost = False
+        self._store_unavailable = False
         self._reader = LeaseReader(store, holder, lease_s, clock or StoreClock())
 
     @property
@@ -113,9 +113,9 @@
         return self.term.fence if self.term else 0
 
     @property
-    def store_is_lost(self) -> bool:
+    def store_is_unavailable(self) -> bool:
         """Return whether the last attempt to use the store failed."""
-        return self._store_lost
+        return self._store_unavailable
 
     def order_time_left_s(self) -> float:
         """Return for how much longer orders may be sent, in seconds; 0 if none may.
@@ -129,7 +129,7 @@
         end_s = self.term.renewed_s + self._lease_s - ORDER_MARGIN_S
         return max(0.0, end_s - boottime_s())
 
-    def note_fence(self, fence: int) -> None:
+    def observe_fence(self, fence: int) -> None:
         """Record a fence that a peer uses or a replica has seen; a higher one ends the term."""
         self._highest_fence = max(self._highest_fence, fence)
         if self.term is not None and fence > self.term.fence:
@@ -141,7 +141,7 @@
             log_change('term_ended', fence=self.term.fence, cause=cause)
             self.term = None
 
-    async def step(self) -> None:
+    async def renew_or_acquire(self) -> None:
         """Renew the lease if due, or acquire it if it is free; no effect after :meth:`release`."""
         if self._released:
             return
@@ -165,9 +165,9 @@
 
         :param error_name: name of the error of this attempt; empty without one.
         """
-        if bool(error_name) == self._store_lost:
+        if bool(error_name) == self._store_unavailable:
             return
-        self._store_lost = bool(error_name)
+        self._store_unavailable = bool(error_name)
         if error_name:
             log_change('lease_store_lost', fence=self.fence, cause=error_name)
         else:
--- a/limeshelf/membership/digest_exchange.py
+++ b/limeshelf/membership/digest_exchange.py
@@ -219,7 +219,7 @@
         if not self._book.take(digest):
             return
         if digest.fence:
-            self.leadership.note_fence(digest.fence)
+            self.leadership.observe_fence(digest.fence)
             self.leader.note_claim(digest.address, digest.fence)
         self.directory.take_peer_loads(digest.instance_id, digest.loads)
         self._take_demand(digest)
--- a/limeshelf/membership/state_exchange.py
+++ b/limeshelf/membership/state_exchange.py
@@ -101,7 +101,7 @@
 
     def _take_states(self, envelope: Envelope) -> None:
         message: ReplicaStates = envelope.message
-        self.leadership.note_fence(message.fence)
+        self.leadership.observe_fence(message.fence)
         if not states_count(
             fence=message.fence,
             newest_fence=self._newest_fence,
--- a/limeshelf/programs/gateway.py
+++ b/limeshelf/programs/gateway.py
@@ -120,12 +120,12 @@
     async def _lead(self) -> None:
         components = self.components
         while True:
-            is_lost = components.leadership.store_is_lost
+            is_lost = components.leadership.store_is_unavailable
             await asyncio.sleep(jittered_s(LEAD_RETRY_S if is_lost else LEAD_STEP_S))
             self._note_gateways()
             if components.leadership.term is None and not components.leader.may_contend():
                 continue
-            await components.leadership.step()
+            await components.leadership.renew_or_acquire()
 
     def _note_gateways(self) -> None:
         gateways = self.components.digests.gateway_count
--- a/tests/forms/test_rows.py
+++ b/tests/forms/test_rows.py
@@ -337,7 +337,7 @@
     async def play() -> None:
         store = RecordingStore()
         lease = Leadership(store, 'g-1', 2.5)
-        await lease.step()
+        await lease.renew_or_acquire()
         await lease.release()
         assert store.written == [
             ('lease', 'placement', b'{"holder":"g-1","fence":1,"until_ms":52500}', BEGINNING),
@@ -361,7 +361,7 @@
 def test_lease_row_as_read(row: Row, fence: int) -> None:
     lease = Leadership(RecordingStore((row,)), 'g-1', 2.5)
     with virtual_clock():
-        asyncio.run(lease.step())
+        asyncio.run(lease.renew_or_acquire())
     assert lease.fence == fence
 
 
--- a/tests/lease/test_order_time.py
+++ b/tests/lease/test_order_time.py
@@ -104,7 +104,7 @@
     @rule(holder=st.integers(0, 2), call_s=st.sampled_from([0.0, 0.002, 0.1, 0.6]))
     def step(self, holder: int, call_s: float) -> None:
         self.store.call_s = call_s
-        asyncio.run(self.holders[holder].step())
+        asyncio.run(self.holders[holder].renew_or_acquire())
 
     @rule(seconds=st.sampled_from([0.1, 0.5, 0.9, 2.0, 2.5]))
     def wait(self, seconds: float) -> None:
@@ -127,7 +127,7 @@
     @rule(holder=st.integers(0, 2))
     def learn_highest_fence(self, holder: int) -> None:
         fence = max(one.fence for one in self.holders)
-        self.holders[holder].note_fence(fence)
+        self.holders[holder].observe_fence(fence)
 
     @rule(holder=st.integers(0, 2))
     def restart(self, holder: int) -> None:
@@ -156,7 +156,7 @@
     store = LeaseStore(clock, call_s=call_s)
     as_table: Any = store
     leadership = Leadership(as_table, 'g-1', LEASE_S, checked)
-    asyncio.run(leadership.step())
+    asyncio.run(leadership.renew_or_acquire())
     assert leadership.fence == 1
     return store, leadership
 
@@ -166,14 +166,14 @@
         store, leadership = leader(clock, checked=False)
         store.away = True
         clock.advance(LEASE_S - ORDER_MARGIN_S - 0.01)
-        asyncio.run(leadership.step())
+        asyncio.run(leadership.renew_or_acquire())
         assert leadership.order_time_left_s() > 0
         clock.advance(0.02)
         assert leadership.order_time_left_s() == 0
         # The term goes on, and orders may be sent again once the lease is renewed.
         assert leadership.fence == 1
         store.away = False
-        asyncio.run(leadership.step())
+        asyncio.run(leadership.renew_or_acquire())
         assert leadership.fence == 1
         assert leadership.order_time_left_s() > 1.0
 
@@ -220,10 +220,10 @@
 def test_term_that_ends_during_its_renewal_is_not_resumed() -> None:
     with virtual_clock() as clock:
         store, leadership = leader(clock, checked=True)
-        interrupted: Any = InterruptedStore(store, lambda: leadership.note_fence(7))
+        interrupted: Any = InterruptedStore(store, lambda: leadership.observe_fence(7))
         leadership._store = interrupted
         clock.advance(1.0)
-        asyncio.run(leadership.step())
+        asyncio.run(leadership.renew_or_acquire())
         assert leadership.fence == 0
 
 
@@ -232,5 +232,5 @@
         _, leadership = leader(clock, checked=True)
         asyncio.run(leadership.release())
         clock.advance(LEASE_S)
-        asyncio.run(leadership.step())
+        asyncio.run(leadership.renew_or_acquire())
         assert leadership.fence == 0
--- a/tests/lease/test_returned_store.py
+++ b/tests/lease/test_returned_store.py
@@ -37,14 +37,14 @@
 
 def test_holder_whose_row_is_lost_goes_on_with_a_higher_fence() -> None:
     async def scenario(store: StoreStandIn, first: Leadership, second: Leadership) -> None:
-        await second.step()
+        await second.renew_or_acquire()
         await second.release()
-        await first.step()
+        await first.renew_or_acquire()
         before = first.fence
         assert before > 0
         store.return_to(0)
         await asyncio.sleep(LEASE_S * 0.4)
-        await first.step()
+        await first.renew_or_acquire()
         assert first.fence > before
         assert store.rows(LEASE_TABLE)
 
@@ -53,18 +53,18 @@
 
 def test_contender_waits_for_a_lease_that_the_store_has_lost() -> None:
     async def scenario(store: StoreStandIn, first: Leadership, second: Leadership) -> None:
-        await first.step()
-        await second.step()
+        await first.renew_or_acquire()
+        await second.renew_or_acquire()
         before = first.fence
         store.return_to(0)
         for _ in range(5):
-            await second.step()
+            await second.renew_or_acquire()
             assert second.fence == 0
             await asyncio.sleep(LEASE_S * 0.1)
-        await first.step()
+        await first.renew_or_acquire()
         assert first.fence > before
         await asyncio.sleep(LEASE_S * 0.7)
-        await second.step()
+        await second.renew_or_acquire()
         assert second.fence == 0
 
     run_scenario(scenario)
@@ -72,15 +72,15 @@
 
 def test_contender_acquires_a_lost_lease_once_its_holder_may_not_order() -> None:
     async def scenario(store: StoreStandIn, first: Leadership, second: Leadership) -> None:
-        await first.step()
-        await second.step()
+        await first.renew_or_acquire()
+        await second.renew_or_acquire()
         store.return_to(0)
-        await second.step()
+        await second.renew_or_acquire()
         await asyncio.sleep(LEASE_S + 0.1)
         assert first.order_time_left_s() == 0.0
-        await second.step()
+        await second.renew_or_acquire()
         assert second.fence > first.fence
-        await first.step()
+        await first.renew_or_acquire()
         assert first.fence == 0
 
     run_scenario(scenario, replicas_check_fences=False)
@@ -88,16 +88,16 @@
 
 def test_fence_is_not_reused_after_a_late_write_of_an_earlier_era() -> None:
     async def scenario(store: StoreStandIn, first: Leadership, second: Leadership) -> None:
-        await first.step()
+        await first.renew_or_acquire()
         earlier = store.rows(LEASE_TABLE)[0]['Value']
         store.return_to(0)
         await asyncio.sleep(LEASE_S * 0.4)
-        await first.step()
+        await first.renew_or_acquire()
         taken = first.fence
         store.put(LEASE_TABLE, LEASE_KEY, earlier)
-        await second.step()
+        await second.renew_or_acquire()
         await asyncio.sleep(LEASE_S + 0.1)
-        await second.step()
+        await second.renew_or_acquire()
         assert second.fence > taken
 
     run_scenario(scenario)
@@ -107,17 +107,17 @@
     """The expected version may by now be that of another holder's row."""
 
     async def scenario(store: StoreStandIn, first: Leadership, second: Leadership) -> None:
-        await first.step()
+        await first.renew_or_acquire()
         version = store.version
         store.return_to(0)
         other = LeaseValue('g-9', (2 << 32) + 1, 10**12)
         store.put(LEASE_TABLE, LEASE_KEY, base64.b64encode(other.encode()).decode())
         assert store.version == version
         await asyncio.sleep(LEASE_S * 0.4)
-        await first.step()
+        await first.renew_or_acquire()
         assert first.fence == 0
         await asyncio.sleep(LEASE_S + 0.1)
-        await first.step()
+        await first.renew_or_acquire()
         assert first.fence > other.fence
 
     run_scenario(scenario)
--- a/tests/membership/test_digest_exchange.py
+++ b/tests/membership/test_digest_exchange.py
@@ -39,7 +39,7 @@
     fence: int = 0
     noted: int = 0
 
-    def note_fence(self, fence: int) -> None:
+    def observe_fence(self, fence: int) -> None:
         self.noted = fence
 
 
--- a/tests/membership/test_state_exchange.py
+++ b/tests/membership/test_state_exchange.py
@@ -23,7 +23,7 @@
 class Leadership:
     fence: int = 0
 
-    def note_fence(self, fence: int) -> None: ...
+    def observe_fence(self, fence: int) -> None: ...
 
 
 @attrs.define
