--- a/benchmarks/placement_round.py
+++ b/benchmarks/placement_round.py
@@ -20,7 +20,7 @@
 from limeshelf.demand.totals import DemandTotals
 from limeshelf.lease.leadership import Term
 from limeshelf.metrics.prometheus import GatewayMetrics
-from limeshelf.orders.pending import REPORT_SETTLE_S
+from limeshelf.orders.pending import CLAIM_REPORT_LAG_S
 from limeshelf.orders.sender import OrderSender
 from limeshelf.placement.adapters import AdapterPlanner
 from limeshelf.placement.planner import CopyPlanner
@@ -114,13 +114,13 @@
         for _ in range(20):
             self.take_demand()
             self._clock.advance(0.2)
-            self.totals.step()
+            self.totals.update_averages()
         for replica in self.directory.all():
-            self.sender.pending(replica).note_claimed(FENCE)
-        self._clock.advance(1.1 * REPORT_SETTLE_S)
+            self.sender.pending(replica).record_claim(FENCE)
+        self._clock.advance(1.1 * CLAIM_REPORT_LAG_S)
         for replica in self.directory.all():
             assert replica.report is not None
-            self.sender.pending(replica).note_report(replica.report)
+            self.sender.pending(replica).record_report(replica.report)
 
     def _demands(self) -> list[KeyDemand]:
         models = self._random.sample(sorted(self.engine.models), WANTED_MODELS)
@@ -145,7 +145,7 @@
                 demand.running = self._random.randrange(2)
                 demand.wanted += self._random.randrange(2)
             shown = [counts_now(demand) for demand in self.demands]
-            self.totals.take(f'g-{number}', shown)
+            self.totals.add_counters(f'g-{number}', shown)
 
     def demand(self) -> dict[str, ModelDemand]:
         """Return the demand for each model."""
@@ -206,7 +206,7 @@
             'all moves': lambda: world.plan_moves(world.watch.copies(SERVICE)),
             'demand and a look that finds no move': lambda: world.look_once_more(moved),
             'waiting adapters': world.plan_adapters,
-            'sums of demand': world.totals.step,
+            'sums of demand': world.totals.update_averages,
         }
         costs = {name: best_ms(part) for name, part in parts.items()}
         adapters = world.plan_adapters()
--- a/limeshelf/dispatch/__init__.py
+++ b/limeshelf/dispatch/__init__.py
@@ -11,5 +11,5 @@
 limit their calls per second; :mod:`~limeshelf.dispatch.permits` requests those that do not come
 with a grant) and :mod:`~limeshelf.dispatch.refusal` (when to refuse). They use the estimates in
 :mod:`~limeshelf.dispatch.granted_load`, :mod:`~limeshelf.dispatch.prompt_blocks` and
-:mod:`~limeshelf.demand.reading_speed`.
+:mod:`~limeshelf.demand.prefill_speed`.
 """
--- a/limeshelf/dispatch/dispatcher.py
+++ b/limeshelf/dispatch/dispatcher.py
@@ -15,7 +15,7 @@
 import math
 from typing import TYPE_CHECKING
 
-from limeshelf.demand.reading_speed import ReadingSpeed
+from limeshelf.demand.prefill_speed import PrefillSpeed
 from limeshelf.dispatch.granted import GrantedRequests
 from limeshelf.dispatch.messages import (
     DispatchProgress,
@@ -69,7 +69,7 @@
         data_centre: str,
         limiters: ReplicaRateLimiters | None = None,
     ) -> None:
-        self.speed = ReadingSpeed()
+        self.speed = PrefillSpeed()
         self._config = config
         self._answer = answer
         self._queue = RequestQueue()
@@ -189,7 +189,7 @@
             if queued.urgency(now_s) <= urgency
         }
         ahead_ms = sum(
-            share * self.speed.read_ms(model, queued.query.prompt_tokens)
+            share * self.speed.prefill_ms(model, queued.query.prompt_tokens)
             for queued, share in ahead.items()
         )
         position = QueuePosition(
@@ -219,7 +219,7 @@
             request.deadline_s,
             replica,
             uncached_tokens,
-            prefill_ms=self.speed.read_ms(query.key.model, uncached_tokens),
+            prefill_ms=self.speed.prefill_ms(query.key.model, uncached_tokens),
             granted_s=now_s,
             has_permit=self._try_take_permit(replica, now_s),
         )
@@ -238,7 +238,7 @@
     def _end_prefill(self, granted: GrantedRequest) -> None:
         if granted.prefilled_alone:
             first_event_ms = granted.elapsed_ms(boottime_s())
-            self.speed.learn(granted.query.key.model, granted.uncached_tokens, first_event_ms)
+            self.speed.add_sample(granted.query.key.model, granted.uncached_tokens, first_event_ms)
         self._selector.load_of(granted.replica).end_prefill(granted)
 
     def _expire_grants(self, now_s: float) -> None:
--- a/limeshelf/dispatch/granted_load.py
+++ b/limeshelf/dispatch/granted_load.py
@@ -20,7 +20,7 @@
 #: progress at the replica...
 PREFILL_MARGIN = 1.2
 #: ...plus this time, for one batch step and the request's transfer to the replica. See
-#: ``FIRST_EVENT_OVERHEAD_MS`` in :mod:`limeshelf.demand.reading_speed` for the other estimates of
+#: ``FIRST_EVENT_OVERHEAD_MS`` in :mod:`limeshelf.demand.prefill_speed` for the other estimates of
 #: step time, which measure something else.
 PREFILL_GRACE_MS = 20.0
 #: Granted prefills are kept this much longer than the window that was asked for, because the next
--- a/limeshelf/dispatch/limits.py
+++ b/limeshelf/dispatch/limits.py
@@ -19,7 +19,7 @@
 #: it was granted.
 WINDOW_PAUSES = 1.15
 #: Duration of a batch step without prefill. See ``FIRST_EVENT_OVERHEAD_MS`` in
-#: :mod:`limeshelf.demand.reading_speed` for the other estimates of step time, which measure
+#: :mod:`limeshelf.demand.prefill_speed` for the other estimates of step time, which measure
 #: something else.
 DECODE_STEP_MS = 12.0
 #: Share of a replica's memory that calls may fill before further calls wait.
--- a/limeshelf/dispatch/refusal.py
+++ b/limeshelf/dispatch/refusal.py
@@ -12,7 +12,7 @@
 import attrs
 
 #: Share of the time that replicas spend on prefill while requests wait for them; the rest goes to
-#: the decode steps of running calls. Not the same as ``PLANNED_READING_SHARE`` of the demand,
+#: the decode steps of running calls. Not the same as ``PLANNED_PREFILL_SHARE`` of the demand,
 #: which sizes the copies of a model for future demand.
 PREFILL_DUTY = 0.65
 #: Share of the time to the objective that a request may wait; the rest is left for the prefill and
--- a/limeshelf/membership/digest_exchange.py
+++ b/limeshelf/membership/digest_exchange.py
@@ -27,7 +27,7 @@
 if TYPE_CHECKING:
     from limeshelf.calls.in_force import ConfigInForce
     from limeshelf.demand.meter import DemandMeter
-    from limeshelf.demand.reading_speed import ReadingSpeed
+    from limeshelf.demand.prefill_speed import PrefillSpeed
     from limeshelf.demand.totals import DemandTotals
     from limeshelf.lease.leadership import Leadership
     from limeshelf.membership.dispatchers import Dispatchers
@@ -61,7 +61,7 @@
     totals: DemandTotals
     in_force: ConfigInForce
     dispatchers: Dispatchers
-    speed: ReadingSpeed
+    speed: PrefillSpeed
     limits: LimitExchange
     _digests: LatestDigests = attrs.field(factory=LatestDigests)
     _centre_demand: CentreDemand = attrs.field(factory=CentreDemand)
@@ -141,7 +141,7 @@
             self.leadership.fence,
             loads,
             self.meter.recent(),
-            self.speed.take_learned(),
+            self.speed.take_updates(),
             self.limits.report(),
             self.limits.started_ms,
         )
@@ -216,25 +216,25 @@
         if previous_id is not None and previous_id != digest.instance_id:
             del self._gateways_per_sum[previous_id]
             self._digests.remove(previous_id)
-            self.totals.forget_running(previous_id)
+            self.totals.remove_running(previous_id)
             self.directory.forget_peer(previous_id)
 
     def _apply_digest(self, digest: GatewayDigest) -> None:
         if not self._digests.add(digest):
             return
         if digest.fence:
-            self.leadership.note_fence(digest.fence)
+            self.leadership.observe_fence(digest.fence)
             self.leader.record_claim(digest.address, digest.fence)
         self.directory.take_peer_loads(digest.instance_id, digest.loads)
         self._add_demand(digest)
-        self.speed.take_from_peer(digest.reading_ms)
+        self.speed.merge_peer_estimates(digest.reading_ms)
         if digest.data_centre == self.members.own.data_centre:
             self.limits.add_report(digest)
 
     def _add_demand(self, digest: GatewayDigest) -> None:
-        self.totals.take(digest.instance_id, digest.demands)
+        self.totals.add_counters(digest.instance_id, digest.demands)
         if digest.data_centre == self.members.own.data_centre:
-            self._centre_demand.take(digest.instance_id, digest.demands)
+            self._centre_demand.add_counters(digest.instance_id, digest.demands)
 
     def _handle_summary(self, envelope: Envelope) -> None:
         summary: FleetSummary = envelope.message
--- a/limeshelf/membership/state_exchange.py
+++ b/limeshelf/membership/state_exchange.py
@@ -89,11 +89,11 @@
             for replica in self.directory.all()
             if replica.report is not None and (is_full or replica.replica_id in changed)
         ]
-        self.meter.announced_s = self.placement.awaited()
+        self.meter.announced_ready_s = self.placement.awaited()
         now_s = boottime_s()
         awaited = [
             AwaitedLoad(key, int((ready_s - now_s) * 1000))
-            for key, ready_s in self.meter.announced_s.items()
+            for key, ready_s in self.meter.announced_ready_s.items()
         ]
         may_order = self.leadership.order_time_left_s() > 0
         message = ReplicaStates(self.leadership.fence, states, awaited, is_full, may_order)
@@ -101,7 +101,7 @@
 
     def _handle_states(self, envelope: Envelope) -> None:
         message: ReplicaStates = envelope.message
-        self.leadership.note_fence(message.fence)
+        self.leadership.observe_fence(message.fence)
         if not accepts_states(
             fence=message.fence,
             highest_fence=self._highest_fence,
@@ -117,6 +117,6 @@
                 state.replica_id, report_from_state(state), StatementWay.PEER
             )
         now_s = boottime_s()
-        self.meter.announced_s = {
+        self.meter.announced_ready_s = {
             awaited.key: now_s + awaited.left_ms / 1000 for awaited in message.awaited
         }
--- a/tests/membership/test_digest_exchange.py
+++ b/tests/membership/test_digest_exchange.py
@@ -9,7 +9,7 @@
 
 from limeshelf.calls.in_force import ConfigInForce
 from limeshelf.demand.keys import KeyDemand, ModelKey
-from limeshelf.demand.reading_speed import ReadingSpeed
+from limeshelf.demand.prefill_speed import PrefillSpeed
 from limeshelf.membership.digest_exchange import DigestExchange
 from limeshelf.membership.digests import DIGEST_TTL_S
 from limeshelf.membership.dispatchers import Dispatchers
@@ -39,7 +39,7 @@
     fence: int = 0
     noted: int = 0
 
-    def note_fence(self, fence: int) -> None:
+    def observe_fence(self, fence: int) -> None:
         self.noted = fence
 
 
@@ -59,10 +59,10 @@
 
     taken: dict[str, list[KeyDemand]] = attrs.field(factory=dict)
 
-    def take(self, process: str, demands: list[KeyDemand]) -> None:
+    def add_counters(self, process: str, demands: list[KeyDemand]) -> None:
         self.taken[process] = demands
 
-    def forget_running(self, process: str) -> None:
+    def remove_running(self, process: str) -> None:
         del self.taken[process]
 
 
@@ -90,7 +90,7 @@
         'totals': Totals(),
         'in_force': ConfigInForce(),
         'dispatchers': Dispatchers(members),
-        'speed': ReadingSpeed(),
+        'speed': PrefillSpeed(),
     }
     node = parts['node']
     parts['limits'] = LimitExchange(node, members, parts['in_force'], RULE)
@@ -257,10 +257,10 @@
     with virtual_clock():
         gateway, other = exchange('g1', 'g2'), exchange('g2', 'g1')
         for _ in range(30):
-            other.speed.learn('m1', 1000, 122.0)
+            other.speed.add_sample('m1', 1000, 122.0)
             receive_digest(
                 gateway, attrs.evolve(other._own_digest(), number=gateway._digest_count + 1)
             )
             gateway._digest_count += 1
-        assert gateway.speed.read_ms('m1', 1000) == pytest.approx(100.0, rel=0.05)
+        assert gateway.speed.prefill_ms('m1', 1000) == pytest.approx(100.0, rel=0.05)
         assert other._own_digest().reading_ms == {}
--- a/tests/membership/test_state_exchange.py
+++ b/tests/membership/test_state_exchange.py
@@ -23,12 +23,12 @@
 class Leadership:
     fence: int = 0
 
-    def note_fence(self, fence: int) -> None: ...
+    def observe_fence(self, fence: int) -> None: ...
 
 
 @attrs.define
 class Meter:
-    announced_s: dict[Any, float] = attrs.field(factory=dict)
+    announced_ready_s: dict[Any, float] = attrs.field(factory=dict)
 
 
 @attrs.define
--- a/tests/placement/fleet_play.py
+++ b/tests/placement/fleet_play.py
@@ -16,11 +16,11 @@
 
 from limeshelf.calls.routes import EngineSpec, ModelSpec
 from limeshelf.demand.keys import KeyDemand, ModelKey
-from limeshelf.demand.meter import UNSERVED_LIFE_S
+from limeshelf.demand.meter import UNSERVED_EXPIRY_S
 from limeshelf.demand.model_demand import demand_by_model
-from limeshelf.demand.service_ages import ServiceAges
-from limeshelf.demand.totals import RETURN_LIFE_S, DemandTotals
-from limeshelf.orders.pending import REPORT_SETTLE_S, PendingOrders
+from limeshelf.demand.serving_state import ServingState
+from limeshelf.demand.totals import RETRY_WINDOW_S, DemandTotals
+from limeshelf.orders.pending import CLAIM_REPORT_LAG_S, PendingOrders
 from limeshelf.orders.task import Loadable
 from limeshelf.placement.adapters import AdapterMove, AdapterPlanner
 from limeshelf.placement.pace import LoadPace
@@ -93,7 +93,7 @@
         found: list[list[float]] = []
         current: list[float] = []
         for at_s, is_served in self.calls:
-            if current and at_s - current[-1] > UNSERVED_LIFE_S:
+            if current and at_s - current[-1] > UNSERVED_EXPIRY_S:
                 found.append(current)
                 current = []
             if current or not is_served:
@@ -116,7 +116,7 @@
     leader: DemandTotals = attrs.field(factory=DemandTotals)
     heir: DemandTotals = attrs.field(factory=DemandTotals)
     counts: dict[ModelKey, KeyDemand] = attrs.field(factory=dict)
-    ages: dict[ModelKey, ServiceAges] = attrs.field(factory=dict)
+    ages: dict[ModelKey, ServingState] = attrs.field(factory=dict)
     asked_s: dict[ModelKey, float] = attrs.field(factory=dict)
     loses_wishes: bool = False
     is_doubled: bool = False
@@ -124,7 +124,7 @@
     _before: list[KeyDemand] = attrs.field(factory=list)
 
     def of(self, key: ModelKey) -> KeyDemand:
-        self.ages.setdefault(key, ServiceAges())
+        self.ages.setdefault(key, ServingState())
         return self.counts.setdefault(key, KeyDemand(key))
 
     def began(self, key: ModelKey, objective_ms: int) -> KeyDemand:
@@ -132,14 +132,14 @@
         counts.started += 1
         counts.objective_ms = objective_ms
         now_s = boottime_s()
-        if now_s - self.asked_s.get(key, now_s) > UNSERVED_LIFE_S:
-            self.ages[key].forget_waiting()
+        if now_s - self.asked_s.get(key, now_s) > UNSERVED_EXPIRY_S:
+            self.ages[key].clear_unserved()
         self.asked_s[key] = now_s
-        self.ages[key].note_asked(now_s)
+        self.ages[key].record_request(now_s)
         return counts
 
     def note_served(self, key: ModelKey) -> None:
-        self.ages[key].note_served(boottime_s())
+        self.ages[key].record_served(boottime_s())
 
     def send(self) -> None:
         """Send the counts to both, as the faults have it."""
@@ -150,21 +150,21 @@
         if self.is_disordered:
             messages = [now, self._before]
         for message in messages:
-            self.leader.take('g1', message)
-            self.heir.take('g1', message)
+            self.leader.add_counters('g1', message)
+            self.heir.add_counters('g1', message)
         self._before = now
 
     def _told(self, counts: KeyDemand) -> KeyDemand:
         told = msgspec.structs.replace(counts)
-        self.ages[counts.key].tell(told, boottime_s())
+        self.ages[counts.key].write_ages(told, boottime_s())
         return told
 
     def replace_leader(self) -> None:
         self.leader, self.heir = self.heir, self.leader
 
     def step(self) -> None:
-        self.leader.step()
-        self.heir.step()
+        self.leader.update_averages()
+        self.heir.update_averages()
 
 
 @attrs.define
@@ -262,8 +262,8 @@
             play.directory.take_record(
                 ReplicaRecord(name, SERVICE, f'ip:{name}', 'z1', 16, False, None, (), 1)
             )
-            replica.pending.note_claimed(FENCE)
-        clock.advance(1.1 * REPORT_SETTLE_S)
+            replica.pending.record_claim(FENCE)
+        clock.advance(1.1 * CLAIM_REPORT_LAG_S)
         play._report()
         play.line.every(lambda: COUNTS_S, play._report, COUNTS_S)
         return play
@@ -274,7 +274,7 @@
         for name, replica in self.replicas.items():
             report = replica.report()
             self.directory.take_report(name, report)
-            replica.pending.note_report(report)
+            replica.pending.record_report(report)
             for note in replica.unreported:
                 note()
             replica.unreported.clear()
@@ -286,7 +286,7 @@
                 return True
         counts.wanted += 1
         if not self.gateway.loses_wishes:
-            self.gateway.leader.note_missing(key)
+            self.gateway.leader.record_missing(key)
             self._bring([key])
         return False
 
@@ -320,11 +320,11 @@
         item = Loadable('m1', move.key.adapter)
         gone = move.evicted
         now_s = self.line.clock.now_s
-        replica.pending.expect(item, now_s)
+        replica.pending.expect_load(item, now_s)
         start_s = max(now_s, replica.free_s)
         unload_s = 0.0
         if gone is not None:
-            replica.pending.note_unloading(Loadable('m1', gone.adapter))
+            replica.pending.mark_unloading(Loadable('m1', gone.adapter))
             unload_s = ADAPTER_UNLOAD_S + ADAPTER_CALL_S * bool(replica.running.get(gone.adapter))
             self.line.after(
                 start_s + unload_s - now_s, lambda: self._unloaded(replica, gone.adapter)
@@ -335,13 +335,13 @@
     def _unloaded(self, replica: AdapterReplica, adapter: str) -> None:
         replica.held.discard(adapter)
         gone = [Loadable('m1', adapter)]
-        replica.unreported.append(lambda: replica.pending.note_unload_ended(gone))
+        replica.unreported.append(lambda: replica.pending.unmark_unloading(gone))
         self._ordered(replica)
 
     def _loaded(self, replica: AdapterReplica, item: Loadable) -> None:
         replica.held.add(item.adapter)
         assert len(replica.held) <= self.engine.adapter_places
-        replica.unreported.append(lambda: replica.pending.note_ended(item))
+        replica.unreported.append(lambda: replica.pending.record_load_ended(item))
         self._ordered(replica)
 
     def _ordered(self, replica: AdapterReplica) -> None:
@@ -404,7 +404,7 @@
         if not holders:
             counts.wanted += 1
             if not self.gateway.loses_wishes:
-                self.gateway.leader.note_missing(key)
+                self.gateway.leader.record_missing(key)
             return False
         replica = min(holders, key=lambda one: one.running)
         if replica.running >= self.engine.slots:
@@ -451,7 +451,7 @@
         now_s = self.line.clock.now_s
         self.unused.discard(model)
         called_s, was_served = self.records[ModelKey(SERVICE, model)].calls[-1]
-        if not was_served and now_s - called_s < RETURN_LIFE_S:
+        if not was_served and now_s - called_s < RETRY_WINDOW_S:
             self.gone_too_soon.append((now_s, model, brought))
 
     def _loaded(self, replica: ModelReplica, model: str) -> None:
