--- a/limeshelf/gateway/access.py
+++ b/limeshelf/gateway/access.py
@@ -11,7 +11,7 @@
 
 from limeshelf.admission import come_back
 from limeshelf.errors import NotRun, RefusalReason
-from limeshelf.gateway.settling import STATUS_UNAUTHORISED, STATUS_UNAVAILABLE, Refuse
+from limeshelf.gateway.endings import STATUS_UNAUTHORISED, STATUS_UNAVAILABLE, Refuse
 from limeshelf.organisations.access import AccessGranted, Denial, check_access
 
 if TYPE_CHECKING:
--- a/limeshelf/gateway/attempts.py
+++ b/limeshelf/gateway/attempts.py
@@ -1,8 +1,8 @@
 """Sends a call to one replica, and takes what that teaches of both.
 
 Owns nothing beyond the attempt. Relies on :mod:`limeshelf.gateway.exchange` for what goes over
-the connection, on :mod:`limeshelf.gateway.learning` for what a result says of its replica, and on
-:mod:`limeshelf.gateway.quarantine` for what it says of the call.
+the connection, on :mod:`limeshelf.gateway.result_rules` for what a result says of its replica, and
+on :mod:`limeshelf.gateway.quarantine` for what it says of the call.
 """
 
 from __future__ import annotations
@@ -13,9 +13,9 @@
 
 from limeshelf.admission.repeats import head_limit_s
 from limeshelf.calls.wire import SendFacts
+from limeshelf.gateway.call_log import log_attempt
 from limeshelf.gateway.exchange import Exchange, WholeAnswer
-from limeshelf.gateway.learning import STATUS_SERVER_ERROR, apply, excludes, lesson_of
-from limeshelf.gateway.lines import log_attempt
+from limeshelf.gateway.result_rules import STATUS_SERVER_ERROR, apply, excludes, lesson_of
 from limeshelf.util.clock import boottime_s
 from limeshelf.util.suspension import boot_timeout
 
--- a/limeshelf/gateway/lines.py
+++ b/limeshelf/gateway/call_log.py
@@ -14,8 +14,8 @@
 if TYPE_CHECKING:
     from limeshelf.calls.call import Call
     from limeshelf.demand.waits import CallOutlook
+    from limeshelf.gateway.endings import Refuse
     from limeshelf.gateway.exchange import Result
-    from limeshelf.gateway.settling import Refuse
     from limeshelf.gateway.state import CallState
     from limeshelf.replicas.replica import Load, Replica
 
--- a/limeshelf/gateway/edge.py
+++ b/limeshelf/gateway/edge.py
@@ -17,7 +17,7 @@
 from limeshelf.gateway.answer import CallerGone, HttpAnswer
 from limeshelf.gateway.body import TooLarge, read_body
 from limeshelf.gateway.connection import CallerServer
-from limeshelf.gateway.settling import STATUS_BAD_GATEWAY, STATUS_UNAVAILABLE
+from limeshelf.gateway.endings import STATUS_BAD_GATEWAY, STATUS_UNAVAILABLE
 from limeshelf.metrics.event_log import log_change, log_request
 from limeshelf.util.clock import boottime_s
 
--- a/limeshelf/gateway/settling.py
+++ b/limeshelf/gateway/endings.py
@@ -14,7 +14,7 @@
 from limeshelf.admission.repeats import is_too_late, may_run_again
 from limeshelf.errors import NotRun, RefusalReason
 from limeshelf.gateway.exchange import Delivered, NeverRan, NotSent, WholeAnswer
-from limeshelf.gateway.learning import STATUS_SERVER_ERROR
+from limeshelf.gateway.result_rules import STATUS_SERVER_ERROR
 
 if TYPE_CHECKING:
     from limeshelf.calls.routes import Route
--- a/limeshelf/gateway/final_answer.py
+++ b/limeshelf/gateway/final_answer.py
@@ -1,6 +1,6 @@
 """Gives a caller its final answer, whichever way its call ended, and logs what was no answer.
 
-Owns nothing; the endings are decided in :mod:`limeshelf.gateway.settling`.
+Owns nothing; the endings are decided in :mod:`limeshelf.gateway.endings`.
 """
 
 from __future__ import annotations
@@ -9,15 +9,15 @@
 
 import attrs
 
-from limeshelf.gateway.lines import log_failed, log_refused
-from limeshelf.gateway.settling import STATUS_UNAUTHORISED, Answered, BreakOff, PassOn, Refuse
+from limeshelf.gateway.call_log import log_failed, log_refused
+from limeshelf.gateway.endings import STATUS_UNAUTHORISED, Answered, BreakOff, PassOn, Refuse
 
 if TYPE_CHECKING:
     from limeshelf.calls.call import Call
     from limeshelf.calls.in_force import ConfigInForce
     from limeshelf.calls.wire import CallWire
     from limeshelf.gateway.answer import Answer
-    from limeshelf.gateway.settling import Ending
+    from limeshelf.gateway.endings import Ending
     from limeshelf.organisations.organisation import Organisation
 
 
--- a/limeshelf/gateway/limits.py
+++ b/limeshelf/gateway/limits.py
@@ -11,7 +11,7 @@
 
 from limeshelf.admission import come_back
 from limeshelf.errors import NotRun, RefusalReason
-from limeshelf.gateway.settling import STATUS_OVER_LIMIT, STATUS_UNAVAILABLE, Refuse
+from limeshelf.gateway.endings import STATUS_OVER_LIMIT, STATUS_UNAVAILABLE, Refuse
 from limeshelf.organisations.limiter import Decision, Ruling
 
 if TYPE_CHECKING:
--- a/limeshelf/gateway/pipeline.py
+++ b/limeshelf/gateway/pipeline.py
@@ -7,7 +7,7 @@
 :mod:`~limeshelf.admission.absent_model` (held or refused),
 :mod:`~limeshelf.gateway.attempts` (one send), :mod:`~limeshelf.admission.repeats` and
 :mod:`~limeshelf.admission.retry_budget` (sent again),
-:mod:`~limeshelf.gateway.settling` (how the call ends),
+:mod:`~limeshelf.gateway.endings` (how the call ends),
 :mod:`~limeshelf.gateway.final_answer` (what its caller gets) and
 :mod:`~limeshelf.admission.come_back` (when a refused caller comes back).
 """
@@ -22,13 +22,11 @@
 from limeshelf.admission.repeats import is_too_late, reason_not_to_send
 from limeshelf.dispatch.grants import NoRoom
 from limeshelf.errors import NotRun, RefusalReason
-from limeshelf.gateway.final_answer import FinalAnswer
-from limeshelf.gateway.lines import (
+from limeshelf.gateway.call_log import (
     log_no_replica,
     log_overloaded,
 )
-from limeshelf.gateway.selection import Selected
-from limeshelf.gateway.settling import (
+from limeshelf.gateway.endings import (
     STATUS_UNAVAILABLE,
     STATUS_UNKNOWN_ROUTE,
     Refuse,
@@ -38,6 +36,8 @@
     refuse_too_late,
     settle,
 )
+from limeshelf.gateway.final_answer import FinalAnswer
+from limeshelf.gateway.selection import Selected
 from limeshelf.gateway.state import CallState
 
 if TYPE_CHECKING:
@@ -51,10 +51,10 @@
     from limeshelf.gateway.access import AccessGuard
     from limeshelf.gateway.answer import Answer
     from limeshelf.gateway.attempts import AttemptRunner
+    from limeshelf.gateway.endings import Ending
     from limeshelf.gateway.limits import LimitGuard
     from limeshelf.gateway.quarantine import QuarantineGuard
     from limeshelf.gateway.selection import ReplicaSelector
-    from limeshelf.gateway.settling import Ending
     from limeshelf.organisations.access import AccessGranted
     from limeshelf.replicas.directory import ReplicaDirectory
 
--- a/limeshelf/gateway/quarantine.py
+++ b/limeshelf/gateway/quarantine.py
@@ -11,8 +11,8 @@
 
 from limeshelf.crashes.quarantine import REST_ENDS
 from limeshelf.errors import NotRun, RefusalReason
-from limeshelf.gateway.learning import CallLesson, call_lesson_of
-from limeshelf.gateway.settling import STATUS_UNAVAILABLE, Refuse
+from limeshelf.gateway.endings import STATUS_UNAVAILABLE, Refuse
+from limeshelf.gateway.result_rules import CallLesson, call_lesson_of
 
 if TYPE_CHECKING:
     from limeshelf.calls.fingerprint import Fingerprint
--- a/limeshelf/gateway/state.py
+++ b/limeshelf/gateway/state.py
@@ -8,9 +8,9 @@
 
 from limeshelf.admission.patience import has_returned
 from limeshelf.calls.fingerprint import Fingerprint, fingerprint_of
+from limeshelf.gateway.endings import Progress
 from limeshelf.gateway.events import EventSplitter
 from limeshelf.gateway.exchange import BrokenBy, Delivered, NeverRan, NotSent
-from limeshelf.gateway.settling import Progress
 from limeshelf.util.clock import boottime_s
 
 if TYPE_CHECKING:
--- a/limeshelf/replicas/__init__.py
+++ b/limeshelf/replicas/__init__.py
@@ -13,7 +13,7 @@
 leaves (``replica``: ``takes_calls``); it does not hold the model, or is about to unload it
 (``holds``); it asked for a pause, or has no turn for this call (``backpressure``,
 :mod:`limeshelf.dispatch.turns`); it refused or failed this call
-(:mod:`limeshelf.gateway.learning`); it is suspended (``health``); it may not read or hold more
+(:mod:`limeshelf.gateway.result_rules`); it is suspended (``health``); it may not read or hold more
 now (:mod:`limeshelf.dispatch.limits`); another one costs less (``penalties``,
 :mod:`limeshelf.routing.chooser`, :mod:`limeshelf.dispatch.selector`).
 """
--- a/tests/gateway/test_lines.py
+++ b/tests/gateway/test_call_log.py
@@ -10,7 +10,7 @@
 from limeshelf.calls.call import ModelNeed
 from limeshelf.calls.wire import AnswerFacts
 from limeshelf.demand.waits import CallOutlook
-from limeshelf.gateway import lines
+from limeshelf.gateway import call_log
 from limeshelf.gateway.exchange import Broken, BrokenBy, Delivered, NeverRan, Result, WholeAnswer
 from limeshelf.gateway.state import CallState
 from limeshelf.replicas.record import Holding, ReplicaRecord
@@ -32,7 +32,7 @@
     """Return the fields of the last line, by their names."""
     fields: dict[str, Any] = {}
     monkeypatch.setattr(
-        lines, 'log_request', lambda event, **given: fields.update(given, event=event)
+        call_log, 'log_request', lambda event, **given: fields.update(given, event=event)
     )
     return fields
 
@@ -54,7 +54,7 @@
 def test_refusal_for_overload_names_the_model_and_the_bounds_of_the_wait(
     written: dict[str, Any],
 ) -> None:
-    lines.log_overloaded(held_state(0.5), 1.7, 3.2)
+    call_log.log_overloaded(held_state(0.5), 1.7, 3.2)
     check_wait(written, 'refused_overloaded')
     assert written['expected_wait_ms'] == 1700
     assert written['copy_in_ms'] == 3200
@@ -64,7 +64,7 @@
     written: dict[str, Any],
 ) -> None:
     outlook = CallOutlook(0.25, None, is_announced=False, model_held=True)
-    lines.log_no_replica(held_state(0.5), 0.25, outlook)
+    call_log.log_no_replica(held_state(0.5), 0.25, outlook)
     check_wait(written, 'refused_no_replica')
     assert written['expected_wait_ms'] == 250
     assert written['announced_in_ms'] is None
@@ -74,12 +74,12 @@
 
 def test_refusal_tells_the_time_of_a_load_that_was_ordered(written: dict[str, Any]) -> None:
     outlook = CallOutlook(1.5, 1.5, is_announced=True, model_held=False)
-    lines.log_no_replica(held_state(0.5), 1.5, outlook)
+    call_log.log_no_replica(held_state(0.5), 1.5, outlook)
     assert written['announced_in_ms'] == 1500
 
 
 def test_failure_tells_the_status_that_promises_nothing(written: dict[str, Any]) -> None:
-    lines.log_failed(held_state(0.5).call, 502, 3)
+    call_log.log_failed(held_state(0.5).call, 502, 3)
     assert (written['event'], written['request'], written['status']) == ('failed', 'c', 502)
 
 
@@ -97,7 +97,7 @@
     written: dict[str, Any], result: Result, status: int
 ) -> None:
     state = attrs.evolve(held_state(0.5), waited_s=0.1)
-    lines.log_attempt(state, REPLICA, Load(), result, False, 3)
+    call_log.log_attempt(state, REPLICA, Load(), result, False, 3)
     assert written['status'] == status
     assert 400 <= written['took_ms'] < 800
     assert written['answer_started'] is False
--- a/tests/gateway/test_settling.py
+++ b/tests/gateway/test_endings.py
@@ -9,16 +9,7 @@
 from limeshelf.calls.call import CallKind
 from limeshelf.calls.wire import AnswerFacts
 from limeshelf.errors import NotRun, RefusalReason
-from limeshelf.gateway.exchange import (
-    Broken,
-    BrokenBy,
-    Delivered,
-    NeverRan,
-    NotSent,
-    Result,
-    WholeAnswer,
-)
-from limeshelf.gateway.settling import (
+from limeshelf.gateway.endings import (
     Answered,
     BreakOff,
     GatewayFailure,
@@ -29,6 +20,15 @@
     give_up,
     settle,
 )
+from limeshelf.gateway.exchange import (
+    Broken,
+    BrokenBy,
+    Delivered,
+    NeverRan,
+    NotSent,
+    Result,
+    WholeAnswer,
+)
 from tests.support.routes import make_route
 
 BROKEN = Broken(BrokenBy.CUT_SHORT)
--- a/tests/gateway/test_path.py
+++ b/tests/gateway/test_path.py
@@ -9,7 +9,7 @@
 import aiohttp
 import pytest
 
-from limeshelf.gateway import lines as lines_module
+from limeshelf.gateway import call_log
 from limeshelf.replicas.pool import LEAST_CONNECTIONS
 from standins.users_platform.replica import Fault
 from tests.support.gateway import ENGINE, PLAIN, GatewayWorld, configuration, route, run
@@ -360,9 +360,7 @@
         holders = [asyncio.create_task(world.call('/unsafe/x')) for _ in range(LEAST_CONNECTIONS)]
         await world.until(lambda: len(world.plain[0].runs) == LEAST_CONNECTIONS)
         lines: list[dict[str, Any]] = []
-        monkeypatch.setattr(
-            lines_module, 'log_request', lambda event, **fields: lines.append(fields)
-        )
+        monkeypatch.setattr(call_log, 'log_request', lambda event, **fields: lines.append(fields))
         answer = await world.call('/unsafe/x', Limeshelf_Deadline_Ms='400')
         assert answer.status == 503
         assert float(answer.headers['Retry-After']) >= 0
--- a/tests/gateway/test_refusing_store.py
+++ b/tests/gateway/test_refusing_store.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.gateway.test_returned_store import (
+from tests.gateway.test_restored_store import (
     CALLS_A_GATEWAY,
     KNOWN_S,
     all_serve,
--- a/tests/gateway/test_learning.py
+++ b/tests/gateway/test_result_rules.py
@@ -7,7 +7,7 @@
 
 from limeshelf.calls.call import ModelNeed
 from limeshelf.gateway.exchange import Broken, BrokenBy, Delivered, NeverRan, NotSent, Result
-from limeshelf.gateway.learning import (
+from limeshelf.gateway.result_rules import (
     Failed,
     LacksModel,
     Lesson,
@@ -23,7 +23,7 @@
 from limeshelf.replicas.health import Failure
 from limeshelf.replicas.record import ReplicaRecord
 from limeshelf.replicas.replica import Replica
-from tests.gateway.test_settling import whole
+from tests.gateway.test_endings import whole
 
 NEED = ModelNeed('m', 'a1', 100, 20, 20, ())
 
