--- a/limeshelf/calls/routes.py
+++ b/limeshelf/calls/routes.py
@@ -15,7 +15,7 @@
 
 #: Callers give up a stream after a gap of this time, so many objectives or so many pauses,
 #: whichever is longest, and before its first event too (the platform's page on requests).
-LEAST_PATIENCE_S = 2.0
+MIN_PATIENCE_S = 2.0
 PATIENCE_OBJECTIVES = 4
 PATIENCE_PAUSES = 8
 #: Pause of a route that names none, as in the platform's configuration.
@@ -65,7 +65,7 @@
     def patience_s(self) -> float:
         """Return how long a caller waits for the first event, in seconds, at the least."""
         return max(
-            LEAST_PATIENCE_S,
+            MIN_PATIENCE_S,
             PATIENCE_OBJECTIVES * self.objective_s,
             PATIENCE_PAUSES * self.pause_s,
         )
--- a/limeshelf/gateway/attempts.py
+++ b/limeshelf/gateway/attempts.py
@@ -15,7 +15,12 @@
 from limeshelf.calls.wire import SendFacts
 from limeshelf.gateway.call_log import log_attempt
 from limeshelf.gateway.exchange import Exchange, WholeAnswer
-from limeshelf.gateway.result_rules import STATUS_SERVER_ERROR, apply, excludes, lesson_of
+from limeshelf.gateway.result_rules import (
+    STATUS_SERVER_ERROR,
+    apply_finding,
+    classify_for_replica,
+    excludes_replica,
+)
 from limeshelf.util.clock import boottime_s
 from limeshelf.util.suspension import boot_timeout
 
@@ -23,7 +28,7 @@
     from limeshelf.calls.in_force import ConfigInForce
     from limeshelf.calls.wire import CallWire
     from limeshelf.demand.meter import DemandMeter
-    from limeshelf.gateway.exchange import Result
+    from limeshelf.gateway.exchange import AttemptResult
     from limeshelf.gateway.quarantine import QuarantineGuard
     from limeshelf.gateway.selection import Selected
     from limeshelf.gateway.state import CallState
@@ -51,21 +56,21 @@
     ) -> None:
         """Send a call to the replica that was selected; what came of it is in *state*."""
         sent_s = boottime_s()
-        result = await self._exchange(state, selected, organisation)
-        state.note_result(result)
-        if isinstance(result, WholeAnswer) and result.facts.status < STATUS_SERVER_ERROR:
+        result = await self._send(state, selected, organisation)
+        state.record_result(result)
+        if isinstance(result, WholeAnswer) and result.head.status < STATUS_SERVER_ERROR:
             self.demand.note_served(state.call, state.service)
-        self._learn(state, selected.replica, result)
-        self.quarantine.note_result(state, selected.replica, result, sent_s)
+        self._apply_result(state, selected.replica, result)
+        self.quarantine.record_result(state, selected.replica, result, sent_s)
 
-    async def _exchange(
+    async def _send(
         self, state: CallState, selected: Selected, organisation: Organisation | None
-    ) -> Result:
+    ) -> AttemptResult:
         call = state.call
         replica = selected.replica
         tokens = call.model_need.memory_tokens if call.model_need else 0
-        state.note_send()
-        self.quarantine.note_sent(state.fingerprint)
+        state.begin_attempt()
+        self.quarantine.record_send(state.fingerprint)
         facts = SendFacts(
             left_s=state.left_s,
             replica_id=replica.replica_id,
@@ -81,7 +86,7 @@
             self.wire,
             state.answer,
             state.splitter,
-            lambda: self._note_first_event(state, selected),
+            lambda: self._report_first_event(state, selected),
             lambda facts: self.notices.take_of_call(replica, facts, sent_s),
             selected.may_send,
         )
@@ -95,23 +100,23 @@
                 limit_s = head_limit_s(state.route, state.runs, left_s)
                 return await exchange.run(facts, limit_s)
         except TimeoutError:
-            return exchange.time_over()
+            return exchange.deadline_exceeded()
         finally:
             replica.own.calls -= 1
             replica.own.tokens -= tokens
-            selected.note_end()
+            selected.report_end()
 
-    def _note_first_event(self, state: CallState, selected: Selected) -> None:
-        selected.note_first_event()
+    def _report_first_event(self, state: CallState, selected: Selected) -> None:
+        selected.report_first_event()
         self.demand.note_served(state.call, state.service)
 
-    def _learn(self, state: CallState, replica: Replica, result: Result) -> None:
+    def _apply_result(self, state: CallState, replica: Replica, result: AttemptResult) -> None:
         need = state.call.model_need
         to_engine = need is not None and state.service.engine is not None
-        lesson = lesson_of(result, to_engine)
-        if excludes(lesson):
+        lesson = classify_for_replica(result, to_engine)
+        if excludes_replica(lesson):
             state.excluded.add(replica.replica_id)
-        suspended = apply(lesson, replica, need, self.directory)
+        suspended = apply_finding(lesson, replica, need, self.directory)
         if replica.health.awaits_probe:
             self.pool.note_out_of_reach()
         load = self.directory.load_of(replica)
--- a/limeshelf/gateway/body.py
+++ b/limeshelf/gateway/body.py
@@ -14,9 +14,9 @@
     from limeshelf.calls.routes import ClientLimits
 
 #: Largest body before the first configuration.
-MAX_BODY_BYTES = 8 << 20
+DEFAULT_MAX_BODY_BYTES = 8 << 20
 #: Bytes that a header field takes beside its name and value: a colon, a space, CR LF.
-FIELD_FRAME_BYTES = 4
+FIELD_OVERHEAD_BYTES = 4
 
 STATUS_BODY_TOO_LARGE = 413
 STATUS_HEAD_TOO_LARGE = 431
@@ -45,7 +45,7 @@
             return TooLarge(STATUS_BODY_TOO_LARGE)
     if not request.can_read_body:
         return b''
-    limit_bytes = limits.body_bytes if limits is not None else MAX_BODY_BYTES
+    limit_bytes = limits.body_bytes if limits is not None else DEFAULT_MAX_BODY_BYTES
     chunks = []
     size_bytes = 0
     async for chunk in request.content.iter_any():
@@ -58,5 +58,5 @@
 
 def _head_bytes(request: web.BaseRequest) -> int:
     return len(request.raw_path) + sum(
-        len(name) + len(value) + FIELD_FRAME_BYTES for name, value in request.raw_headers
+        len(name) + len(value) + FIELD_OVERHEAD_BYTES for name, value in request.raw_headers
     )
--- a/limeshelf/gateway/call_log.py
+++ b/limeshelf/gateway/call_log.py
@@ -15,7 +15,7 @@
     from limeshelf.calls.call import Call
     from limeshelf.demand.waits import CallOutlook
     from limeshelf.gateway.endings import Refuse
-    from limeshelf.gateway.exchange import Result
+    from limeshelf.gateway.exchange import AttemptResult
     from limeshelf.gateway.state import CallState
     from limeshelf.replicas.replica import Load, Replica
 
@@ -24,7 +24,7 @@
     state: CallState,
     replica: Replica,
     load: Load,
-    result: Result,
+    result: AttemptResult,
     suspended: bool,
     config_version: int | None,
 ) -> None:
@@ -34,7 +34,7 @@
     :param suspended: the replica is left alone for a while because of it.
     """
     need = state.call.model_need
-    first_s = result.first_s if isinstance(result, Delivered | WholeAnswer) else 0.0
+    first_s = result.time_to_head_s if isinstance(result, Delivered | WholeAnswer) else 0.0
     pause_s = result.longest_pause_s if isinstance(result, Delivered) else 0.0
     log_request(
         'attempt',
@@ -51,7 +51,7 @@
         pause_ms=int(pause_s * 1000),
         objective_ms=int(state.route.objective_s * 1000),
         pause_limit_ms=int(state.route.pause_s * 1000) if need else 0,
-        returned=state.returned,
+        returned=state.is_caller_retry,
         model=need.model if need else '',
         adapter=need.adapter if need else '',
         tokens=need.prompt_tokens if need else 0,
@@ -67,16 +67,16 @@
     )
 
 
-def _detail(result: Result) -> str:
+def _detail(result: AttemptResult) -> str:
     if isinstance(result, Broken | NotSent):
-        return str(result.by)
+        return str(result.cause)
     return str(result.status) if isinstance(result, Delivered | NeverRan) else ''
 
 
-def _status(result: Result) -> int:
+def _status(result: AttemptResult) -> int:
     """Return the status of the replica's answer; 0 if there is none."""
     if isinstance(result, WholeAnswer):
-        return result.facts.status
+        return result.head.status
     return result.status if isinstance(result, Delivered | NeverRan) else 0
 
 
@@ -94,7 +94,7 @@
         expected_wait_ms=int(expected_wait_s * 1000),
         left_ms=int(state.left_s * 1000),
         copy_in_ms=None if copy_in_s is None else int(copy_in_s * 1000),
-        returned=state.returned,
+        returned=state.is_caller_retry,
         model=need.model if need else '',
         adapter=need.adapter if need else '',
         waited_ms=int(state.since_arrival_s * 1000),
@@ -122,7 +122,7 @@
         objective_ms=int(state.route.objective_s * 1000),
         announced_in_ms=None if announced_in_s is None else int(announced_in_s * 1000),
         model_held=outlook.model_held,
-        returned=state.returned,
+        returned=state.is_caller_retry,
     )
 
 
--- a/limeshelf/gateway/connection.py
+++ b/limeshelf/gateway/connection.py
@@ -19,8 +19,8 @@
     from limeshelf.calls.routes import ClientLimits
 
 #: Limits before the first configuration.
-IDLE_S = 60.0
-HEAD_S = 10.0
+DEFAULT_IDLE_TIMEOUT_S = 60.0
+DEFAULT_HEAD_TIMEOUT_S = 10.0
 
 
 class CallerConnection(web.RequestHandler):
@@ -32,19 +32,25 @@
     :param limits: ``None`` before the first configuration.
     """
 
-    __slots__ = ('_first_timer', '_head_s', '_head_timer', '_idle_s')
+    __slots__ = ('_first_request_timer', '_head_timeout_s', '_head_timer', '_idle_timeout_s')
 
     def __init__(self, manager: web.Server, limits: ClientLimits | None, **options: Any) -> None:
-        self._idle_s = limits.idle_timeout_s if limits is not None else IDLE_S
-        self._head_s = limits.header_timeout_s if limits is not None else HEAD_S
-        self._first_timer: asyncio.TimerHandle | None = None
+        self._idle_timeout_s = (
+            limits.idle_timeout_s if limits is not None else DEFAULT_IDLE_TIMEOUT_S
+        )
+        self._head_timeout_s = (
+            limits.header_timeout_s if limits is not None else DEFAULT_HEAD_TIMEOUT_S
+        )
+        self._first_request_timer: asyncio.TimerHandle | None = None
         self._head_timer: asyncio.TimerHandle | None = None
-        super().__init__(manager, keepalive_timeout=self._idle_s, **options)
+        super().__init__(manager, keepalive_timeout=self._idle_timeout_s, **options)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Begin to wait for the first request."""
         super().connection_made(transport)
-        self._first_timer = self._loop.call_later(self._idle_s, self._end_if_unused)
+        self._first_request_timer = self._loop.call_later(
+            self._idle_timeout_s, self._close_if_unused
+        )
 
     def data_received(self, data: bytes) -> None:
         """Take a part of a request; the first one of a head starts its time."""
@@ -55,13 +61,13 @@
         if self._request_count > requests:
             self._stop_head_timer()
         elif begins_head:
-            self._head_timer = self._loop.call_later(self._head_s, self._end_slow_head)
+            self._head_timer = self._loop.call_later(self._head_timeout_s, self._close_slow_head)
 
     def connection_lost(self, exc: BaseException | None) -> None:
         """Stop the timers."""
         self._stop_head_timer()
-        if self._first_timer is not None:
-            self._first_timer.cancel()
+        if self._first_request_timer is not None:
+            self._first_request_timer.cancel()
         super().connection_lost(exc)
 
     @property
@@ -75,11 +81,11 @@
             self._head_timer.cancel()
             self._head_timer = None
 
-    def _end_slow_head(self) -> None:
+    def _close_slow_head(self) -> None:
         self._head_timer = None
         self.force_close()
 
-    def _end_if_unused(self) -> None:
+    def _close_if_unused(self) -> None:
         if not self._request_count:
             self.force_close()
 
--- a/limeshelf/gateway/edge.py
+++ b/limeshelf/gateway/edge.py
@@ -14,7 +14,7 @@
 
 from limeshelf.admission import come_back
 from limeshelf.errors import InvalidRequest
-from limeshelf.gateway.answer import CallerGone, HttpAnswer
+from limeshelf.gateway.answer import CallerDisconnected, HttpAnswer
 from limeshelf.gateway.body import TooLarge, read_body
 from limeshelf.gateway.connection import CallerServer
 from limeshelf.gateway.endings import STATUS_BAD_GATEWAY, STATUS_UNAVAILABLE
@@ -33,11 +33,11 @@
 MAX_FIELD_BYTES = 1 << 16
 #: How long the rest of a request is read whose answer went out before its end, and how long a
 #: closing listener waits for its connections.
-LINGER_S = 1.0
-SHUTDOWN_S = 0.2
+LINGER_TIMEOUT_S = 1.0
+SHUTDOWN_TIMEOUT_S = 0.2
 STATUS_READY = 200
 #: Nobody is there to read it; other servers use the same number for their logs.
-STATUS_CALLER_GONE = 499
+STATUS_CLIENT_CLOSED_REQUEST = 499
 
 
 class GatewayPhase(enum.StrEnum):
@@ -67,7 +67,7 @@
         self._metrics = metrics
         self._servers: list[web.Server] = []
         self._runners: list[web.ServerRunner] = []
-        self._busy: set[object] = set()
+        self._active_connections: set[object] = set()
 
     async def start(self, calls_address: str, readiness_address: str) -> None:
         """Listen for callers and for the balancer."""
@@ -82,9 +82,9 @@
             auto_decompress=False,
             max_line_size=MAX_FIELD_BYTES,
             max_field_size=MAX_FIELD_BYTES,
-            lingering_time=LINGER_S,
+            lingering_time=LINGER_TIMEOUT_S,
         )
-        runner = web.ServerRunner(server, shutdown_timeout=SHUTDOWN_S)
+        runner = web.ServerRunner(server, shutdown_timeout=SHUTDOWN_TIMEOUT_S)
         await runner.setup()
         host, _, port = address.rpartition(':')
         await web.TCPSite(runner, host, int(port), backlog=BACKLOG_CONNECTIONS).start()
@@ -105,48 +105,52 @@
         return web.Response(status=STATUS_READY if ready else STATUS_UNAVAILABLE)
 
     @property
-    def _closing(self) -> bool:
+    def _closes_connections(self) -> bool:
         return self.phase in (GatewayPhase.NOTICE, GatewayPhase.DRAINING)
 
     async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
         self.running += 1
-        self._busy.add(request.protocol)
+        self._active_connections.add(request.protocol)
         try:
-            return await self._serve(request, boottime_s())
-        except CallerGone:
+            return await self._serve_request(request, boottime_s())
+        except CallerDisconnected:
             # No line: the caller chose to go, which says nothing about a replica or us.
-            return web.Response(status=STATUS_CALLER_GONE)
+            return web.Response(status=STATUS_CLIENT_CLOSED_REQUEST)
         finally:
             self.running -= 1
-            self._busy.discard(request.protocol)
+            self._active_connections.discard(request.protocol)
 
-    async def _serve(self, request: web.BaseRequest, arrived_s: float) -> web.StreamResponse:
-        answer = HttpAnswer(request, self._closing)
+    async def _serve_request(
+        self, request: web.BaseRequest, arrived_s: float
+    ) -> web.StreamResponse:
+        answer = HttpAnswer(request, self._closes_connections)
         body = await read_body(request, self._limits())
         if isinstance(body, TooLarge):
-            return self._answer(None, body.status)
+            return self._status_response(None, body.status)
         try:
             call = self._wire.read_call(
                 request.method, request.raw_path, request.headers, body, arrived_s
             )
         except InvalidRequest as error:
             log_request('invalid', field=error.field_name, problem=error.problem)
-            return self._answer(None, error.status)
+            return self._status_response(None, error.status)
         if self.phase is GatewayPhase.DRAINING:
-            return self._answer(call.call_id, STATUS_UNAVAILABLE, come_back.STOPPING_COME_BACK_S)
+            return self._status_response(
+                call.call_id, STATUS_UNAVAILABLE, come_back.STOPPING_COME_BACK_S
+            )
         await self._pipeline.serve(call, answer)
         response = answer.response
         if response is None:
-            return self._answer(call.call_id, STATUS_BAD_GATEWAY)
+            return self._status_response(call.call_id, STATUS_BAD_GATEWAY)
         self._metrics.observe_call(response.status, boottime_s() - arrived_s)
         return response
 
-    def _answer(
+    def _status_response(
         self, call_id: str | None, status: int, retry_after_s: float | None = None
     ) -> web.Response:
         headers = self._wire.refusal_headers(call_id, retry_after_s)
         response = web.Response(status=status, headers=dict(headers))
-        if self._closing:
+        if self._closes_connections:
             response.force_close()
         self._metrics.observe_call(status, 0.0)
         return response
@@ -157,7 +161,7 @@
         # (tests/gateway/test_edge.py::test_idle_connection_is_closed_at_a_stop).
         for server in self._servers[1:]:
             for connection in server.connections:
-                if connection not in self._busy:
+                if connection not in self._active_connections:
                     connection.force_close()
 
     async def close(self) -> None:
--- a/limeshelf/gateway/endings.py
+++ b/limeshelf/gateway/endings.py
@@ -18,7 +18,7 @@
 
 if TYPE_CHECKING:
     from limeshelf.calls.routes import Route
-    from limeshelf.gateway.exchange import Result
+    from limeshelf.gateway.exchange import AttemptResult
 
 STATUS_UNAUTHORISED = 401
 STATUS_UNKNOWN_ROUTE = 404
@@ -34,14 +34,14 @@
 
 
 @dataclass(frozen=True)
-class PassOn:
+class ForwardAnswer:
     """The caller gets a replica's answer as it is."""
 
     answer: WholeAnswer
 
 
 @dataclass(frozen=True)
-class BreakOff:
+class AbortAnswer:
     """A part of the answer is with the caller, and the rest will not come."""
 
 
@@ -60,48 +60,48 @@
     outcome: NotRun
 
 
-Ending = Answered | PassOn | BreakOff | GatewayFailure | Refuse
+Ending = Answered | ForwardAnswer | AbortAnswer | GatewayFailure | Refuse
 
 
 @dataclass(frozen=True)
-class SendAgain:
+class Retry:
     """The call goes to another replica, if there is one."""
 
 
 @dataclass(frozen=True)
-class Progress:
+class CallProgress:
     """What of a call decides how it ends.
 
     :param runs: replicas that ran it or may have run it.
-    :param last: what the latest attempt gave; ``None`` before any.
+    :param last_result: what the latest attempt gave; ``None`` before any.
     :param left_s: until the call's time is over, in seconds.
     :param answer_started: a part of the answer is with the caller already.
     """
 
     route: Route
     runs: int
-    last: Result | None
+    last_result: AttemptResult | None
     left_s: float
     answer_started: bool
 
 
-def settle(progress: Progress) -> Ending | SendAgain:
+def decide_after_attempt(progress: CallProgress) -> Ending | Retry:
     """Return how a call goes on after its latest attempt."""
-    last = progress.last
+    last = progress.last_result
     if isinstance(last, Delivered):
         return Answered()
     if isinstance(last, NeverRan | NotSent):
-        return SendAgain()
-    failed = not isinstance(last, WholeAnswer) or last.facts.status >= STATUS_SERVER_ERROR
+        return Retry()
+    failed = not isinstance(last, WholeAnswer) or last.head.status >= STATUS_SERVER_ERROR
     if failed and may_run_again(progress.route, progress.runs, progress.left_s):
-        return SendAgain()
+        return Retry()
     if isinstance(last, WholeAnswer) and not progress.answer_started:
-        return PassOn(last)
-    return _end_broken(progress, is_too_late(progress.left_s))
+        return ForwardAnswer(last)
+    return _incomplete_ending(progress, is_too_late(progress.left_s))
 
 
-def give_up(
-    progress: Progress, reason: RefusalReason, retry_after_s: float | None = None
+def refuse_unavailable(
+    progress: CallProgress, reason: RefusalReason, retry_after_s: float | None = None
 ) -> Ending:
     """Return how a call ends that is sent to no further replica.
 
@@ -113,25 +113,27 @@
     return refuse(progress, Refuse(STATUS_UNAVAILABLE, NotRun(reason, retry_after_s)))
 
 
-def refuse_too_late(route: Route) -> Refuse:
+def deadline_refusal(route: Route) -> Refuse:
     """Return the refusal of a call whose time is over before it was sent."""
     outcome = NotRun(RefusalReason.DEADLINE_TOO_SHORT, come_back.after_refusals_s(route))
     return Refuse(STATUS_UNAVAILABLE, outcome)
 
 
-def refuse(progress: Progress, refusal: Refuse) -> Ending:
+def refuse(progress: CallProgress, refusal: Refuse) -> Ending:
     """Return how a call ends that is to be refused, if it can still be told that it never ran."""
     if progress.answer_started:
-        return BreakOff()
-    if isinstance(progress.last, WholeAnswer):
-        return PassOn(progress.last)
+        return AbortAnswer()
+    if isinstance(progress.last_result, WholeAnswer):
+        return ForwardAnswer(progress.last_result)
     if progress.runs:
         too_late = refusal.outcome.reason is RefusalReason.DEADLINE_TOO_SHORT
-        return _end_broken(progress, too_late)
+        return _incomplete_ending(progress, too_late)
     return refusal
 
 
-def _end_broken(progress: Progress, too_late: bool) -> BreakOff | GatewayFailure:
+def _incomplete_ending(
+    progress: CallProgress, deadline_passed: bool
+) -> AbortAnswer | GatewayFailure:
     if progress.answer_started:
-        return BreakOff()
-    return GatewayFailure(STATUS_GATEWAY_TIMEOUT if too_late else STATUS_BAD_GATEWAY)
+        return AbortAnswer()
+    return GatewayFailure(STATUS_GATEWAY_TIMEOUT if deadline_passed else STATUS_BAD_GATEWAY)
--- a/limeshelf/gateway/events.py
+++ b/limeshelf/gateway/events.py
@@ -13,8 +13,8 @@
 
 from limeshelf.errors import LimeshelfError
 
-_END = re.compile(rb'\r?\n\r?\n')
-_ID = re.compile(rb'^id: ?([^\r\n]*)', re.MULTILINE)
+_EVENT_END = re.compile(rb'\r?\n\r?\n')
+_EVENT_ID = re.compile(rb'^id: ?([^\r\n]*)', re.MULTILINE)
 #: Most bytes that are kept of an event without an end. Events of the users' streams carry a few
 #: tokens.
 MAX_EVENT_BYTES = 1 << 20
@@ -40,7 +40,7 @@
 
     last_id: str | None = None
     events: int = 0
-    _rest: bytes = b''
+    _partial_event: bytes = b''
 
     def feed(self, data: bytes) -> bytes:
         """Return the whole events that *data* completes.
@@ -48,29 +48,29 @@
         :raises EventTooLong: what follows them is too long; none of them is returned or
             counted, so that a resumed stream brings them again.
         """
-        text = self._rest + data
+        text = self._partial_event + data
         end = 0
         count = 0
-        for found in _END.finditer(text):
+        for found in _EVENT_END.finditer(text):
             end = found.end()
             count += 1
         if len(text) - end > MAX_EVENT_BYTES:
             raise EventTooLong(len(text) - end)
         if not end:
-            self._rest = text
+            self._partial_event = text
             return b''
-        whole, self._rest = text[:end], text[end:]
+        whole, self._partial_event = text[:end], text[end:]
         self.events += count
-        ids = _ID.findall(whole)
+        ids = _EVENT_ID.findall(whole)
         if ids:
             self.last_id = ids[-1].decode('latin-1')
         return whole
 
     @property
-    def unfinished(self) -> bool:
+    def has_partial_event(self) -> bool:
         """Return whether the stream stands in the middle of an event."""
-        return bool(self._rest.strip())
+        return bool(self._partial_event.strip())
 
-    def restart(self) -> None:
+    def discard_partial_event(self) -> None:
         """Forget the unfinished event; another replica sends it whole."""
-        self._rest = b''
+        self._partial_event = b''
--- a/limeshelf/gateway/exchange.py
+++ b/limeshelf/gateway/exchange.py
@@ -34,7 +34,7 @@
 EVENT_STREAM = 'text/event-stream'
 
 
-class BrokenBy(enum.StrEnum):
+class FailureCause(enum.StrEnum):
     """Why there is no whole answer; what that says of a run, the outcome tells."""
 
     #: Before the head of an answer was there, or the answer made no sense.
@@ -57,12 +57,12 @@
 class Delivered:
     """The whole answer went to the caller, with its status.
 
-    :param first_s: time from the send to the head of the answer, in seconds.
+    :param time_to_head_s: time from the send to the head of the answer, in seconds.
     :param longest_pause_s: between two events of the stream, in seconds.
     """
 
     status: int
-    first_s: float
+    time_to_head_s: float
     longest_pause_s: float = 0.0
 
 
@@ -70,12 +70,12 @@
 class WholeAnswer:
     """A plain answer that is whole but has not gone to the caller yet.
 
-    :param first_s: time from the send to the head of the answer, in seconds.
+    :param time_to_head_s: time from the send to the head of the answer, in seconds.
     """
 
-    facts: AnswerFacts
+    head: AnswerFacts
     body: bytes
-    first_s: float
+    time_to_head_s: float
 
 
 @dataclass(frozen=True)
@@ -96,28 +96,28 @@
 class NotSent:
     """The replica never got the call.
 
-    :param by: ``SILENT`` or ``TIME_OVER`` where the attempt's time or the call's was over before
-        a connection was there; ``WITHHELD`` where the call was not to be sent any more.
+    :param cause: ``SILENT`` or ``TIME_OVER`` where the attempt's time or the call's was over
+        before a connection was there; ``WITHHELD`` where the call was not to be sent any more.
     """
 
-    by: BrokenBy
+    cause: FailureCause
 
 
 @dataclass(frozen=True)
 class Broken:
     """The replica may have run the call, and its answer is not whole."""
 
-    by: BrokenBy
+    cause: FailureCause
 
 
-Result = Delivered | WholeAnswer | NeverRan | NotSent | Broken
+AttemptResult = Delivered | WholeAnswer | NeverRan | NotSent | Broken
 
 
 class Exchange:
     """Runs one attempt of a call at one replica.
 
     :param splitter: keeps the place in a stream across attempts.
-    :param on_first: called when the first event of a stream is there.
+    :param on_first_event: called when the first event of a stream is there.
     :param on_head: called as soon as the head of an answer is there that bears the call's id, and
         the replica's signature or its word that it did not run the call. Another replica may have
         given a misdirected one; then the one that was meant is no longer there, and what it is
@@ -132,7 +132,7 @@
         wire: CallWire,
         answer: Answer,
         splitter: EventSplitter,
-        on_first: Callable[[], None],
+        on_first_event: Callable[[], None],
         on_head: Callable[[AnswerFacts], None] = lambda facts: None,
         may_send: Callable[[], bool] = lambda: True,
     ) -> None:
@@ -141,71 +141,73 @@
         self._wire = wire
         self._answer = answer
         self._splitter = splitter
-        self._on_first = on_first
+        self._on_first_event = on_first_event
         self._on_head = on_head
         self._progress = SendProgress(may_send)
 
-    async def run(self, facts: SendFacts, head_limit_s: float) -> Result:
+    async def run(self, facts: SendFacts, head_limit_s: float) -> AttemptResult:
         """Send the call and bring its answer on.
 
         :param head_limit_s: within which the head of the answer must be there, in
             seconds.
-        :raises CallerGone: the caller has closed its connection.
+        :raises CallerDisconnected: the caller has closed its connection.
         """
         started_s = boottime_s()
         response: aiohttp.ClientResponse | None = None
         try:
             async with asyncio.timeout(head_limit_s):
                 response = await self._connections.send(self._call, facts, self._progress)
-            return await self._take(response, started_s)
+            return await self._handle_answer(response, started_s)
         except SendWithheld:
-            return NotSent(BrokenBy.WITHHELD)
+            return NotSent(FailureCause.WITHHELD)
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError):
             # Before TimeoutError, whose kind the second one is
             # (tests/gateway/test_path.py::test_replica_that_takes_no_connection).
             return NeverRan(reached=False)
         except TimeoutError:
             if response is None:
-                return self._out_of_time(BrokenBy.SILENT)
-            return Broken(BrokenBy.CUT_SHORT)
+                return self._timed_out(FailureCause.SILENT)
+            return Broken(FailureCause.CUT_SHORT)
         except EventTooLong:
-            return Broken(BrokenBy.EVENT_TOO_LONG)
+            return Broken(FailureCause.EVENT_TOO_LONG)
         except aiohttp.ClientPayloadError:
-            return Broken(BrokenBy.CUT_SHORT)
+            return Broken(FailureCause.CUT_SHORT)
         except (aiohttp.ClientError, OSError, ValueError):
-            return Broken(BrokenBy.CONNECTION_BROKEN)
+            return Broken(FailureCause.CONNECTION_BROKEN)
         finally:
             if response is not None:
                 response.close()
 
-    def time_over(self) -> Broken | NotSent:
+    def deadline_exceeded(self) -> Broken | NotSent:
         """Return what the attempt gave if the call's own time ended :meth:`run`."""
-        return self._out_of_time(BrokenBy.TIME_OVER)
+        return self._timed_out(FailureCause.TIME_OVER)
 
-    def _out_of_time(self, by: BrokenBy) -> Broken | NotSent:
-        return Broken(by) if self._progress.connected else NotSent(by)
+    def _timed_out(self, cause: FailureCause) -> Broken | NotSent:
+        return Broken(cause) if self._progress.connected else NotSent(cause)
 
-    async def _take(self, response: aiohttp.ClientResponse, started_s: float) -> Result:
+    async def _handle_answer(
+        self, response: aiohttp.ClientResponse, started_s: float
+    ) -> AttemptResult:
         facts = self._wire.read_answer(response.status, response.headers)
         first_s = boottime_s() - started_s
         if facts.call_id != self._call.call_id and not facts.misdirected:
-            return Broken(BrokenBy.FOREIGN_ANSWER)
+            return Broken(FailureCause.FOREIGN_ANSWER)
         if facts.not_run:
             if facts.call_id == self._call.call_id:
                 self._on_head(facts)
-            await self._finish(response, facts)
+            await self._drain_refusal(response, facts)
             return NeverRan(True, facts.misdirected, facts.status)
         if not facts.stamped or facts.encoded:
-            return Broken(BrokenBy.FOREIGN_ANSWER)
+            return Broken(FailureCause.FOREIGN_ANSWER)
         self._on_head(facts)
         if response.status == STATUS_OK and response.content_type == EVENT_STREAM:
-            return await self._relay(response, facts, first_s)
+            return await self._relay_stream(response, facts, first_s)
         body = await self._read_whole(response)
         self._connections.note_keep_alive(facts)
         response.release()
         return WholeAnswer(facts, body, first_s)
 
-    async def _finish(self, response: aiohttp.ClientResponse, facts: AnswerFacts) -> None:
+    async def _drain_refusal(self, response: aiohttp.ClientResponse, facts: AnswerFacts) -> None:
         """Read a refusal to its end, so that its connection can be used again."""
         await self._read_whole(response)
         self._connections.note_keep_alive(facts)
@@ -221,11 +223,11 @@
                 raise ValueError('answer too long')
         return b''.join(parts)
 
-    async def _relay(
+    async def _relay_stream(
         self, response: aiohttp.ClientResponse, facts: AnswerFacts, first_s: float
-    ) -> Result:
+    ) -> AttemptResult:
         splitter = self._splitter
-        splitter.restart()
+        splitter.discard_partial_event()
         longest_pause_s = 0.0
         last_s: float | None = None
         async for chunk in response.content.iter_any():
@@ -234,15 +236,15 @@
                 continue
             now_s = boottime_s()
             if last_s is None:
-                self._on_first()
+                self._on_first_event()
             else:
                 longest_pause_s = max(longest_pause_s, now_s - last_s)
             last_s = now_s
             if not self._answer.started:
                 await self._answer.start(facts.status, facts.headers)
             await self._answer.write(whole)
-        if splitter.unfinished:
-            return Broken(BrokenBy.CUT_SHORT)
+        if splitter.has_partial_event:
+            return Broken(FailureCause.CUT_SHORT)
         if not self._answer.started:
             await self._answer.start(facts.status, facts.headers)
         await self._answer.finish()
--- a/limeshelf/gateway/final_answer.py
+++ b/limeshelf/gateway/final_answer.py
@@ -10,7 +10,13 @@
 import attrs
 
 from limeshelf.gateway.call_log import log_failed, log_refused
-from limeshelf.gateway.endings import STATUS_UNAUTHORISED, Answered, BreakOff, PassOn, Refuse
+from limeshelf.gateway.endings import (
+    STATUS_UNAUTHORISED,
+    AbortAnswer,
+    Answered,
+    ForwardAnswer,
+    Refuse,
+)
 
 if TYPE_CHECKING:
     from limeshelf.calls.call import Call
@@ -22,13 +28,13 @@
 
 
 @attrs.frozen
-class FinalAnswer:
+class FinalAnswerSender:
     """Gives final answers."""
 
     wire: CallWire
     in_force: ConfigInForce
 
-    async def give(
+    async def send(
         self,
         call: Call,
         ending: Ending,
@@ -41,28 +47,28 @@
         """
         if isinstance(ending, Answered):
             return
-        if isinstance(ending, BreakOff):
+        if isinstance(ending, AbortAnswer):
             log_failed(call, 0, self._version)
             answer.abort()
-        elif isinstance(ending, PassOn):
+        elif isinstance(ending, ForwardAnswer):
             whole = ending.answer
-            await answer.whole(whole.facts.status, whole.facts.headers, whole.body)
+            await answer.send_whole(whole.head.status, whole.head.headers, whole.body)
         elif isinstance(ending, Refuse):
             log_refused(call, ending, self._version, organisation.name if organisation else '')
-            await self._refuse(call, ending, answer)
+            await self._send_refusal(call, ending, answer)
         else:
             log_failed(call, ending.status, self._version)
             headers = self.wire.refusal_headers(call.call_id, None)
-            await answer.whole(ending.status, headers, b'')
+            await answer.send_whole(ending.status, headers, b'')
 
     @property
     def _version(self) -> int | None:
         return self.in_force.config.version if self.in_force.config else None
 
-    async def _refuse(self, call: Call, refusal: Refuse, answer: Answer) -> None:
+    async def _send_refusal(self, call: Call, refusal: Refuse, answer: Answer) -> None:
         headers = self.wire.refusal_headers(
             call.call_id,
             refusal.outcome.retry_after_s,
             asks_for_key=refusal.status == STATUS_UNAUTHORISED,
         )
-        await answer.whole(refusal.status, headers, b'')
+        await answer.send_whole(refusal.status, headers, b'')
--- a/limeshelf/gateway/pipeline.py
+++ b/limeshelf/gateway/pipeline.py
@@ -30,13 +30,13 @@
     STATUS_UNAVAILABLE,
     STATUS_UNKNOWN_ROUTE,
     Refuse,
-    SendAgain,
-    give_up,
+    Retry,
+    deadline_refusal,
+    decide_after_attempt,
     refuse,
-    refuse_too_late,
-    settle,
+    refuse_unavailable,
 )
-from limeshelf.gateway.final_answer import FinalAnswer
+from limeshelf.gateway.final_answer import FinalAnswerSender
 from limeshelf.gateway.selection import Selected
 from limeshelf.gateway.state import CallState
 
@@ -61,7 +61,7 @@
 #: The final answer goes out this long before the caller's time is over.
 ANSWER_MARGIN_S = 0.02
 #: Time of a call whose caller does not say how long it waits.
-DEFAULT_BUDGET_S = 30.0
+DEFAULT_CALLER_TIMEOUT_S = 30.0
 
 
 class Pipeline:
@@ -86,7 +86,7 @@
         self._demand = demand
         self._budgets = budgets
         self._in_force = in_force
-        self._final = FinalAnswer(wire, in_force)
+        self._final_answer = FinalAnswerSender(wire, in_force)
         self._access = access
         self._limits = limits
         self._quarantine = quarantine
@@ -100,17 +100,17 @@
 
     async def serve(self, call: Call, answer: Answer) -> None:
         """Bring the call to a replica and its answer to the caller."""
-        state = self._route(call, answer)
+        state = self._begin_call(call, answer)
         if isinstance(state, Refuse):
-            await self._final.give(call, state, answer)
+            await self._final_answer.send(call, state, answer)
             return
         quarantined = self._quarantine.check(state.fingerprint)
         if quarantined is not None:
-            await self._final.give(call, quarantined, answer, state.organisation)
+            await self._final_answer.send(call, quarantined, answer, state.organisation)
             return
         reserved = await self._limits.reserve(call, state.organisation)
         if isinstance(reserved, Refuse):
-            await self._final.give(call, reserved, answer, state.organisation)
+            await self._final_answer.send(call, reserved, answer, state.organisation)
             return
         state.reservation = reserved
         try:
@@ -123,10 +123,10 @@
         call = state.call
         self._budgets.of(state.service.name).note_call()
         with self._demand.track(call, state.service.name, state.route.objective_s):
-            ending = await self._run(state)
-            await self._final.give(call, ending, state.answer, state.organisation)
+            ending = await self._run_attempts(state)
+            await self._final_answer.send(call, ending, state.answer, state.organisation)
 
-    def _route(self, call: Call, answer: Answer) -> CallState | Refuse:
+    def _begin_call(self, call: Call, answer: Answer) -> CallState | Refuse:
         config = self.config
         if config is None:
             return _not_ready(RefusalReason.STARTING)
@@ -139,11 +139,11 @@
         service = config.services.get(route.draw_service())
         if service is None:
             return _not_ready(RefusalReason.NO_READY_REPLICA)
-        allowed_s = min(call.budget_s or DEFAULT_BUDGET_S, route.timeout_s)
+        allowed_s = min(call.budget_s or DEFAULT_CALLER_TIMEOUT_S, route.timeout_s)
         ends_s = call.arrived_s + allowed_s - ANSWER_MARGIN_S
         return CallState(call, answer, route, service, ends_s, admitted.organisation)
 
-    async def _run(self, state: CallState) -> Ending:
+    async def _run_attempts(self, state: CallState) -> Ending:
         while True:
             selected = await self._select_unless_stopped(state)
             if not isinstance(selected, Selected):
@@ -151,18 +151,18 @@
             # Keys go, and replicas end, while calls wait.
             admitted = self._admit(state)
             if isinstance(admitted, Refuse):
-                selected.note_end()
+                selected.report_end()
                 return refuse(state.progress(), admitted)
             await self._attempts.run(state, selected, admitted.organisation)
-            settled = settle(state.progress())
-            if not isinstance(settled, SendAgain):
+            settled = decide_after_attempt(state.progress())
+            if not isinstance(settled, Retry):
                 return settled
 
     def _admit(self, state: CallState) -> AccessGranted | Refuse:
         """Return who sends a call, or why it may not be sent now."""
         if is_too_late(state.left_s):
             # Waking from a suspension, the wait may end with a replica though the time is over.
-            return refuse_too_late(state.route)
+            return deadline_refusal(state.route)
         quarantined = self._quarantine.check(state.fingerprint)
         return quarantined or self._access.check(state.call, state.route)
 
@@ -180,7 +180,9 @@
             task.uncancel()
         finally:
             self._waiting.discard(task)
-        return give_up(state.progress(), RefusalReason.STOPPING, come_back.STOPPING_COME_BACK_S)
+        return refuse_unavailable(
+            state.progress(), RefusalReason.STOPPING, come_back.STOPPING_COME_BACK_S
+        )
 
     def refuse_waiting(self) -> None:
         """Refuse the calls that still wait for a replica; other gateways take them."""
@@ -193,8 +195,8 @@
         while True:
             reason = reason_not_to_send(state.refusals, state.left_s)
             if reason is not None:
-                return give_up(state.progress(), reason)
-            quarantined = await self._quarantine.check_when_known(state)
+                return refuse_unavailable(state.progress(), reason)
+            quarantined = await self._quarantine.check_confirmed(state)
             admitted = quarantined or self._access.check(state.call, state.route)
             if isinstance(admitted, Refuse):
                 return refuse(state.progress(), admitted)
@@ -204,11 +206,11 @@
             if isinstance(selection, Selected):
                 self._demand.note_found(state.call, state.service)
                 if state.sends and not self._budgets.of(state.service.name).try_retry():
-                    selection.note_end()
-                    return give_up(state.progress(), RefusalReason.UPSTREAM_REFUSED)
+                    selection.report_end()
+                    return refuse_unavailable(state.progress(), RefusalReason.UPSTREAM_REFUSED)
                 return selection
             outlook = self._demand.outlook(state.call, state.service)
-            decided = decide_absent(_absent(state, outlook))
+            decided = decide_absent(_absent_model(state, outlook))
             if isinstance(decided, RefuseUntilReady):
                 return _refuse_no_replica(state, decided, outlook)
             await self._hold(state, decided)
@@ -219,7 +221,7 @@
         copy_in_s = self._demand.outlook(state.call, state.service).announced_in_s
         log_overloaded(state, queue_wait_s, copy_in_s)
         retry_after_s = come_back.when_room_s(queue_wait_s, copy_in_s, left_s)
-        return give_up(state.progress(), RefusalReason.OVERLOADED, retry_after_s)
+        return refuse_unavailable(state.progress(), RefusalReason.OVERLOADED, retry_after_s)
 
     async def _hold(self, state: CallState, hold: Hold) -> None:
         """Wait for a replica that can run the call."""
@@ -229,13 +231,13 @@
         await self._directory.wait_for_change(hold.wait_s)
 
 
-def _absent(state: CallState, outlook: CallOutlook) -> AbsentModel:
+def _absent_model(state: CallState, outlook: CallOutlook) -> AbsentModel:
     return AbsentModel(
         route=state.route,
         expected_wait_s=outlook.wait_s,
         waited_s=state.since_arrival_s,
         left_s=state.left_s,
-        returned=state.returned,
+        returned=state.is_caller_retry,
         announced=outlook.is_announced,
         excluded=bool(state.excluded),
         answer_started=state.answer.started,
@@ -250,4 +252,6 @@
     state: CallState, refusal: RefuseUntilReady, outlook: CallOutlook
 ) -> Ending:
     log_no_replica(state, refusal.expected_wait_s, outlook)
-    return give_up(state.progress(), RefusalReason.NO_READY_REPLICA, refusal.retry_after_s)
+    return refuse_unavailable(
+        state.progress(), RefusalReason.NO_READY_REPLICA, refusal.retry_after_s
+    )
--- a/limeshelf/gateway/quarantine.py
+++ b/limeshelf/gateway/quarantine.py
@@ -12,13 +12,13 @@
 from limeshelf.crashes.quarantine import REST_ENDS
 from limeshelf.errors import NotRun, RefusalReason
 from limeshelf.gateway.endings import STATUS_UNAVAILABLE, Refuse
-from limeshelf.gateway.result_rules import CallLesson, call_lesson_of
+from limeshelf.gateway.result_rules import CallFinding, classify_for_call
 
 if TYPE_CHECKING:
     from limeshelf.calls.fingerprint import Fingerprint
     from limeshelf.crashes.end_watch import EndWatch
     from limeshelf.crashes.quarantine import Quarantine, Quarantined
-    from limeshelf.gateway.exchange import Result
+    from limeshelf.gateway.exchange import AttemptResult
     from limeshelf.gateway.state import CallState
     from limeshelf.replicas.replica import Replica
 
@@ -35,7 +35,7 @@
         quarantined = self.quarantine.check(fingerprint)
         return _refusal_of(quarantined) if quarantined is not None else None
 
-    async def check_when_known(self, state: CallState) -> Refuse | None:
+    async def check_confirmed(self, state: CallState) -> Refuse | None:
         """Return the same once it is known whether replicas that broke the call off have ended.
 
         Waited for only where the call would be refused if they had.
@@ -48,23 +48,23 @@
         quarantined = self.quarantine.check(fingerprint, broken_twice=broken_twice)
         return _refusal_of(quarantined) if quarantined is not None else None
 
-    def note_sent(self, fingerprint: Fingerprint) -> None:
+    def record_send(self, fingerprint: Fingerprint) -> None:
         """Note that a call is sent."""
         self.quarantine.note_sent(fingerprint)
 
-    def note_result(
-        self, state: CallState, replica: Replica, result: Result, sent_s: float
+    def record_result(
+        self, state: CallState, replica: Replica, result: AttemptResult, sent_s: float
     ) -> None:
         """Learn from what an attempt gave.
 
         :param sent_s: when it began, on the boot clock.
         """
-        lesson = call_lesson_of(result)
-        if lesson is CallLesson.BROKEN_OFF:
+        lesson = classify_for_call(result)
+        if lesson is CallFinding.DISCONNECTED:
             self.watch.note_broken(state.fingerprint, replica)
-        elif lesson is not CallLesson.NOTHING:
+        elif lesson is not CallFinding.NONE:
             self.watch.note_answered(replica, sent_s)
-        if lesson is CallLesson.FINISHED:
+        if lesson is CallFinding.FINISHED:
             self.quarantine.suspects.note_finished(state.fingerprint)
 
 
--- a/limeshelf/gateway/selection.py
+++ b/limeshelf/gateway/selection.py
@@ -32,12 +32,12 @@
 class Selected:
     """The replica for an attempt, with the dispatcher's grant if it gave one.
 
-    :param has_turn: a turn goes with it at a replica that takes only so many calls a second.
+    :param has_permit: a turn goes with it at a replica that takes only so many calls a second.
     """
 
     replica: Replica
     grant: Grant | None
-    has_turn: bool = False
+    has_permit: bool = False
 
     def may_send(self) -> bool:
         """Return whether the call may go to the replica by what that asks for now.
@@ -46,14 +46,14 @@
         """
         if not self.replica.takes_calls or self.replica.backpressure.is_paused:
             return False
-        return self.has_turn or self.replica.backpressure.rate_per_s is None
+        return self.has_permit or self.replica.backpressure.rate_per_s is None
 
-    def note_first_event(self) -> None:
+    def report_first_event(self) -> None:
         """Report to the dispatcher that the first event came."""
         if self.grant is not None:
             self.grant.report_read()
 
-    def note_end(self) -> None:
+    def report_end(self) -> None:
         """Report to the dispatcher that the attempt is over, or that there is none."""
         if self.grant is not None:
             self.grant.report_ended()
@@ -75,10 +75,10 @@
         """Return the replica to send a call to next, or why there is none."""
         need = state.call.model_need
         if need is not None and state.service.engine is not None:
-            return await self._dispatched(state, need)
-        return await self._routed(state)
+            return await self._select_dispatched(state, need)
+        return await self._select_routed(state)
 
-    async def _routed(self, state: CallState) -> Selection:
+    async def _select_routed(self, state: CallState) -> Selection:
         """Return the cheapest replica that takes the call now.
 
         Those that have no turn for it in time are passed over.
@@ -88,9 +88,9 @@
         while (chosen := self.chooser.choose(state.service, frozenset(excluded))) is not None:
             if chosen.backpressure.rate_per_s is None:
                 return Selected(chosen, None)
-            turn = await self.turns.get(chosen, _turn_patience_s(state))
+            turn = await self.turns.get(chosen, _permit_wait_limit_s(state))
             if turn.is_granted:
-                return Selected(chosen, None, has_turn=True)
+                return Selected(chosen, None, has_permit=True)
             excluded.add(chosen.replica_id)
             next_turns_s.append(turn.wait_s)
         if next_turns_s and not state.excluded:
@@ -98,13 +98,13 @@
         # Those that refused the call may take it sooner.
         return NoHolder()
 
-    async def _dispatched(self, state: CallState, need: ModelNeed) -> Selection:
-        answered = await self.dispatch.ask(self._request(state, need))
+    async def _select_dispatched(self, state: CallState, need: ModelNeed) -> Selection:
+        answered = await self.dispatch.ask(self._grant_request(state, need))
         if isinstance(answered, NoRoom | NoHolder):
             return answered
         replica = self.directory.get(answered.replica_id)
         if replica is not None and replica.takes_calls:
-            has_turn = answered.has_turn or await self._gets_turn(state, replica, answered)
+            has_turn = answered.has_turn or await self._acquire_permit(state, replica, answered)
             if has_turn or replica.backpressure.rate_per_s is None:
                 return Selected(replica, answered, has_turn)
         # The dispatcher has no report yet that the replica leaves, or gives no turns there.
@@ -112,7 +112,7 @@
         state.excluded.add(answered.replica_id)
         return NoHolder()
 
-    async def _gets_turn(self, state: CallState, replica: Replica, grant: Grant) -> bool:
+    async def _acquire_permit(self, state: CallState, replica: Replica, grant: Grant) -> bool:
         """Return whether there is a turn for a call that was granted without one.
 
         Who granted it had not heard yet that the replica takes only so many calls, or stands in
@@ -121,13 +121,13 @@
         if replica.backpressure.rate_per_s is None:
             return False
         try:
-            turn = await self.turns.get(replica, _turn_patience_s(state))
+            turn = await self.turns.get(replica, _permit_wait_limit_s(state))
         except asyncio.CancelledError:
             grant.report_ended()
             raise
         return turn.is_granted
 
-    def _request(self, state: CallState, need: ModelNeed) -> GrantRequest:
+    def _grant_request(self, state: CallState, need: ModelNeed) -> GrantRequest:
         waited_s = state.since_arrival_s
         return GrantRequest(
             key=ModelKey(state.service.name, need.model, need.adapter),
@@ -136,11 +136,11 @@
             objective_s=state.route.objective_s - waited_s,
             left_s=min(state.left_s, patience_left_s(state.route, waited_s)),
             pause_s=state.route.pause_s,
-            excluded=frozenset(state.excluded | self._unreachable(state)),
-            returned=state.returned,
+            excluded=frozenset(state.excluded | self._unusable_here(state)),
+            returned=state.is_caller_retry,
         )
 
-    def _unreachable(self, state: CallState) -> set[str]:
+    def _unusable_here(self, state: CallState) -> set[str]:
         """Return the replicas that this gateway cannot use now, whoever else can."""
         return {
             replica.replica_id
@@ -149,7 +149,7 @@
         }
 
 
-def _turn_patience_s(state: CallState) -> float:
+def _permit_wait_limit_s(state: CallState) -> float:
     """Return how long a call can wait for its turn at a replica, in seconds."""
-    bearable_s = patience_left_s if state.returned else hold_left_s
+    bearable_s = patience_left_s if state.is_caller_retry else hold_left_s
     return max(0.0, min(state.left_s, bearable_s(state.route, state.since_arrival_s)))
--- a/limeshelf/gateway/state.py
+++ b/limeshelf/gateway/state.py
@@ -8,16 +8,16 @@
 
 from limeshelf.admission.patience import has_returned
 from limeshelf.calls.fingerprint import Fingerprint, fingerprint_of
-from limeshelf.gateway.endings import Progress
+from limeshelf.gateway.endings import CallProgress
 from limeshelf.gateway.events import EventSplitter
-from limeshelf.gateway.exchange import BrokenBy, Delivered, NeverRan, NotSent
+from limeshelf.gateway.exchange import Delivered, FailureCause, NeverRan, NotSent
 from limeshelf.util.clock import boottime_s
 
 if TYPE_CHECKING:
     from limeshelf.calls.call import Call
     from limeshelf.calls.routes import Route, ServiceSpec
     from limeshelf.gateway.answer import Answer
-    from limeshelf.gateway.exchange import Result
+    from limeshelf.gateway.exchange import AttemptResult
     from limeshelf.organisations.organisation import Organisation
     from limeshelf.organisations.usage import Reservation
 
@@ -29,13 +29,13 @@
     :ivar answer: where its answer goes.
     :ivar organisation: that holds its key; ``None`` without one.
     :ivar reservation: of what it uses of its organisation's limit; ``None`` without a limit.
-    :ivar ends_s: when its final answer must go out, on the steady clock.
+    :ivar deadline_s: when its final answer must go out, on the steady clock.
     :ivar splitter: keeps the place in a stream across attempts.
     :ivar runs: replicas that ran it or may have run it.
     :ivar sends: attempts so far.
     :ivar refusals: attempts that surely did not run it.
     :ivar excluded: ids of replicas that it is not sent to again.
-    :ivar last: what the latest attempt gave.
+    :ivar last_result: what the latest attempt gave.
     :ivar waited_s: time from its arrival to the latest send, in seconds.
     :ivar fingerprint: the same for each try of the caller.
     """
@@ -44,7 +44,7 @@
     answer: Answer
     route: Route
     service: ServiceSpec
-    ends_s: float
+    deadline_s: float
     organisation: Organisation | None = None
     reservation: Reservation | None = None
     splitter: EventSplitter = attrs.field(factory=EventSplitter)
@@ -52,24 +52,24 @@
     sends: int = 0
     refusals: int = 0
     excluded: set[str] = attrs.field(factory=set)
-    last: Result | None = None
+    last_result: AttemptResult | None = None
     waited_s: float = 0.0
     fingerprint: Fingerprint = attrs.Factory(
         lambda self: fingerprint_of(self.call), takes_self=True
     )
 
-    def note_send(self) -> None:
+    def begin_attempt(self) -> None:
         """Count an attempt that begins now."""
         self.sends += 1
         if self.reservation is not None:
             self.reservation.note_sent()
         self.waited_s = self.since_arrival_s
 
-    def note_result(self, result: Result) -> None:
+    def record_result(self, result: AttemptResult) -> None:
         """Count what an attempt gave."""
-        self.last = result
+        self.last_result = result
         if isinstance(result, NeverRan | NotSent):
-            if isinstance(result, NotSent) and result.by is BrokenBy.WITHHELD:
+            if isinstance(result, NotSent) and result.cause is FailureCause.WITHHELD:
                 # Nothing arrived anywhere, so the next send repeats none.
                 self.sends -= 1
             else:
@@ -79,9 +79,11 @@
         elif not isinstance(result, Delivered):
             self.runs += 1
 
-    def progress(self) -> Progress:
+    def progress(self) -> CallProgress:
         """Return what decides how the call ends."""
-        return Progress(self.route, self.runs, self.last, self.left_s, self.answer.started)
+        return CallProgress(
+            self.route, self.runs, self.last_result, self.left_s, self.answer.started
+        )
 
     @property
     def priority(self) -> int:
@@ -95,7 +97,7 @@
         return organisation.priority
 
     @property
-    def returned(self) -> bool:
+    def is_caller_retry(self) -> bool:
         """Return whether the caller was likely refused before and has come back."""
         return has_returned(self.route, self.call.budget_s)
 
@@ -107,4 +109,4 @@
     @property
     def left_s(self) -> float:
         """Return the time that is left for the call, in seconds."""
-        return self.ends_s - boottime_s()
+        return self.deadline_s - boottime_s()
--- a/tests/gateway/test_call_log.py
+++ b/tests/gateway/test_call_log.py
@@ -11,7 +11,14 @@
 from limeshelf.calls.wire import AnswerFacts
 from limeshelf.demand.waits import CallOutlook
 from limeshelf.gateway import call_log
-from limeshelf.gateway.exchange import Broken, BrokenBy, Delivered, NeverRan, Result, WholeAnswer
+from limeshelf.gateway.exchange import (
+    AttemptResult,
+    Broken,
+    Delivered,
+    FailureCause,
+    NeverRan,
+    WholeAnswer,
+)
 from limeshelf.gateway.state import CallState
 from limeshelf.replicas.record import Holding, ReplicaRecord
 from limeshelf.replicas.replica import Load, Replica
@@ -23,7 +30,7 @@
     ReplicaRecord('r0', 'lm', 'lm:0', 'z1', 4, False, None, (Holding('m'),), 1), {'m': frozenset()}
 )
 ANSWER = WholeAnswer(
-    AnswerFacts(504, 'c', True, False, False, False, None, (), None), b'', first_s=0.2
+    AnswerFacts(504, 'c', True, False, False, False, None, (), None), b'', time_to_head_s=0.2
 )
 
 
@@ -90,11 +97,11 @@
         (Delivered(200, 0.1), 200),
         (NeverRan(True, status=503), 503),
         (NeverRan(False), 0),
-        (Broken(BrokenBy.TIME_OVER), 0),
+        (Broken(FailureCause.TIME_OVER), 0),
     ],
 )
 def test_attempt_tells_the_status_its_length_and_whether_the_answer_has_begun(
-    written: dict[str, Any], result: Result, status: int
+    written: dict[str, Any], result: AttemptResult, status: int
 ) -> None:
     state = attrs.evolve(held_state(0.5), waited_s=0.1)
     call_log.log_attempt(state, REPLICA, Load(), result, False, 3)
--- a/tests/gateway/test_endings.py
+++ b/tests/gateway/test_endings.py
@@ -10,30 +10,30 @@
 from limeshelf.calls.wire import AnswerFacts
 from limeshelf.errors import NotRun, RefusalReason
 from limeshelf.gateway.endings import (
+    AbortAnswer,
     Answered,
-    BreakOff,
+    CallProgress,
+    ForwardAnswer,
     GatewayFailure,
-    PassOn,
-    Progress,
     Refuse,
-    SendAgain,
-    give_up,
-    settle,
+    Retry,
+    decide_after_attempt,
+    refuse_unavailable,
 )
 from limeshelf.gateway.exchange import (
+    AttemptResult,
     Broken,
-    BrokenBy,
     Delivered,
+    FailureCause,
     NeverRan,
     NotSent,
-    Result,
     WholeAnswer,
 )
 from tests.support.routes import make_route
 
-BROKEN = Broken(BrokenBy.CUT_SHORT)
+BROKEN = Broken(FailureCause.CUT_SHORT)
 REFUSED = NeverRan(reached=True)
-NOT_SENT = NotSent(BrokenBy.TIME_OVER)
+NOT_SENT = NotSent(FailureCause.TIME_OVER)
 
 
 def whole(status: int) -> WholeAnswer:
@@ -41,68 +41,76 @@
     return WholeAnswer(facts, b'', 0.1)
 
 
-def progress(last: Result | None, **changes: Any) -> Progress:
+def progress(last_result: AttemptResult | None, **changes: Any) -> CallProgress:
     fields: dict[str, Any] = {
         'route': make_route(),
-        'runs': 0 if last is None or isinstance(last, NeverRan | NotSent) else 1,
-        'last': last,
+        'runs': 0 if last_result is None or isinstance(last_result, NeverRan | NotSent) else 1,
+        'last_result': last_result,
         'left_s': 5.0,
         'answer_started': False,
         **changes,
     }
-    return Progress(**fields)
+    return CallProgress(**fields)
 
 
 @pytest.mark.parametrize('last', [REFUSED, NOT_SENT, BROKEN, whole(500)])
-def test_safe_call_goes_to_another_replica(last: Result) -> None:
-    assert settle(progress(last)) == SendAgain()
+def test_safe_call_goes_to_another_replica(last: AttemptResult) -> None:
+    assert decide_after_attempt(progress(last)) == Retry()
 
 
 def test_unsafe_call_goes_on_only_after_a_refusal() -> None:
     unsafe = make_route(kind=CallKind.UNSAFE)
-    assert settle(progress(REFUSED, route=unsafe)) == SendAgain()
-    assert settle(progress(NOT_SENT, route=unsafe)) == SendAgain()
-    assert settle(progress(BROKEN, route=unsafe)) == GatewayFailure(502)
-    assert settle(progress(whole(500), route=unsafe)) == PassOn(whole(500))
+    assert decide_after_attempt(progress(REFUSED, route=unsafe)) == Retry()
+    assert decide_after_attempt(progress(NOT_SENT, route=unsafe)) == Retry()
+    assert decide_after_attempt(progress(BROKEN, route=unsafe)) == GatewayFailure(502)
+    assert decide_after_attempt(progress(whole(500), route=unsafe)) == ForwardAnswer(whole(500))
 
 
 def test_answer_reaches_the_caller_as_it_is() -> None:
-    assert settle(progress(Delivered(200, 0.1))) == Answered()
-    assert settle(progress(whole(404))) == PassOn(whole(404))
-    assert settle(progress(whole(500), runs=2)) == PassOn(whole(500))
+    assert decide_after_attempt(progress(Delivered(200, 0.1))) == Answered()
+    assert decide_after_attempt(progress(whole(404))) == ForwardAnswer(whole(404))
+    assert decide_after_attempt(progress(whole(500), runs=2)) == ForwardAnswer(whole(500))
 
 
 def test_broken_call_whose_time_is_over_ends_with_504() -> None:
-    assert settle(progress(BROKEN, left_s=0.03)) == GatewayFailure(504)
-    assert settle(progress(BROKEN, runs=2)) == GatewayFailure(502)
+    assert decide_after_attempt(progress(BROKEN, left_s=0.03)) == GatewayFailure(504)
+    assert decide_after_attempt(progress(BROKEN, runs=2)) == GatewayFailure(502)
 
 
 def test_stream_that_has_begun_is_broken_off() -> None:
     once = make_route(kind=CallKind.STREAM)
-    assert settle(progress(BROKEN, route=once, answer_started=True)) == BreakOff()
-    given_up = give_up(progress(BROKEN, answer_started=True), RefusalReason.STOPPING)
-    assert given_up == BreakOff()
+    assert decide_after_attempt(progress(BROKEN, route=once, answer_started=True)) == AbortAnswer()
+    given_up = refuse_unavailable(progress(BROKEN, answer_started=True), RefusalReason.STOPPING)
+    assert given_up == AbortAnswer()
 
 
 def test_promise_is_given_only_to_what_never_ran() -> None:
-    refusal = give_up(progress(REFUSED), RefusalReason.OVERLOADED, 1.5)
+    refusal = refuse_unavailable(progress(REFUSED), RefusalReason.OVERLOADED, 1.5)
     assert refusal == Refuse(503, NotRun(RefusalReason.OVERLOADED, 1.5))
-    not_sent = give_up(progress(NOT_SENT, left_s=0.0), RefusalReason.DEADLINE_TOO_SHORT, 0.3)
+    not_sent = refuse_unavailable(
+        progress(NOT_SENT, left_s=0.0), RefusalReason.DEADLINE_TOO_SHORT, 0.3
+    )
     assert not_sent == Refuse(503, NotRun(RefusalReason.DEADLINE_TOO_SHORT, 0.3))
-    ran_before = give_up(progress(NOT_SENT, runs=1), RefusalReason.DEADLINE_TOO_SHORT)
+    ran_before = refuse_unavailable(progress(NOT_SENT, runs=1), RefusalReason.DEADLINE_TOO_SHORT)
     assert ran_before == GatewayFailure(504)
-    assert give_up(progress(BROKEN), RefusalReason.OVERLOADED, 1.5) == GatewayFailure(502)
-    too_late = give_up(progress(BROKEN), RefusalReason.DEADLINE_TOO_SHORT)
+    assert refuse_unavailable(progress(BROKEN), RefusalReason.OVERLOADED, 1.5) == GatewayFailure(
+        502
+    )
+    too_late = refuse_unavailable(progress(BROKEN), RefusalReason.DEADLINE_TOO_SHORT)
     assert too_late == GatewayFailure(504)
-    assert give_up(progress(whole(500)), RefusalReason.OVERLOADED) == PassOn(whole(500))
+    assert refuse_unavailable(progress(whole(500)), RefusalReason.OVERLOADED) == ForwardAnswer(
+        whole(500)
+    )
 
 
 def test_refusal_without_a_known_wait_comes_back_in_time() -> None:
-    refusal = give_up(progress(None), RefusalReason.UPSTREAM_REFUSED)
+    refusal = refuse_unavailable(progress(None), RefusalReason.UPSTREAM_REFUSED)
     assert refusal == Refuse(503, NotRun(RefusalReason.UPSTREAM_REFUSED, pytest.approx(0.3)))
 
 
 def test_no_second_answer_follows_a_stream_that_has_begun() -> None:
     resumable = make_route(kind=CallKind.STREAM, resumable=True)
-    ended = settle(progress(whole(500), route=resumable, runs=2, answer_started=True))
-    assert ended == BreakOff()
+    ended = decide_after_attempt(
+        progress(whole(500), route=resumable, runs=2, answer_started=True)
+    )
+    assert ended == AbortAnswer()
--- a/tests/gateway/test_events.py
+++ b/tests/gateway/test_events.py
@@ -26,13 +26,13 @@
     assert STREAM.startswith(out)
     assert splitter.events == out.count(b'\n\n')
     assert splitter.last_id == (str(splitter.events) if splitter.events else None)
-    assert splitter.unfinished == (len(out) != end)
+    assert splitter.has_partial_event == (len(out) != end)
 
 
 def test_goes_on_after_a_restart() -> None:
     splitter = EventSplitter()
     assert splitter.feed(b'id: 1\ndata: a\n\nid: 2\nda') == b'id: 1\ndata: a\n\n'
-    splitter.restart()
+    splitter.discard_partial_event()
     assert splitter.feed(b'id: 2\ndata: b\r\n\r\n') == b'id: 2\ndata: b\r\n\r\n'
     assert splitter.last_id == '2'
 
--- a/tests/gateway/test_selection.py
+++ b/tests/gateway/test_selection.py
@@ -13,7 +13,7 @@
 from limeshelf.dispatch.messages import Stage, VerdictKind
 from limeshelf.dispatch.pace import Turn
 from limeshelf.gateway.answer import Answer
-from limeshelf.gateway.exchange import Broken, BrokenBy, Delivered, NeverRan, NotSent
+from limeshelf.gateway.exchange import Broken, Delivered, FailureCause, NeverRan, NotSent
 from limeshelf.gateway.selection import ReplicaSelector, Selected
 from limeshelf.gateway.state import CallState
 from limeshelf.platform.replicas import read_record
@@ -86,8 +86,8 @@
     selected = await selector_of(wire).select(state_of(ENGINE, NEED))
     assert isinstance(selected, Selected)
     assert selected.replica.replica_id == 'r0'
-    selected.note_first_event()
-    selected.note_end()
+    selected.report_first_event()
+    selected.report_end()
     assert [stage for _, stage in wire.stages()] == [Stage.READ, Stage.ENDED]
 
 
@@ -129,7 +129,7 @@
     selected = await selector_of(wire).select(state_of(PLAIN, excluded=excluded))
     assert isinstance(selected, Selected)
     assert selected.replica.replica_id == chosen
-    selected.note_end()
+    selected.report_end()
     assert wire.sent == []
 
 
@@ -141,9 +141,9 @@
 
 def test_results_count_as_runs_or_refusals() -> None:
     state = state_of(PLAIN)
-    for result in (NeverRan(reached=True), Broken(BrokenBy.SILENT), Delivered(200, 0.1)):
-        state.note_result(result)
-    assert (state.refusals, state.runs, state.last) == (1, 1, Delivered(200, 0.1))
+    for result in (NeverRan(reached=True), Broken(FailureCause.SILENT), Delivered(200, 0.1)):
+        state.record_result(result)
+    assert (state.refusals, state.runs, state.last_result) == (1, 1, Delivered(200, 0.1))
 
 
 def limit(selector: ReplicaSelector, *replica_ids: str) -> None:
@@ -181,7 +181,7 @@
     limit(selector, 'p0')
     selected = await selector.select(state_of(PLAIN, excluded={'p1'}))
     assert isinstance(selected, Selected)
-    assert selected.has_turn
+    assert selected.has_permit
     assert selected.may_send()
 
 
@@ -208,6 +208,6 @@
 
 def test_withheld_call_has_not_been_sent() -> None:
     state = state_of(PLAIN)
-    state.note_send()
-    state.note_result(NotSent(BrokenBy.WITHHELD))
+    state.begin_attempt()
+    state.record_result(NotSent(FailureCause.WITHHELD))
     assert (state.sends, state.refusals, state.runs) == (0, 0, 0)
