--- a/limeshelf/gateway/__init__.py
+++ b/limeshelf/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""How one call goes from its caller to a replica, and its answer back."""
+"""Forwards calls from callers to replicas, and the answers back."""
--- a/limeshelf/gateway/access.py
+++ b/limeshelf/gateway/access.py
@@ -1,6 +1,6 @@
-"""Whether a call may begin here, or be sent, and what its caller is told where it may not.
+"""Authorises calls by their keys, and builds the refusals of those that fail the check.
 
-Owns nothing; applies :mod:`limeshelf.organisations.access` to the configuration in force.
+Stateless; applies :mod:`limeshelf.organisations.access` to the configuration in force.
 """
 
 from __future__ import annotations
@@ -27,9 +27,9 @@
 class AccessGuard:
     """Checks the keys of calls.
 
-    :param config_age_s: returns for how long, at the most, the configuration in force may not
-        have been the newest, in seconds.
-    :param rule: may be replaced while calls run.
+    :param config_age_s: returns the longest time, in seconds, for which the configuration in
+        force may have been out of date.
+    :param rule: access rule; may be replaced while calls run.
     """
 
     in_force: ConfigInForce
@@ -37,9 +37,9 @@
     rule: AccessRule
 
     def check(self, call: Call, route: Route) -> AccessGranted | Refuse:
-        """Return who sends a call, or how it is refused.
+        """Return the access granted to a call, or its refusal.
 
-        :param route: of the call.
+        :param route: route of the call.
         """
         config = self.in_force.config
         if config is None:
