--- a/limeshelf/gateway/answer.py
+++ b/limeshelf/gateway/answer.py
@@ -1,6 +1,6 @@
-"""The answer to one caller; it is whole, or it visibly is not.
+"""Sends the answer to one caller, so that the caller can tell a complete one from a truncated one.
 
-Owns what went out on one exchange with a caller; relies on the HTTP library for framing.
+Owns the response of one request; relies on the HTTP library for framing.
 """
 
 from __future__ import annotations
@@ -17,44 +17,44 @@
 
 
 class CallerDisconnected(LimeshelfError):
-    """The caller has closed its connection; there is nobody to answer."""
+    """The caller closed its connection before its answer was complete."""
 
 
 class Answer(Protocol):
-    """Where the pipeline puts the answer to a call.
+    """Interface through which the pipeline answers a call.
 
     Every method that sends raises :exc:`CallerDisconnected` once the caller has closed its
     connection.
 
-    :ivar started: the head is out, so the status can no longer change.
+    :ivar started: whether the head was sent; the status can no longer change then.
     """
 
     started: bool
 
     async def start(self, status: int, headers: Iterable[tuple[str, str]]) -> None:
-        """Send the head of an answer whose length is not known."""
+        """Send the head of an answer whose length is not known in advance."""
 
     async def write(self, data: bytes) -> None:
         """Send a part of the body."""
 
     async def finish(self) -> None:
-        """End the body, which makes the answer whole."""
+        """End the body, which completes the answer."""
 
     async def send_whole(
         self, status: int, headers: Iterable[tuple[str, str]], body: bytes
     ) -> None:
-        """Send a whole answer."""
+        """Send a complete answer."""
 
     def abort(self) -> None:
-        """Reset the connection, so that the caller cannot take the answer for whole."""
+        """Reset the connection, so that the caller sees that the answer is truncated."""
 
 
 class HttpAnswer:
     """An answer on an HTTP connection.
 
-    :param closing: whether the answer closes the caller's connection.
+    :param close_connection: whether to close the caller's connection after the answer.
     :ivar started: see :class:`Answer`.
-    :ivar response: ``None`` until the head is out.
+    :ivar response: ``None`` until the head is sent.
     """
 
     def __init__(self, request: web.BaseRequest, close_connection: bool) -> None:
@@ -64,7 +64,7 @@
         self._close_connection = close_connection
 
     async def start(self, status: int, headers: Iterable[tuple[str, str]]) -> None:
-        """Send the head of an answer whose length is not known."""
+        """Send the head of an answer whose length is not known in advance."""
         response = web.StreamResponse(status=status, headers=CIMultiDict(headers))
         response.enable_chunked_encoding()
         await self._send_head(response)
@@ -88,14 +88,14 @@
             raise CallerDisconnected from None
 
     async def finish(self) -> None:
-        """End the body, which makes the answer whole."""
+        """End the body, which completes the answer."""
         assert self.response is not None
         await self._write_eof(self.response)
 
     async def send_whole(
         self, status: int, headers: Iterable[tuple[str, str]], body: bytes
     ) -> None:
-        """Send a whole answer."""
+        """Send a complete answer."""
         response = web.Response(status=status, headers=CIMultiDict(headers), body=body)
         await self._send_head(response)
         await self._write_eof(response)
@@ -107,7 +107,7 @@
             raise CallerDisconnected from None
 
     def abort(self) -> None:
-        """Reset the connection, so that the caller cannot take the answer for whole."""
+        """Reset the connection, so that the caller sees that the answer is truncated."""
         transport = self._request.transport
         if transport is not None:
             transport.abort()
