--- a/limeshelf/gateway/attempts.py
+++ b/limeshelf/gateway/attempts.py
@@ -1,8 +1,8 @@
-"""Sends a call to one replica, and takes what that teaches of both.
+"""Sends a call to one replica, and applies the result to the state of both.
 
-Owns nothing beyond the attempt. Relies on :mod:`limeshelf.gateway.exchange` for what goes over
-the connection, on :mod:`limeshelf.gateway.result_rules` for what a result says of its replica, and
-on :mod:`limeshelf.gateway.quarantine` for what it says of the call.
+Keeps no state beyond the attempt. Relies on :mod:`limeshelf.gateway.exchange` for the transfer,
+on :mod:`limeshelf.gateway.result_rules` for what the result means for the replica, and on
+:mod:`limeshelf.gateway.quarantine` for what it means for the call.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
 
 @attrs.frozen
 class AttemptRunner:
-    """Runs the attempts of calls."""
+    """Runs attempts of calls."""
 
     wire: CallWire
     directory: ReplicaDirectory
@@ -54,7 +54,7 @@
     async def run(
         self, state: CallState, selected: Selected, organisation: Organisation | None
     ) -> None:
-        """Send a call to the replica that was selected; what came of it is in *state*."""
+        """Send a call to the selected replica, and record the result in *state*."""
         sent_s = boottime_s()
         result = await self._send(state, selected, organisation)
         state.record_result(result)
@@ -87,14 +87,14 @@
             state.answer,
             state.splitter,
             lambda: self._report_first_event(state, selected),
-            lambda facts: self.notices.take_of_call(replica, facts, sent_s),
+            lambda head: self.notices.take_of_call(replica, head, sent_s),
             selected.may_send,
         )
         replica.own.calls += 1
         replica.own.tokens += tokens
         try:
-            # Read once: where the head may take all the time left, both limits end at one
-            # moment, and the outer one decides.
+            # Read only once, so that both limits expire at the same instant where the head may
+            # take all the time left; the outer one takes precedence then.
             left_s = state.left_s
             async with boot_timeout(left_s):
                 limit_s = head_limit_s(state.route, state.runs, left_s)
@@ -112,11 +112,11 @@
 
     def _apply_result(self, state: CallState, replica: Replica, result: AttemptResult) -> None:
         need = state.call.model_need
-        to_engine = need is not None and state.service.engine is not None
-        lesson = classify_for_replica(result, to_engine)
-        if excludes_replica(lesson):
+        is_model_call = need is not None and state.service.engine is not None
+        finding = classify_for_replica(result, is_model_call)
+        if excludes_replica(finding):
             state.excluded.add(replica.replica_id)
-        suspended = apply_finding(lesson, replica, need, self.directory)
+        suspended = apply_finding(finding, replica, need, self.directory)
         if replica.health.awaits_probe:
             self.pool.note_out_of_reach()
         load = self.directory.load_of(replica)
