--- a/limeshelf/gateway/body.py
+++ b/limeshelf/gateway/body.py
@@ -1,6 +1,6 @@
-"""Reads a caller's request whole, within the limits of the configuration in force.
+"""Reads the body of a caller's request within the limits of the configuration in force.
 
-Owns the statuses that name a limit; relies on the listener, which bounds each field.
+Owns the statuses for exceeded limits; relies on the listener to bound each header field.
 """
 
 from __future__ import annotations
@@ -13,9 +13,9 @@
 
     from limeshelf.calls.routes import ClientLimits
 
-#: Largest body before the first configuration.
+#: Largest body accepted before the first configuration is known.
 DEFAULT_MAX_BODY_BYTES = 8 << 20
-#: Bytes that a header field takes beside its name and value: a colon, a space, CR LF.
+#: Bytes of a header field in addition to its name and value: a colon, a space, CR LF.
 FIELD_OVERHEAD_BYTES = 4
 
 STATUS_BODY_TOO_LARGE = 413
@@ -26,7 +26,7 @@
 class TooLarge:
     """The request exceeds a limit, and the rest of it is not read.
 
-    :param status: names the limit to the caller.
+    :param status: HTTP status that tells the caller which limit.
     """
 
     status: int
@@ -35,8 +35,8 @@
 async def read_body(request: web.BaseRequest, limits: ClientLimits | None) -> bytes | TooLarge:
     """Return the body of a request.
 
-    :param limits: ``None`` before the first configuration; then the head is bounded by
-        the listener alone.
+    :param limits: ``None`` before the first configuration; only the listener bounds the head
+        then.
     """
     if limits is not None:
         if _head_bytes(request) > limits.header_bytes:
