--- a/limeshelf/gateway/connection.py
+++ b/limeshelf/gateway/connection.py
@@ -1,9 +1,9 @@
-"""The connection of one caller: how long a head may take, and how long nothing may come.
+"""Applies header and idle time-outs to callers' connections.
 
-The limits are those of the configuration that is in force when the connection is made; one
-that is open keeps its own. Relies on three attributes of the HTTP library's connection that
-are not public: whether it waits for a request, how many came, and how it ends;
-tests/gateway/test_connection.py fails when a release drops or renames one.
+A connection keeps the limits of the configuration that was in force when it was made. Relies
+on three attributes of the HTTP library's connection that are not documented: ``_waiter``,
+``_request_count`` and ``force_close``; tests/gateway/test_connection.py fails when a release
+drops or renames one.
 """
 
 from __future__ import annotations
@@ -18,16 +18,16 @@
 
     from limeshelf.calls.routes import ClientLimits
 
-#: Limits before the first configuration.
+#: Limits before the first configuration is known.
 DEFAULT_IDLE_TIMEOUT_S = 60.0
 DEFAULT_HEAD_TIMEOUT_S = 10.0
 
 
 class CallerConnection(web.RequestHandler):
-    """Closes itself after a slow head, and after a time without a request.
+    """A connection that closes itself on a header time-out and on an idle time-out.
 
-    The library closes what rests after an answer; what never sent a request, or stopped midway
-    in a head, it would keep for good: 10,000 of these, and no descriptor is left for others.
+    The library closes only connections that are idle after an answer. It would keep those that
+    never sent a request, or only a part of a head; 10,000 of them use up all file descriptors.
 
     :param limits: ``None`` before the first configuration.
     """
@@ -46,15 +46,15 @@
         super().__init__(manager, keepalive_timeout=self._idle_timeout_s, **options)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin to wait for the first request."""
+        """Start the idle timer for the first request."""
         super().connection_made(transport)
         self._first_request_timer = self._loop.call_later(
             self._idle_timeout_s, self._close_if_unused
         )
 
     def data_received(self, data: bytes) -> None:
-        """Take a part of a request; the first one of a head starts its time."""
-        # While a request is answered, or the rest of its body read, nobody waits for a head.
+        """Receive a part of a request; the first part of a head starts the head timer."""
+        # Data that arrives while a request is answered, or its body read, begins no head.
         begins_head = self._waits_for_request and self._head_timer is None
         requests = self._request_count
         super().data_received(data)
@@ -91,10 +91,10 @@
 
 
 class CallerServer(web.Server):
-    """Makes the connections of callers.
+    """Creates the protocol of each caller's connection.
 
     :param limits: returns the limits in force.
-    :param options: of each connection, as the library names them.
+    :param options: options of each connection, under the library's names.
     """
 
     def __init__(
