--- a/limeshelf/gateway/edge.py
+++ b/limeshelf/gateway/edge.py
@@ -1,8 +1,8 @@
-"""The listeners: one for calls, one on which the balancer asks whether we are ready.
+"""HTTP listeners of the gateway: one for calls, one for the load balancer's readiness checks.
 
-Reads each request whole within the limits in force, hands it to the pipeline as a call,
-and answers by itself what is no call. Owns the phase of the process and the count of
-requests under way; relies on the pipeline for everything that a call needs.
+Reads each request within the limits in force and passes it to the pipeline as a call;
+answers malformed requests itself. Owns the phase of the process and the count of requests
+in flight.
 """
 
 from __future__ import annotations
@@ -27,36 +27,36 @@
     from limeshelf.gateway.pipeline import Pipeline
     from limeshelf.metrics.prometheus import GatewayMetrics
 
-#: Connections that may wait to be accepted.
+#: Listen backlog: connections that may wait to be accepted.
 BACKLOG_CONNECTIONS = 1024
 #: Longest request line or header field, whatever the configuration allows for the whole head.
 MAX_FIELD_BYTES = 1 << 16
-#: How long the rest of a request is read whose answer went out before its end, and how long a
-#: closing listener waits for its connections.
+#: How long the rest of a request is read after an answer that was sent before its end.
 LINGER_TIMEOUT_S = 1.0
+#: How long a listener that closes waits for its connections.
 SHUTDOWN_TIMEOUT_S = 0.2
 STATUS_READY = 200
-#: Nobody is there to read it; other servers use the same number for their logs.
+#: Never received by the caller, which has disconnected; nginx logs the same status.
 STATUS_CLIENT_CLOSED_REQUEST = 499
 
 
 class GatewayPhase(enum.StrEnum):
-    """Phases of a gateway's life, in their order; none comes back."""
+    """Life cycle of a gateway; the phases follow in this order, and none is entered twice."""
 
-    #: It listens, but lacks a configuration or replicas.
+    #: Listens, but has no configuration or no replicas yet.
     STARTING = 'starting'
     SERVING = 'serving'
-    #: It serves on while the balancer notices that it is no longer ready.
+    #: Reports not ready, and still serves calls until the load balancer has noticed.
     NOTICE = 'notice'
-    #: Calls under way end; new ones are refused.
+    #: Finishes calls in flight, and refuses new ones.
     DRAINING = 'draining'
 
 
 class Edge:
-    """Takes callers' requests and hands them to the pipeline as calls.
+    """Receives callers' requests and passes them to the pipeline as calls.
 
-    :ivar phase: of this process.
-    :ivar running: requests under way.
+    :ivar phase: phase of this process.
+    :ivar running: number of requests in flight.
     """
 
     def __init__(self, pipeline: Pipeline, wire: CallWire, metrics: GatewayMetrics) -> None:
@@ -70,7 +70,7 @@
         self._active_connections: set[object] = set()
 
     async def start(self, calls_address: str, readiness_address: str) -> None:
-        """Listen for callers and for the balancer."""
+        """Listen for callers and for the load balancer."""
         await self._listen(readiness_address, self._readiness)
         await self._listen(calls_address, self._handle)
 
@@ -96,7 +96,7 @@
         return config.limits if config is not None else None
 
     def enter(self, phase: GatewayPhase) -> None:
-        """Go on to *phase*."""
+        """Set the phase, and log the change."""
         self.phase = phase
         log_change('phase', phase=phase, running=self.running)
 
@@ -114,7 +114,7 @@
         try:
             return await self._serve_request(request, boottime_s())
         except CallerDisconnected:
-            # No line: the caller chose to go, which says nothing about a replica or us.
+            # Not logged: a caller that disconnects is no failure of a replica or this gateway.
             return web.Response(status=STATUS_CLIENT_CLOSED_REQUEST)
         finally:
             self.running -= 1
@@ -156,8 +156,8 @@
         return response
 
     def end_idle_connections(self) -> None:
-        """Close the callers' connections on which nothing is under way."""
-        # The library's own pre_shutdown() leaves them open and deaf
+        """Close the callers' connections that have no request in flight."""
+        # The library's pre_shutdown() leaves them open, but no longer reads from them
         # (tests/gateway/test_edge.py::test_idle_connection_is_closed_at_a_stop).
         for server in self._servers[1:]:
             for connection in server.connections:
