--- a/limeshelf/gateway/events.py
+++ b/limeshelf/gateway/events.py
@@ -1,7 +1,7 @@
-"""Splits a stream of server-sent events at the ends of whole events.
+"""Splits a stream of server-sent events into complete events.
 
-Owns the unfinished rest of one call's stream, across its attempts; a resumed stream goes
-on behind the last whole event.
+Owns the position in one call's stream across its attempts; a resumed stream continues after
+the last complete event.
 """
 
 from __future__ import annotations
@@ -15,16 +15,15 @@
 
 _EVENT_END = re.compile(rb'\r?\n\r?\n')
 _EVENT_ID = re.compile(rb'^id: ?([^\r\n]*)', re.MULTILINE)
-#: Most bytes that are kept of an event without an end. Events of the users' streams carry a few
-#: tokens.
+#: Largest incomplete event that is buffered. Events of the users' streams carry a few tokens.
 MAX_EVENT_BYTES = 1 << 20
 
 
 @dataclass(eq=False)
 class EventTooLong(LimeshelfError):
-    """An event grew beyond its bound without an end.
+    """An incomplete event exceeded its size limit.
 
-    :param size_bytes: what of it has come.
+    :param size_bytes: bytes of the event received so far.
     """
 
     size_bytes: int
@@ -32,10 +31,10 @@
 
 @attrs.define
 class EventSplitter:
-    """Keeps the unfinished rest of a stream back until its event is whole.
+    """Buffers the incomplete end of a stream until its event is complete.
 
-    :ivar last_id: id of the last whole event.
-    :ivar events: whole events so far.
+    :ivar last_id: id of the last complete event.
+    :ivar events: number of complete events so far.
     """
 
     last_id: str | None = None
@@ -43,10 +42,10 @@
     _partial_event: bytes = b''
 
     def feed(self, data: bytes) -> bytes:
-        """Return the whole events that *data* completes.
+        """Return the events that *data* completes.
 
-        :raises EventTooLong: what follows them is too long; none of them is returned or
-            counted, so that a resumed stream brings them again.
+        :raises EventTooLong: the incomplete event after them is too long; none of them is returned
+            or counted, so that a resumed stream sends them again.
         """
         text = self._partial_event + data
         end = 0
@@ -59,18 +58,18 @@
         if not end:
             self._partial_event = text
             return b''
-        whole, self._partial_event = text[:end], text[end:]
+        complete, self._partial_event = text[:end], text[end:]
         self.events += count
-        ids = _EVENT_ID.findall(whole)
+        ids = _EVENT_ID.findall(complete)
         if ids:
             self.last_id = ids[-1].decode('latin-1')
-        return whole
+        return complete
 
     @property
     def has_partial_event(self) -> bool:
-        """Return whether the stream stands in the middle of an event."""
+        """Return whether an incomplete event is buffered."""
         return bool(self._partial_event.strip())
 
     def discard_partial_event(self) -> None:
-        """Forget the unfinished event; another replica sends it whole."""
+        """Discard the incomplete event; another replica sends it from its start."""
         self._partial_event = b''
