--- a/limeshelf/gateway/exchange.py
+++ b/limeshelf/gateway/exchange.py
@@ -1,9 +1,9 @@
-"""One attempt of a call at one replica: send it, and bring the answer on if it is good.
+"""Runs one attempt of a call at one replica: sends it, and validates and forwards the answer.
 
-An answer is good if it is the call's own, bears the replica's signature and is whole. A
-stream goes on to the caller event by event; anything else is read whole first, so that
-the call can still go elsewhere. Owns nothing beyond the attempt; relies on
-:mod:`limeshelf.replicas.connections` to tell a reset from an end.
+An answer is valid if it carries the call's id and the replica's signature and is complete. A
+stream is forwarded to the caller event by event; any other answer is read to its end first, so
+that the call can still be retried elsewhere. Keeps no state beyond the attempt; relies on
+:mod:`limeshelf.replicas.connections` to tell a reset from a regular end of the connection.
 """
 
 from __future__ import annotations
@@ -28,37 +28,38 @@
     from limeshelf.gateway.answer import Answer
     from limeshelf.replicas.connections import ReplicaConnections
 
-#: Largest answer that is read whole.
+#: Largest answer body that is buffered.
 MAX_ANSWER_BYTES = 32 << 20
 STATUS_OK = 200
 EVENT_STREAM = 'text/event-stream'
 
 
 class FailureCause(enum.StrEnum):
-    """Why there is no whole answer; what that says of a run, the outcome tells."""
+    """Why an attempt gave no complete answer; the result type says whether it may have run."""
 
-    #: Before the head of an answer was there, or the answer made no sense.
+    #: The connection broke before the head of the answer, or the answer could not be parsed.
     CONNECTION_BROKEN = 'connection_broken'
-    #: No head came within the attempt's time for it.
+    #: No head arrived within the attempt's time limit for it.
     SILENT = 'silent'
-    #: The answer is another call's, or lacks the replica's signature.
+    #: The answer carries another call's id, or lacks the replica's signature.
     FOREIGN_ANSWER = 'foreign_answer'
-    #: The body or stream ended before its end.
+    #: The body or stream was truncated.
     CUT_SHORT = 'cut_short'
-    #: A stream's event did not end within its bound.
+    #: An event of a stream exceeded its size limit.
     EVENT_TOO_LONG = 'event_too_long'
-    #: The call's own time was over first.
+    #: The call's deadline passed first.
     TIME_OVER = 'time_over'
-    #: The replica has asked for no such call since it was chosen.
+    #: Since its selection the replica asked not to get this call (rate, pause or leaving).
     WITHHELD = 'withheld'
 
 
 @dataclass(frozen=True)
 class Delivered:
-    """The whole answer went to the caller, with its status.
+    """The complete answer was sent to the caller.
 
+    :param status: HTTP status of the answer.
     :param time_to_head_s: time from the send to the head of the answer, in seconds.
-    :param longest_pause_s: between two events of the stream, in seconds.
+    :param longest_pause_s: longest time between two events of the stream, in seconds.
     """
 
     status: int
@@ -68,7 +69,7 @@
 
 @dataclass(frozen=True)
 class WholeAnswer:
-    """A plain answer that is whole but has not gone to the caller yet.
+    """A complete answer, no stream, that was not yet sent to the caller.
 
     :param time_to_head_s: time from the send to the head of the answer, in seconds.
     """
@@ -83,8 +84,8 @@
     """The replica did not run the call and never will.
 
     :param reached: whether the call reached the replica.
-    :param misdirected: another replica answered, or the model is not there.
-    :param status: of its answer; 0 if it was not reached.
+    :param misdirected: whether another replica answered, or the replica lacks the model.
+    :param status: HTTP status of its answer; 0 if it was not reached.
     """
 
     reached: bool
@@ -94,10 +95,10 @@
 
 @dataclass(frozen=True)
 class NotSent:
-    """The replica never got the call.
+    """The replica never received the call.
 
-    :param cause: ``SILENT`` or ``TIME_OVER`` where the attempt's time or the call's was over
-        before a connection was there; ``WITHHELD`` where the call was not to be sent any more.
+    :param cause: ``SILENT`` or ``TIME_OVER`` where the attempt's time limit or the call's deadline
+        passed before there was a connection; ``WITHHELD`` where the call could no longer be sent.
     """
 
     cause: FailureCause
@@ -105,7 +106,7 @@
 
 @dataclass(frozen=True)
 class Broken:
-    """The replica may have run the call, and its answer is not whole."""
+    """The replica may have run the call, and gave no complete, valid answer."""
 
     cause: FailureCause
 
@@ -116,12 +117,12 @@
 class Exchange:
     """Runs one attempt of a call at one replica.
 
-    :param splitter: keeps the place in a stream across attempts.
-    :param on_first_event: called when the first event of a stream is there.
-    :param on_head: called as soon as the head of an answer is there that bears the call's id, and
-        the replica's signature or its word that it did not run the call. Another replica may have
-        given a misdirected one; then the one that was meant is no longer there, and what it is
-        taken to ask for does no harm.
+    :param splitter: keeps the position in a stream across attempts.
+    :param on_first_event: called when the first event of a stream has arrived.
+    :param on_head: called when the head of an answer has arrived that carries the call's id, and
+        either the replica's signature or its statement that it did not run the call. Another
+        replica may have sent a misdirected answer. The intended replica is gone then, so
+        attributing the notice in this head to it does no harm.
     :param may_send: see :class:`~limeshelf.replicas.connections.SendProgress`.
     """
 
@@ -133,7 +134,7 @@
         answer: Answer,
         splitter: EventSplitter,
         on_first_event: Callable[[], None],
-        on_head: Callable[[AnswerFacts], None] = lambda facts: None,
+        on_head: Callable[[AnswerFacts], None] = lambda head: None,
         may_send: Callable[[], bool] = lambda: True,
     ) -> None:
         self._call = call
@@ -146,10 +147,9 @@
         self._progress = SendProgress(may_send)
 
     async def run(self, facts: SendFacts, head_limit_s: float) -> AttemptResult:
-        """Send the call and bring its answer on.
+        """Send the call, and forward or return its answer.
 
-        :param head_limit_s: within which the head of the answer must be there, in
-            seconds.
+        :param head_limit_s: time limit for the head of the answer, in seconds.
         :raises CallerDisconnected: the caller has closed its connection.
         """
         started_s = boottime_s()
@@ -161,8 +161,8 @@
         except SendWithheld:
             return NotSent(FailureCause.WITHHELD)
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError):
-            # Before TimeoutError, whose kind the second one is
-            # (tests/gateway/test_path.py::test_replica_that_takes_no_connection).
+            # Must precede TimeoutError, a base class of ConnectionTimeoutError
+            # (tests/gateway/test_path.py::test_replica_that_accepts_no_connection).
             return NeverRan(reached=False)
         except TimeoutError:
             if response is None:
@@ -179,7 +179,7 @@
                 response.close()
 
     def deadline_exceeded(self) -> Broken | NotSent:
-        """Return what the attempt gave if the call's own time ended :meth:`run`."""
+        """Return the result of the attempt where the call's deadline cancelled :meth:`run`."""
         return self._timed_out(FailureCause.TIME_OVER)
 
     def _timed_out(self, cause: FailureCause) -> Broken | NotSent:
@@ -188,29 +188,29 @@
     async def _handle_answer(
         self, response: aiohttp.ClientResponse, started_s: float
     ) -> AttemptResult:
-        facts = self._wire.read_answer(response.status, response.headers)
-        first_s = boottime_s() - started_s
-        if facts.call_id != self._call.call_id and not facts.misdirected:
+        head = self._wire.read_answer(response.status, response.headers)
+        time_to_head_s = boottime_s() - started_s
+        if head.call_id != self._call.call_id and not head.misdirected:
             return Broken(FailureCause.FOREIGN_ANSWER)
-        if facts.not_run:
-            if facts.call_id == self._call.call_id:
-                self._on_head(facts)
-            await self._drain_refusal(response, facts)
-            return NeverRan(True, facts.misdirected, facts.status)
-        if not facts.stamped or facts.encoded:
+        if head.not_run:
+            if head.call_id == self._call.call_id:
+                self._on_head(head)
+            await self._drain_refusal(response, head)
+            return NeverRan(True, head.misdirected, head.status)
+        if not head.stamped or head.encoded:
             return Broken(FailureCause.FOREIGN_ANSWER)
-        self._on_head(facts)
+        self._on_head(head)
         if response.status == STATUS_OK and response.content_type == EVENT_STREAM:
-            return await self._relay_stream(response, facts, first_s)
+            return await self._relay_stream(response, head, time_to_head_s)
         body = await self._read_whole(response)
-        self._connections.note_keep_alive(facts)
+        self._connections.note_keep_alive(head)
         response.release()
-        return WholeAnswer(facts, body, first_s)
+        return WholeAnswer(head, body, time_to_head_s)
 
-    async def _drain_refusal(self, response: aiohttp.ClientResponse, facts: AnswerFacts) -> None:
-        """Read a refusal to its end, so that its connection can be used again."""
+    async def _drain_refusal(self, response: aiohttp.ClientResponse, head: AnswerFacts) -> None:
+        """Read a refusal to its end, so that its connection can be reused."""
         await self._read_whole(response)
-        self._connections.note_keep_alive(facts)
+        self._connections.note_keep_alive(head)
         response.release()
 
     async def _read_whole(self, response: aiohttp.ClientResponse) -> bytes:
@@ -220,19 +220,19 @@
             parts.append(chunk)
             size += len(chunk)
             if size > MAX_ANSWER_BYTES:
-                raise ValueError('answer too long')
+                raise ValueError('answer body exceeds the size limit')
         return b''.join(parts)
 
     async def _relay_stream(
-        self, response: aiohttp.ClientResponse, facts: AnswerFacts, first_s: float
+        self, response: aiohttp.ClientResponse, head: AnswerFacts, time_to_head_s: float
     ) -> AttemptResult:
         splitter = self._splitter
         splitter.discard_partial_event()
         longest_pause_s = 0.0
         last_s: float | None = None
         async for chunk in response.content.iter_any():
-            whole = splitter.feed(chunk)
-            if not whole:
+            events = splitter.feed(chunk)
+            if not events:
                 continue
             now_s = boottime_s()
             if last_s is None:
@@ -241,13 +241,13 @@
                 longest_pause_s = max(longest_pause_s, now_s - last_s)
             last_s = now_s
             if not self._answer.started:
-                await self._answer.start(facts.status, facts.headers)
-            await self._answer.write(whole)
+                await self._answer.start(head.status, head.headers)
+            await self._answer.write(events)
         if splitter.has_partial_event:
             return Broken(FailureCause.CUT_SHORT)
         if not self._answer.started:
-            await self._answer.start(facts.status, facts.headers)
+            await self._answer.start(head.status, head.headers)
         await self._answer.finish()
-        self._connections.note_keep_alive(facts)
+        self._connections.note_keep_alive(head)
         response.release()
-        return Delivered(facts.status, first_s, longest_pause_s)
+        return Delivered(head.status, time_to_head_s, longest_pause_s)
