--- a/limeshelf/gateway/final_answer.py
+++ b/limeshelf/gateway/final_answer.py
@@ -1,6 +1,6 @@
-"""Gives a caller its final answer, whichever way its call ended, and logs what was no answer.
+"""Sends a caller the final answer of its call, and logs refusals and failures.
 
-Owns nothing; the endings are decided in :mod:`limeshelf.gateway.endings`.
+Stateless; :mod:`limeshelf.gateway.endings` decides how a call ends.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 @attrs.frozen
 class FinalAnswerSender:
-    """Gives final answers."""
+    """Sends final answers."""
 
     wire: CallWire
     in_force: ConfigInForce
@@ -41,9 +41,9 @@
         answer: Answer,
         organisation: Organisation | None = None,
     ) -> None:
-        """Give the caller its final answer, if it does not have it yet.
+        """Send the caller the final answer, unless an attempt has sent it already.
 
-        :param organisation: that holds the call's key, as far as known.
+        :param organisation: holder of the call's key; ``None`` where not known.
         """
         if isinstance(ending, Answered):
             return
@@ -51,8 +51,10 @@
             log_failed(call, 0, self._version)
             answer.abort()
         elif isinstance(ending, ForwardAnswer):
-            whole = ending.answer
-            await answer.send_whole(whole.head.status, whole.head.headers, whole.body)
+            replica_answer = ending.answer
+            await answer.send_whole(
+                replica_answer.head.status, replica_answer.head.headers, replica_answer.body
+            )
         elif isinstance(ending, Refuse):
             log_refused(call, ending, self._version, organisation.name if organisation else '')
             await self._send_refusal(call, ending, answer)
--- a/limeshelf/gateway/limits.py
+++ b/limeshelf/gateway/limits.py
@@ -1,6 +1,6 @@
-"""What a call counts for its organisation, and how it is refused where that is too much.
+"""Reserves the cost of calls from the rate limits of their organisations.
 
-Owns nothing; relies on :mod:`limeshelf.membership.limit_exchange` for the decision.
+Stateless; :mod:`limeshelf.membership.limit_exchange` decides on each reservation.
 """
 
 from __future__ import annotations
@@ -23,14 +23,14 @@
 
 @attrs.frozen
 class LimitGuard:
-    """Reserves what calls use of the limits of their organisations."""
+    """Reserves the cost of calls from the limits of their organisations."""
 
     limits: LimitExchange
 
     async def reserve(
         self, call: Call, organisation: Organisation | None
     ) -> Reservation | Refuse | None:
-        """Return what a call reserved, ``None`` where it has no limit, or how it is refused."""
+        """Return the reservation of a call, its refusal, or ``None`` where it has no limit."""
         if organisation is None or organisation.limit is None:
             return None
         limit = organisation.limit
