--- a/limeshelf/gateway/call_log.py
+++ b/limeshelf/gateway/call_log.py
@@ -1,6 +1,6 @@
-"""The log lines of a call: each decision with the inputs that it rested on.
+"""Writes the log lines of calls: each decision with its inputs.
 
-``docs/OPERATIONS.md`` shows how to read them; an event is renamed there too.
+``docs/OPERATIONS.md`` documents the events; rename an event there too.
 """
 
 from __future__ import annotations
@@ -30,11 +30,11 @@
 ) -> None:
     """Log how one attempt ended.
 
-    :param load: what all gateways together have under way at the replica.
-    :param suspended: the replica is left alone for a while because of it.
+    :param load: calls and tokens in flight at the replica, from all gateways.
+    :param suspended: whether this result suspended the replica.
     """
     need = state.call.model_need
-    first_s = result.time_to_head_s if isinstance(result, Delivered | WholeAnswer) else 0.0
+    time_to_head_s = result.time_to_head_s if isinstance(result, Delivered | WholeAnswer) else 0.0
     pause_s = result.longest_pause_s if isinstance(result, Delivered) else 0.0
     log_request(
         'attempt',
@@ -47,7 +47,7 @@
         detail=_detail(result),
         left_ms=int(state.left_s * 1000),
         waited_ms=int(state.waited_s * 1000),
-        first_ms=int(first_s * 1000),
+        first_ms=int(time_to_head_s * 1000),
         pause_ms=int(pause_s * 1000),
         objective_ms=int(state.route.objective_s * 1000),
         pause_limit_ms=int(state.route.pause_s * 1000) if need else 0,
@@ -74,17 +74,18 @@
 
 
 def _status(result: AttemptResult) -> int:
-    """Return the status of the replica's answer; 0 if there is none."""
+    """Return the HTTP status of the replica's answer; 0 without an answer."""
     if isinstance(result, WholeAnswer):
         return result.head.status
     return result.status if isinstance(result, Delivered | NeverRan) else 0
 
 
 def log_overloaded(state: CallState, expected_wait_s: float, copy_in_s: float | None) -> None:
-    """Log that replicas hold what the call needs, but have no room for it in time.
+    """Log that replicas hold the model or adapter, but have no room for the call in time.
 
-    :param expected_wait_s: until the queue has room, in seconds.
-    :param copy_in_s: until a further copy is there, in seconds; ``None`` if none is on its way.
+    :param expected_wait_s: expected time until the queue has room, in seconds.
+    :param copy_in_s: time until a further replica has loaded it, in seconds; ``None`` if no load
+        was announced.
     """
     need = state.call.model_need
     log_request(
@@ -103,10 +104,10 @@
 
 
 def log_no_replica(state: CallState, expected_wait_s: float, outlook: CallOutlook) -> None:
-    """Log that no replica holds what the call needs, nor will in time.
+    """Log that no replica holds the model or adapter, or will in time.
 
-    :param outlook: what this gateway sees of the model; whether a load is on its way tells a time
-        that somebody keeps from one that is assumed.
+    :param outlook: what this gateway knows of the model. The expected wait is a commitment of the
+        leader where a load was announced, and an estimate otherwise.
     """
     announced_in_s = outlook.announced_in_s
     need = state.call.model_need
@@ -127,9 +128,9 @@
 
 
 def log_failed(call: Call, status: int, config_version: int | None) -> None:
-    """Log that a call ends without a promise.
+    """Log that a call failed and may have run.
 
-    :param status: of the caller's answer; 0 where one that had begun is broken off.
+    :param status: HTTP status of the caller's answer; 0 where a started answer was aborted.
     """
     log_request('failed', request=call.call_id, status=status, config=config_version)
 
@@ -137,9 +138,9 @@
 def log_refused(
     call: Call, refusal: Refuse, config_version: int | None, organisation: str = ''
 ) -> None:
-    """Log the status and the promise with which a call ends.
+    """Log the refusal of a call that did not run.
 
-    :param organisation: that holds the call's key; empty where none is known.
+    :param organisation: holder of the call's key; empty where not known.
     """
     outcome = refusal.outcome
     log_request(
