--- a/limeshelf/gateway/endings.py
+++ b/limeshelf/gateway/endings.py
@@ -1,8 +1,8 @@
-"""How a call ends: after an attempt, or without a further one.
+"""Decides whether a call is retried, and how it ends otherwise.
 
-A refusal (503) promises that the call never ran, so it is given only to calls that no
-replica may have run. What may have run ends with 502, or with 504 if its time is over;
-an answer that has begun is broken off, so that it is never taken for whole.
+A refusal (503) guarantees that the call never ran, so only calls that no replica may have
+run are refused. Calls that may have run end with 502, or with 504 after their deadline. An
+answer that has started is aborted, so that the caller does not take it for complete.
 """
 
 from __future__ import annotations
@@ -30,31 +30,31 @@
 
 @dataclass(frozen=True)
 class Answered:
-    """The whole answer is with the caller."""
+    """The caller has received the complete answer."""
 
 
 @dataclass(frozen=True)
 class ForwardAnswer:
-    """The caller gets a replica's answer as it is."""
+    """The caller gets the replica's answer unchanged."""
 
     answer: WholeAnswer
 
 
 @dataclass(frozen=True)
 class AbortAnswer:
-    """A part of the answer is with the caller, and the rest will not come."""
+    """A part of the answer was sent, and the rest cannot be; the connection is reset."""
 
 
 @dataclass(frozen=True)
 class GatewayFailure:
-    """The caller gets a status that promises nothing."""
+    """The caller gets an error status; the call may have run."""
 
     status: int
 
 
 @dataclass(frozen=True)
 class Refuse:
-    """The caller gets a status that promises that the call never ran."""
+    """The caller gets an error status that guarantees that the call never ran."""
 
     status: int
     outcome: NotRun
@@ -65,17 +65,17 @@
 
 @dataclass(frozen=True)
 class Retry:
-    """The call goes to another replica, if there is one."""
+    """The call is sent to another replica, if there is one."""
 
 
 @dataclass(frozen=True)
 class CallProgress:
-    """What of a call decides how it ends.
+    """The state of a call on which its ending depends.
 
-    :param runs: replicas that ran it or may have run it.
-    :param last_result: what the latest attempt gave; ``None`` before any.
-    :param left_s: until the call's time is over, in seconds.
-    :param answer_started: a part of the answer is with the caller already.
+    :param runs: number of replicas that ran it or may have run it.
+    :param last_result: result of the latest attempt; ``None`` before the first.
+    :param left_s: time until the call's deadline, in seconds.
+    :param answer_started: whether a part of the answer was sent to the caller.
     """
 
     route: Route
@@ -86,7 +86,7 @@
 
 
 def decide_after_attempt(progress: CallProgress) -> Ending | Retry:
-    """Return how a call goes on after its latest attempt."""
+    """Return how a call ends after its latest attempt, or that it is retried."""
     last = progress.last_result
     if isinstance(last, Delivered):
         return Answered()
@@ -103,10 +103,10 @@
 def refuse_unavailable(
     progress: CallProgress, reason: RefusalReason, retry_after_s: float | None = None
 ) -> Ending:
-    """Return how a call ends that is sent to no further replica.
+    """Return the ending of a call that is not sent to a further replica.
 
-    :param retry_after_s: when to come back, in seconds; ``None`` where nothing says
-        when a replica will take the call.
+    :param retry_after_s: when the caller should retry, in seconds; ``None`` where it is not known
+        when a replica will accept the call.
     """
     if retry_after_s is None:
         retry_after_s = come_back.after_refusals_s(progress.route)
@@ -114,20 +114,20 @@
 
 
 def deadline_refusal(route: Route) -> Refuse:
-    """Return the refusal of a call whose time is over before it was sent."""
+    """Return the refusal of a call whose deadline passed before it was sent."""
     outcome = NotRun(RefusalReason.DEADLINE_TOO_SHORT, come_back.after_refusals_s(route))
     return Refuse(STATUS_UNAVAILABLE, outcome)
 
 
 def refuse(progress: CallProgress, refusal: Refuse) -> Ending:
-    """Return how a call ends that is to be refused, if it can still be told that it never ran."""
+    """Return *refusal* if the call surely never ran, and another ending otherwise."""
     if progress.answer_started:
         return AbortAnswer()
     if isinstance(progress.last_result, WholeAnswer):
         return ForwardAnswer(progress.last_result)
     if progress.runs:
-        too_late = refusal.outcome.reason is RefusalReason.DEADLINE_TOO_SHORT
-        return _incomplete_ending(progress, too_late)
+        deadline_passed = refusal.outcome.reason is RefusalReason.DEADLINE_TOO_SHORT
+        return _incomplete_ending(progress, deadline_passed)
     return refusal
 
 
