--- a/limeshelf/gateway/quarantine.py
+++ b/limeshelf/gateway/quarantine.py
@@ -1,6 +1,6 @@
-"""Refuses calls under which replicas ended, and learns from each attempt which these are.
+"""Refuses calls that are suspected of crashing replicas, and records results of attempts for it.
 
-Owns nothing; relies on :mod:`limeshelf.crashes` for the rule and for what is known.
+Stateless; :mod:`limeshelf.crashes` has the rule and the recorded crashes.
 """
 
 from __future__ import annotations
@@ -25,20 +25,21 @@
 
 @attrs.frozen
 class QuarantineGuard:
-    """Checks calls before each send, and notes what became of them."""
+    """Checks calls before each send, and records their results."""
 
     quarantine: Quarantine
     watch: EndWatch
 
     def check(self, fingerprint: Fingerprint) -> Refuse | None:
-        """Return how a call is refused by what is known now; ``None`` if it may be sent."""
+        """Return the refusal of a call by the crashes known now; ``None`` if it may be sent."""
         quarantined = self.quarantine.check(fingerprint)
         return _refusal_of(quarantined) if quarantined is not None else None
 
     async def check_confirmed(self, state: CallState) -> Refuse | None:
-        """Return the same once it is known whether replicas that broke the call off have ended.
+        """Return the refusal of a call by confirmed crashes; ``None`` if it may be sent.
 
-        Waited for only where the call would be refused if they had.
+        Where unconfirmed crashes would decide on the refusal, waits until they are confirmed or
+        ruled out.
         """
         fingerprint = state.fingerprint
         broken_twice = state.runs >= REST_ENDS
@@ -49,27 +50,27 @@
         return _refusal_of(quarantined) if quarantined is not None else None
 
     def record_send(self, fingerprint: Fingerprint) -> None:
-        """Note that a call is sent."""
+        """Record that a call is sent."""
         self.quarantine.note_sent(fingerprint)
 
     def record_result(
         self, state: CallState, replica: Replica, result: AttemptResult, sent_s: float
     ) -> None:
-        """Learn from what an attempt gave.
+        """Record the result of an attempt.
 
-        :param sent_s: when it began, on the boot clock.
+        :param sent_s: when the attempt started, on the boot clock.
         """
-        lesson = classify_for_call(result)
-        if lesson is CallFinding.DISCONNECTED:
+        finding = classify_for_call(result)
+        if finding is CallFinding.DISCONNECTED:
             self.watch.note_broken(state.fingerprint, replica)
-        elif lesson is not CallFinding.NONE:
+        elif finding is not CallFinding.NONE:
             self.watch.note_answered(replica, sent_s)
-        if lesson is CallFinding.FINISHED:
+        if finding is CallFinding.FINISHED:
             self.quarantine.suspects.note_finished(state.fingerprint)
 
 
 def _refusal_of(quarantined: Quarantined) -> Refuse:
-    # Not a 4xx, though only another content would help: nothing shows that the caller is wrong,
+    # Not a 4xx, though only other content would help: the caller is not proved to be at fault,
     # and this attempt has surely not run.
     outcome = NotRun(RefusalReason.QUARANTINED, quarantined.retry_after_s)
     return Refuse(STATUS_UNAVAILABLE, outcome)
--- a/limeshelf/gateway/result_rules.py
+++ b/limeshelf/gateway/result_rules.py
@@ -1,8 +1,8 @@
-"""What the result of one attempt says about its replica, and about the call.
+"""Rules for what the result of one attempt means for its replica, and for the call.
 
-The rules (:func:`classify_for_replica`, :func:`classify_for_call`) are separate from
-their application: :func:`apply_finding` to the replica's health and to the directory, and
-:mod:`limeshelf.gateway.quarantine` to the call.
+The rules (:func:`classify_for_replica`, :func:`classify_for_call`) have no side effects.
+:func:`apply_finding` updates the replica's health and the directory, and
+:mod:`limeshelf.gateway.quarantine` updates the state of the call.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
     from limeshelf.replicas.directory import ReplicaDirectory
     from limeshelf.replicas.replica import Replica
 
-#: Statuses from here on are the replica's own failures (RFC 9110, section 15.6).
+#: Lowest status that reports a failure of the replica itself (RFC 9110, section 15.6).
 STATUS_SERVER_ERROR = 500
 
 _FAILURE_BY_CAUSE = {
@@ -47,9 +47,9 @@
 
 @dataclass(frozen=True)
 class Failed:
-    """The replica failed; its health says whether it is left alone for a while.
+    """The replica failed; its health decides whether it is suspended.
 
-    :param excluded: this call is not sent there again.
+    :param excluded: whether this call must not be sent to the replica again.
     """
 
     failure: Failure
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True)
 class LacksModel:
-    """The replica is there, but no longer holds the model or adapter."""
+    """The replica is reachable, but no longer holds the model or adapter."""
 
 
 @dataclass(frozen=True)
@@ -68,17 +68,17 @@
 
 @dataclass(frozen=True)
 class NoFinding:
-    """The call's own time was over, or it was withheld; that says nothing about the replica."""
+    """The call's deadline passed, or it was withheld; neither is a fault of the replica."""
 
 
 ReplicaFinding = Served | Failed | LacksModel | Replaced | NoFinding
 
 
 def classify_for_replica(result: AttemptResult, is_model_call: bool) -> ReplicaFinding:
-    """Return what *result* says about the replica.
+    """Return what *result* means for the replica.
 
-    :param is_model_call: whether the call was for a model; a plain replica that does not
-        take a call for itself must be another one.
+    :param is_model_call: whether the call was for a model. A plain service has no models, so a
+        misdirected answer there means that another replica uses the address.
     """
     if isinstance(result, NeverRan):
         if not result.reached:
@@ -91,30 +91,30 @@
             return NoFinding()
         return Failed(_FAILURE_BY_CAUSE[result.cause], excluded=True)
     if isinstance(result, WholeAnswer) and result.head.status >= STATUS_SERVER_ERROR:
-        # Not excluded: the answer may be the call's fault, and returns as it is.
+        # Not excluded: the call itself may cause the error, which the caller gets unchanged.
         return Failed(Failure.ERROR_STATUS, excluded=False)
     return Served()
 
 
 class CallFinding(enum.Enum):
-    """What the result of an attempt says about the call."""
+    """What the result of an attempt means for the call."""
 
-    #: A run came to its end, good or bad.
+    #: A run finished, with success or an error.
     FINISHED = enum.auto()
-    #: The replica answered, and did not run it to its end.
+    #: The replica refused it.
     REFUSED = enum.auto()
-    #: The connection ended before the answer was whole: the replica may have ended.
+    #: The connection ended before the answer was complete: the replica may have crashed.
     DISCONNECTED = enum.auto()
-    #: Nothing: the time was over, or nobody or another replica answered.
+    #: Time-out, no answer, an invalid answer, or an answer of another replica.
     NONE = enum.auto()
 
 
-#: The connection itself ended; in all other cases the replica is there, or is silent.
+#: The connection itself ended; in all other cases the replica is up, or silent.
 _DISCONNECT_CAUSES = frozenset({FailureCause.CONNECTION_BROKEN, FailureCause.CUT_SHORT})
 
 
 def classify_for_call(result: AttemptResult) -> CallFinding:
-    """Return what *result* says about the call."""
+    """Return what *result* means for the call."""
     if isinstance(result, Delivered | WholeAnswer):
         return CallFinding.FINISHED
     if isinstance(result, NeverRan) and result.reached and not result.misdirected:
@@ -125,7 +125,7 @@
 
 
 def excludes_replica(finding: ReplicaFinding) -> bool:
-    """Return whether the call is not sent to that replica again."""
+    """Return whether the call must not be sent to that replica again."""
     return isinstance(finding, LacksModel | Replaced) or (
         isinstance(finding, Failed) and finding.excluded
     )
@@ -134,7 +134,7 @@
 def apply_finding(
     finding: ReplicaFinding, replica: Replica, need: ModelNeed | None, directory: ReplicaDirectory
 ) -> bool:
-    """Note a lesson; return whether the replica is left alone for a while from now on."""
+    """Apply a finding to its replica; return whether it suspended the replica."""
     if isinstance(finding, Served):
         replica.health.succeeded()
     elif isinstance(finding, Failed):
