--- a/limeshelf/gateway/selection.py
+++ b/limeshelf/gateway/selection.py
@@ -1,9 +1,9 @@
-"""Which replica a call's next attempt goes to.
+"""Selects the replica for a call's next attempt.
 
-Calls to models are dispatched by one gateway for all of them
-(:mod:`limeshelf.dispatch`); plain calls are routed here, by cost
-(:mod:`limeshelf.routing`). Owns nothing; relies on the directory for replicas that left
-or are suspended here.
+One gateway, the dispatcher, selects the replicas of model calls for all gateways
+(:mod:`limeshelf.dispatch`). Each gateway selects those of plain calls itself, by cost
+(:mod:`limeshelf.routing`). Stateless; relies on the directory for replicas that left or are
+suspended here.
 """
 
 from __future__ import annotations
@@ -30,9 +30,10 @@
 
 @attrs.frozen
 class Selected:
-    """The replica for an attempt, with the dispatcher's grant if it gave one.
+    """The replica for an attempt.
 
-    :param has_permit: a turn goes with it at a replica that takes only so many calls a second.
+    :param grant: grant of the dispatcher; ``None`` for a plain call.
+    :param has_permit: whether the call has a permit of the replica's rate limit.
     """
 
     replica: Replica
@@ -40,21 +41,21 @@
     has_permit: bool = False
 
     def may_send(self) -> bool:
-        """Return whether the call may go to the replica by what that asks for now.
+        """Return whether the replica's backpressure still allows the call.
 
-        What it was chosen by may have changed while it waited for a connection.
+        It may have changed since the selection, while the call waited for a connection.
         """
         if not self.replica.takes_calls or self.replica.backpressure.is_paused:
             return False
         return self.has_permit or self.replica.backpressure.rate_per_s is None
 
     def report_first_event(self) -> None:
-        """Report to the dispatcher that the first event came."""
+        """Report to the dispatcher that the first event has arrived."""
         if self.grant is not None:
             self.grant.report_read()
 
     def report_end(self) -> None:
-        """Report to the dispatcher that the attempt is over, or that there is none."""
+        """Report to the dispatcher that the attempt has ended, or is not made."""
         if self.grant is not None:
             self.grant.report_ended()
 
@@ -72,30 +73,30 @@
     turns: TurnExchange
 
     async def select(self, state: CallState) -> Selection:
-        """Return the replica to send a call to next, or why there is none."""
+        """Return the replica for the next attempt of a call, or why there is none."""
         need = state.call.model_need
         if need is not None and state.service.engine is not None:
             return await self._select_dispatched(state, need)
         return await self._select_routed(state)
 
     async def _select_routed(self, state: CallState) -> Selection:
-        """Return the cheapest replica that takes the call now.
+        """Return the cheapest replica that accepts the call now.
 
-        Those that have no turn for it in time are passed over.
+        Skips rate-limited replicas that have no permit for it in time.
         """
         excluded = set(state.excluded)
-        next_turns_s = []
+        next_permits_s = []
         while (chosen := self.chooser.choose(state.service, frozenset(excluded))) is not None:
             if chosen.backpressure.rate_per_s is None:
                 return Selected(chosen, None)
-            turn = await self.turns.get(chosen, _permit_wait_limit_s(state))
-            if turn.is_granted:
+            permit = await self.turns.get(chosen, _permit_wait_limit_s(state))
+            if permit.is_granted:
                 return Selected(chosen, None, has_permit=True)
             excluded.add(chosen.replica_id)
-            next_turns_s.append(turn.wait_s)
-        if next_turns_s and not state.excluded:
-            return NoRoom(min(next_turns_s))
-        # Those that refused the call may take it sooner.
+            next_permits_s.append(permit.wait_s)
+        if next_permits_s and not state.excluded:
+            return NoRoom(min(next_permits_s))
+        # Replicas that refused the call may accept it before the next permit.
         return NoHolder()
 
     async def _select_dispatched(self, state: CallState, need: ModelNeed) -> Selection:
@@ -104,28 +105,28 @@
             return answered
         replica = self.directory.get(answered.replica_id)
         if replica is not None and replica.takes_calls:
-            has_turn = answered.has_turn or await self._acquire_permit(state, replica, answered)
-            if has_turn or replica.backpressure.rate_per_s is None:
-                return Selected(replica, answered, has_turn)
-        # The dispatcher has no report yet that the replica leaves, or gives no turns there.
+            has_permit = answered.has_turn or await self._acquire_permit(state, replica, answered)
+            if has_permit or replica.backpressure.rate_per_s is None:
+                return Selected(replica, answered, has_permit)
+        # The dispatcher does not know yet that the replica leaves, or there is no permit for it.
         answered.report_ended()
         state.excluded.add(answered.replica_id)
         return NoHolder()
 
     async def _acquire_permit(self, state: CallState, replica: Replica, grant: Grant) -> bool:
-        """Return whether there is a turn for a call that was granted without one.
+        """Return whether a call that was granted without a permit gets one.
 
-        Who granted it had not heard yet that the replica takes only so many calls, or stands in
-        for its owner.
+        The gateway that granted it did not know the replica's rate limit yet, or stands in for the
+        dispatcher that owns the replica.
         """
         if replica.backpressure.rate_per_s is None:
             return False
         try:
-            turn = await self.turns.get(replica, _permit_wait_limit_s(state))
+            permit = await self.turns.get(replica, _permit_wait_limit_s(state))
         except asyncio.CancelledError:
             grant.report_ended()
             raise
-        return turn.is_granted
+        return permit.is_granted
 
     def _grant_request(self, state: CallState, need: ModelNeed) -> GrantRequest:
         waited_s = state.since_arrival_s
@@ -141,7 +142,7 @@
         )
 
     def _unusable_here(self, state: CallState) -> set[str]:
-        """Return the replicas that this gateway cannot use now, whoever else can."""
+        """Return the replicas that this gateway cannot use now, even if others can."""
         return {
             replica.replica_id
             for replica in self.directory.of_service(state.service.name)
@@ -150,6 +151,6 @@
 
 
 def _permit_wait_limit_s(state: CallState) -> float:
-    """Return how long a call can wait for its turn at a replica, in seconds."""
-    bearable_s = patience_left_s if state.is_caller_retry else hold_left_s
-    return max(0.0, min(state.left_s, bearable_s(state.route, state.since_arrival_s)))
+    """Return how long a call can wait for a permit at a replica, in seconds."""
+    wait_left_s = patience_left_s if state.is_caller_retry else hold_left_s
+    return max(0.0, min(state.left_s, wait_left_s(state.route, state.since_arrival_s)))
