--- a/limeshelf/gateway/state.py
+++ b/limeshelf/gateway/state.py
@@ -1,4 +1,4 @@
-"""How far one call has come: its attempts, what they gave, the time that is left."""
+"""The state of one call: its attempts, their results and the time left."""
 
 from __future__ import annotations
 
@@ -24,20 +24,20 @@
 
 @attrs.define
 class CallState:
-    """How far a call has come.
-
-    :ivar answer: where its answer goes.
-    :ivar organisation: that holds its key; ``None`` without one.
-    :ivar reservation: of what it uses of its organisation's limit; ``None`` without a limit.
-    :ivar deadline_s: when its final answer must go out, on the steady clock.
-    :ivar splitter: keeps the place in a stream across attempts.
-    :ivar runs: replicas that ran it or may have run it.
-    :ivar sends: attempts so far.
-    :ivar refusals: attempts that surely did not run it.
+    """The state of a call.
+
+    :ivar answer: through which the caller is answered.
+    :ivar deadline_s: when its final answer must be sent, on the boot clock.
+    :ivar organisation: holder of its key; ``None`` without one.
+    :ivar reservation: its share of the organisation's limit; ``None`` without a limit.
+    :ivar splitter: keeps the position in a stream across attempts.
+    :ivar runs: number of replicas that ran it or may have run it.
+    :ivar sends: number of attempts so far.
+    :ivar refusals: number of attempts that surely did not run it.
     :ivar excluded: ids of replicas that it is not sent to again.
-    :ivar last_result: what the latest attempt gave.
+    :ivar last_result: result of the latest attempt.
     :ivar waited_s: time from its arrival to the latest send, in seconds.
-    :ivar fingerprint: the same for each try of the caller.
+    :ivar fingerprint: identifies its content; the same for each retry of the caller.
     """
 
     call: Call
@@ -59,18 +59,18 @@
     )
 
     def begin_attempt(self) -> None:
-        """Count an attempt that begins now."""
+        """Count an attempt that starts now."""
         self.sends += 1
         if self.reservation is not None:
             self.reservation.note_sent()
         self.waited_s = self.since_arrival_s
 
     def record_result(self, result: AttemptResult) -> None:
-        """Count what an attempt gave."""
+        """Count the result of an attempt."""
         self.last_result = result
         if isinstance(result, NeverRan | NotSent):
             if isinstance(result, NotSent) and result.cause is FailureCause.WITHHELD:
-                # Nothing arrived anywhere, so the next send repeats none.
+                # No replica received anything, so the next send is not a retry.
                 self.sends -= 1
             else:
                 self.refusals += 1
@@ -80,16 +80,16 @@
             self.runs += 1
 
     def progress(self) -> CallProgress:
-        """Return what decides how the call ends."""
+        """Return the state on which the ending of the call depends."""
         return CallProgress(
             self.route, self.runs, self.last_result, self.left_s, self.answer.started
         )
 
     @property
     def priority(self) -> int:
-        """Return the call's rank; 0 is the most urgent.
+        """Return the priority of the call; 0 is the most urgent.
 
-        The one of its organisation goes before that of its route.
+        The priority of its organisation overrides that of its route.
         """
         organisation = self.organisation
         if organisation is None or organisation.priority is None:
@@ -98,7 +98,7 @@
 
     @property
     def is_caller_retry(self) -> bool:
-        """Return whether the caller was likely refused before and has come back."""
+        """Return whether this is likely a retry of a call that was refused."""
         return has_returned(self.route, self.call.budget_s)
 
     @property
@@ -108,5 +108,5 @@
 
     @property
     def left_s(self) -> float:
-        """Return the time that is left for the call, in seconds."""
+        """Return the time until the deadline, in seconds."""
         return self.deadline_s - boottime_s()
