--- a/limeshelf/gateway/pipeline.py
+++ b/limeshelf/gateway/pipeline.py
@@ -1,15 +1,15 @@
-"""The path of a call: route it, select a replica, send it, learn, settle, answer.
+"""Processes calls: route, admit, select a replica, send, retry, answer.
 
-Owns the calls that wait for a replica. Each rule on the way has a module of its own:
-:mod:`~limeshelf.gateway.access` (whose key), :mod:`~limeshelf.gateway.limits` (how much),
-:mod:`~limeshelf.gateway.quarantine` (which replicas ended under it),
-:mod:`~limeshelf.gateway.selection` (which replica),
-:mod:`~limeshelf.admission.absent_model` (held or refused),
+Owns the set of calls that wait for a replica. Each step has a module of its own:
+:mod:`~limeshelf.gateway.access` (authorisation), :mod:`~limeshelf.gateway.limits` (rate limits),
+:mod:`~limeshelf.gateway.quarantine` (calls that crash replicas),
+:mod:`~limeshelf.gateway.selection` (choice of the replica),
+:mod:`~limeshelf.admission.absent_model` (no replica holds the model),
 :mod:`~limeshelf.gateway.attempts` (one send), :mod:`~limeshelf.admission.repeats` and
-:mod:`~limeshelf.admission.retry_budget` (sent again),
-:mod:`~limeshelf.gateway.endings` (how the call ends),
-:mod:`~limeshelf.gateway.final_answer` (what its caller gets) and
-:mod:`~limeshelf.admission.come_back` (when a refused caller comes back).
+:mod:`~limeshelf.admission.retry_budget` (retries),
+:mod:`~limeshelf.gateway.endings` (how a call ends),
+:mod:`~limeshelf.gateway.final_answer` (the answer to the caller) and
+:mod:`~limeshelf.admission.come_back` (the ``Retry-After`` of refusals).
 """
 
 from __future__ import annotations
@@ -58,14 +58,14 @@
     from limeshelf.organisations.access import AccessGranted
     from limeshelf.replicas.directory import ReplicaDirectory
 
-#: The final answer goes out this long before the caller's time is over.
+#: The final answer is sent this long before the caller's time-out.
 ANSWER_MARGIN_S = 0.02
-#: Time of a call whose caller does not say how long it waits.
+#: Time-out of a call whose caller states none.
 DEFAULT_CALLER_TIMEOUT_S = 30.0
 
 
 class Pipeline:
-    """Serves calls with the configuration in force."""
+    """Serves calls under the configuration in force."""
 
     def __init__(
         self,
@@ -99,7 +99,7 @@
         return self._in_force.config
 
     async def serve(self, call: Call, answer: Answer) -> None:
-        """Bring the call to a replica and its answer to the caller."""
+        """Forward a call to a replica, and answer the caller."""
         state = self._begin_call(call, answer)
         if isinstance(state, Refuse):
             await self._final_answer.send(call, state, answer)
@@ -148,26 +148,26 @@
             selected = await self._select_unless_stopped(state)
             if not isinstance(selected, Selected):
                 return selected
-            # Keys go, and replicas end, while calls wait.
+            # Keys may be revoked, and replicas crash, while calls wait for a replica.
             admitted = self._admit(state)
             if isinstance(admitted, Refuse):
                 selected.report_end()
                 return refuse(state.progress(), admitted)
             await self._attempts.run(state, selected, admitted.organisation)
-            settled = decide_after_attempt(state.progress())
-            if not isinstance(settled, Retry):
-                return settled
+            decision = decide_after_attempt(state.progress())
+            if not isinstance(decision, Retry):
+                return decision
 
     def _admit(self, state: CallState) -> AccessGranted | Refuse:
-        """Return who sends a call, or why it may not be sent now."""
+        """Return the access granted to a call, or its refusal if it may not be sent now."""
         if is_too_late(state.left_s):
-            # Waking from a suspension, the wait may end with a replica though the time is over.
+            # After a suspension of the machine, selection may succeed past the deadline.
             return deadline_refusal(state.route)
         quarantined = self._quarantine.check(state.fingerprint)
         return quarantined or self._access.check(state.call, state.route)
 
     async def _select_unless_stopped(self, state: CallState) -> Selected | Ending:
-        """Return the replica to try next; a planned stop ends the wait for one."""
+        """Return the replica to try next; a planned stop ends the wait for it."""
         task = asyncio.current_task()
         assert task is not None
         self._waiting.add(task)
@@ -185,7 +185,7 @@
         )
 
     def refuse_waiting(self) -> None:
-        """Refuse the calls that still wait for a replica; other gateways take them."""
+        """Refuse the calls that still wait for a replica; callers retry at other gateways."""
         self._stopping = True
         for task in list(self._waiting):
             task.cancel()
@@ -210,10 +210,10 @@
                     return refuse_unavailable(state.progress(), RefusalReason.UPSTREAM_REFUSED)
                 return selection
             outlook = self._demand.outlook(state.call, state.service)
-            decided = decide_absent(_absent_model(state, outlook))
-            if isinstance(decided, RefuseUntilReady):
-                return _refuse_no_replica(state, decided, outlook)
-            await self._hold(state, decided)
+            decision = decide_absent(_absent_model(state, outlook))
+            if isinstance(decision, RefuseUntilReady):
+                return _refuse_no_replica(state, decision, outlook)
+            await self._hold(state, decision)
 
     def _refuse_overloaded(self, state: CallState, queue_wait_s: float) -> Ending:
         left_s = state.left_s
@@ -224,7 +224,7 @@
         return refuse_unavailable(state.progress(), RefusalReason.OVERLOADED, retry_after_s)
 
     async def _hold(self, state: CallState, hold: Hold) -> None:
-        """Wait for a replica that can run the call."""
+        """Wait for a change that may let a replica run the call."""
         if hold.retry_excluded:
             state.excluded.clear()
         self._demand.report_missing(state.call, state.service)
