--- a/limeshelf/programs/followed_tables.py
+++ b/limeshelf/programs/followed_tables.py
@@ -55,7 +55,7 @@
 #: Calls that rest change seldom, and peers tell of them at once; the rows are for gateways that
 #: start, or that a cut keeps from all others. So they are read at once at a start: with a pause
 #: as for the members, a call that all gateways had known ended a replica of the new ones in 4
-#: of 8 runs beside load, without it in none of 6 (tests/gateway/test_deadly_call.py).
+#: of 8 runs beside load, without it in none of 6 (tests/gateway/test_crashing_call.py).
 QUARANTINE_RULE = FollowRule(wait_s=8.0, stale_s=12.0)
 #: The operator has confirmed the newest configuration to somebody; it is in force, and passed on
 #: to gateways that start, until the store has one that is as new.
--- a/tests/gateway/test_call_log.py
+++ b/tests/gateway/test_call_log.py
@@ -1,4 +1,4 @@
-"""A line about a call holds the inputs of the decision that it tells of."""
+"""Log lines about calls contain the inputs of the decision."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 @pytest.fixture
 def written(monkeypatch: pytest.MonkeyPatch) -> dict[str, Any]:
-    """Return the fields of the last line, by their names."""
+    """Return the fields of the last log line, by name."""
     fields: dict[str, Any] = {}
     monkeypatch.setattr(
         call_log, 'log_request', lambda event, **given: fields.update(given, event=event)
@@ -44,8 +44,8 @@
     return fields
 
 
-def held_state(waited_s: float) -> CallState:
-    """Return a call that arrived *waited_s* ago, on a route with an objective of 2 s."""
+def waiting_state(waited_s: float) -> CallState:
+    """Return the state of a call that arrived *waited_s* ago; its route's objective is 2 s."""
     state = state_of(ENGINE, NEED, route=make_route(objective_s=2.0))
     call = attrs.evolve(state.call, arrived_s=state.call.arrived_s - waited_s)
     return attrs.evolve(state, call=call)
@@ -58,20 +58,20 @@
     assert 500 <= written['waited_ms'] < 900
 
 
-def test_refusal_for_overload_names_the_model_and_the_bounds_of_the_wait(
+def test_refusal_for_overload_logs_the_model_and_the_bounds_of_the_wait(
     written: dict[str, Any],
 ) -> None:
-    call_log.log_overloaded(held_state(0.5), 1.7, 3.2)
+    call_log.log_overloaded(waiting_state(0.5), 1.7, 3.2)
     check_wait(written, 'refused_overloaded')
     assert written['expected_wait_ms'] == 1700
     assert written['copy_in_ms'] == 3200
 
 
-def test_refusal_for_lack_of_a_replica_tells_the_bounds_of_the_wait(
+def test_refusal_for_lack_of_a_replica_logs_the_bounds_of_the_wait(
     written: dict[str, Any],
 ) -> None:
     outlook = CallOutlook(0.25, None, is_announced=False, model_held=True)
-    call_log.log_no_replica(held_state(0.5), 0.25, outlook)
+    call_log.log_no_replica(waiting_state(0.5), 0.25, outlook)
     check_wait(written, 'refused_no_replica')
     assert written['expected_wait_ms'] == 250
     assert written['announced_in_ms'] is None
@@ -79,14 +79,14 @@
     assert written['returned'] is False
 
 
-def test_refusal_tells_the_time_of_a_load_that_was_ordered(written: dict[str, Any]) -> None:
+def test_refusal_logs_the_time_until_an_announced_load(written: dict[str, Any]) -> None:
     outlook = CallOutlook(1.5, 1.5, is_announced=True, model_held=False)
-    call_log.log_no_replica(held_state(0.5), 1.5, outlook)
+    call_log.log_no_replica(waiting_state(0.5), 1.5, outlook)
     assert written['announced_in_ms'] == 1500
 
 
-def test_failure_tells_the_status_that_promises_nothing(written: dict[str, Any]) -> None:
-    call_log.log_failed(held_state(0.5).call, 502, 3)
+def test_failure_logs_its_status(written: dict[str, Any]) -> None:
+    call_log.log_failed(waiting_state(0.5).call, 502, 3)
     assert (written['event'], written['request'], written['status']) == ('failed', 'c', 502)
 
 
@@ -100,10 +100,10 @@
         (Broken(FailureCause.TIME_OVER), 0),
     ],
 )
-def test_attempt_tells_the_status_its_length_and_whether_the_answer_has_begun(
+def test_attempt_logs_status_duration_and_whether_the_answer_has_started(
     written: dict[str, Any], result: AttemptResult, status: int
 ) -> None:
-    state = attrs.evolve(held_state(0.5), waited_s=0.1)
+    state = attrs.evolve(waiting_state(0.5), waited_s=0.1)
     call_log.log_attempt(state, REPLICA, Load(), result, False, 3)
     assert written['status'] == status
     assert 400 <= written['took_ms'] < 800
--- a/tests/gateway/test_crashing_call.py
+++ b/tests/gateway/test_crashing_call.py
@@ -1,18 +1,14 @@
-"""A call that ends each replica that begins to run it is refused everywhere after a few ends.
+"""All gateways refuse a call that crashes each replica that runs it, after a few crashes.
 
-What users saw: eleven replicas of one service ended within 14 s, and most calls of a route failed
-with them. One request had been at work at each of them. Its caller sent it again and again, with
-another id each time, at another gateway each time.
+Guards against a request that crashes one replica after the other: its caller gets a 502 or a
+broken stream, and retries with a new id at another gateway, which sends it to the next replica.
+Eleven replicas of one service crashed so within 14 s, and most calls of a route failed with them.
 
-Order of events: a gateway sends the request to a replica, which ends; the caller is told 502, or
-its stream breaks off; it comes to the next gateway, which sends it to the next replica.
-
-Cause: what a failed attempt teaches was kept for the replica, or for the call until its end.
-Nothing was remembered of the request, and no gateway told another.
-
-Evidence: in a play of such a day, 242 of 243 calls that broke off in nine bursts had been sent
-once, so that no gateway sent one from replica to replica; the request in each burst is the same.
-With the three gateways of this test, replicas went on ending for as long as the request came.
+The gateways kept the results of attempts for the replica, and for the call until its end, but
+remembered nothing of the request's content and did not share it. In a simulation, 242 of the 243
+calls that broke off in nine bursts had been sent once, so no single gateway saw the pattern; each
+burst had one request in common. With the three gateways of this test, replicas went on crashing
+for as long as the request was retried.
 """
 
 from __future__ import annotations
@@ -25,56 +21,57 @@
 from standins.users_platform.replica import Fault
 from tests.support.fleet import CENTRES, FleetWorld, run_fleet
 
-DEADLY = b'deadly'
-#: Between two tries of the caller, in seconds.
-TRY_S = 0.15
-#: After the third end, in seconds, more sends may still come from gateways that do not know yet.
+CRASHING = b'deadly'
+#: Time between two attempts of the caller, in seconds.
+RETRY_S = 0.15
+#: Time after the third crash, in seconds, in which gateways that do not know yet may still send
+#: the call.
 KNOWN_WITHIN_S = 3.0
-#: ...and so many later on, over all gateways.
-ALLOWED_LATER = 3
+#: Crashes allowed after that, over all gateways.
+MAX_LATE_CRASHES = 3
 
 
-def ends_later(ends: list[float]) -> int:
-    """Return how many replicas ended after all gateways must have known."""
-    return sum(end > ends[2] + KNOWN_WITHIN_S for end in ends[3:])
+def late_crashes(crashed_s: list[float]) -> int:
+    """Return how many replicas crashed after all gateways must have known."""
+    return sum(end > crashed_s[2] + KNOWN_WITHIN_S for end in crashed_s[3:])
 
 
-async def come_again(world: FleetWorld, path: str, for_s: float) -> list[int]:
-    """Let a caller try at one gateway after the other; return what it was told."""
+async def keep_retrying(world: FleetWorld, path: str, for_s: float) -> list[int]:
+    """Retry a call at one gateway after the other; return the statuses."""
     loop = asyncio.get_running_loop()
     until_s = loop.time() + for_s
-    told = []
+    statuses = []
     while loop.time() < until_s:
-        number = len(told) % len(CENTRES)
+        number = len(statuses) % len(CENTRES)
         if path == '/stream/x':
-            told.append(await world.generate_at(number, DEADLY))
+            statuses.append(await world.generate_at(number, CRASHING))
         else:
-            told.append(await world.call_at(number, path, DEADLY))
-        await asyncio.sleep(TRY_S)
-    return told
+            statuses.append(await world.call_at(number, path, CRASHING))
+        await asyncio.sleep(RETRY_S)
+    return statuses
 
 
-def test_replicas_end_no_more_after_a_few() -> None:
+def test_crashes_stop_after_a_few() -> None:
     async def scenario(world: FleetWorld) -> None:
-        told = await come_again(world, '/stream/x', for_s=7.0)
+        statuses = await keep_retrying(world, '/stream/x', for_s=7.0)
         assert len(world.ends) >= 2
-        assert ends_later(world.ends) <= ALLOWED_LATER
-        assert told[-1] == 503
+        assert late_crashes(world.ends) <= MAX_LATE_CRASHES
+        assert statuses[-1] == 503
 
-    run_fleet(scenario, deadly_text=DEADLY)
+    run_fleet(scenario, deadly_text=CRASHING)
 
 
-def test_repeatable_call_ends_no_third_replica_by_itself() -> None:
+def test_repeatable_call_crashes_no_third_replica_by_itself() -> None:
     async def scenario(world: FleetWorld) -> None:
-        await come_again(world, '/safe/x', for_s=4.0)
+        await keep_retrying(world, '/safe/x', for_s=4.0)
         assert 2 <= len(world.ends) <= 3
 
-    run_fleet(scenario, deadly_text=DEADLY)
+    run_fleet(scenario, deadly_text=CRASHING)
 
 
-def test_gateways_that_all_end_at_once_know_it_again() -> None:
+def test_quarantine_survives_a_restart_of_all_gateways() -> None:
     async def scenario(world: FleetWorld) -> None:
-        await come_again(world, '/stream/x', for_s=1.5)
+        await keep_retrying(world, '/stream/x', for_s=1.5)
         ends = len(world.ends)
         for number in range(len(CENTRES)):
             await world.stop_gateway(number)
@@ -82,62 +79,62 @@
             await world.start_gateway(number)
         await world.until(world.all_know_all, limit_s=10.0)
         assert await world.generate_at(0, b'innocent') == 200
-        told = await come_again(world, '/stream/x', for_s=1.5)
-        assert set(told) == {503}
+        statuses = await keep_retrying(world, '/stream/x', for_s=1.5)
+        assert set(statuses) == {503}
         assert len(world.ends) == ends
 
-    run_fleet(scenario, deadly_text=DEADLY)
+    run_fleet(scenario, deadly_text=CRASHING)
 
 
-def test_gateways_that_a_cut_keeps_apart_know_it_by_the_store(
+def test_partitioned_gateways_share_the_quarantine_through_the_store(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(CrashExchange, '_send_to', lambda exchange, addresses, states: None)
 
     async def scenario(world: FleetWorld) -> None:
-        told = await come_again(world, '/stream/x', for_s=5.0)
-        # Of two ends that one gateway saw, the row tells the others.
+        statuses = await keep_retrying(world, '/stream/x', for_s=5.0)
+        # After two crashes that one gateway saw, its row in the store informs the others.
         assert len(world.ends) <= 2 * len(CENTRES)
-        assert ends_later(world.ends) == 0
-        assert told[-1] == 503
+        assert late_crashes(world.ends) == 0
+        assert statuses[-1] == 503
 
-    run_fleet(scenario, deadly_text=DEADLY)
+    run_fleet(scenario, deadly_text=CRASHING)
 
 
-def test_gateways_without_the_store_tell_one_another() -> None:
+def test_gateways_without_the_store_share_the_quarantine_as_peers() -> None:
     async def scenario(world: FleetWorld) -> None:
         world.store.faults.status = 503
-        told = await come_again(world, '/stream/x', for_s=3.0)
+        statuses = await keep_retrying(world, '/stream/x', for_s=3.0)
         assert len(world.ends) <= len(CENTRES)
-        assert told[-1] == 503
+        assert statuses[-1] == 503
 
-    run_fleet(scenario, deadly_text=DEADLY)
+    run_fleet(scenario, deadly_text=CRASHING)
 
 
-def test_broken_answers_of_replicas_that_live_condemn_no_call() -> None:
+def test_broken_answers_of_live_replicas_quarantine_no_call() -> None:
     async def scenario(world: FleetWorld) -> None:
         for replica in world.engines:
             replica.fault = Fault.RESET_MIDWAY
         for replica in world.plain:
             replica.fault = Fault.RESET_FIRST
-        told = await come_again(world, '/stream/x', for_s=1.5)
-        told += await come_again(world, '/safe/x', for_s=1.5)
-        assert 503 not in told
+        statuses = await keep_retrying(world, '/stream/x', for_s=1.5)
+        statuses += await keep_retrying(world, '/safe/x', for_s=1.5)
+        assert 503 not in statuses
         assert not any(len(world.components(number).suspects) for number in range(len(CENTRES)))
 
     run_fleet(scenario)
 
 
-def test_calls_beside_it_are_never_refused_for_it() -> None:
-    """Their content comes again, too, and is at work at many of the replicas that end."""
+def test_concurrent_calls_are_not_quarantined() -> None:
+    """Their content is repeated too, and runs at many of the replicas that crash."""
 
     async def scenario(world: FleetWorld) -> None:
         for replica in world.engines:
             replica.event_s = 0.02
-        marked = asyncio.create_task(come_again(world, '/stream/x', for_s=4.0))
-        told = []
-        while not marked.done():
-            told += await asyncio.gather(
+        crashing = asyncio.create_task(keep_retrying(world, '/stream/x', for_s=4.0))
+        statuses = []
+        while not crashing.done():
+            statuses += await asyncio.gather(
                 *(world.generate_at(number % len(CENTRES), b'innocent') for number in range(6))
             )
         assert len(world.ends) >= 2
@@ -148,8 +145,8 @@
             for state in suspects.states()
             if state.open_count > 1
         ]
-        # The marked call alone, at each gateway.
+        # Each gateway suspects only the crashing call.
         assert len(counts) == len(CENTRES)
-        assert told.count(200) > 0.8 * len(told)
+        assert statuses.count(200) > 0.8 * len(statuses)
 
-    run_fleet(scenario, deadly_text=DEADLY)
+    run_fleet(scenario, deadly_text=CRASHING)
--- a/tests/gateway/test_edge.py
+++ b/tests/gateway/test_edge.py
@@ -1,4 +1,4 @@
-"""The planned stop of a gateway, seen from its callers' connections."""
+"""The planned stop of a gateway, and the time-outs of its callers' connections."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     run(scenario)
 
 
-def test_running_stream_ends_whole_at_a_stop() -> None:
+def test_running_stream_is_completed_at_a_stop() -> None:
     async def scenario(world: GatewayWorld) -> None:
         for replica in world.engines:
             replica.event_s = 0.3
@@ -42,7 +42,7 @@
     run(scenario)
 
 
-def test_call_on_a_kept_connection_is_answered_while_stopping() -> None:
+def test_call_on_a_kept_alive_connection_is_answered_while_stopping() -> None:
     async def scenario(world: GatewayWorld) -> None:
         reader, writer = await asyncio.open_connection('127.0.0.1', world.port)
         task = asyncio.create_task(world.gateway.drain())
@@ -75,7 +75,7 @@
 
 
 def test_slow_head_and_idle_connection_end_at_the_configured_times() -> None:
-    async def ends(world: GatewayWorld, sent: bytes) -> bool:
+    async def closes(world: GatewayWorld, sent: bytes) -> bool:
         reader, writer = await asyncio.open_connection('127.0.0.1', world.port)
         writer.write(sent)
         try:
@@ -91,7 +91,7 @@
         world.configure(configuration(2, HeaderTimeoutMs=200, IdleTimeoutMs=400))
         await world.until(lambda: world.gateway.components.pipeline.config.version == 2)
         half_a_head, whole_call = REQUEST[:40], REQUEST
-        assert await ends(world, half_a_head)
-        assert await ends(world, whole_call)
+        assert await closes(world, half_a_head)
+        assert await closes(world, whole_call)
 
     run(scenario)
--- a/tests/gateway/test_endings.py
+++ b/tests/gateway/test_endings.py
@@ -1,4 +1,4 @@
-"""How calls end: what is sent again, and which status promises what."""
+"""How calls end: which are retried, and which status each gets otherwise."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 NOT_SENT = NotSent(FailureCause.TIME_OVER)
 
 
-def whole(status: int) -> WholeAnswer:
+def whole_answer(status: int) -> WholeAnswer:
     facts = AnswerFacts(status, 'c', True, False, False, False, None, (), None)
     return WholeAnswer(facts, b'', 0.1)
 
@@ -53,38 +53,42 @@
     return CallProgress(**fields)
 
 
-@pytest.mark.parametrize('last', [REFUSED, NOT_SENT, BROKEN, whole(500)])
-def test_safe_call_goes_to_another_replica(last: AttemptResult) -> None:
-    assert decide_after_attempt(progress(last)) == Retry()
+@pytest.mark.parametrize('last_result', [REFUSED, NOT_SENT, BROKEN, whole_answer(500)])
+def test_safe_call_goes_to_another_replica(last_result: AttemptResult) -> None:
+    assert decide_after_attempt(progress(last_result)) == Retry()
 
 
-def test_unsafe_call_goes_on_only_after_a_refusal() -> None:
+def test_unsafe_call_is_retried_only_after_a_refusal() -> None:
     unsafe = make_route(kind=CallKind.UNSAFE)
     assert decide_after_attempt(progress(REFUSED, route=unsafe)) == Retry()
     assert decide_after_attempt(progress(NOT_SENT, route=unsafe)) == Retry()
     assert decide_after_attempt(progress(BROKEN, route=unsafe)) == GatewayFailure(502)
-    assert decide_after_attempt(progress(whole(500), route=unsafe)) == ForwardAnswer(whole(500))
+    assert decide_after_attempt(progress(whole_answer(500), route=unsafe)) == ForwardAnswer(
+        whole_answer(500)
+    )
 
 
-def test_answer_reaches_the_caller_as_it_is() -> None:
+def test_answer_is_forwarded_unchanged() -> None:
     assert decide_after_attempt(progress(Delivered(200, 0.1))) == Answered()
-    assert decide_after_attempt(progress(whole(404))) == ForwardAnswer(whole(404))
-    assert decide_after_attempt(progress(whole(500), runs=2)) == ForwardAnswer(whole(500))
+    assert decide_after_attempt(progress(whole_answer(404))) == ForwardAnswer(whole_answer(404))
+    assert decide_after_attempt(progress(whole_answer(500), runs=2)) == ForwardAnswer(
+        whole_answer(500)
+    )
 
 
-def test_broken_call_whose_time_is_over_ends_with_504() -> None:
+def test_broken_call_past_its_deadline_ends_with_504() -> None:
     assert decide_after_attempt(progress(BROKEN, left_s=0.03)) == GatewayFailure(504)
     assert decide_after_attempt(progress(BROKEN, runs=2)) == GatewayFailure(502)
 
 
-def test_stream_that_has_begun_is_broken_off() -> None:
+def test_started_stream_is_aborted() -> None:
     once = make_route(kind=CallKind.STREAM)
     assert decide_after_attempt(progress(BROKEN, route=once, answer_started=True)) == AbortAnswer()
-    given_up = refuse_unavailable(progress(BROKEN, answer_started=True), RefusalReason.STOPPING)
-    assert given_up == AbortAnswer()
+    ending = refuse_unavailable(progress(BROKEN, answer_started=True), RefusalReason.STOPPING)
+    assert ending == AbortAnswer()
 
 
-def test_promise_is_given_only_to_what_never_ran() -> None:
+def test_only_calls_that_never_ran_are_refused() -> None:
     refusal = refuse_unavailable(progress(REFUSED), RefusalReason.OVERLOADED, 1.5)
     assert refusal == Refuse(503, NotRun(RefusalReason.OVERLOADED, 1.5))
     not_sent = refuse_unavailable(
@@ -98,19 +102,19 @@
     )
     too_late = refuse_unavailable(progress(BROKEN), RefusalReason.DEADLINE_TOO_SHORT)
     assert too_late == GatewayFailure(504)
-    assert refuse_unavailable(progress(whole(500)), RefusalReason.OVERLOADED) == ForwardAnswer(
-        whole(500)
-    )
+    assert refuse_unavailable(
+        progress(whole_answer(500)), RefusalReason.OVERLOADED
+    ) == ForwardAnswer(whole_answer(500))
 
 
-def test_refusal_without_a_known_wait_comes_back_in_time() -> None:
+def test_refusal_without_a_known_wait_has_a_short_retry_after() -> None:
     refusal = refuse_unavailable(progress(None), RefusalReason.UPSTREAM_REFUSED)
     assert refusal == Refuse(503, NotRun(RefusalReason.UPSTREAM_REFUSED, pytest.approx(0.3)))
 
 
-def test_no_second_answer_follows_a_stream_that_has_begun() -> None:
+def test_no_second_answer_follows_a_started_stream() -> None:
     resumable = make_route(kind=CallKind.STREAM, resumable=True)
     ended = decide_after_attempt(
-        progress(whole(500), route=resumable, runs=2, answer_started=True)
+        progress(whole_answer(500), route=resumable, runs=2, answer_started=True)
     )
     assert ended == AbortAnswer()
--- a/tests/gateway/test_events.py
+++ b/tests/gateway/test_events.py
@@ -1,4 +1,4 @@
-"""Whole events of a stream, however it was cut on the way."""
+"""The splitter returns complete events, however the stream is split into chunks."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @settings(max_examples=200, derandomize=True, deadline=None)
 @given(cuts=st.lists(st.integers(0, len(STREAM)), max_size=8), end=st.integers(0, len(STREAM)))
-def test_any_cut_gives_whole_events_in_order(cuts: list[int], end: int) -> None:
+def test_any_chunking_gives_complete_events_in_order(cuts: list[int], end: int) -> None:
     splitter = EventSplitter()
     places = sorted({0, end, *(cut for cut in cuts if cut < end)})
     out = b''
@@ -29,7 +29,7 @@
     assert splitter.has_partial_event == (len(out) != end)
 
 
-def test_goes_on_after_a_restart() -> None:
+def test_stream_continues_after_a_discarded_partial_event() -> None:
     splitter = EventSplitter()
     assert splitter.feed(b'id: 1\ndata: a\n\nid: 2\nda') == b'id: 1\ndata: a\n\n'
     splitter.discard_partial_event()
@@ -37,7 +37,7 @@
     assert splitter.last_id == '2'
 
 
-def test_event_without_an_end_is_given_up_at_its_bound() -> None:
+def test_incomplete_event_fails_at_its_size_limit() -> None:
     splitter = EventSplitter()
     assert splitter.feed(b'id: 1\ndata: a\n\n') == b'id: 1\ndata: a\n\n'
     assert splitter.feed(b'x' * MAX_EVENT_BYTES) == b''
@@ -45,7 +45,7 @@
         splitter.feed(b'x')
 
 
-def test_events_before_one_without_an_end_are_asked_for_again() -> None:
+def test_events_before_a_too_long_one_are_not_counted() -> None:
     splitter = EventSplitter()
     with pytest.raises(EventTooLong):
         splitter.feed(b'id: 1\ndata: a\n\n' + b'x' * (MAX_EVENT_BYTES + 1))
--- a/tests/gateway/test_keys.py
+++ b/tests/gateway/test_keys.py
@@ -1,4 +1,4 @@
-"""Keys on the way of a call: who is let through, and what a replica gets to see."""
+"""Authorisation of calls by keys, and what the replica gets of a key."""
 
 from __future__ import annotations
 
@@ -47,15 +47,15 @@
 
 
 def run(scenario: Any) -> None:
-    async def play() -> None:
+    async def main() -> None:
         async with KeyWorld() as world:
             await world.with_organisations(2, ACME, OTHER)
             await scenario(world)
 
-    asyncio.run(play())
+    asyncio.run(main())
 
 
-def test_replica_is_told_the_organisation_and_never_the_key() -> None:
+def test_replica_gets_the_organisation_and_never_the_key() -> None:
     async def scenario(world: KeyWorld) -> None:
         answer = await world.call(
             '/safe/x', Limeshelf_Tenant='other', limeshelf_tenant='other', **WITH_KEY
@@ -111,27 +111,27 @@
         assert (await world.call('/open/x')).status == 200
         assert (await world.call('/open/x', Authorization='Token unknown')).status == 200
         assert (await world.call('/open/x', **WITH_KEY)).status == 200
-        told = [seen.headers.get('Limeshelf-Tenant') for seen in world.seen()]
-        assert sorted(str(name) for name in told) == ['None', 'None', 'acme']
+        names = [seen.headers.get('Limeshelf-Tenant') for seen in world.seen()]
+        assert sorted(str(name) for name in names) == ['None', 'None', 'acme']
         assert all('Authorization' not in seen.headers for seen in world.seen())
 
     run(scenario)
 
 
-def test_rank_of_the_organisation_goes_before_that_of_the_route() -> None:
+def test_priority_of_the_organisation_overrides_that_of_the_route() -> None:
     async def scenario(world: KeyWorld) -> None:
         await world.generate(**WITH_KEY)
         await world.generate(Authorization='Token key-of-other')
-        ranks = {
+        priorities = {
             seen.headers['Limeshelf-Tenant']: seen.headers['Limeshelf-Request-Priority']
             for seen in world.seen()
         }
-        assert ranks == {'acme': '2', 'other': '4'}
+        assert priorities == {'acme': '2', 'other': '4'}
 
     run(scenario)
 
 
-def test_key_that_was_taken_away_is_unknown() -> None:
+def test_revoked_key_is_unknown() -> None:
     async def scenario(world: KeyWorld) -> None:
         await world.with_organisations(3, {**ACME, 'Keys': ['second-of-acme']}, OTHER)
         assert (await world.call('/safe/x', **WITH_KEY)).status == 401
@@ -142,32 +142,32 @@
 
 
 @attrs.define
-class HeldSelector:
-    """Selects a replica as ever, but only once it is let go on."""
+class BlockedSelector:
+    """A selector that blocks until it is released."""
 
     selector: Any
-    goes_on: asyncio.Event = attrs.field(factory=asyncio.Event)
+    released: asyncio.Event = attrs.field(factory=asyncio.Event)
 
     async def select(self, state: Any) -> Any:
-        await self.goes_on.wait()
+        await self.released.wait()
         return await self.selector.select(state)
 
 
-def test_call_that_waits_is_refused_once_its_key_goes() -> None:
+def test_waiting_call_is_refused_once_its_key_is_revoked() -> None:
     async def scenario(world: KeyWorld) -> None:
         pipeline = world.gateway.components.pipeline
-        held = pipeline._selector = HeldSelector(pipeline._selector)
+        blocked = pipeline._selector = BlockedSelector(pipeline._selector)
         call = asyncio.create_task(world.generate(**WITH_KEY))
         await asyncio.sleep(0.05)
         await world.with_organisations(3, OTHER)
-        held.goes_on.set()
+        blocked.released.set()
         assert (await call).status == 401
         assert world.seen() == []
 
     run(scenario)
 
 
-def test_keys_count_no_longer_once_the_store_is_away_for_too_long() -> None:
+def test_keys_are_no_longer_accepted_after_too_long_without_the_store() -> None:
     async def scenario(world: KeyWorld) -> None:
         await world.store.close()
         started_s = asyncio.get_running_loop().time()
@@ -177,7 +177,7 @@
             await asyncio.sleep(0.05)
         assert statuses[0] == 200
         assert statuses[-1] == 503
-        # Nobody is told that a key is unknown that a newer configuration may hold.
+        # No 401 for an unknown key: a newer configuration may contain it.
         refused = await world.call('/safe/x', Authorization='Token unknown')
         assert refused.status == 503
         assert float(refused.headers['Retry-After']) > 0
@@ -186,7 +186,7 @@
     run(scenario)
 
 
-def test_configuration_that_cannot_be_read_takes_the_one_in_force_out_of_use_for_keys() -> None:
+def test_unreadable_newer_configuration_invalidates_the_keys_of_the_one_in_force() -> None:
     async def scenario(world: KeyWorld) -> None:
         world.store.put('op', 'config', support.encoded({'Version': 3, 'Tenants': 'none'}))
         in_force = world.gateway.components.in_force
--- a/tests/gateway/test_leaving_replica.py
+++ b/tests/gateway/test_leaving_replica.py
@@ -1,16 +1,11 @@
-"""A replica that says in an answer that it leaves gets no more calls, whatever its row says.
-
-What users saw: calls went to a replica for seconds after its answers had said that it leaves.
-
-Order of events: the store is away; a replica that is to go away says so in its answers and writes
-its row, which is taken 12 s later; gateways bring its answers to callers, and send it calls.
-
-Cause: that a replica leaves was learned from its row, and of model replicas from the reports
-that the leader asks for. Its answers to calls were not read for it. And what reports had said was
-forgotten where the row lapsed and came back.
-
-Evidence: in a play of such a day all gateways went on sending for 8 s, with no ``replica_leaving``
-line. Here, 58 calls came of gateways that had known for over 2 s.
+"""A replica whose answers say that it is leaving gets no more calls, whatever its row says.
+
+Guards against gateways that learn of a leaving replica only from its row in the store, and for
+model replicas from the reports that the leader requests. While the store is unreachable, the row
+arrives late (12 s when this was seen), and gateways went on sending calls, for 8 s in a
+simulation, though the answers to calls said that the replica was leaving. What reports had said
+was also lost where the row expired and was written again. In this test, 58 calls came from
+gateways that had received such an answer more than 2 s before.
 """
 
 from __future__ import annotations
@@ -29,8 +24,8 @@
 RESTART_MS = 1_784_591_736_000
 
 
-def leaving(world: FleetWorld) -> list[ReplicaStandIn]:
-    """Let one replica of each service say in its answers that it leaves; its row does not."""
+def make_leaving(world: FleetWorld) -> list[ReplicaStandIn]:
+    """Make one replica of each service announce in its answers, not its row, that it leaves."""
     replicas = [world.plain[0], world.engines[0]]
     for replica in replicas:
         replica.needs.leaving = True
@@ -41,12 +36,12 @@
     await asyncio.gather(load(world, '/safe/x', for_s), load(world, '/stream/x', for_s))
 
 
-def test_replicas_that_said_that_they_leave_get_no_calls() -> None:
+def test_replicas_that_announced_to_leave_get_no_calls() -> None:
     async def scenario(world: FleetWorld) -> None:
-        replicas = leaving(world)
+        replicas = make_leaving(world)
         await load_both(world, 3.0)
         for replica in replicas:
-            # Its row lapses, as while the store is away, and comes back as it was.
+            # Its row expires, as while the store is unreachable, and is restored unchanged.
             world.store.drop('servers', replica.replica_id)
         await asyncio.sleep(0.5)
         for replica in replicas:
@@ -59,8 +54,8 @@
     run_fleet(scenario)
 
 
-def test_replica_that_says_it_leaves_as_it_lacks_the_model_gets_no_calls_once_it_has_it() -> None:
-    """Orders that arrive late load a model there, after its refusals have said that it leaves."""
+def test_replica_that_announced_to_leave_in_refusals_gets_no_calls_after_a_load() -> None:
+    """A late order loads the model after refusals for lack of it announced that it leaves."""
 
     async def scenario(world: FleetWorld) -> None:
         replica = world.engines[0]
@@ -77,15 +72,15 @@
     run_fleet(scenario)
 
 
-def test_later_start_of_the_replica_gets_calls() -> None:
+def test_restarted_replica_gets_calls() -> None:
     async def scenario(world: FleetWorld) -> None:
-        (replica, _) = leaving(world)
+        (replica, _) = make_leaving(world)
         await load(world, '/safe/x', 0.5)
         await replica.restart(RESTART_MS, beat=1)
         replica.born_ms = RESTART_MS
         world.announce(replica, beat=2)
         await asyncio.sleep(0.3)
-        # The first start stated no time, so the row tells no later one; the next row does.
+        # The first start stated no start time, so this row shows no restart; the next one does.
         await replica.restart(RESTART_MS + 1, beat=2)
         world.announce(replica, beat=3)
         await asyncio.sleep(0.3)
--- a/tests/gateway/test_limits.py
+++ b/tests/gateway/test_limits.py
@@ -1,4 +1,4 @@
-"""Limits of organisations on the way of a call: what is over gets 429 and runs nowhere."""
+"""Rate limits of organisations: calls beyond the limit get 429 and are not run."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from tests.support.gateway import PLAIN, GatewayWorld, configuration, route
 
 WINDOW_S = 2.0
-#: Four plain calls a window, of those that a limiter grants (0.95 of 0.95 of it).
+#: Allows four plain calls in a window; a limiter grants 0.95 of 0.95 of the limit.
 LIMITED = {
     'Name': 'small',
     'Keys': ['key-of-small'],
@@ -48,17 +48,17 @@
 
 
 def run(scenario: Any) -> None:
-    async def play() -> None:
+    async def main() -> None:
         async with LimitWorld() as world:
             await world.with_limits(2, LIMITED, FREE)
-            # After a start nobody knows what was used before.
+            # After a start, the use of the limit in the past window is not known.
             await asyncio.sleep(WINDOW_S)
             await scenario(world)
 
-    asyncio.run(play())
+    asyncio.run(main())
 
 
-def test_calls_beyond_the_limit_are_refused_and_told_when_there_is_room() -> None:
+def test_calls_beyond_the_limit_are_refused_with_a_retry_after() -> None:
     async def scenario(world: LimitWorld) -> None:
         answers = [await world.call('/unsafe/x', **SMALL) for _ in range(8)]
         statuses = [answer.status for answer in answers]
@@ -66,7 +66,7 @@
         assert world.runs() == 4
         wait_s = max(float(answer.headers['Retry-After']) for answer in answers[4:])
         assert 0.0 < wait_s <= WINDOW_S
-        # Others are served as ever.
+        # Other organisations are not affected.
         assert (await world.call('/unsafe/x', **OTHER)).status == 200
         await asyncio.sleep(WINDOW_S + 0.5)
         assert (await world.call('/unsafe/x', **SMALL)).status == 200
@@ -74,7 +74,7 @@
     run(scenario)
 
 
-def test_call_that_no_replica_runs_gives_back_what_it_reserved() -> None:
+def test_call_that_no_replica_runs_releases_its_reservation() -> None:
     async def scenario(world: LimitWorld) -> None:
         for replica in world.plain:
             replica.fault = Fault.FULL
@@ -89,7 +89,7 @@
     run(scenario)
 
 
-def test_lowered_limit_holds_at_once_and_a_raised_one_too() -> None:
+def test_lowered_and_raised_limits_take_effect_at_once() -> None:
     async def scenario(world: LimitWorld) -> None:
         await world.with_limits(3, {**LIMITED, 'RatePerS': 120}, FREE)
         assert (await world.call('/unsafe/x', **SMALL)).status == 200
@@ -102,8 +102,8 @@
     run(scenario)
 
 
-def test_refusing_costs_next_to_nothing() -> None:
-    """Refusals of a caller that comes again and again: 0.1 s pass between two questions."""
+def test_refusals_need_few_queries_to_the_limiter() -> None:
+    """For a caller that keeps retrying, the limiter is queried at most every 0.1 s."""
 
     async def scenario(world: LimitWorld) -> None:
         limits = world.gateway.components.limits
--- a/tests/gateway/test_path.py
+++ b/tests/gateway/test_path.py
@@ -1,4 +1,4 @@
-"""Calls on their way through a gateway, before replicas with faults."""
+"""Calls through a whole gateway to replicas with injected faults."""
 
 from __future__ import annotations
 
@@ -65,7 +65,7 @@
 @pytest.mark.parametrize(
     'fault', [Fault.FOREIGN, Fault.UNSIGNED, Fault.ENCODED, Fault.RESET_FIRST]
 )
-def test_safe_call_goes_on_elsewhere(fault: Fault) -> None:
+def test_safe_call_is_retried_elsewhere(fault: Fault) -> None:
     async def scenario(world: GatewayWorld) -> None:
         for replica in world.plain:
             replica.fault = fault
@@ -88,7 +88,7 @@
         Fault.RESET_AT_ONCE,
     ],
 )
-def test_unsafe_call_runs_once_and_is_not_called_unrun(fault: Fault) -> None:
+def test_unsafe_call_runs_once_and_is_not_reported_as_not_run(fault: Fault) -> None:
     async def scenario(world: GatewayWorld) -> None:
         for replica in world.plain:
             replica.fault = fault
@@ -99,7 +99,7 @@
     run(scenario)
 
 
-def test_refusals_of_replicas_become_a_promise() -> None:
+def test_refusals_of_replicas_become_a_503() -> None:
     async def scenario(world: GatewayWorld) -> None:
         for replica in world.plain:
             replica.fault = Fault.FULL
@@ -111,7 +111,7 @@
     run(scenario)
 
 
-def test_replicas_own_failure_returns_unchanged() -> None:
+def test_error_answer_of_a_replica_is_forwarded_unchanged() -> None:
     async def scenario(world: GatewayWorld) -> None:
         for replica in world.plain:
             replica.fault = Fault.ERROR
@@ -122,7 +122,7 @@
     run(scenario)
 
 
-def test_broken_stream_never_looks_whole() -> None:
+def test_broken_stream_never_looks_complete() -> None:
     async def scenario(world: GatewayWorld) -> None:
         for replica in world.engines:
             replica.fault = Fault.RESET_MIDWAY
@@ -133,7 +133,7 @@
     run(scenario)
 
 
-def test_stream_that_ends_within_an_event_never_looks_whole() -> None:
+def test_stream_that_ends_within_an_event_never_looks_complete() -> None:
     async def scenario(world: GatewayWorld) -> None:
         for replica in world.engines:
             replica.fault = Fault.HALF_EVENT
@@ -143,7 +143,7 @@
     run(scenario)
 
 
-def test_event_without_an_end_breaks_the_stream_and_counts_against_its_replica() -> None:
+def test_too_long_event_aborts_the_stream_and_counts_against_its_replica() -> None:
     async def scenario(world: GatewayWorld) -> None:
         for replica in world.engines:
             replica.fault = Fault.ENDLESS_EVENT
@@ -155,7 +155,7 @@
     run(scenario)
 
 
-def test_resumable_stream_goes_on_at_the_next_event() -> None:
+def test_resumable_stream_continues_at_the_next_event() -> None:
     async def scenario(world: GatewayWorld) -> None:
         broken = world.engines[0]
         broken.fault = Fault.RESET_MIDWAY
@@ -170,8 +170,8 @@
     run(scenario)
 
 
-def test_resumed_stream_that_fails_is_broken_off() -> None:
-    """No head of a second answer goes out inside the stream that has begun."""
+def test_resumed_stream_that_fails_is_aborted() -> None:
+    """No head of a second answer is sent within the started stream."""
 
     async def scenario(world: GatewayWorld) -> None:
         for replica in world.engines:
@@ -188,7 +188,7 @@
     run(scenario)
 
 
-def test_time_over_ends_a_call_at_its_route_limit() -> None:
+def test_call_ends_with_504_at_the_time_out_of_its_route() -> None:
     async def scenario(world: GatewayWorld) -> None:
         world.configure(configuration(2, route('slow', 'unsafe', PLAIN, TimeoutMs=300)))
         await world.until(lambda: world.gateway.components.pipeline.config.version == 2)
@@ -200,7 +200,7 @@
     run(scenario)
 
 
-def test_lost_caller_ends_the_run() -> None:
+def test_disconnected_caller_cancels_the_run() -> None:
     async def scenario(world: GatewayWorld) -> None:
         for replica in world.plain:
             replica.fault = Fault.SILENT
@@ -212,7 +212,7 @@
     run(scenario)
 
 
-def test_configuration_follows_and_never_goes_back() -> None:
+def test_newer_configuration_takes_effect_and_an_older_one_does_not() -> None:
     async def scenario(world: GatewayWorld) -> None:
         world.configure(configuration(3, route('new', 'safe', PLAIN)))
         await world.until(lambda: world.gateway.components.pipeline.config.version == 3)
@@ -232,7 +232,7 @@
     async def scenario(world: GatewayWorld) -> None:
         world.announce(world.plain[0], 'draining', beat=2)
         await world.until(lambda: len(world.gateway.components.directory.of_service(PLAIN)) == 1)
-        # A late heartbeat from before says ready again.
+        # A delayed older heartbeat says ready again.
         world.announce(world.plain[0], 'ready', beat=1)
         await asyncio.sleep(0.05)
         for _ in range(5):
@@ -242,7 +242,7 @@
     run(scenario)
 
 
-def test_reused_address_never_runs_anothers_call() -> None:
+def test_replica_at_a_reused_address_runs_no_call_of_the_earlier_one() -> None:
     async def scenario(world: GatewayWorld) -> None:
         world.plain[0].replica_id = 'p-9'
         for _ in range(5):
@@ -252,7 +252,7 @@
     run(scenario)
 
 
-def test_serving_goes_on_without_the_store() -> None:
+def test_calls_are_served_without_the_store() -> None:
     async def scenario(world: GatewayWorld) -> None:
         world.store.faults.status = 503
         world.store.forget_history()
@@ -279,7 +279,7 @@
     run(scenario)
 
 
-def test_adapter_is_brought_for_the_call_that_waits() -> None:
+def test_adapter_is_loaded_for_the_waiting_call() -> None:
     async def scenario(world: GatewayWorld) -> None:
         await world.until(world.leader_can_order)
         first = await world.generate(model='m1/a1')
@@ -294,21 +294,21 @@
 
 
 @pytest.mark.parametrize('deadline_ms', ['1500', '1450'])
-def test_replica_that_takes_no_connection(deadline_ms: str) -> None:
-    """No byte left, so the call goes on elsewhere, or is refused with a promise.
+def test_replica_that_accepts_no_connection(deadline_ms: str) -> None:
+    """No byte was sent, so the call is retried elsewhere, or refused with a 503.
 
-    The shorter time runs out while a connection is being made.
+    The shorter deadline passes while a connection is being made.
     """
 
     async def scenario(world: GatewayWorld) -> None:
-        deaf = socket.socket()
-        deaf.bind(('127.0.0.1', 0))
-        deaf.listen(0)
-        address = f'127.0.0.1:{deaf.getsockname()[1]}'
+        unresponsive = socket.socket()
+        unresponsive.bind(('127.0.0.1', 0))
+        unresponsive.listen(0)
+        address = f'127.0.0.1:{unresponsive.getsockname()[1]}'
         fillers = [socket.socket() for _ in range(4)]
         for filler in fillers:
             filler.setblocking(False)
-            filler.connect_ex(('127.0.0.1', deaf.getsockname()[1]))
+            filler.connect_ex(('127.0.0.1', unresponsive.getsockname()[1]))
         for replica in world.plain:
             replica.address = address
             world.announce(replica, beat=2)
@@ -323,20 +323,20 @@
         assert float(answer.headers['Retry-After']) >= 0
         replicas = world.gateway.components.directory.of_service(PLAIN)
         assert all(replica.health.awaits_probe for replica in replicas)
-        for one in [deaf, *fillers]:
+        for one in [unresponsive, *fillers]:
             one.close()
 
     run(scenario)
 
 
-async def leave_one_plain_replica(world: GatewayWorld) -> None:
+async def drain_all_but_one_plain_replica(world: GatewayWorld) -> None:
     world.announce(world.plain[1], 'draining', beat=2)
     await world.until(lambda: len(world.gateway.components.directory.of_service(PLAIN)) == 1)
 
 
-def test_time_over_on_a_kept_connection_promises_nothing() -> None:
+def test_deadline_on_a_kept_alive_connection_gives_504() -> None:
     async def scenario(world: GatewayWorld) -> None:
-        await leave_one_plain_replica(world)
+        await drain_all_but_one_plain_replica(world)
         assert (await world.call('/unsafe/x')).status == 200
         world.plain[0].fault = Fault.SILENT
         answer = await world.call('/unsafe/x', Limeshelf_Deadline_Ms='400')
@@ -347,15 +347,15 @@
     run(scenario)
 
 
-def test_time_over_while_no_connection_is_free(monkeypatch: pytest.MonkeyPatch) -> None:
-    """No byte left, and the wait is no fault of the replica."""
+def test_deadline_while_no_connection_is_free_gives_503(monkeypatch: pytest.MonkeyPatch) -> None:
+    """No byte was sent, and the wait does not count against the replica."""
 
     async def scenario(world: GatewayWorld) -> None:
         document = configuration(2)
         document['Services'][1]['MaxConns'] = LEAST_CONNECTIONS
         world.configure(document)
         await world.until(lambda: world.gateway.components.pipeline.config.version == 2)
-        await leave_one_plain_replica(world)
+        await drain_all_but_one_plain_replica(world)
         world.plain[0].fault = Fault.SILENT
         holders = [asyncio.create_task(world.call('/unsafe/x')) for _ in range(LEAST_CONNECTIONS)]
         await world.until(lambda: len(world.plain[0].runs) == LEAST_CONNECTIONS)
--- a/tests/gateway/test_paused_replica.py
+++ b/tests/gateway/test_paused_replica.py
@@ -1,16 +1,11 @@
-"""A replica that asks a gateway for rest gets no call from it until that is over.
-
-What users saw: replicas that had turned a gateway away, and asked it for some seconds of rest, got
-more calls of that gateway than before, most of them turned away again.
-
-Order of events: a replica answers 503 with a time to come back; the call goes to the next replica,
-and after 50 ms to those that have refused it, again and again; other calls come meanwhile.
-
-Cause: the time to come back was read, and used for nothing. A refusal adds to the cost of a
-replica, and where all of a service refuse, the cheapest still gets the call.
-
-Evidence: in a play of such a day one replica turned away 90 calls of nine gateways in 6 s, three
-of one gateway within 0.1 s. Here, 21 calls of one gateway came within one rest of 3 s.
+"""A replica that refuses with a ``Retry-After`` gets no call from that gateway until it is over.
+
+Guards against gateways that ignore the ``Retry-After`` of a replica's 503. A refused call went to
+the next replica, and every 50 ms again to those that had refused it, while other calls came too.
+A refusal only added to the cost of a replica, and where all replicas of a service refuse, the
+cheapest still gets the call. In a simulation one replica refused 90 calls of nine gateways in
+6 s, three of one gateway within 0.1 s. In this test, 21 calls of one gateway came within one
+pause of 3 s.
 """
 
 from __future__ import annotations
@@ -27,20 +22,20 @@
 
     from standins.users_platform.replica import ReplicaStandIn
 
-REST_S = 3.0
+PAUSE_S = 3.0
 
 
-def turn_away(replicas: Iterable[ReplicaStandIn], rest_s: str = str(REST_S)) -> None:
-    """Let replicas refuse all calls and ask for rest."""
+def refuse_all(replicas: Iterable[ReplicaStandIn], pause_s: str = str(PAUSE_S)) -> None:
+    """Make replicas refuse all calls with a ``Retry-After``."""
     for replica in replicas:
         replica.fault = Fault.FULL
-        replica.needs.rest_s = rest_s
+        replica.needs.rest_s = pause_s
 
 
-def test_replicas_that_ask_for_rest_get_it() -> None:
+def test_replicas_that_ask_for_a_pause_get_it() -> None:
     async def scenario(world: FleetWorld) -> None:
         replicas = [*world.plain, *world.engines]
-        turn_away(replicas)
+        refuse_all(replicas)
         await asyncio.gather(load(world, '/safe/x', 6.0), load(world, '/stream/x', 6.0))
         for replica in replicas:
             assert replica.stated
@@ -49,29 +44,29 @@
     run_fleet(scenario)
 
 
-def test_calls_are_refused_at_once_with_the_rest_that_is_left() -> None:
+def test_calls_are_refused_at_once_with_the_pause_left() -> None:
     async def scenario(world: FleetWorld) -> None:
-        turn_away(world.plain)
+        refuse_all(world.plain)
         await load(world, '/safe/x', 1.0)
         before_s = asyncio.get_running_loop().time()
         answered = await world.call('/safe/x')
         assert answered.status == 503
         assert asyncio.get_running_loop().time() - before_s < 0.1
-        # Callers heed a third of the 3 s that they have.
+        # Callers honour a Retry-After of up to a third of their 3 s time-out.
         assert 0.9 < float(answered.headers['Retry-After']) <= 1.0
 
     run_fleet(scenario)
 
 
-def test_replicas_are_used_again_when_their_rest_is_over() -> None:
+def test_replicas_are_used_again_after_their_pause() -> None:
     async def scenario(world: FleetWorld) -> None:
-        # Who does not know how many share the budget of retries sends no call again.
+        # A gateway that does not know how many share the retry budget makes no retries.
         parts = [world.components(number) for number in range(len(CENTRES))]
         await world.until(lambda: all(one.budgets.gateways for one in parts))
-        turn_away([world.plain[0], *world.engines], rest_s='0.7')
-        told = await load(world, '/safe/x', 0.5)
-        # One of two replicas serves what the other turns away.
-        assert set(told) == {200}
+        refuse_all([world.plain[0], *world.engines], pause_s='0.7')
+        statuses = await load(world, '/safe/x', 0.5)
+        # One of two replicas serves the calls that the other refuses.
+        assert set(statuses) == {200}
         await load(world, '/stream/x', 0.5)
         for replica in [world.plain[0], *world.engines]:
             replica.fault = Fault.NONE
--- a/tests/gateway/test_rate_limited_replica.py
+++ b/tests/gateway/test_rate_limited_replica.py
@@ -1,18 +1,12 @@
-"""Replicas that name a rate get no more calls than that, from all gateways together.
-
-What users saw: a replica in need said in its answers how many calls a second it takes from all
-gateways together, and went on getting several times as many, from each gateway that it had told.
-
-Order of events: a replica answers with its rate in the head; the gateway brings head and body to
-the caller; the gateway, the owner that grants model calls and all others choose the replica
-as before, each by itself.
-
-Cause: the head of an answer was read for whether the call had run, and for nothing else. What a
-replica asks of all gateways together was known to none, and nobody counted for all.
-
-Evidence: in a play of such a day eight of nine gateways went on sending at their pace, none of
-them more than the whole rate allows. With the three gateways of this test, 91 calls came in 4 s
-where 17 are allowed. A line ``replica_rate`` tells what each gateway heard.
+"""Replicas that state a rate limit get no more calls than that, from all gateways together.
+
+Guards against gateways that ignore the limit, or that each apply it alone. An overloaded replica
+states in the head of its answers how many calls a second it accepts from all gateways together.
+Gateways read the head only for whether the call had run, nothing counted the calls of all
+gateways, and the replica went on getting several times its limit. In a simulation eight of nine
+gateways went on sending, none of them above the limit by itself. With the three gateways of this
+test, 91 calls came in 4 s where 17 are allowed. A ``replica_rate`` line logs the limit that each
+gateway received.
 """
 
 from __future__ import annotations
@@ -25,11 +19,11 @@
 
 RATE_PER_S = 2.0
 LOAD_S = 8.0
-#: Least part of the turns that is used where there are more calls than turns.
-USED_SHARE = 0.9
+#: Least share of the rate that must be used where there are more calls than it allows.
+MIN_USED_SHARE = 0.9
 
 
-def test_replicas_in_need_get_no_more_than_they_take() -> None:
+def test_replicas_get_no_more_calls_than_their_limit() -> None:
     async def scenario(world: FleetWorld) -> None:
         replicas = [world.plain[0], world.engines[0]]
         for replica in replicas:
@@ -38,13 +32,13 @@
         for replica in replicas:
             assert replica.stated
             assert most_in_window(world, replica) <= tolerated(RATE_PER_S)
-            # It is used all the same, at half of its rate at first.
-            assert len(replica.seen) >= RATE_PER_S * (LOAD_S - NEW_FOR_S / 2) * USED_SHARE
+            # The rate is still used; a new pacer allows half of it at first.
+            assert len(replica.seen) >= RATE_PER_S * (LOAD_S - NEW_FOR_S / 2) * MIN_USED_SHARE
 
     run_fleet(scenario)
 
 
-def test_rate_ends_with_an_answer_that_names_none() -> None:
+def test_limit_ends_with_an_answer_that_states_none() -> None:
     async def scenario(world: FleetWorld) -> None:
         replicas = [world.plain[0], world.engines[0]]
         for replica in replicas:
@@ -61,7 +55,7 @@
     run_fleet(scenario)
 
 
-def test_calls_are_refused_at_once_with_the_time_of_the_next_turn() -> None:
+def test_calls_are_refused_at_once_with_the_time_until_the_next_permit() -> None:
     async def scenario(world: FleetWorld) -> None:
         for replica in world.plain:
             replica.needs.rate_per_s = '0.5'
@@ -75,11 +69,12 @@
     run_fleet(scenario)
 
 
-def test_nine_gateways_of_three_data_centres_keep_to_one_rate() -> None:
-    """Second relays, which own the replicas of their data centres, lost sight of one another.
+def test_nine_gateways_of_three_data_centres_keep_to_one_limit() -> None:
+    """Guards against two gateways that issue permits for one replica.
 
-    Each then gave turns at the replicas of the others: 20 calls in 4 s at each, where 18.8 are
-    tolerated, twice the rate for as long as the calls came.
+    Second relays, which own the replicas of their data centres, lost contact with one another, and
+    each then issued permits for the replicas of the others: 20 calls in 4 s at each, where 18.8
+    are tolerated, and twice the rate for as long as the calls came.
     """
 
     async def scenario(world: FleetWorld) -> None:
--- a/tests/gateway/test_refusing_store.py
+++ b/tests/gateway/test_refusing_store.py
@@ -1,4 +1,4 @@
-"""The store turns all calls away for a while: what nine gateways send it meanwhile and after."""
+"""How many calls nine gateways send to a store that refuses all calls, and after it recovers."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 import pytest
 
 from tests.gateway.test_restored_store import (
-    CALLS_A_GATEWAY,
     KNOWN_S,
+    MAX_CALLS_PER_S,
     all_serve,
     put_configuration,
 )
@@ -19,9 +19,9 @@
 
 
 @pytest.mark.parametrize('status', [429, 503])
-def test_store_that_refuses_is_asked_seldom_and_found_again_in_time(status: int) -> None:
+def test_refusing_store_gets_few_calls_and_its_recovery_is_noticed_in_time(status: int) -> None:
     async def scenario(world: FleetWorld) -> None:
-        most_calls = CALLS_A_GATEWAY * len(CENTRES) * REFUSED_S
+        most_calls = MAX_CALLS_PER_S * len(CENTRES) * REFUSED_S
         world.store.faults.status = status
         await asyncio.sleep(1.0)
         calls = world.store.calls
--- a/tests/gateway/test_restarted_replica.py
+++ b/tests/gateway/test_restarted_replica.py
@@ -1,4 +1,4 @@
-"""A replica that crashes with calls at work and comes back under its id and address."""
+"""A replica that crashes with calls in flight and restarts under the same id and address."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 async def state_start(world: GatewayWorld, replica: ReplicaStandIn) -> None:
-    """Let a replica begin to state its start; the first that it states makes no other one."""
+    """Make a replica state its start time; the first statement does not count as a restart."""
     replica.born_ms = BORN_MS
     world.announce(replica, beat=BEAT)
     await world.until(lambda: known(world, replica.replica_id).known_start.born_ms == BORN_MS)
@@ -37,8 +37,8 @@
 
 
 @pytest.mark.parametrize('states_its_start', [True, False])
-def test_call_at_work_may_have_run_and_runs_nowhere_else(states_its_start: bool) -> None:
-    """Neither the new start, which knows nothing of it, nor another replica gets it again."""
+def test_call_in_flight_may_have_run_and_runs_nowhere_else(states_its_start: bool) -> None:
+    """Neither the restarted replica, which does not know it, nor another one gets it again."""
 
     async def scenario(world: GatewayWorld) -> None:
         for replica in world.plain:
@@ -47,10 +47,10 @@
                 await state_start(world, replica)
         task = asyncio.create_task(world.call('/unsafe/x'))
         await world.until(lambda: any(replica.runs for replica in world.plain))
-        struck = next(replica for replica in world.plain if replica.runs)
+        crashed = next(replica for replica in world.plain if replica.runs)
         for number in (1, 2):
             born_ms = BORN_MS + 1000 * number if states_its_start else None
-            await restart(world, struck, born_ms, BEAT + number)
+            await restart(world, crashed, born_ms, BEAT + number)
         for replica in world.plain:
             replica.fault = Fault.NONE
         answer = await task
@@ -61,46 +61,46 @@
     run(scenario)
 
 
-def test_restarted_replica_is_used_again_at_once_and_learned_anew() -> None:
+def test_restarted_replica_is_used_at_once_with_fresh_state() -> None:
     async def scenario(world: GatewayWorld) -> None:
-        struck = world.plain[0]
-        await state_start(world, struck)
+        crashed = world.plain[0]
+        await state_start(world, crashed)
         for replica in world.plain:
             replica.fault = Fault.RESET_FIRST
         for _ in range(6):
             await world.call('/unsafe/x')
-        before = known(world, struck.replica_id)
+        before = known(world, crashed.replica_id)
         assert before.health.failing_share > 0
         for replica in world.plain:
             replica.fault = Fault.NONE
         began_s = time.monotonic()
-        await restart(world, struck, BORN_MS + 1000)
-        await world.until(lambda: known(world, struck.replica_id) is not before)
-        after = known(world, struck.replica_id)
+        await restart(world, crashed, BORN_MS + 1000)
+        await world.until(lambda: known(world, crashed.replica_id) is not before)
+        after = known(world, crashed.replica_id)
         assert (after.health.failing_share, after.own.calls) == (0, 0)
-        runs = len(struck.runs)
-        while len(struck.runs) == runs:
+        runs = len(crashed.runs)
+        while len(crashed.runs) == runs:
             await world.call('/safe/x')
-        # Where nothing tells the starts apart, its rows stay late until they have passed BEAT.
+        # Without a start time, its rows would count as delayed ones until they pass BEAT.
         assert time.monotonic() - began_s < 1.0
 
     run(scenario)
 
 
-def test_models_of_an_earlier_start_are_not_asked_for_at_the_later_one() -> None:
+def test_models_held_before_a_restart_are_not_requested_after_it() -> None:
     async def scenario(world: GatewayWorld) -> None:
         await world.until(world.leader_can_order)
-        struck = world.engines[1]
-        await state_start(world, struck)
-        before = known(world, struck.replica_id)
-        await restart(world, struck, BORN_MS + 1000)
-        await world.until(lambda: known(world, struck.replica_id) is not before)
-        assert known(world, struck.replica_id).order_number is None
-        seen = len(struck.seen)
+        crashed = world.engines[1]
+        await state_start(world, crashed)
+        before = known(world, crashed.replica_id)
+        await restart(world, crashed, BORN_MS + 1000)
+        await world.until(lambda: known(world, crashed.replica_id) is not before)
+        assert known(world, crashed.replica_id).order_number is None
+        seen = len(crashed.seen)
         answers = [await world.generate() for _ in range(4)]
         assert [answer.status for answer in answers] == [200] * 4
-        assert all(not call.headers.get('Limeshelf-Model') for call in struck.seen[seen:]) or (
-            'm1' in struck.models
+        assert all(not call.headers.get('Limeshelf-Model') for call in crashed.seen[seen:]) or (
+            'm1' in crashed.models
         )
 
     run(scenario)
--- a/tests/gateway/test_restored_store.py
+++ b/tests/gateway/test_restored_store.py
@@ -1,6 +1,7 @@
-"""The store comes back from an older copy: what is said there from then on is known in time.
+"""After the store is restored from an older copy, gateways notice new changes in time.
 
-Versions of the store are given out again; before, gateways held those that they knew for newer.
+Guards against gateways that ignore such changes: the restored store assigns versions a second
+time, and gateways took the versions that they had read before the restore for newer ones.
 """
 
 from __future__ import annotations
@@ -17,16 +18,16 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-#: Within which a confirmed change must be known by all gateways, in seconds.
+#: Time within which all gateways must know a confirmed change, in seconds.
 KNOWN_S = 2.0
-#: Calls to the store a second, by one gateway, at the most.
-CALLS_A_GATEWAY = 4
-#: Versions that beats of the replicas make.
+#: Largest number of calls to the store a second by one gateway.
+MAX_CALLS_PER_S = 4
+#: Number of versions that heartbeats of the replicas add.
 MANY_VERSIONS = 40
 
 
-def beat(world: FleetWorld, times: int, first: int) -> None:
-    """Write the rows of all replicas again and again, as their heartbeats do."""
+def write_heartbeats(world: FleetWorld, times: int, first: int) -> None:
+    """Write the rows of all replicas repeatedly, as their heartbeats do."""
     for number in range(times):
         for replica in [*world.plain, *world.engines]:
             world.announce(replica, beat=first + number)
@@ -36,18 +37,18 @@
     world.configure(configuration(version, route(f'only{version}', 'safe', PLAIN)))
 
 
-async def copy_before_beats(world: FleetWorld) -> int:
-    """Return the version of a copy that 8 heartbeats of all replicas are not in."""
-    beat(world, 3, first=2)
+async def copy_before_heartbeats(world: FleetWorld) -> int:
+    """Return the version of a copy that lacks 8 heartbeats of all replicas."""
+    write_heartbeats(world, 3, first=2)
     await asyncio.sleep(0.5)
     copied = world.store.version
-    beat(world, 8, first=10)
+    write_heartbeats(world, 8, first=10)
     return copied
 
 
-async def come_back(world: FleetWorld, version: int, away_s: float = 0.5) -> None:
+async def restore(world: FleetWorld, version: int, outage_s: float = 0.5) -> None:
     world.store.faults.status = 503
-    await asyncio.sleep(away_s)
+    await asyncio.sleep(outage_s)
     world.store.return_to(version)
     world.store.faults.status = 0
 
@@ -59,7 +60,7 @@
     )
 
 
-def all_know_leaving(world: FleetWorld, replica_id: str) -> Callable[[], bool]:
+def all_stopped_using(world: FleetWorld, replica_id: str) -> Callable[[], bool]:
     def known() -> bool:
         found = [
             world.components(number).directory.get(replica_id)
@@ -70,85 +71,85 @@
     return known
 
 
-async def changes_are_known(world: FleetWorld, version: int) -> None:
-    """Change the configuration, let a replica leave, and see that all know in time."""
+async def check_changes_are_known(world: FleetWorld, version: int) -> None:
+    """Change the configuration, drain a replica, and check that all gateways know in time."""
     replica = world.plain[0]
     put_configuration(world, version)
     world.announce(replica, 'draining', beat=500)
     await world.until(all_serve(world, version), KNOWN_S)
-    await world.until(all_know_leaving(world, replica.replica_id), KNOWN_S)
+    await world.until(all_stopped_using(world, replica.replica_id), KNOWN_S)
 
 
 @pytest.mark.parametrize('lost', [0, 1, MANY_VERSIONS])
 @pytest.mark.parametrize('others', [0, 60])
-def test_changes_after_a_return_are_known_in_time(lost: int, others: int) -> None:
+def test_changes_after_a_restore_are_known_in_time(lost: int, others: int) -> None:
     async def scenario(world: FleetWorld) -> None:
-        beat(world, 3, first=2)
+        write_heartbeats(world, 3, first=2)
         await asyncio.sleep(1.0)
         copied = world.store.version
         for number in range(lost):
             world.announce(world.plain[1], beat=10 + number)
         await asyncio.sleep(0.8)
-        await come_back(world, copied)
+        await restore(world, copied)
         for number in range(others):
             world.store.put('other', f'k{number}', '')
-        beat(world, 1, first=200)
+        write_heartbeats(world, 1, first=200)
         calls, began_s = world.store.calls, boottime_s()
-        await changes_are_known(world, 2)
+        await check_changes_are_known(world, 2)
         await asyncio.sleep(1.5)
         calls_a_second = (world.store.calls - calls) / (boottime_s() - began_s)
-        assert calls_a_second <= CALLS_A_GATEWAY * len(world.centres)
+        assert calls_a_second <= MAX_CALLS_PER_S * len(world.centres)
 
     run_fleet(scenario)
 
 
-def test_changes_after_two_returns_and_a_restart_are_known_in_time() -> None:
+def test_changes_after_two_restores_and_a_restart_are_known_in_time() -> None:
     async def scenario(world: FleetWorld) -> None:
-        copied = await copy_before_beats(world)
+        copied = await copy_before_heartbeats(world)
         await asyncio.sleep(0.5)
-        await come_back(world, copied)
+        await restore(world, copied)
         await world.stop_gateway(1)
-        beat(world, 3, first=100)
-        await come_back(world, copied - 2, away_s=0.2)
+        write_heartbeats(world, 3, first=100)
+        await restore(world, copied - 2, outage_s=0.2)
         await world.start_gateway(1)
-        beat(world, 1, first=200)
+        write_heartbeats(world, 1, first=200)
         await asyncio.sleep(KNOWN_S)
-        await changes_are_known(world, 2)
+        await check_changes_are_known(world, 2)
 
     run_fleet(scenario)
 
 
-def test_gateway_that_reaches_no_store_knows_changes_after_a_return_by_its_peers() -> None:
+def test_gateway_without_the_store_knows_changes_after_a_restore_from_its_peers() -> None:
     async def scenario(world: FleetWorld) -> None:
-        copied = await copy_before_beats(world)
+        copied = await copy_before_heartbeats(world)
         await asyncio.sleep(0.5)
         world.components(2).store.change_address('127.0.0.1:1')
-        await come_back(world, copied)
-        beat(world, 1, first=200)
-        await changes_are_known(world, 2)
+        await restore(world, copied)
+        write_heartbeats(world, 1, first=200)
+        await check_changes_are_known(world, 2)
 
     run_fleet(scenario)
 
 
-def test_feed_that_is_held_through_a_return_brings_changes_in_time() -> None:
+def test_long_poll_across_a_restore_delivers_changes_in_time() -> None:
     async def scenario(world: FleetWorld) -> None:
-        copied = await copy_before_beats(world)
+        copied = await copy_before_heartbeats(world)
         await asyncio.sleep(0.9)
         world.store.return_to(copied)
-        beat(world, 1, first=200)
-        await changes_are_known(world, 2)
+        write_heartbeats(world, 1, first=200)
+        await check_changes_are_known(world, 2)
 
     run_fleet(scenario)
 
 
 def test_confirmed_configuration_that_the_store_has_lost_stays_in_force() -> None:
-    """Also at gateways that start before the operator has written it again."""
+    """Also at gateways that start before the operator writes it again."""
 
     async def scenario(world: FleetWorld) -> None:
         copied = world.store.version
         put_configuration(world, 7)
         await world.until(all_serve(world, 7), KNOWN_S)
-        await come_back(world, copied)
+        await restore(world, copied)
         await asyncio.sleep(1.0)
         assert all_serve(world, 7)()
         await world.stop_gateway(2)
@@ -160,27 +161,27 @@
     run_fleet(scenario)
 
 
-def test_replica_that_was_known_to_leave_or_gone_is_not_used_again() -> None:
+def test_replica_that_was_known_to_be_leaving_or_gone_is_not_used_again() -> None:
     async def scenario(world: FleetWorld) -> None:
         leaving, gone = world.plain[0], world.engines[0]
-        beat(world, 3, first=2)
+        write_heartbeats(world, 3, first=2)
         await asyncio.sleep(0.6)
         copied = world.store.version
         world.announce(leaving, 'draining', beat=9)
         world.announce(gone, beat=9)
         world.store.drop('servers', gone.replica_id)
         for replica in (leaving, gone):
-            await world.until(all_know_leaving(world, replica.replica_id), KNOWN_S)
-        await come_back(world, copied)
+            await world.until(all_stopped_using(world, replica.replica_id), KNOWN_S)
+        await restore(world, copied)
         for _ in range(30):
             await asyncio.sleep(0.1)
-            assert all_know_leaving(world, leaving.replica_id)()
-            assert all_know_leaving(world, gone.replica_id)()
+            assert all_stopped_using(world, leaving.replica_id)()
+            assert all_stopped_using(world, gone.replica_id)()
 
     run_fleet(scenario)
 
 
-def test_replica_whose_row_is_lost_serves_until_it_would_have_written_it_again() -> None:
+def test_replica_whose_row_is_lost_serves_until_its_next_row_is_overdue() -> None:
     async def scenario(world: FleetWorld) -> None:
         lost = world.plain[0]
         world.store.drop('servers', lost.replica_id)
@@ -189,7 +190,7 @@
         world.announce(lost, beat=9)
         found = world.components(0).directory
         await world.until(lambda: found.get(lost.replica_id).takes_calls, KNOWN_S)
-        await come_back(world, copied)
+        await restore(world, copied)
         await asyncio.sleep(1.0)
         assert found.get(lost.replica_id).takes_calls
         await world.until(lambda: not found.get(lost.replica_id).takes_calls, 4.0)
@@ -215,7 +216,7 @@
             )
             world.store.put('members', f'g-{number}', value)
         await asyncio.sleep(1.2)
-        await come_back(world, copied)
+        await restore(world, copied)
         began_s = boottime_s()
         while boottime_s() - began_s < 6.0:
             assert len([fence for fence in fences(world) if fence]) <= 1
@@ -230,13 +231,13 @@
     run_fleet(scenario)
 
 
-def test_store_that_has_no_history_for_ever_is_asked_seldom() -> None:
+def test_store_that_permanently_lacks_history_gets_few_calls() -> None:
     async def scenario(world: FleetWorld) -> None:
         world.store.faults.status = 410
         await asyncio.sleep(1.0)
         calls = world.store.calls
         await asyncio.sleep(4.0)
-        assert (world.store.calls - calls) / 4.0 <= CALLS_A_GATEWAY * len(world.centres)
+        assert (world.store.calls - calls) / 4.0 <= MAX_CALLS_PER_S * len(world.centres)
         world.store.faults.status = 0
         put_configuration(world, 2)
         await world.until(all_serve(world, 2), KNOWN_S)
--- a/tests/gateway/test_selection.py
+++ b/tests/gateway/test_selection.py
@@ -1,4 +1,4 @@
-"""Which replica an attempt goes to, and what the dispatcher is asked for."""
+"""Selection of the replica for an attempt, and the queries to the dispatcher."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 NEED = ModelNeed('m', '', 100, 50, 20, ())
 
 
-def selector_of(wire: Wire, turns: Any = None) -> ReplicaSelector:
+def selector_of(wire: Wire, permits: Any = None) -> ReplicaSelector:
     directory = ReplicaDirectory(read_record)
     for number in range(2):
         for service in (ENGINE, PLAIN):
@@ -48,31 +48,33 @@
                     1,
                 )
             )
-    return ReplicaSelector(directory, Chooser(directory, 'z1'), client_of(wire), turns or Turns())
+    return ReplicaSelector(
+        directory, Chooser(directory, 'z1'), client_of(wire), permits or FakePermits()
+    )
 
 
-class Turns:
-    """Gives turns as told, and notes for which replicas it was asked."""
+class FakePermits:
+    """Returns preset permits, and records the replicas that it was asked for."""
 
-    def __init__(self, **turns: Turn) -> None:
-        self.turns = turns
+    def __init__(self, **permits: Turn) -> None:
+        self.permits = permits
         self.asked: list[str] = []
 
     async def get(self, replica: Replica, patience_s: float) -> Turn:
         self.asked.append(replica.replica_id)
-        return self.turns[replica.replica_id]
+        return self.permits[replica.replica_id]
 
 
 def state_of(service: ServiceSpec, need: ModelNeed | None = None, **changes: Any) -> CallState:
     now_s = boottime_s()
     call = Call('c', 'POST', 'h', '/r/x', (), b'', now_s, None, need, None)
-    answer: Answer = _Nowhere()
+    answer: Answer = _UnusedAnswer()
     state = CallState(call, answer, make_route(), service, now_s + 10.0)
     return attrs.evolve(state, **changes)
 
 
-class _Nowhere:
-    """An answer that no test here sends."""
+class _UnusedAnswer:
+    """An answer that fails the test when it is used."""
 
     started = False
 
@@ -81,7 +83,7 @@
 
 
 @in_loop
-async def test_model_call_goes_where_the_dispatcher_grants() -> None:
+async def test_model_call_goes_to_the_granted_replica() -> None:
     wire = Wire(VerdictKind.GRANTED)
     selected = await selector_of(wire).select(state_of(ENGINE, NEED))
     assert isinstance(selected, Selected)
@@ -92,7 +94,7 @@
 
 
 @in_loop
-async def test_grant_of_a_replica_that_has_left_is_given_back() -> None:
+async def test_grant_for_a_leaving_replica_is_released() -> None:
     wire = Wire(VerdictKind.GRANTED)
     selector = selector_of(wire)
     replica = selector.directory.get('r0')
@@ -105,7 +107,7 @@
 
 
 @in_loop
-async def test_dispatcher_hears_of_replicas_out_of_reach_and_of_the_callers_patience() -> None:
+async def test_query_has_the_unreachable_replicas_and_the_callers_patience() -> None:
     wire = Wire(VerdictKind.REFUSED)
     selector = selector_of(wire)
     replica = selector.directory.get('r1')
@@ -115,7 +117,7 @@
     assert await selector.select(state) == NoRoom(0.07)
     query = wire.sent[0][1]
     assert query.excluded == ['r1', 'r9']
-    # Callers wait four objectives of 1 s here, of which 0.85 may pass.
+    # The caller's patience is four objectives of 1 s; 0.85 of it may be waited.
     assert 3300 <= query.left_ms <= 3400
     assert 900 <= query.objective_ms <= 1000
 
@@ -146,7 +148,7 @@
     assert (state.refusals, state.runs, state.last_result) == (1, 1, Delivered(200, 0.1))
 
 
-def limit(selector: ReplicaSelector, *replica_ids: str) -> None:
+def limit_rate(selector: ReplicaSelector, *replica_ids: str) -> None:
     for replica_id in replica_ids:
         replica = selector.directory.get(replica_id)
         assert replica is not None
@@ -154,31 +156,31 @@
 
 
 @in_loop
-async def test_plain_call_passes_over_a_replica_without_a_turn() -> None:
-    turns = Turns(p0=Turn(False, 0.4))
-    selector = selector_of(Wire(VerdictKind.GRANTED), turns)
-    limit(selector, 'p0')
+async def test_plain_call_skips_a_replica_without_a_permit() -> None:
+    permits = FakePermits(p0=Turn(False, 0.4))
+    selector = selector_of(Wire(VerdictKind.GRANTED), permits)
+    limit_rate(selector, 'p0')
     for _ in range(8):
         selected = await selector.select(state_of(PLAIN))
         assert isinstance(selected, Selected)
         assert selected.replica.replica_id == 'p1'
-    assert set(turns.asked) == {'p0'}
+    assert set(permits.asked) == {'p0'}
 
 
 @in_loop
-async def test_plain_call_without_any_turn_is_told_when_the_next_one_is() -> None:
+async def test_plain_call_without_any_permit_gets_the_time_until_the_next() -> None:
     selector = selector_of(
-        Wire(VerdictKind.GRANTED), Turns(p0=Turn(False, 0.4), p1=Turn(False, 0.3))
+        Wire(VerdictKind.GRANTED), FakePermits(p0=Turn(False, 0.4), p1=Turn(False, 0.3))
     )
-    limit(selector, 'p0', 'p1')
+    limit_rate(selector, 'p0', 'p1')
     assert await selector.select(state_of(PLAIN)) == NoRoom(0.3)
     assert await selector.select(state_of(PLAIN, excluded={'p1'})) == NoHolder()
 
 
 @in_loop
-async def test_plain_call_goes_with_a_turn() -> None:
-    selector = selector_of(Wire(VerdictKind.GRANTED), Turns(p0=Turn(True, 0.0)))
-    limit(selector, 'p0')
+async def test_plain_call_gets_a_permit() -> None:
+    selector = selector_of(Wire(VerdictKind.GRANTED), FakePermits(p0=Turn(True, 0.0)))
+    limit_rate(selector, 'p0')
     selected = await selector.select(state_of(PLAIN, excluded={'p1'}))
     assert isinstance(selected, Selected)
     assert selected.has_permit
@@ -186,27 +188,27 @@
 
 
 @in_loop
-async def test_grant_without_a_turn_needs_one_and_is_given_back_without() -> None:
+async def test_grant_without_a_permit_needs_one_and_is_released_otherwise() -> None:
     for granted, stages in [(True, []), (False, [Stage.ENDED])]:
         wire = Wire(VerdictKind.GRANTED)
-        selector = selector_of(wire, Turns(r0=Turn(granted, 0.0)))
-        limit(selector, 'r0')
+        selector = selector_of(wire, FakePermits(r0=Turn(granted, 0.0)))
+        limit_rate(selector, 'r0')
         selected = await selector.select(state_of(ENGINE, NEED))
         assert isinstance(selected, Selected if granted else NoHolder)
         assert [stage for _, stage in wire.stages()] == stages
 
 
 @in_loop
-async def test_replica_that_names_a_rate_after_the_choice_is_not_sent_to() -> None:
+async def test_call_is_withheld_from_a_replica_that_states_a_rate_after_the_selection() -> None:
     selector = selector_of(Wire(VerdictKind.GRANTED))
     selected = await selector.select(state_of(PLAIN, excluded={'p1'}))
     assert isinstance(selected, Selected)
     assert selected.may_send()
-    limit(selector, 'p0')
+    limit_rate(selector, 'p0')
     assert not selected.may_send()
 
 
-def test_withheld_call_has_not_been_sent() -> None:
+def test_withheld_call_does_not_count_as_sent() -> None:
     state = state_of(PLAIN)
     state.begin_attempt()
     state.record_result(NotSent(FailureCause.WITHHELD))
--- a/tests/gateway/test_unserved_figures.py
+++ b/tests/gateway/test_unserved_figures.py
@@ -1,4 +1,4 @@
-"""A gateway serves what goes unserved among its metrics, while it leads."""
+"""Metrics of models and adapters without a replica, which only the leader exports."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
     return {name: float(value) for name, value in found}
 
 
-def test_leader_alone_serves_what_goes_unserved() -> None:
+def test_only_the_leader_exports_unserved_keys() -> None:
     async def scenario(world: GatewayWorld) -> None:
         parts = world.gateway.components
         await world.until(parts.placement.may_order)
-        nothing = {
+        all_zero = {
             'seconds{kind="model"}': 0.0,
             'seconds{kind="adapter"}': 0.0,
             'keys{kind="model"}': 0.0,
             'keys{kind="adapter"}': 0.0,
         }
-        assert unserved_figures(world) == nothing
-        # No engine has it, so that nobody serves it meanwhile.
+        assert unserved_figures(world) == all_zero
+        # No engine has this model, so no replica serves it during the test.
         key = ModelKey(ENGINE, 'unheard-of', 'a1')
         parts.placement.totals.note_missing(key)
         parts.placement.totals.latest()[key].ages.unserved_since_s = boottime_s() - 12.0
@@ -35,6 +35,6 @@
             assert figures[f'keys{{kind="{kind}"}}'] == 1.0
             assert 12.0 <= figures[f'seconds{{kind="{kind}"}}'] < 22.0
         parts.leadership.end('test')
-        assert unserved_figures(world) == nothing
+        assert unserved_figures(world) == all_zero
 
     run(scenario)
