--- a/limeshelf/calls/__init__.py
+++ b/limeshelf/calls/__init__.py
@@ -1,1 +1,1 @@
-"""What a call and a configuration are: values that decide nothing."""
+"""Data types of calls and of the serving configuration."""
--- a/limeshelf/calls/call.py
+++ b/limeshelf/calls/call.py
@@ -1,6 +1,6 @@
-"""One call of a caller: what it asks for and until when.
+"""Data types of one call.
 
-Values only; the adapter makes them from requests (:class:`limeshelf.calls.wire.CallWire`).
+The platform's adapter creates them from requests (:class:`limeshelf.calls.wire.CallWire`).
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class CallKind(enum.StrEnum):
-    """What may be repeated of the calls on a route."""
+    """Whether, and how, the calls on a route may be retried."""
 
     SAFE = 'safe'
     UNSAFE = 'unsafe'
@@ -24,10 +24,10 @@
 
 @attrs.frozen
 class PromptPart:
-    """A part of a prompt that several calls may share.
+    """A part of a prompt that several calls may have in common.
 
-    :param part_id: names the part's content; calls that share the part share the id.
-    :param tokens: of the part.
+    :param part_id: identifies the content of the part; the same in all calls that have it.
+    :param tokens: length of the part in tokens.
     """
 
     part_id: str
@@ -36,12 +36,13 @@
 
 @attrs.frozen
 class ModelNeed:
-    """What a replica must hold, and has to do, for a call to a model.
+    """The model, the adapter and the work that a model call needs from a replica.
 
-    :param adapter: empty where the model itself is asked for.
-    :param prompt_tokens: of the whole prompt.
-    :param output_tokens: the most that will be generated.
-    :param likely_tokens: the caller's guess at the generated tokens.
+    :param adapter: empty where the call needs no adapter.
+    :param prompt_tokens: length of the whole prompt.
+    :param output_tokens: largest number of tokens to generate.
+    :param likely_tokens: the caller's estimate of the tokens to generate.
+    :param parts: parts of the prompt, in order.
     """
 
     model: str
@@ -53,26 +54,25 @@
 
     @property
     def memory_tokens(self) -> int:
-        """Return the tokens of accelerator memory that the call likely fills."""
+        """Return the accelerator memory that the call is expected to use, in tokens."""
         return self.prompt_tokens + self.likely_tokens
 
 
 @attrs.frozen
 class Call:
-    """One attempt of a caller, read whole.
+    """One attempt of a caller, with its body.
 
-    :param call_id: of this attempt; a caller that tries again takes another one.
-    :param host: without its port.
+    :param call_id: id of this attempt; a retry by the caller has another one.
+    :param host: host name without the port.
     :param target: path and query exactly as received.
-    :param headers: those that travel on, in their order and spelling.
-    :param arrived_s: when its head was there, on the steady clock.
-    :param budget_s: how long the caller waits, in seconds; ``None`` if it
-        said nothing.
+    :param headers: headers to forward, in their order and spelling.
+    :param arrived_s: when its head had arrived, on the boot clock.
+    :param budget_s: time-out of the caller, in seconds; ``None`` if it stated none.
     :param model_need: ``None`` for a call to a plain service.
-    :param last_event_id: the last event that the caller has, on resumption.
-    :param key: stands for the key that the caller sent; ``None`` for none, or a malformed one.
-    :param stated_tokens: of the prompt and the most that may be generated, as its organisation
-        is charged; ``None`` where the caller states none.
+    :param last_event_id: id of the last event that the caller received, when it resumes a stream.
+    :param key: digest of the caller's key; ``None`` without one, or for a malformed one.
+    :param stated_tokens: tokens of the prompt plus the largest number to generate, which count
+        against the organisation's limit; ``None`` where the caller states none.
     """
 
     call_id: str
