--- a/limeshelf/calls/fingerprint.py
+++ b/limeshelf/calls/fingerprint.py
@@ -1,7 +1,7 @@
-"""Tells a call or a load that comes again from another one, whoever sends it.
+"""Content hashes that recognise a repeated call or model load.
 
-Owns nothing; relies on what of a call stays the same when its caller sends it again, whatever its
-id and the gateway it comes to.
+A call's hash covers what stays the same when its caller retries, under another id and at any
+gateway.
 """
 
 from __future__ import annotations
@@ -12,21 +12,21 @@
 if TYPE_CHECKING:
     from limeshelf.calls.call import Call
 
-#: Stands for the content of a call, or for a load, in hexadecimal digits.
+#: Hash of the content of a call, or of a load, in hexadecimal digits.
 Fingerprint = NewType('Fingerprint', str)
 
-#: With 1,000 fingerprints remembered and 10^9 calls, two contents share one of this length with
-#: a chance of 5e-8.
+#: With 1,000 fingerprints stored and 10^9 calls, the probability of a collision is 5e-8 at this
+#: length.
 FINGERPRINT_BYTES = 8
 
 
 def fingerprint_of(call: Call) -> Fingerprint:
-    """Return what stands for the content of a call and its caller.
+    """Return the fingerprint of a call's content and its caller.
 
     Takes 4 us for a body of 3 KB, 1.2 ms for one of 1 MB (benchmarks/fingerprint.py).
 
-    The same caller is told by its key; without keys, callers that send the same content count as
-    one. Left out is what changes with each try: its id, its time, what it already has of a stream.
+    The key identifies the caller; without keys, callers that send the same content count as one.
+    Excludes what changes with each retry: the id, the time, and the position in a stream.
     """
     need = call.model_need
     model = f'{need.model}/{need.adapter}' if need is not None else ''
@@ -39,9 +39,9 @@
 
 
 def load_fingerprint(service: str, model: str, adapter: str) -> Fingerprint:
-    """Return what stands for the load of a model or of an adapter.
+    """Return the fingerprint of the load of a model or of an adapter.
 
-    :param adapter: empty where the model itself is meant.
+    :param adapter: empty for the load of the model itself.
     """
     digest = hashlib.blake2b(digest_size=FINGERPRINT_BYTES, person=b'load')
     for part in (service, model, adapter):
@@ -50,6 +50,6 @@
 
 
 def _add(digest: hashlib.blake2b, part: bytes) -> None:
-    # Its length first: otherwise parts that are cut elsewhere would read the same.
+    # The length comes first, so that parts split at other places hash differently.
     digest.update(len(part).to_bytes(8, 'big'))
     digest.update(part)
