--- a/limeshelf/calls/in_force.py
+++ b/limeshelf/calls/in_force.py
@@ -1,7 +1,7 @@
-"""The operator's configuration that this gateway serves by.
+"""The operator's configuration in force at this gateway.
 
-Owns which version is in force here. Everything that depends on the configuration holds
-this object, so that one assignment puts a version in force everywhere in the process.
+Owns the current version. All components that depend on the configuration share one object, so
+that one assignment changes the version in the whole process.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 
 @attrs.define
 class ConfigInForce:
-    """The newest configuration that was seen; it never goes back.
+    """The newest configuration read so far; never replaced by an older one.
 
     :ivar config: ``None`` until the first is known.
-    :ivar is_superseded: whether a later one came that cannot be read, so that nobody knows
-        which keys and routes it took away.
+    :ivar is_superseded: whether a later version exists that cannot be parsed; the keys and routes
+        that it removes are not known then.
     """
 
     config: ServingConfig | None = None
@@ -28,7 +28,7 @@
 
     @property
     def version(self) -> int:
-        """Return the operator's version of it; 0 before any."""
+        """Return the operator's version number; 0 before the first."""
         return self.config.version if self.config is not None else 0
 
     def get(self) -> ServingConfig | None:
@@ -36,7 +36,7 @@
         return self.config
 
     def take(self, config: ServingConfig) -> bool:
-        """Put *config* in force; return false where a newer one, or the same, already is."""
+        """Put *config* in force unless it is no newer; return whether it was."""
         if self.config is not None and config.version <= self.config.version:
             return False
         self.config = config
