--- a/limeshelf/calls/notice.py
+++ b/limeshelf/calls/notice.py
@@ -1,7 +1,7 @@
-"""What a replica asks of those who send to it, as the head of any of its answers says.
+"""Backpressure notices that replicas send in the heads of their answers.
 
-A value only. The adapter reads it, and :mod:`limeshelf.replicas.notices` keeps it for the start
-of the replica that gave it.
+The platform's adapter parses them, and :mod:`limeshelf.replicas.notices` stores them for the start
+(the running process) of the replica that sent them.
 """
 
 from __future__ import annotations
@@ -11,16 +11,16 @@
 
 @attrs.frozen
 class ReplicaNotice:
-    """What a replica asks of the gateways.
-
-    :param rate_per_s: the calls a second that it takes from all gateways together; ``None``
-        where it names no rate.
-    :param names_rate: whether it names a rate, usable or not. An unusable one neither sets a
-        rate nor ends one.
-    :param leaving: it is to get no more calls, ever.
-    :param pause_s: for which it wants nothing of the gateway that it answers, in seconds; ``None``
-        where it asks for no pause.
-    :param unusable: whether it says something that cannot be read.
+    """A backpressure notice of a replica.
+
+    :param rate_per_s: calls a second that it accepts from all gateways together; ``None`` where it
+        states no valid rate.
+    :param names_rate: whether it states a rate, valid or not. An invalid one neither sets a rate
+        nor ends one.
+    :param leaving: whether it is shutting down and must get no more calls.
+    :param pause_s: time for which the gateway that it answers must not send to it, in seconds;
+        ``None`` where it asks for no pause.
+    :param unusable: whether a part of the notice cannot be parsed.
     """
 
     rate_per_s: float | None = None
@@ -30,5 +30,5 @@
     unusable: bool = False
 
 
-#: Of an answer that asks for nothing.
+#: The notice of an answer without backpressure headers.
 NO_NOTICE = ReplicaNotice()
