--- a/limeshelf/calls/routes.py
+++ b/limeshelf/calls/routes.py
@@ -1,7 +1,6 @@
-"""Routes, services and limits: what an operator's configuration says of calls.
+"""Data types of the operator's configuration: routes, services, models and limits.
 
-Values only: the adapter reads them from the operator's document, and all that decides
-on calls or places models relies on them.
+The platform's adapter parses them from the operator's document.
 """
 
 from __future__ import annotations
@@ -13,12 +12,12 @@
 from limeshelf.calls.call import CallKind
 from limeshelf.organisations.organisation import Organisations
 
-#: Callers give up a stream after a gap of this time, so many objectives or so many pauses,
-#: whichever is longest, and before its first event too (the platform's page on requests).
+#: Callers abandon a stream after a gap, also before its first event, that is longer than each of:
+#: this time, so many objectives, and so many pauses (the platform's page on requests).
 MIN_PATIENCE_S = 2.0
 PATIENCE_OBJECTIVES = 4
 PATIENCE_PAUSES = 8
-#: Pause of a route that names none, as in the platform's configuration.
+#: Pause limit of a route that states none, as in the platform's configuration.
 DEFAULT_PAUSE_S = 0.3
 
 
@@ -26,7 +25,8 @@
 class WeightedService:
     """One target of a route.
 
-    :param weight: share of the route's calls, in proportion to the other weights.
+    :param service: name of the service.
+    :param weight: share of the route's calls, relative to the other weights.
     """
 
     service: str
@@ -35,16 +35,16 @@
 
 @attrs.frozen
 class Route:
-    """Where the calls below a path of a host go, and what they may cost.
-
-    :param targets: services with their weights; one at least.
-    :param timeout_s: the longest time that a call is held.
-    :param objective_s: an answer within this time earns its full worth.
-    :param pause_s: the longest pause between events that keeps a stream in time.
-    :param max_attempts: the most replicas that may run one call, the first one included;
-        of calls that are not :attr:`repeatable`, one may, whatever this says.
-    :param priority: rank among the routes; 0 is the most urgent.
-    :param resumable: whether a stream may go on at another replica.
+    """Target services and time limits of the calls to a host under a path prefix.
+
+    :param targets: services with their weights; at least one.
+    :param timeout_s: longest time for a call.
+    :param objective_s: latency objective; an answer within this time counts in full.
+    :param pause_s: longest pause between events at which a stream still meets its objective.
+    :param max_attempts: largest number of replicas that may run one call, including the first;
+        always 1 for calls that are not :attr:`repeatable`.
+    :param priority: priority of its calls; 0 is the most urgent.
+    :param resumable: whether a stream may continue at another replica.
     :param is_public: whether its calls need no key.
     """
 
@@ -63,7 +63,7 @@
 
     @property
     def patience_s(self) -> float:
-        """Return how long a caller waits for the first event, in seconds, at the least."""
+        """Return the shortest time that a caller waits for the first event, in seconds."""
         return max(
             MIN_PATIENCE_S,
             PATIENCE_OBJECTIVES * self.objective_s,
@@ -72,11 +72,11 @@
 
     @property
     def repeatable(self) -> bool:
-        """Return whether a call may run more than once: a safe one, or a resumable stream."""
+        """Return whether a call may run more than once: a safe call or a resumable stream."""
         return self.kind is CallKind.SAFE or (self.kind is CallKind.STREAM and self.resumable)
 
     def draw_service(self) -> str:
-        """Return one of the services, drawn by weight."""
+        """Return one of the services, chosen at random by weight."""
         if len(self.targets) == 1:
             return self.targets[0].service
         weights = [target.weight for target in self.targets]
@@ -85,14 +85,14 @@
 
 @attrs.frozen
 class ModelSpec:
-    """A model as the configuration describes it.
+    """Configuration of a model.
 
-    :param size_mb: megabytes of its weights.
-    :param load_s: time of a load from the weight store, in seconds.
-    :param warm_load_s: time of a load from the memory of the replica's machine.
+    :param size_mb: size of its weights, in megabytes.
+    :param load_s: duration of a load from the weight store, in seconds.
+    :param warm_load_s: duration of a load from the memory of the replica's machine.
     :param adapters: names of its adapters.
-    :param adapter_mb: megabytes of one adapter.
-    :param disk_load_s: time of a load from the disk of the replica's machine.
+    :param adapter_mb: size of one adapter, in megabytes.
+    :param disk_load_s: duration of a load from the disk of the replica's machine.
     """
 
     name: str
@@ -108,15 +108,15 @@
 
 @attrs.frozen
 class EngineSpec:
-    """What the replicas of an engine service can hold.
-
-    :param slots: calls that run at once.
-    :param memory_tokens: tokens of running calls and kept prompts.
-    :param event_tokens: tokens, each a step of the batch, in an event of a stream.
-    :param capacity_mb: megabytes for weights and adapters together.
-    :param adapter_places: adapters that a replica holds at once.
-    :param models: by name.
-    :param loads_per_s: loads from the weight store, over all replicas.
+    """Capacity of the replicas of an engine service, and its models.
+
+    :param slots: number of calls that a replica runs concurrently.
+    :param memory_tokens: memory for running calls and cached prompts, in tokens.
+    :param event_tokens: tokens in an event of a stream; each takes one step of the batch.
+    :param capacity_mb: memory for weights and adapters together, in megabytes.
+    :param adapter_places: number of adapters that a replica holds at once.
+    :param models: models by name.
+    :param loads_per_s: rate of loads from the weight store, over all replicas.
     """
 
     slots: int
@@ -128,16 +128,16 @@
     event_tokens: int = 1
 
     def knows(self, model: str, adapter: str = '') -> bool:
-        """Return whether the configuration names a model, with an adapter if one is given."""
+        """Return whether a model, and its adapter if one is given, is configured."""
         spec = self.models.get(model)
         return spec is not None and (not adapter or adapter in spec.adapters)
 
 
 @attrs.frozen
 class ServiceSpec:
-    """A service: the replicas behind its name.
+    """Configuration of a service: a named group of replicas.
 
-    :param max_connections: connections that a replica takes from all gateways together.
+    :param max_connections: connections that a replica accepts from all gateways together.
     :param engine: ``None`` for a plain service.
     """
 
@@ -148,12 +148,12 @@
 
 @attrs.frozen
 class ClientLimits:
-    """What a caller may send, and how long its connection may rest.
+    """Limits of callers' requests and connections.
 
-    :param header_bytes: request line and header fields together.
+    :param header_bytes: largest request line and header fields together.
     :param body_bytes: largest body.
-    :param header_timeout_s: from the first byte of a head to its end.
-    :param idle_timeout_s: without a request.
+    :param header_timeout_s: longest time from the first byte of a head to its end.
+    :param idle_timeout_s: longest time that a connection stays open without a request.
     """
 
     header_bytes: int
@@ -164,11 +164,11 @@
 
 @attrs.frozen
 class ServingConfig:
-    """One whole configuration; a later one takes its place at once.
+    """One version of the whole configuration.
 
-    :param version: rises with each change.
-    :param services: by name.
-    :param organisations: who may send calls, by their keys; ``None`` where no key is needed.
+    :param version: increases with each change.
+    :param services: services by name.
+    :param organisations: organisations with their keys; ``None`` where calls need no key.
     """
 
     version: int
