--- a/limeshelf/calls/wire.py
+++ b/limeshelf/calls/wire.py
@@ -1,7 +1,6 @@
-"""The port to an adapter that spells calls: what is sent, and what an answer's head says.
+"""Interface to the wire format of calls.
 
-The gateway decides on these types alone; :class:`CallWire` is implemented once for each
-platform.
+The gateway depends on these types alone; each platform's adapter implements :class:`CallWire`.
 """
 
 from __future__ import annotations
@@ -18,13 +17,13 @@
 
 @attrs.frozen
 class SendFacts:
-    """What goes with a call to a replica beside the call itself.
+    """Values of one attempt that are sent to the replica with the call.
 
-    :param left_s: time that the replica may work, in seconds.
-    :param replica_id: the replica that is meant; no other may run the call.
-    :param priority: rank of the call; 0 is the most urgent.
-    :param last_event_id: go on behind this event, on resumption.
-    :param organisation: name of the one that holds the call's key; ``None`` without one.
+    :param left_s: time that the replica has for the call, in seconds.
+    :param replica_id: id of the intended replica; no other may run the call.
+    :param priority: priority of the call; 0 is the most urgent.
+    :param last_event_id: event after which a resumed stream continues.
+    :param organisation: name of the holder of the call's key; ``None`` without one.
     """
 
     left_s: float
@@ -36,18 +35,19 @@
 
 @attrs.frozen
 class AnswerFacts:
-    """What the head of a replica's answer says.
-
-    :param call_id: the call that it answers, by its own header; ``None`` without one.
-    :param stamped: whether it bears the replica's signature.
-    :param encoded: whether the body was encoded on the way.
-    :param not_run: the replica says that it did not run the call.
-    :param misdirected: another replica answered, or what the call needs is
-        not there.
-    :param headers: those that travel on.
-    :param retry_after_s: when the replica expects to have room, in seconds.
-    :param keep_alive_s: how long the replica keeps an idle connection, in seconds.
-    :param notice: what the replica asks of those who send to it.
+    """The parsed head of a replica's answer.
+
+    :param status: HTTP status.
+    :param call_id: id of the answered call, from the answer's header; ``None`` without one.
+    :param stamped: whether it carries the replica's signature.
+    :param encoded: whether the body has a content encoding.
+    :param not_run: whether the replica states that it did not run the call.
+    :param misdirected: whether another replica answered, or the replica lacks the model or
+        adapter.
+    :param headers: headers to forward.
+    :param retry_after_s: time until the replica expects to have room, in seconds.
+    :param keep_alive_s: time for which the replica keeps an idle connection, in seconds.
+    :param notice: backpressure notice of the replica.
     """
 
     status: int
@@ -63,7 +63,7 @@
 
 
 class CallWire(Protocol):
-    """The spelling of calls and answers; one implementation a wire."""
+    """Decodes requests and answers, and encodes their headers, in one wire format."""
 
     def read_call(
         self, method: str, target: str, fields: Any, body: bytes, arrived_s: float
@@ -72,22 +72,22 @@
 
         :param target: path and query exactly as received.
         :param fields: header fields, a case-insensitive multi-dictionary.
-        :param arrived_s: when the head was there, on the steady clock.
+        :param arrived_s: when the head had arrived, on the boot clock.
         :raises InvalidRequest: a field is missing or malformed.
         """
 
     def send_headers(self, call: Call, facts: SendFacts) -> list[tuple[str, str]]:
-        """Return the headers with which a call goes to a replica."""
+        """Return the headers with which to send a call to a replica."""
 
     def read_answer(self, status: int, fields: Any) -> AnswerFacts:
-        """Return what the head of a replica's answer says."""
+        """Parse the head of a replica's answer."""
 
     def refusal_headers(
         self, call_id: str | None, retry_after_s: float | None, *, asks_for_key: bool = False
     ) -> list[tuple[str, str]]:
-        """Return the headers of an answer of our own.
+        """Return the headers of an answer that the gateway itself gives.
 
-        :param call_id: ``None`` where the request is no call.
-        :param retry_after_s: when to come back, in seconds; ``None`` if not at all.
-        :param asks_for_key: whether the call lacks a key that is known.
+        :param call_id: ``None`` where the request could not be parsed.
+        :param retry_after_s: when the caller should retry, in seconds; ``None`` if not at all.
+        :param asks_for_key: whether the answer asks for a key, as the call has no known one.
         """
