--- a/tests/calls/test_fingerprint.py
+++ b/tests/calls/test_fingerprint.py
@@ -1,4 +1,4 @@
-"""What makes two calls the same, and what does not."""
+"""Which changes to a call keep its fingerprint, and which change it."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
         {'host': 'H.example'},
     ],
 )
-def test_next_try_of_a_call_is_the_same(change: dict[str, Any]) -> None:
+def test_retry_has_the_same_fingerprint(change: dict[str, Any]) -> None:
     assert fingerprint_of(attrs.evolve(CALL, **change)) == fingerprint_of(CALL)
 
 
@@ -43,5 +43,5 @@
         {'target': '/p/x?q=1m', 'model_need': None},
     ],
 )
-def test_another_content_or_caller_is_another(change: dict[str, Any]) -> None:
+def test_other_content_or_caller_has_another_fingerprint(change: dict[str, Any]) -> None:
     assert fingerprint_of(attrs.evolve(CALL, **change)) != fingerprint_of(CALL)
--- a/tests/calls/test_routes.py
+++ b/tests/calls/test_routes.py
@@ -1,4 +1,4 @@
-"""Which route a call takes, and what the route says of it."""
+"""Matching of calls to routes, and the rules of a route."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from tests.support.routes import make_route
 
 
-def config_of(*prefixes: str, host: str = 'Calls.example') -> ServingConfig:
+def make_config(*prefixes: str, host: str = 'Calls.example') -> ServingConfig:
     routes = tuple(make_route(name=prefix, path_prefix=prefix, host=host) for prefix in prefixes)
     return ServingConfig(1, routes, {}, ClientLimits(4096, 10000, 3.0, 15.0))
 
@@ -18,21 +18,21 @@
     ('path', 'name'), [('/a/b/c', '/a/b/'), ('/a/x', '/a/'), ('/x', '/'), ('/a', '/')]
 )
 def test_longest_prefix_wins(path: str, name: str) -> None:
-    route = config_of('/a/', '/', '/a/b/').route_for('calls.EXAMPLE', path)
+    route = make_config('/a/', '/', '/a/b/').route_for('calls.EXAMPLE', path)
     assert route is not None
     assert route.name == name
 
 
 def test_no_route_for_another_host_or_path() -> None:
-    assert config_of('/a/').route_for('other.example', '/a/x') is None
-    assert config_of('/a/').route_for('calls.example', '/b/x') is None
+    assert make_config('/a/').route_for('other.example', '/a/x') is None
+    assert make_config('/a/').route_for('calls.example', '/b/x') is None
 
 
-def test_targets_are_drawn_by_weight() -> None:
-    never = (WeightedService('a', 0.0), WeightedService('b', 1.0))
-    assert {make_route(targets=never).draw_service() for _ in range(50)} == {'b'}
-    even = (WeightedService('a', 1.0), WeightedService('b', 1.0))
-    assert {make_route(targets=even).draw_service() for _ in range(200)} == {'a', 'b'}
+def test_targets_are_chosen_by_weight() -> None:
+    only_b = (WeightedService('a', 0.0), WeightedService('b', 1.0))
+    assert {make_route(targets=only_b).draw_service() for _ in range(50)} == {'b'}
+    equal = (WeightedService('a', 1.0), WeightedService('b', 1.0))
+    assert {make_route(targets=equal).draw_service() for _ in range(200)} == {'a', 'b'}
 
 
 @pytest.mark.parametrize(
