--- a/limeshelf/gateway/pipeline.py
+++ b/limeshelf/gateway/pipeline.py
@@ -140,8 +140,8 @@
         if service is None:
             return _not_ready(RefusalReason.NO_READY_REPLICA)
         allowed_s = min(call.budget_s or DEFAULT_CALLER_TIMEOUT_S, route.timeout_s)
-        ends_s = call.arrived_s + allowed_s - ANSWER_MARGIN_S
-        return CallState(call, answer, route, service, ends_s, admitted.organisation)
+        deadline_s = call.arrived_s + allowed_s - ANSWER_MARGIN_S
+        return CallState(call, answer, route, service, deadline_s, admitted.organisation)
 
     async def _run_attempts(self, state: CallState) -> Ending:
         while True:
--- a/limeshelf/gateway/result_rules.py
+++ b/limeshelf/gateway/result_rules.py
@@ -105,7 +105,7 @@
     REFUSED = enum.auto()
     #: The connection ended before the answer was complete: the replica may have crashed.
     DISCONNECTED = enum.auto()
-    #: Time-out, no answer, an invalid answer, or an answer of another replica.
+    #: Not sent, no answer in time, an invalid answer, or an answer of another replica.
     NONE = enum.auto()
 
 
--- a/tests/gateway/test_crashing_call.py
+++ b/tests/gateway/test_crashing_call.py
@@ -2,7 +2,7 @@
 
 Guards against a request that crashes one replica after the other: its caller gets a 502 or a
 broken stream, and retries with a new id at another gateway, which sends it to the next replica.
-Eleven replicas of one service crashed so within 14 s, and most calls of a route failed with them.
+Eleven replicas of one service crashed within 14 s this way, and most calls of a route failed.
 
 The gateways kept the results of attempts for the replica, and for the call until its end, but
 remembered nothing of the request's content and did not share it. In a simulation, 242 of the 243
@@ -21,7 +21,7 @@
 from standins.users_platform.replica import Fault
 from tests.support.fleet import CENTRES, FleetWorld, run_fleet
 
-CRASHING = b'deadly'
+CRASHING_BODY = b'deadly'
 #: Time between two attempts of the caller, in seconds.
 RETRY_S = 0.15
 #: Time after the third crash, in seconds, in which gateways that do not know yet may still send
@@ -33,7 +33,7 @@
 
 def late_crashes(crashed_s: list[float]) -> int:
     """Return how many replicas crashed after all gateways must have known."""
-    return sum(end > crashed_s[2] + KNOWN_WITHIN_S for end in crashed_s[3:])
+    return sum(at_s > crashed_s[2] + KNOWN_WITHIN_S for at_s in crashed_s[3:])
 
 
 async def keep_retrying(world: FleetWorld, path: str, for_s: float) -> list[int]:
@@ -44,9 +44,9 @@
     while loop.time() < until_s:
         number = len(statuses) % len(CENTRES)
         if path == '/stream/x':
-            statuses.append(await world.generate_at(number, CRASHING))
+            statuses.append(await world.generate_at(number, CRASHING_BODY))
         else:
-            statuses.append(await world.call_at(number, path, CRASHING))
+            statuses.append(await world.call_at(number, path, CRASHING_BODY))
         await asyncio.sleep(RETRY_S)
     return statuses
 
@@ -58,7 +58,7 @@
         assert late_crashes(world.ends) <= MAX_LATE_CRASHES
         assert statuses[-1] == 503
 
-    run_fleet(scenario, deadly_text=CRASHING)
+    run_fleet(scenario, deadly_text=CRASHING_BODY)
 
 
 def test_repeatable_call_crashes_no_third_replica_by_itself() -> None:
@@ -66,7 +66,7 @@
         await keep_retrying(world, '/safe/x', for_s=4.0)
         assert 2 <= len(world.ends) <= 3
 
-    run_fleet(scenario, deadly_text=CRASHING)
+    run_fleet(scenario, deadly_text=CRASHING_BODY)
 
 
 def test_quarantine_survives_a_restart_of_all_gateways() -> None:
@@ -83,7 +83,7 @@
         assert set(statuses) == {503}
         assert len(world.ends) == ends
 
-    run_fleet(scenario, deadly_text=CRASHING)
+    run_fleet(scenario, deadly_text=CRASHING_BODY)
 
 
 def test_partitioned_gateways_share_the_quarantine_through_the_store(
@@ -98,7 +98,7 @@
         assert late_crashes(world.ends) == 0
         assert statuses[-1] == 503
 
-    run_fleet(scenario, deadly_text=CRASHING)
+    run_fleet(scenario, deadly_text=CRASHING_BODY)
 
 
 def test_gateways_without_the_store_share_the_quarantine_as_peers() -> None:
@@ -108,7 +108,7 @@
         assert len(world.ends) <= len(CENTRES)
         assert statuses[-1] == 503
 
-    run_fleet(scenario, deadly_text=CRASHING)
+    run_fleet(scenario, deadly_text=CRASHING_BODY)
 
 
 def test_broken_answers_of_live_replicas_quarantine_no_call() -> None:
@@ -149,4 +149,4 @@
         assert len(counts) == len(CENTRES)
         assert statuses.count(200) > 0.8 * len(statuses)
 
-    run_fleet(scenario, deadly_text=CRASHING)
+    run_fleet(scenario, deadly_text=CRASHING_BODY)
--- a/tests/gateway/test_edge.py
+++ b/tests/gateway/test_edge.py
@@ -42,7 +42,7 @@
     run(scenario)
 
 
-def test_call_on_a_kept_alive_connection_is_answered_while_stopping() -> None:
+def test_call_on_a_keep_alive_connection_is_answered_while_stopping() -> None:
     async def scenario(world: GatewayWorld) -> None:
         reader, writer = await asyncio.open_connection('127.0.0.1', world.port)
         task = asyncio.create_task(world.gateway.drain())
--- a/tests/gateway/test_leaving_replica.py
+++ b/tests/gateway/test_leaving_replica.py
@@ -36,7 +36,7 @@
     await asyncio.gather(load(world, '/safe/x', for_s), load(world, '/stream/x', for_s))
 
 
-def test_replicas_that_announced_to_leave_get_no_calls() -> None:
+def test_replicas_that_announced_leaving_get_no_calls() -> None:
     async def scenario(world: FleetWorld) -> None:
         replicas = make_leaving(world)
         await load_both(world, 3.0)
@@ -54,7 +54,7 @@
     run_fleet(scenario)
 
 
-def test_replica_that_announced_to_leave_in_refusals_gets_no_calls_after_a_load() -> None:
+def test_replica_that_announced_leaving_in_refusals_gets_no_calls_after_a_load() -> None:
     """A late order loads the model after refusals for lack of it announced that it leaves."""
 
     async def scenario(world: FleetWorld) -> None:
--- a/tests/gateway/test_path.py
+++ b/tests/gateway/test_path.py
@@ -334,7 +334,7 @@
     await world.until(lambda: len(world.gateway.components.directory.of_service(PLAIN)) == 1)
 
 
-def test_deadline_on_a_kept_alive_connection_gives_504() -> None:
+def test_deadline_on_a_keep_alive_connection_gives_504() -> None:
     async def scenario(world: GatewayWorld) -> None:
         await drain_all_but_one_plain_replica(world)
         assert (await world.call('/unsafe/x')).status == 200
