--- a/limeshelf/calls/wire.py
+++ b/limeshelf/calls/wire.py
@@ -16,7 +16,7 @@
 
 
 @attrs.frozen
-class SendFacts:
+class SendContext:
     """Values of one attempt that are sent to the replica with the call.
 
     :param left_s: time that the replica has for the call, in seconds.
@@ -34,12 +34,12 @@
 
 
 @attrs.frozen
-class AnswerFacts:
+class AnswerHead:
     """The parsed head of a replica's answer.
 
     :param status: HTTP status.
     :param call_id: id of the answered call, from the answer's header; ``None`` without one.
-    :param stamped: whether it carries the replica's signature.
+    :param is_signed: whether it carries the replica's signature.
     :param encoded: whether the body has a content encoding.
     :param not_run: whether the replica states that it did not run the call.
     :param misdirected: whether another replica answered, or the replica lacks the model or
@@ -52,7 +52,7 @@
 
     status: int
     call_id: str | None
-    stamped: bool
+    is_signed: bool
     encoded: bool
     not_run: bool
     misdirected: bool
@@ -76,10 +76,10 @@
         :raises InvalidRequest: a field is missing or malformed.
         """
 
-    def send_headers(self, call: Call, facts: SendFacts) -> list[tuple[str, str]]:
+    def send_headers(self, call: Call, context: SendContext) -> list[tuple[str, str]]:
         """Return the headers with which to send a call to a replica."""
 
-    def read_answer(self, status: int, fields: Any) -> AnswerFacts:
+    def read_answer(self, status: int, fields: Any) -> AnswerHead:
         """Parse the head of a replica's answer."""
 
     def refusal_headers(
--- a/limeshelf/gateway/attempts.py
+++ b/limeshelf/gateway/attempts.py
@@ -12,7 +12,7 @@
 import attrs
 
 from limeshelf.admission.repeats import head_limit_s
-from limeshelf.calls.wire import SendFacts
+from limeshelf.calls.wire import SendContext
 from limeshelf.gateway.call_log import log_attempt
 from limeshelf.gateway.exchange import Exchange, WholeAnswer
 from limeshelf.gateway.result_rules import (
@@ -71,7 +71,7 @@
         tokens = call.model_need.memory_tokens if call.model_need else 0
         state.begin_attempt()
         self.quarantine.record_send(state.fingerprint)
-        facts = SendFacts(
+        context = SendContext(
             left_s=state.left_s,
             replica_id=replica.replica_id,
             priority=state.priority,
@@ -98,7 +98,7 @@
             left_s = state.left_s
             async with boot_timeout(left_s):
                 limit_s = head_limit_s(state.route, state.runs, left_s)
-                return await exchange.run(facts, limit_s)
+                return await exchange.run(context, limit_s)
         except TimeoutError:
             return exchange.deadline_exceeded()
         finally:
--- a/limeshelf/gateway/exchange.py
+++ b/limeshelf/gateway/exchange.py
@@ -24,7 +24,7 @@
     from collections.abc import Callable
 
     from limeshelf.calls.call import Call
-    from limeshelf.calls.wire import AnswerFacts, CallWire, SendFacts
+    from limeshelf.calls.wire import AnswerHead, CallWire, SendContext
     from limeshelf.gateway.answer import Answer
     from limeshelf.replicas.connections import ReplicaConnections
 
@@ -74,7 +74,7 @@
     :param time_to_head_s: time from the send to the head of the answer, in seconds.
     """
 
-    head: AnswerFacts
+    head: AnswerHead
     body: bytes
     time_to_head_s: float
 
@@ -134,7 +134,7 @@
         answer: Answer,
         splitter: EventSplitter,
         on_first_event: Callable[[], None],
-        on_head: Callable[[AnswerFacts], None] = lambda head: None,
+        on_head: Callable[[AnswerHead], None] = lambda head: None,
         may_send: Callable[[], bool] = lambda: True,
     ) -> None:
         self._call = call
@@ -146,7 +146,7 @@
         self._on_head = on_head
         self._progress = SendProgress(may_send)
 
-    async def run(self, facts: SendFacts, head_limit_s: float) -> AttemptResult:
+    async def run(self, context: SendContext, head_limit_s: float) -> AttemptResult:
         """Send the call, and forward or return its answer.
 
         :param head_limit_s: time limit for the head of the answer, in seconds.
@@ -156,7 +156,7 @@
         response: aiohttp.ClientResponse | None = None
         try:
             async with asyncio.timeout(head_limit_s):
-                response = await self._connections.send(self._call, facts, self._progress)
+                response = await self._connections.send(self._call, context, self._progress)
             return await self._handle_answer(response, started_s)
         except SendWithheld:
             return NotSent(FailureCause.WITHHELD)
@@ -197,7 +197,7 @@
                 self._on_head(head)
             await self._drain_refusal(response, head)
             return NeverRan(True, head.misdirected, head.status)
-        if not head.stamped or head.encoded:
+        if not head.is_signed or head.encoded:
             return Broken(FailureCause.FOREIGN_ANSWER)
         self._on_head(head)
         if response.status == STATUS_OK and response.content_type == EVENT_STREAM:
@@ -207,7 +207,7 @@
         response.release()
         return WholeAnswer(head, body, time_to_head_s)
 
-    async def _drain_refusal(self, response: aiohttp.ClientResponse, head: AnswerFacts) -> None:
+    async def _drain_refusal(self, response: aiohttp.ClientResponse, head: AnswerHead) -> None:
         """Read a refusal to its end, so that its connection can be reused."""
         await self._read_whole(response)
         self._connections.note_keep_alive(head)
@@ -224,7 +224,7 @@
         return b''.join(parts)
 
     async def _relay_stream(
-        self, response: aiohttp.ClientResponse, head: AnswerFacts, time_to_head_s: float
+        self, response: aiohttp.ClientResponse, head: AnswerHead, time_to_head_s: float
     ) -> AttemptResult:
         splitter = self._splitter
         splitter.discard_partial_event()
--- a/limeshelf/platform/wire.py
+++ b/limeshelf/platform/wire.py
@@ -2,7 +2,7 @@
 
 Owns nothing and decides nothing: it turns a request into a
 :class:`~limeshelf.calls.call.Call`, and the head of a replica's answer into
-:class:`~limeshelf.calls.wire.AnswerFacts`. Relies on the header names.
+:class:`~limeshelf.calls.wire.AnswerHead`. Relies on the header names.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING
 
 from limeshelf.calls.call import Call
-from limeshelf.calls.wire import AnswerFacts, SendFacts
+from limeshelf.calls.wire import AnswerHead, SendContext
 from limeshelf.errors import InvalidRequest
 from limeshelf.platform import headers
 
@@ -56,30 +56,30 @@
             stated_tokens=headers.read_stated_tokens(fields),
         )
 
-    def send_headers(self, call: Call, facts: SendFacts) -> list[tuple[str, str]]:
+    def send_headers(self, call: Call, context: SendContext) -> list[tuple[str, str]]:
         """Return the headers with which a call goes to a replica."""
         sent = list(call.headers)
-        sent.append((headers.DEADLINE, str(max(1, int(facts.left_s * 1000)))))
-        sent.append((headers.EXPECT_INSTANCE, facts.replica_id))
+        sent.append((headers.DEADLINE, str(max(1, int(context.left_s * 1000)))))
+        sent.append((headers.EXPECT_INSTANCE, context.replica_id))
         if call.model_need is not None:
-            rank = min(headers.LEAST_URGENT, max(headers.MOST_URGENT, facts.priority))
+            rank = min(headers.LEAST_URGENT, max(headers.MOST_URGENT, context.priority))
             sent.append((headers.PRIORITY, str(rank)))
-        if facts.organisation is not None:
-            sent.append((headers.ORGANISATION, facts.organisation))
-        if facts.last_event_id is not None:
-            sent.append((headers.LAST_EVENT, facts.last_event_id))
+        if context.organisation is not None:
+            sent.append((headers.ORGANISATION, context.organisation))
+        if context.last_event_id is not None:
+            sent.append((headers.LAST_EVENT, context.last_event_id))
         return sent
 
-    def read_answer(self, status: int, fields: Mapping[str, str]) -> AnswerFacts:
+    def read_answer(self, status: int, fields: Mapping[str, str]) -> AnswerHead:
         """Return what the head of a replica's answer says.
 
         :param fields: case-insensitive multi-dictionary of the answer's headers.
         """
         misdirected = status == headers.STATUS_MISDIRECTED
-        return AnswerFacts(
+        return AnswerHead(
             status=status,
             call_id=fields.get(headers.CALL_ID),
-            stamped=headers.STAMP in fields,
+            is_signed=headers.STAMP in fields,
             encoded='Content-Encoding' in fields,
             not_run=misdirected or headers.NOT_EXECUTED in fields,
             misdirected=misdirected,
--- a/limeshelf/replicas/connections.py
+++ b/limeshelf/replicas/connections.py
@@ -31,7 +31,7 @@
     from aiohttp.connector import Connection
 
     from limeshelf.calls.call import Call
-    from limeshelf.calls.wire import AnswerFacts, CallWire, SendFacts
+    from limeshelf.calls.wire import AnswerHead, CallWire, SendContext
 
 #: Longest time for a new connection.
 CONNECT_S = 0.35
@@ -151,7 +151,7 @@
         self._session = without_silent_retry(session)
 
     async def send(
-        self, call: Call, facts: SendFacts, progress: SendProgress
+        self, call: Call, context: SendContext, progress: SendProgress
     ) -> aiohttp.ClientResponse:
         """Send *call* and return the answer as soon as its head is there.
 
@@ -166,15 +166,15 @@
         return await self._session.request(
             call.method,
             URL(f'http://{self.address}{call.target}', encoded=True),
-            headers=self._wire.send_headers(call, facts),
+            headers=self._wire.send_headers(call, context),
             data=call.body or None,
             allow_redirects=False,
         )
 
-    def note_keep_alive(self, facts: AnswerFacts) -> None:
+    def note_keep_alive(self, head: AnswerHead) -> None:
         """Keep idle connections for less time than the replica does."""
-        if facts.keep_alive_s is not None:
-            self._connector._keepalive_timeout = idle_limit_s(facts.keep_alive_s)
+        if head.keep_alive_s is not None:
+            self._connector._keepalive_timeout = idle_limit_s(head.keep_alive_s)
 
     async def close(self) -> None:
         """Close all connections."""
--- a/limeshelf/replicas/notices.py
+++ b/limeshelf/replicas/notices.py
@@ -20,7 +20,7 @@
     from collections.abc import Callable
 
     from limeshelf.calls.notice import ReplicaNotice
-    from limeshelf.calls.wire import AnswerFacts
+    from limeshelf.calls.wire import AnswerHead
     from limeshelf.replicas.directory import ReplicaDirectory
     from limeshelf.replicas.replica import Replica
     from limeshelf.replicas.starts import ReplicaStart
@@ -72,7 +72,7 @@
     count: Callable[[Statement], None] = lambda statement: None
     unusable: set[ReplicaStart] = attrs.field(factory=set)
 
-    def take_of_call(self, replica: Replica, facts: AnswerFacts, sent_s: float) -> None:
+    def take_of_call(self, replica: Replica, head: AnswerHead, sent_s: float) -> None:
         """Take what the head of an answer to a call says.
 
         That it names no rate counts only where the replica ran the call.
@@ -80,8 +80,8 @@
         :param sent_s: when the call was sent, on the boot clock.
         """
         before = _Asked.by(replica)
-        self._take(replica, facts.notice, NoticeWay.CALL)
-        if not facts.notice.names_rate and not facts.not_run:
+        self._take(replica, head.notice, NoticeWay.CALL)
+        if not head.notice.names_rate and not head.not_run:
             replica.backpressure.note_no_rate(sent_s)
         self._note_change(replica, before, NoticeWay.CALL)
 
--- a/tests/forms/test_platform_wire.py
+++ b/tests/forms/test_platform_wire.py
@@ -18,7 +18,7 @@
 
 from limeshelf.calls.call import Call, ModelNeed, PromptPart
 from limeshelf.calls.notice import ReplicaNotice
-from limeshelf.calls.wire import AnswerFacts, SendFacts
+from limeshelf.calls.wire import AnswerHead, SendContext
 from limeshelf.errors import InvalidRequest, PlatformUnavailable, PlatformUnknown
 from limeshelf.feeds.position import BEGINNING
 from limeshelf.feeds.rows import ConditionFailed, HistoryGone, Page, Row
@@ -430,7 +430,7 @@
 # Calls as sent.
 
 MODEL_CALL = CALLS['to a model'][1]
-FACTS = SendFacts(left_s=2.4996, replica_id='r-1', priority=3, last_event_id=None)
+FACTS = SendContext(left_s=2.4996, replica_id='r-1', priority=3, last_event_id=None)
 
 
 @pytest.mark.parametrize(
@@ -472,7 +472,7 @@
     ],
     ids=['plain', 'resumed', 'late and least urgent', 'most urgent'],
 )
-def test_call_as_sent(call: Call, facts: SendFacts, added: list[tuple[str, str]]) -> None:
+def test_call_as_sent(call: Call, facts: SendContext, added: list[tuple[str, str]]) -> None:
     assert PlatformWire().send_headers(call, facts) == [*call.headers, *added]
 
 
@@ -480,10 +480,10 @@
 
 OWN = (('Content-Type', 'text/plain'), ('X-Own', '1'))
 STAMPED = (('Limeshelf-Attempt-Id', 'c-1'), ('Limeshelf-Server-Stamp', 's'))
-BARE_ANSWER = AnswerFacts(
+BARE_ANSWER = AnswerHead(
     status=200,
     call_id=None,
-    stamped=False,
+    is_signed=False,
     encoded=False,
     not_run=False,
     misdirected=False,
@@ -496,7 +496,7 @@
     'bare': (OWN, BARE_ANSWER),
     'stamped': (
         OWN + STAMPED,
-        attrs.evolve(BARE_ANSWER, call_id='c-1', stamped=True, headers=OWN + STAMPED),
+        attrs.evolve(BARE_ANSWER, call_id='c-1', is_signed=True, headers=OWN + STAMPED),
     ),
     'encoded': (
         (*OWN, ('Content-Encoding', 'gzip')),
--- a/tests/gateway/test_call_log.py
+++ b/tests/gateway/test_call_log.py
@@ -8,7 +8,7 @@
 import pytest
 
 from limeshelf.calls.call import ModelNeed
-from limeshelf.calls.wire import AnswerFacts
+from limeshelf.calls.wire import AnswerHead
 from limeshelf.demand.waits import CallOutlook
 from limeshelf.gateway import call_log
 from limeshelf.gateway.exchange import (
@@ -30,7 +30,7 @@
     ReplicaRecord('r0', 'lm', 'lm:0', 'z1', 4, False, None, (Holding('m'),), 1), {'m': frozenset()}
 )
 ANSWER = WholeAnswer(
-    AnswerFacts(504, 'c', True, False, False, False, None, (), None), b'', time_to_head_s=0.2
+    AnswerHead(504, 'c', True, False, False, False, None, (), None), b'', time_to_head_s=0.2
 )
 
 
--- a/tests/gateway/test_endings.py
+++ b/tests/gateway/test_endings.py
@@ -7,7 +7,7 @@
 import pytest
 
 from limeshelf.calls.call import CallKind
-from limeshelf.calls.wire import AnswerFacts
+from limeshelf.calls.wire import AnswerHead
 from limeshelf.errors import NotRun, RefusalReason
 from limeshelf.gateway.endings import (
     AbortAnswer,
@@ -37,8 +37,8 @@
 
 
 def whole_answer(status: int) -> WholeAnswer:
-    facts = AnswerFacts(status, 'c', True, False, False, False, None, (), None)
-    return WholeAnswer(facts, b'', 0.1)
+    head = AnswerHead(status, 'c', True, False, False, False, None, (), None)
+    return WholeAnswer(head, b'', 0.1)
 
 
 def progress(last_result: AttemptResult | None, **changes: Any) -> CallProgress:
--- a/tests/membership/test_notice_exchange.py
+++ b/tests/membership/test_notice_exchange.py
@@ -10,7 +10,7 @@
 import pytest
 
 from limeshelf.calls.notice import NO_NOTICE, ReplicaNotice
-from limeshelf.calls.wire import AnswerFacts
+from limeshelf.calls.wire import AnswerHead
 from limeshelf.membership.member import Member
 from limeshelf.membership.members import Members
 from limeshelf.membership.notice_exchange import GATHER_S, NoticeExchange
@@ -23,7 +23,7 @@
 from tests.membership.test_crash_exchange import Network, Node
 
 BORN_MS = 1_784_591_736_000
-ANSWER = AnswerFacts(200, 'c', True, False, False, False, None, (), None)
+ANSWER = AnswerHead(200, 'c', True, False, False, False, None, (), None)
 
 
 def fleet(gateways: int, centres: int) -> tuple[Network, list[NoticeExchange]]:
--- a/tests/platform/test_headers.py
+++ b/tests/platform/test_headers.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 from multidict import CIMultiDict
 
-from limeshelf.calls.wire import SendFacts
+from limeshelf.calls.wire import SendContext
 from limeshelf.platform import headers
 from limeshelf.platform.wire import PlatformWire
 
@@ -37,7 +37,7 @@
     'Limeshelf-Length-Hint',
 )
 OWN_NAMES = ('X-Own', 'Accept', 'Limeshelf-Unheard-Of')
-FACTS = SendFacts(left_s=1.0, replica_id='i-1', priority=2, last_event_id=None)
+FACTS = SendContext(left_s=1.0, replica_id='i-1', priority=2, last_event_id=None)
 #: What the system adds to a plain call.
 ADDED = {'limeshelf-deadline-ms', 'limeshelf-expect-instance'}
 
--- a/tests/replicas/test_connections.py
+++ b/tests/replicas/test_connections.py
@@ -11,7 +11,7 @@
 from aiohttp.streams import StreamReader
 
 from limeshelf.calls.call import Call
-from limeshelf.calls.wire import SendFacts
+from limeshelf.calls.wire import SendContext
 from limeshelf.errors import SendWithheld
 from limeshelf.platform.wire import PlatformWire
 from limeshelf.replicas.connections import ReplicaConnections, SendProgress, StrictResponseHandler
@@ -91,7 +91,7 @@
     async def play() -> None:
         replica = ReplicaStandIn('p-1')
         connections = ReplicaConnections(await replica.start(), 1, PlatformWire())
-        facts = SendFacts(1.0, 'p-1', 0, None)
+        facts = SendContext(1.0, 'p-1', 0, None)
 
         async def send(call_id: str, limit_s: float, **options: Any) -> SendProgress:
             progress = SendProgress(**options)
--- a/tests/replicas/test_notices.py
+++ b/tests/replicas/test_notices.py
@@ -6,7 +6,7 @@
 import pytest
 
 from limeshelf.calls.notice import NO_NOTICE, ReplicaNotice
-from limeshelf.calls.wire import AnswerFacts
+from limeshelf.calls.wire import AnswerHead
 from limeshelf.platform.replicas import read_record
 from limeshelf.replicas.backpressure import MAX_PAUSE_S
 from limeshelf.replicas.directory import ReplicaDirectory
@@ -15,7 +15,7 @@
 from limeshelf.replicas.replica import Replica
 from limeshelf.util.clock import virtual_clock
 
-RAN = AnswerFacts(200, 'c', True, False, False, False, None, (), None)
+RAN = AnswerHead(200, 'c', True, False, False, False, None, (), None)
 REFUSED = attrs.evolve(RAN, status=503, not_run=True)
 RATE = ReplicaNotice(rate_per_s=2.3, names_rate=True)
 UNUSABLE = ReplicaNotice(names_rate=True, unusable=True)
@@ -36,13 +36,13 @@
         assert replica is not None
         return replica
 
-    def answer(self, facts: AnswerFacts, notice: ReplicaNotice, sent_s: float) -> None:
+    def answer(self, facts: AnswerHead, notice: ReplicaNotice, sent_s: float) -> None:
         facts = attrs.evolve(facts, notice=notice)
         self.taker.take_of_call(self.replica, facts, sent_s)
 
 
 @pytest.mark.parametrize('facts', [RAN, REFUSED])
-def test_rate_counts_in_any_answer_and_ends_with_one_of_a_run(facts: AnswerFacts) -> None:
+def test_rate_counts_in_any_answer_and_ends_with_one_of_a_run(facts: AnswerHead) -> None:
     world = World()
     with virtual_clock() as clock:
         world.answer(facts, RATE, clock.now_s)
