--- a/limeshelf/calls/call.py
+++ b/limeshelf/calls/call.py
@@ -67,7 +67,7 @@
     :param target: path and query exactly as received.
     :param headers: headers to forward, in their order and spelling.
     :param arrived_s: when its head had arrived, on the boot clock.
-    :param budget_s: time-out of the caller, in seconds; ``None`` if it stated none.
+    :param caller_timeout_s: time-out of the caller, in seconds; ``None`` if it stated none.
     :param model_need: ``None`` for a call to a plain service.
     :param last_event_id: id of the last event that the caller received, when it resumes a stream.
     :param key: digest of the caller's key; ``None`` without one, or for a malformed one.
@@ -82,7 +82,7 @@
     headers: tuple[tuple[str, str], ...]
     body: bytes
     arrived_s: float
-    budget_s: float | None
+    caller_timeout_s: float | None
     model_need: ModelNeed | None
     last_event_id: str | None
     key: KeyDigest | None = attrs.field(default=None, repr=False)
--- a/limeshelf/calls/in_force.py
+++ b/limeshelf/calls/in_force.py
@@ -35,7 +35,7 @@
         """Return the configuration in force."""
         return self.config
 
-    def take(self, config: ServingConfig) -> bool:
+    def replace_if_newer(self, config: ServingConfig) -> bool:
         """Put *config* in force unless it is no newer; return whether it was."""
         if self.config is not None and config.version <= self.config.version:
             return False
--- a/limeshelf/calls/routes.py
+++ b/limeshelf/calls/routes.py
@@ -127,7 +127,7 @@
     models: dict[str, ModelSpec]
     event_tokens: int = 1
 
-    def knows(self, model: str, adapter: str = '') -> bool:
+    def has_model(self, model: str, adapter: str = '') -> bool:
         """Return whether a model, and its adapter if one is given, is configured."""
         spec = self.models.get(model)
         return spec is not None and (not adapter or adapter in spec.adapters)
--- a/limeshelf/demand/model_demand.py
+++ b/limeshelf/demand/model_demand.py
@@ -88,7 +88,7 @@
     """
     by_model: dict[str, list[tuple[ModelKey, KeyTotals]]] = {name: [] for name in engine.models}
     for key, key_totals in totals.items():
-        if key.service == service and engine.knows(key.model, key.adapter):
+        if key.service == service and engine.has_model(key.model, key.adapter):
             by_model[key.model].append((key, key_totals))
     return {
         name: _demand(items, engine, engine.models[name], functools.partial(read_ms, name))
--- a/limeshelf/gateway/pipeline.py
+++ b/limeshelf/gateway/pipeline.py
@@ -139,7 +139,7 @@
         service = config.services.get(route.draw_service())
         if service is None:
             return _not_ready(RefusalReason.NO_READY_REPLICA)
-        allowed_s = min(call.budget_s or DEFAULT_CALLER_TIMEOUT_S, route.timeout_s)
+        allowed_s = min(call.caller_timeout_s or DEFAULT_CALLER_TIMEOUT_S, route.timeout_s)
         deadline_s = call.arrived_s + allowed_s - ANSWER_MARGIN_S
         return CallState(call, answer, route, service, deadline_s, admitted.organisation)
 
--- a/limeshelf/gateway/state.py
+++ b/limeshelf/gateway/state.py
@@ -99,7 +99,7 @@
     @property
     def is_caller_retry(self) -> bool:
         """Return whether this is likely a retry of a call that was refused."""
-        return has_returned(self.route, self.call.budget_s)
+        return has_returned(self.route, self.call.caller_timeout_s)
 
     @property
     def since_arrival_s(self) -> float:
--- a/limeshelf/placement/adapters.py
+++ b/limeshelf/placement/adapters.py
@@ -112,7 +112,7 @@
             if key.service == self.service
             and key.adapter
             and demand.is_awaited(now_s)
-            and self.engine.knows(key.model, key.adapter)
+            and self.engine.has_model(key.model, key.adapter)
         ]
         return sorted(due, key=lambda key: -self._demand(key).unserved_s(now_s))
 
@@ -124,7 +124,7 @@
 
         :param pending_orders: by the id of each replica of the service.
         """
-        if not self.engine.knows(key.model, key.adapter):
+        if not self.engine.has_model(key.model, key.adapter):
             return None
         adapter = Loadable(key.model, key.adapter)
         holders = [one for one in self._holders(key.model) if one.holds(key.model, key.adapter)]
--- a/limeshelf/platform/wire.py
+++ b/limeshelf/platform/wire.py
@@ -49,7 +49,9 @@
             headers=passed,
             body=body,
             arrived_s=arrived_s,
-            budget_s=headers.read_count(deadline, headers.DEADLINE) / 1000 if deadline else None,
+            caller_timeout_s=headers.read_count(deadline, headers.DEADLINE) / 1000
+            if deadline
+            else None,
             model_need=headers.read_model_need(fields),
             last_event_id=fields.get(headers.LAST_EVENT),
             key=headers.read_key(fields.getall(headers.AUTHORIZATION, [])),
--- a/limeshelf/programs/followed_tables.py
+++ b/limeshelf/programs/followed_tables.py
@@ -118,7 +118,7 @@
             log_change('config_invalid', row_version=row.position.version, problem=str(error))
             self.in_force.is_superseded = True
             return False
-        if not self.in_force.take(config):
+        if not self.in_force.replace_if_newer(config):
             return True
         log_change(
             'config',
--- a/tests/calls/test_fingerprint.py
+++ b/tests/calls/test_fingerprint.py
@@ -20,7 +20,7 @@
     [
         {'call_id': 'id-2'},
         {'arrived_s': 9.0},
-        {'budget_s': 0.5},
+        {'caller_timeout_s': 0.5},
         {'last_event_id': '7'},
         {'headers': (('User-Agent', 'another'),)},
         {'host': 'H.example'},
--- a/tests/forms/test_platform_wire.py
+++ b/tests/forms/test_platform_wire.py
@@ -325,7 +325,7 @@
     headers=PLAIN_HEADERS,
     body=b'body',
     arrived_s=12.5,
-    budget_s=None,
+    caller_timeout_s=None,
     model_need=None,
     last_event_id=None,
 )
@@ -384,7 +384,7 @@
     ),
     'with headers that do not travel on': (
         PLAIN_HEADERS + DROPPED,
-        attrs.evolve(PLAIN_CALL, budget_s=2.5, last_event_id='17'),
+        attrs.evolve(PLAIN_CALL, caller_timeout_s=2.5, last_event_id='17'),
     ),
 }
 
