--- a/limeshelf/gateway/edge.py
+++ b/limeshelf/gateway/frontend.py
@@ -52,16 +52,16 @@
     DRAINING = 'draining'
 
 
-class Edge:
+class HttpFrontend:
     """Receives callers' requests and passes them to the pipeline as calls.
 
     :ivar phase: phase of this process.
-    :ivar running: number of requests in flight.
+    :ivar requests_in_flight: number of requests in flight.
     """
 
     def __init__(self, pipeline: Pipeline, wire: CallWire, metrics: GatewayMetrics) -> None:
         self.phase = GatewayPhase.STARTING
-        self.running = 0
+        self.requests_in_flight = 0
         self._pipeline = pipeline
         self._wire = wire
         self._metrics = metrics
@@ -95,10 +95,10 @@
         config = self._pipeline.config
         return config.limits if config is not None else None
 
-    def enter(self, phase: GatewayPhase) -> None:
+    def set_phase(self, phase: GatewayPhase) -> None:
         """Set the phase, and log the change."""
         self.phase = phase
-        log_change('phase', phase=phase, running=self.running)
+        log_change('phase', phase=phase, running=self.requests_in_flight)
 
     async def _readiness(self, request: web.BaseRequest) -> web.StreamResponse:
         ready = self.phase is GatewayPhase.SERVING
@@ -109,7 +109,7 @@
         return self.phase in (GatewayPhase.NOTICE, GatewayPhase.DRAINING)
 
     async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        self.running += 1
+        self.requests_in_flight += 1
         self._active_connections.add(request.protocol)
         try:
             return await self._serve_request(request, boottime_s())
@@ -117,7 +117,7 @@
             # Not logged: a caller that disconnects is no failure of a replica or this gateway.
             return web.Response(status=STATUS_CLIENT_CLOSED_REQUEST)
         finally:
-            self.running -= 1
+            self.requests_in_flight -= 1
             self._active_connections.discard(request.protocol)
 
     async def _serve_request(
@@ -155,10 +155,10 @@
         self._metrics.observe_call(status, 0.0)
         return response
 
-    def end_idle_connections(self) -> None:
+    def close_idle_connections(self) -> None:
         """Close the callers' connections that have no request in flight."""
         # The library's pre_shutdown() leaves them open, but no longer reads from them
-        # (tests/gateway/test_edge.py::test_idle_connection_is_closed_at_a_stop).
+        # (tests/gateway/test_frontend.py::test_idle_connection_is_closed_at_a_stop).
         for server in self._servers[1:]:
             for connection in server.connections:
                 if connection not in self._active_connections:
--- a/limeshelf/programs/components.py
+++ b/limeshelf/programs/components.py
@@ -26,7 +26,7 @@
 from limeshelf.feeds.store_clock import StoreClock
 from limeshelf.gateway.access import AccessGuard
 from limeshelf.gateway.attempts import AttemptRunner
-from limeshelf.gateway.edge import Edge
+from limeshelf.gateway.frontend import HttpFrontend
 from limeshelf.gateway.limits import LimitGuard
 from limeshelf.gateway.pipeline import Pipeline
 from limeshelf.gateway.quarantine import QuarantineGuard
@@ -257,7 +257,7 @@
             LimitGuard(self.limits),
             quarantine,
         )
-        self.edge = Edge(self.pipeline, wire, self.metrics)
+        self.frontend = HttpFrontend(self.pipeline, wire, self.metrics)
 
     def _note_woke(self, slept_s: float) -> None:
         """Note that this machine was suspended."""
@@ -296,7 +296,7 @@
 
     async def close(self) -> None:
         """Close all connections."""
-        await self.edge.close()
+        await self.frontend.close()
         await self.pool.close()
         await self.order_client.close()
         await self.store.close()
--- a/limeshelf/programs/gateway.py
+++ b/limeshelf/programs/gateway.py
@@ -19,7 +19,7 @@
 from aiomisc import Service, entrypoint
 
 from limeshelf.errors import InvalidDocument
-from limeshelf.gateway.edge import GatewayPhase
+from limeshelf.gateway.frontend import GatewayPhase
 from limeshelf.metrics.event_log import event_log, log_change
 from limeshelf.metrics.prometheus import MetricsServer
 from limeshelf.peers.node import PeerNode
@@ -69,7 +69,7 @@
         await node.start()
         self.components = GatewayComponents(settings, node, self.tasks)
         self.components.take_messages()
-        await self.components.edge.start(settings.calls_address, settings.readiness_address)
+        await self.components.frontend.start(settings.calls_address, settings.readiness_address)
         self.metrics_server = MetricsServer(self.components.metrics)
         await self.metrics_server.start(settings.ip, settings.figures_port)
         self._start_tasks()
@@ -115,7 +115,7 @@
         directory = self.components.directory
         while self.components.in_force.config is None or not directory.all():
             await directory.wait_for_change(READY_CHECK_S)
-        self.components.edge.enter(GatewayPhase.SERVING)
+        self.components.frontend.set_phase(GatewayPhase.SERVING)
 
     async def _lead(self) -> None:
         components = self.components
@@ -136,19 +136,19 @@
 
     async def drain(self) -> int:
         """Stop as planned; return the exit code."""
-        edge = self.components.edge
+        frontend = self.components.frontend
         began_s = boottime_s()
-        edge.enter(GatewayPhase.NOTICE)
+        frontend.set_phase(GatewayPhase.NOTICE)
         await self.components.leadership.release()
         self.components.registration.announce_leaving()
         await asyncio.sleep(NOTICE_S)
-        edge.enter(GatewayPhase.DRAINING)
+        frontend.set_phase(GatewayPhase.DRAINING)
         self.components.pipeline.refuse_waiting()
         end_s = began_s + self.settings.grace_s * LAST_SHARE
-        while edge.running and boottime_s() < end_s:
-            edge.end_idle_connections()
+        while frontend.requests_in_flight and boottime_s() < end_s:
+            frontend.close_idle_connections()
             await asyncio.sleep(DRAIN_CHECK_S)
-        log_change('stopped', cut_off=edge.running)
+        log_change('stopped', cut_off=frontend.requests_in_flight)
         return EXIT_OK
 
     async def stop(self, exception: Exception | None = None) -> None:
--- a/tests/docs/test_named_things.py
+++ b/tests/docs/test_named_things.py
@@ -97,7 +97,7 @@
 )  # fmt: skip
 #: Figures of these time or bound the applying code; no rule goes by them.
 NO_RULE = {
-    'gateway/edge.py': 'limits and statuses of the listener',
+    'gateway/frontend.py': 'limits and statuses of the listener',
     'gateway/exchange.py': 'the bound of one answer in memory',
     'gateway/pipeline.py': 'the margin of the last answer, the time of a call that names none',
     'membership/digest_exchange.py': 'the period of its message',
--- a/tests/forms/test_http.py
+++ b/tests/forms/test_http.py
@@ -125,8 +125,8 @@
         found.append(line(case, answer.status, answer.headers, answer.body))
 
     async def note_phase(phase: str) -> None:
-        edge = world.gateway.components.edge
-        edge.phase = type(edge.phase)(phase)
+        frontend = world.gateway.components.frontend
+        frontend.phase = type(frontend.phase)(phase)
         url = f'http://127.0.0.1:{world.readiness_port}/readyz'
         async with world.caller.get(url) as answer:
             body = await answer.read()
--- a/tests/gateway/test_edge.py
+++ b/tests/gateway/test_frontend.py
@@ -20,7 +20,7 @@
         assert head.startswith(b'HTTP/1.1 200')
         length = int(head.lower().split(b'content-length: ')[1].split(b'\r\n')[0])
         await reader.readexactly(length)
-        world.gateway.components.edge.end_idle_connections()
+        world.gateway.components.frontend.close_idle_connections()
         async with asyncio.timeout(1):
             assert await reader.read() == b''
         writer.close()
