--- a/limeshelf/gateway/answer.py
+++ b/limeshelf/gateway/answer.py
@@ -1,6 +1,6 @@
-"""The answer to one caller; it is whole, or it visibly is not.
+"""Sends the answer to one caller, so that the caller can tell a complete one from a truncated one.
 
-Owns what went out on one exchange with a caller; relies on the HTTP library for framing.
+Owns the response of one request; relies on the HTTP library for framing.
 """
 
 from __future__ import annotations
@@ -16,66 +16,68 @@
     from collections.abc import Iterable
 
 
-class CallerGone(LimeshelfError):
-    """The caller has closed its connection; there is nobody to answer."""
+class CallerDisconnected(LimeshelfError):
+    """The caller closed its connection before its answer was complete."""
 
 
 class Answer(Protocol):
-    """Where the pipeline puts the answer to a call.
+    """Interface through which the pipeline answers a call.
 
-    Every method that sends raises :exc:`CallerGone` once the caller has closed its
+    Every method that sends raises :exc:`CallerDisconnected` once the caller has closed its
     connection.
 
-    :ivar started: the head is out, so the status can no longer change.
+    :ivar started: whether the head was sent; the status can no longer change then.
     """
 
     started: bool
 
     async def start(self, status: int, headers: Iterable[tuple[str, str]]) -> None:
-        """Send the head of an answer whose length is not known."""
+        """Send the head of an answer whose length is not known in advance."""
 
     async def write(self, data: bytes) -> None:
         """Send a part of the body."""
 
     async def finish(self) -> None:
-        """End the body, which makes the answer whole."""
+        """End the body, which completes the answer."""
 
-    async def whole(self, status: int, headers: Iterable[tuple[str, str]], body: bytes) -> None:
-        """Send a whole answer."""
+    async def send_whole(
+        self, status: int, headers: Iterable[tuple[str, str]], body: bytes
+    ) -> None:
+        """Send a complete answer."""
 
     def abort(self) -> None:
-        """Reset the connection, so that the caller cannot take the answer for whole."""
+        """Reset the connection, so that the caller sees that the answer is truncated."""
 
 
 class HttpAnswer:
     """An answer on an HTTP connection.
 
-    :param closing: whether the answer closes the caller's connection.
+    :param close_connection: whether to close the caller's connection after the answer.
     :ivar started: see :class:`Answer`.
-    :ivar response: ``None`` until the head is out.
+    :ivar response: ``None`` until the head is sent.
     """
 
-    def __init__(self, request: web.BaseRequest, closing: bool) -> None:
+    def __init__(self, request: web.BaseRequest, close_connection: bool) -> None:
         self.started = False
         self.response: web.StreamResponse | None = None
         self._request = request
-        self._closing = closing
+        self._close_connection = close_connection
 
     async def start(self, status: int, headers: Iterable[tuple[str, str]]) -> None:
-        """Send the head of an answer whose length is not known."""
+        """Send the head of an answer whose length is not known in advance."""
         response = web.StreamResponse(status=status, headers=CIMultiDict(headers))
         response.enable_chunked_encoding()
-        await self._prepare(response)
+        await self._send_head(response)
 
-    async def _prepare(self, response: web.StreamResponse) -> None:
-        if self._closing:
+    async def _send_head(self, response: web.StreamResponse) -> None:
+        if self._close_connection:
             response.force_close()
         self.started = True
         self.response = response
         try:
             await response.prepare(self._request)
         except ConnectionError:
-            raise CallerGone from None
+            raise CallerDisconnected from None
 
     async def write(self, data: bytes) -> None:
         """Send a part of the body."""
@@ -83,27 +85,29 @@
         try:
             await self.response.write(data)
         except ConnectionError:
-            raise CallerGone from None
+            raise CallerDisconnected from None
 
     async def finish(self) -> None:
-        """End the body, which makes the answer whole."""
+        """End the body, which completes the answer."""
         assert self.response is not None
-        await self._end(self.response)
+        await self._write_eof(self.response)
 
-    async def whole(self, status: int, headers: Iterable[tuple[str, str]], body: bytes) -> None:
-        """Send a whole answer."""
+    async def send_whole(
+        self, status: int, headers: Iterable[tuple[str, str]], body: bytes
+    ) -> None:
+        """Send a complete answer."""
         response = web.Response(status=status, headers=CIMultiDict(headers), body=body)
-        await self._prepare(response)
-        await self._end(response)
+        await self._send_head(response)
+        await self._write_eof(response)
 
-    async def _end(self, response: web.StreamResponse) -> None:
+    async def _write_eof(self, response: web.StreamResponse) -> None:
         try:
             await response.write_eof()
         except ConnectionError:
-            raise CallerGone from None
+            raise CallerDisconnected from None
 
     def abort(self) -> None:
-        """Reset the connection, so that the caller cannot take the answer for whole."""
+        """Reset the connection, so that the caller sees that the answer is truncated."""
         transport = self._request.transport
         if transport is not None:
             transport.abort()
--- a/limeshelf/gateway/attempts.py
+++ b/limeshelf/gateway/attempts.py
@@ -1,8 +1,8 @@
-"""Sends a call to one replica, and takes what that teaches of both.
+"""Sends a call to one replica, and applies the result to the state of both.
 
-Owns nothing beyond the attempt. Relies on :mod:`limeshelf.gateway.exchange` for what goes over
-the connection, on :mod:`limeshelf.gateway.learning` for what a result says of its replica, and on
-:mod:`limeshelf.gateway.quarantine` for what it says of the call.
+Keeps no state beyond the attempt. Relies on :mod:`limeshelf.gateway.exchange` for the transfer,
+on :mod:`limeshelf.gateway.result_rules` for what the result means for the replica, and on
+:mod:`limeshelf.gateway.quarantine` for what it means for the call.
 """
 
 from __future__ import annotations
@@ -12,10 +12,15 @@
 import attrs
 
 from limeshelf.admission.retry_rules import head_limit_s
-from limeshelf.calls.wire import SendFacts
+from limeshelf.calls.wire import SendContext
+from limeshelf.gateway.call_log import log_attempt
 from limeshelf.gateway.exchange import Exchange, WholeAnswer
-from limeshelf.gateway.learning import STATUS_SERVER_ERROR, apply, excludes, lesson_of
-from limeshelf.gateway.lines import log_attempt
+from limeshelf.gateway.result_rules import (
+    STATUS_SERVER_ERROR,
+    apply_finding,
+    classify_for_replica,
+    excludes_replica,
+)
 from limeshelf.util.clock import boottime_s
 from limeshelf.util.suspension import boot_timeout
 
@@ -23,7 +28,7 @@
     from limeshelf.calls.in_force import ConfigInForce
     from limeshelf.calls.wire import CallWire
     from limeshelf.demand.meter import DemandMeter
-    from limeshelf.gateway.exchange import Result
+    from limeshelf.gateway.exchange import AttemptResult
     from limeshelf.gateway.quarantine import QuarantineGuard
     from limeshelf.gateway.selection import Selected
     from limeshelf.gateway.state import CallState
@@ -36,7 +41,7 @@
 
 @attrs.frozen
 class AttemptRunner:
-    """Runs the attempts of calls."""
+    """Runs attempts of calls."""
 
     wire: CallWire
     directory: ReplicaDirectory
@@ -49,24 +54,24 @@
     async def run(
         self, state: CallState, selected: Selected, organisation: Organisation | None
     ) -> None:
-        """Send a call to the replica that was selected; what came of it is in *state*."""
+        """Send a call to the selected replica, and record the result in *state*."""
         sent_s = boottime_s()
-        result = await self._exchange(state, selected, organisation)
-        state.note_result(result)
-        if isinstance(result, WholeAnswer) and result.facts.status < STATUS_SERVER_ERROR:
+        result = await self._send(state, selected, organisation)
+        state.record_result(result)
+        if isinstance(result, WholeAnswer) and result.head.status < STATUS_SERVER_ERROR:
             self.demand.record_served(state.call, state.service)
-        self._learn(state, selected.replica, result)
-        self.quarantine.note_result(state, selected.replica, result, sent_s)
+        self._apply_result(state, selected.replica, result)
+        self.quarantine.record_result(state, selected.replica, result, sent_s)
 
-    async def _exchange(
+    async def _send(
         self, state: CallState, selected: Selected, organisation: Organisation | None
-    ) -> Result:
+    ) -> AttemptResult:
         call = state.call
         replica = selected.replica
         tokens = call.model_need.memory_tokens if call.model_need else 0
-        state.note_send()
-        self.quarantine.note_sent(state.fingerprint)
-        facts = SendFacts(
+        state.begin_attempt()
+        self.quarantine.record_send(state.fingerprint)
+        context = SendContext(
             left_s=state.left_s,
             replica_id=replica.replica_id,
             priority=state.priority,
@@ -81,37 +86,37 @@
             self.wire,
             state.answer,
             state.splitter,
-            lambda: self._note_first_event(state, selected),
-            lambda facts: self.notices.take_of_call(replica, facts, sent_s),
+            lambda: self._report_first_event(state, selected),
+            lambda head: self.notices.take_of_call(replica, head, sent_s),
             selected.may_send,
         )
         replica.own.calls += 1
         replica.own.tokens += tokens
         try:
-            # Read once: where the head may take all the time left, both limits end at one
-            # moment, and the outer one decides.
+            # Read only once, so that both limits expire at the same instant where the head may
+            # take all the time left; the outer one takes precedence then.
             left_s = state.left_s
             async with boot_timeout(left_s):
                 limit_s = head_limit_s(state.route, state.runs, left_s)
-                return await exchange.run(facts, limit_s)
+                return await exchange.run(context, limit_s)
         except TimeoutError:
-            return exchange.time_over()
+            return exchange.deadline_exceeded()
         finally:
             replica.own.calls -= 1
             replica.own.tokens -= tokens
-            selected.note_end()
+            selected.report_end()
 
-    def _note_first_event(self, state: CallState, selected: Selected) -> None:
-        selected.note_first_event()
+    def _report_first_event(self, state: CallState, selected: Selected) -> None:
+        selected.report_first_event()
         self.demand.record_served(state.call, state.service)
 
-    def _learn(self, state: CallState, replica: Replica, result: Result) -> None:
+    def _apply_result(self, state: CallState, replica: Replica, result: AttemptResult) -> None:
         need = state.call.model_need
-        to_engine = need is not None and state.service.engine is not None
-        lesson = lesson_of(result, to_engine)
-        if excludes(lesson):
+        is_model_call = need is not None and state.service.engine is not None
+        finding = classify_for_replica(result, is_model_call)
+        if excludes_replica(finding):
             state.excluded.add(replica.replica_id)
-        suspended = apply(lesson, replica, need, self.directory)
+        suspended = apply_finding(finding, replica, need, self.directory)
         if replica.health.awaits_probe:
             self.pool.note_out_of_reach()
         load = self.directory.load_of(replica)
--- a/limeshelf/gateway/pipeline.py
+++ b/limeshelf/gateway/pipeline.py
@@ -1,15 +1,15 @@
-"""The path of a call: route it, select a replica, send it, learn, settle, answer.
+"""Processes calls: route, admit, select a replica, send, retry, answer.
 
-Owns the calls that wait for a replica. Each rule on the way has a module of its own:
-:mod:`~limeshelf.gateway.access` (whose key), :mod:`~limeshelf.gateway.limits` (how much),
-:mod:`~limeshelf.gateway.quarantine` (which replicas ended under it),
-:mod:`~limeshelf.gateway.selection` (which replica),
-:mod:`~limeshelf.admission.hold_or_refuse` (held or refused),
+Owns the set of calls that wait for a replica. Each step has a module of its own:
+:mod:`~limeshelf.gateway.access` (authorisation), :mod:`~limeshelf.gateway.limits` (rate limits),
+:mod:`~limeshelf.gateway.quarantine` (calls that crash replicas),
+:mod:`~limeshelf.gateway.selection` (choice of the replica),
+:mod:`~limeshelf.admission.absent_model` (no replica holds the model),
 :mod:`~limeshelf.gateway.attempts` (one send), :mod:`~limeshelf.admission.retry_rules` and
-:mod:`~limeshelf.admission.retry_budget` (sent again),
-:mod:`~limeshelf.gateway.settling` (how the call ends),
-:mod:`~limeshelf.gateway.final_answer` (what its caller gets) and
-:mod:`~limeshelf.admission.retry_after` (when a refused caller comes back).
+:mod:`~limeshelf.admission.retry_budget` (retries),
+:mod:`~limeshelf.gateway.endings` (how a call ends),
+:mod:`~limeshelf.gateway.final_answer` (the answer to the caller) and
+:mod:`~limeshelf.admission.retry_after` (the ``Retry-After`` of refusals).
 """
 
 from __future__ import annotations
@@ -27,22 +27,22 @@
 from limeshelf.admission.retry_rules import is_too_late, reason_not_to_send
 from limeshelf.dispatch.grants import NoCapacity
 from limeshelf.errors import NotRun, RefusalReason
-from limeshelf.gateway.final_answer import FinalAnswer
-from limeshelf.gateway.lines import (
+from limeshelf.gateway.call_log import (
     log_no_replica,
     log_overloaded,
 )
-from limeshelf.gateway.selection import Selected
-from limeshelf.gateway.settling import (
+from limeshelf.gateway.endings import (
     STATUS_UNAVAILABLE,
     STATUS_UNKNOWN_ROUTE,
     Refuse,
-    SendAgain,
-    give_up,
+    Retry,
+    deadline_refusal,
+    decide_after_attempt,
     refuse,
-    refuse_too_late,
-    settle,
+    refuse_unavailable,
 )
+from limeshelf.gateway.final_answer import FinalAnswerSender
+from limeshelf.gateway.selection import Selected
 from limeshelf.gateway.state import CallState
 
 if TYPE_CHECKING:
@@ -56,21 +56,21 @@
     from limeshelf.gateway.access import AccessGuard
     from limeshelf.gateway.answer import Answer
     from limeshelf.gateway.attempts import AttemptRunner
+    from limeshelf.gateway.endings import Ending
     from limeshelf.gateway.limits import LimitGuard
     from limeshelf.gateway.quarantine import QuarantineGuard
     from limeshelf.gateway.selection import ReplicaSelector
-    from limeshelf.gateway.settling import Ending
     from limeshelf.organisations.access import AccessGranted
     from limeshelf.replicas.directory import ReplicaDirectory
 
-#: The final answer goes out this long before the caller's time is over.
+#: The final answer is sent this long before the caller's time-out.
 ANSWER_MARGIN_S = 0.02
-#: Time of a call whose caller does not say how long it waits.
-DEFAULT_BUDGET_S = 30.0
+#: Time-out of a call whose caller states none.
+DEFAULT_CALLER_TIMEOUT_S = 30.0
 
 
 class Pipeline:
-    """Serves calls with the configuration in force."""
+    """Serves calls under the configuration in force."""
 
     def __init__(
         self,
@@ -91,7 +91,7 @@
         self._demand = demand
         self._budgets = budgets
         self._in_force = in_force
-        self._final = FinalAnswer(wire, in_force)
+        self._final_answer = FinalAnswerSender(wire, in_force)
         self._access = access
         self._limits = limits
         self._quarantine = quarantine
@@ -104,18 +104,18 @@
         return self._in_force.config
 
     async def serve(self, call: Call, answer: Answer) -> None:
-        """Bring the call to a replica and its answer to the caller."""
-        state = self._route(call, answer)
+        """Forward a call to a replica, and answer the caller."""
+        state = self._begin_call(call, answer)
         if isinstance(state, Refuse):
-            await self._final.give(call, state, answer)
+            await self._final_answer.send(call, state, answer)
             return
         quarantined = self._quarantine.check(state.fingerprint)
         if quarantined is not None:
-            await self._final.give(call, quarantined, answer, state.organisation)
+            await self._final_answer.send(call, quarantined, answer, state.organisation)
             return
         reserved = await self._limits.reserve(call, state.organisation)
         if isinstance(reserved, Refuse):
-            await self._final.give(call, reserved, answer, state.organisation)
+            await self._final_answer.send(call, reserved, answer, state.organisation)
             return
         state.reservation = reserved
         try:
@@ -128,10 +128,10 @@
         call = state.call
         self._budgets.of(state.service.name).record_call()
         with self._demand.track(call, state.service.name, state.route.objective_s):
-            ending = await self._run(state)
-            await self._final.give(call, ending, state.answer, state.organisation)
+            ending = await self._run_attempts(state)
+            await self._final_answer.send(call, ending, state.answer, state.organisation)
 
-    def _route(self, call: Call, answer: Answer) -> CallState | Refuse:
+    def _begin_call(self, call: Call, answer: Answer) -> CallState | Refuse:
         config = self.config
         if config is None:
             return _not_ready(RefusalReason.STARTING)
@@ -144,35 +144,35 @@
         service = config.services.get(route.draw_service())
         if service is None:
             return _not_ready(RefusalReason.NO_READY_REPLICA)
-        allowed_s = min(call.budget_s or DEFAULT_BUDGET_S, route.timeout_s)
-        ends_s = call.arrived_s + allowed_s - ANSWER_MARGIN_S
-        return CallState(call, answer, route, service, ends_s, admitted.organisation)
+        allowed_s = min(call.caller_timeout_s or DEFAULT_CALLER_TIMEOUT_S, route.timeout_s)
+        deadline_s = call.arrived_s + allowed_s - ANSWER_MARGIN_S
+        return CallState(call, answer, route, service, deadline_s, admitted.organisation)
 
-    async def _run(self, state: CallState) -> Ending:
+    async def _run_attempts(self, state: CallState) -> Ending:
         while True:
             selected = await self._select_unless_stopped(state)
             if not isinstance(selected, Selected):
                 return selected
-            # Keys go, and replicas end, while calls wait.
+            # Keys may be revoked, and replicas crash, while calls wait for a replica.
             admitted = self._admit(state)
             if isinstance(admitted, Refuse):
-                selected.note_end()
+                selected.report_end()
                 return refuse(state.progress(), admitted)
             await self._attempts.run(state, selected, admitted.organisation)
-            settled = settle(state.progress())
-            if not isinstance(settled, SendAgain):
-                return settled
+            decision = decide_after_attempt(state.progress())
+            if not isinstance(decision, Retry):
+                return decision
 
     def _admit(self, state: CallState) -> AccessGranted | Refuse:
-        """Return who sends a call, or why it may not be sent now."""
+        """Return the access granted to a call, or its refusal if it may not be sent now."""
         if is_too_late(state.left_s):
-            # Waking from a suspension, the wait may end with a replica though the time is over.
-            return refuse_too_late(state.route)
+            # After a suspension of the machine, selection may succeed past the deadline.
+            return deadline_refusal(state.route)
         quarantined = self._quarantine.check(state.fingerprint)
         return quarantined or self._access.check(state.call, state.route)
 
     async def _select_unless_stopped(self, state: CallState) -> Selected | Ending:
-        """Return the replica to try next; a planned stop ends the wait for one."""
+        """Return the replica to try next; a planned stop ends the wait for it."""
         task = asyncio.current_task()
         assert task is not None
         self._waiting.add(task)
@@ -185,12 +185,12 @@
             task.uncancel()
         finally:
             self._waiting.discard(task)
-        return give_up(
+        return refuse_unavailable(
             state.progress(), RefusalReason.STOPPING, retry_after.STOPPING_RETRY_AFTER_S
         )
 
     def refuse_waiting(self) -> None:
-        """Refuse the calls that still wait for a replica; other gateways take them."""
+        """Refuse the calls that still wait for a replica; callers retry at other gateways."""
         self._stopping = True
         for task in list(self._waiting):
             task.cancel()
@@ -200,8 +200,8 @@
         while True:
             reason = reason_not_to_send(state.refusals, state.left_s)
             if reason is not None:
-                return give_up(state.progress(), reason)
-            quarantined = await self._quarantine.check_when_known(state)
+                return refuse_unavailable(state.progress(), reason)
+            quarantined = await self._quarantine.check_confirmed(state)
             admitted = quarantined or self._access.check(state.call, state.route)
             if isinstance(admitted, Refuse):
                 return refuse(state.progress(), admitted)
@@ -211,14 +211,14 @@
             if isinstance(selection, Selected):
                 self._demand.record_key_held(state.call, state.service)
                 if state.sends and not self._budgets.of(state.service.name).try_retry():
-                    selection.note_end()
-                    return give_up(state.progress(), RefusalReason.UPSTREAM_REFUSED)
+                    selection.report_end()
+                    return refuse_unavailable(state.progress(), RefusalReason.UPSTREAM_REFUSED)
                 return selection
             outlook = self._demand.estimate_wait(state.call, state.service)
-            decided = hold_or_refuse(_absent(state, outlook))
-            if isinstance(decided, RefuseUntilReady):
-                return _refuse_no_replica(state, decided, outlook)
-            await self._hold(state, decided)
+            decision = hold_or_refuse(_absent_model(state, outlook))
+            if isinstance(decision, RefuseUntilReady):
+                return _refuse_no_replica(state, decision, outlook)
+            await self._hold(state, decision)
 
     def _refuse_overloaded(self, state: CallState, queue_wait_s: float) -> Ending:
         left_s = state.left_s
@@ -226,23 +226,23 @@
         copy_in_s = self._demand.estimate_wait(state.call, state.service).announced_in_s
         log_overloaded(state, queue_wait_s, copy_in_s)
         retry_after_s = retry_after.for_overload_s(queue_wait_s, copy_in_s, left_s)
-        return give_up(state.progress(), RefusalReason.OVERLOADED, retry_after_s)
+        return refuse_unavailable(state.progress(), RefusalReason.OVERLOADED, retry_after_s)
 
     async def _hold(self, state: CallState, hold: Hold) -> None:
-        """Wait for a replica that can run the call."""
+        """Wait for a change that may let a replica run the call."""
         if hold.retry_excluded:
             state.excluded.clear()
         self._demand.report_missing(state.call, state.service)
         await self._directory.wait_for_change(hold.wait_s)
 
 
-def _absent(state: CallState, outlook: CallWaitEstimate) -> CallWithoutReplica:
+def _absent_model(state: CallState, outlook: CallWaitEstimate) -> CallWithoutReplica:
     return CallWithoutReplica(
         route=state.route,
         expected_wait_s=outlook.wait_s,
         waited_s=state.since_arrival_s,
         left_s=state.left_s,
-        returned=state.returned,
+        returned=state.is_caller_retry,
         announced=outlook.is_announced,
         excluded=bool(state.excluded),
         answer_started=state.answer.started,
@@ -257,4 +257,6 @@
     state: CallState, refusal: RefuseUntilReady, outlook: CallWaitEstimate
 ) -> Ending:
     log_no_replica(state, refusal.expected_wait_s, outlook)
-    return give_up(state.progress(), RefusalReason.NO_READY_REPLICA, refusal.retry_after_s)
+    return refuse_unavailable(
+        state.progress(), RefusalReason.NO_READY_REPLICA, refusal.retry_after_s
+    )
--- a/limeshelf/gateway/state.py
+++ b/limeshelf/gateway/state.py
@@ -1,4 +1,4 @@
-"""How far one call has come: its attempts, what they gave, the time that is left."""
+"""The state of one call: its attempts, their results and the time left."""
 
 from __future__ import annotations
 
@@ -8,43 +8,43 @@
 
 from limeshelf.admission.wait_limits import is_retry
 from limeshelf.calls.fingerprint import Fingerprint, fingerprint_of
+from limeshelf.gateway.endings import CallProgress
 from limeshelf.gateway.events import EventSplitter
-from limeshelf.gateway.exchange import BrokenBy, Delivered, NeverRan, NotSent
-from limeshelf.gateway.settling import Progress
+from limeshelf.gateway.exchange import Delivered, FailureCause, NeverRan, NotSent
 from limeshelf.util.clock import boottime_s
 
 if TYPE_CHECKING:
     from limeshelf.calls.call import Call
     from limeshelf.calls.routes import Route, ServiceSpec
     from limeshelf.gateway.answer import Answer
-    from limeshelf.gateway.exchange import Result
+    from limeshelf.gateway.exchange import AttemptResult
     from limeshelf.organisations.organisation import Organisation
     from limeshelf.organisations.usage import Reservation
 
 
 @attrs.define
 class CallState:
-    """How far a call has come.
-
-    :ivar answer: where its answer goes.
-    :ivar organisation: that holds its key; ``None`` without one.
-    :ivar reservation: of what it uses of its organisation's limit; ``None`` without a limit.
-    :ivar ends_s: when its final answer must go out, on the steady clock.
-    :ivar splitter: keeps the place in a stream across attempts.
-    :ivar runs: replicas that ran it or may have run it.
-    :ivar sends: attempts so far.
-    :ivar refusals: attempts that surely did not run it.
+    """The state of a call.
+
+    :ivar answer: through which the caller is answered.
+    :ivar deadline_s: when its final answer must be sent, on the boot clock.
+    :ivar organisation: holder of its key; ``None`` without one.
+    :ivar reservation: its share of the organisation's limit; ``None`` without a limit.
+    :ivar splitter: keeps the position in a stream across attempts.
+    :ivar runs: number of replicas that ran it or may have run it.
+    :ivar sends: number of attempts so far.
+    :ivar refusals: number of attempts that surely did not run it.
     :ivar excluded: ids of replicas that it is not sent to again.
-    :ivar last: what the latest attempt gave.
+    :ivar last_result: result of the latest attempt.
     :ivar waited_s: time from its arrival to the latest send, in seconds.
-    :ivar fingerprint: the same for each try of the caller.
+    :ivar fingerprint: identifies its content; the same for each retry of the caller.
     """
 
     call: Call
     answer: Answer
     route: Route
     service: ServiceSpec
-    ends_s: float
+    deadline_s: float
     organisation: Organisation | None = None
     reservation: Reservation | None = None
     splitter: EventSplitter = attrs.field(factory=EventSplitter)
@@ -52,25 +52,25 @@
     sends: int = 0
     refusals: int = 0
     excluded: set[str] = attrs.field(factory=set)
-    last: Result | None = None
+    last_result: AttemptResult | None = None
     waited_s: float = 0.0
     fingerprint: Fingerprint = attrs.Factory(
         lambda self: fingerprint_of(self.call), takes_self=True
     )
 
-    def note_send(self) -> None:
-        """Count an attempt that begins now."""
+    def begin_attempt(self) -> None:
+        """Count an attempt that starts now."""
         self.sends += 1
         if self.reservation is not None:
             self.reservation.note_sent()
         self.waited_s = self.since_arrival_s
 
-    def note_result(self, result: Result) -> None:
-        """Count what an attempt gave."""
-        self.last = result
+    def record_result(self, result: AttemptResult) -> None:
+        """Count the result of an attempt."""
+        self.last_result = result
         if isinstance(result, NeverRan | NotSent):
-            if isinstance(result, NotSent) and result.by is BrokenBy.WITHHELD:
-                # Nothing arrived anywhere, so the next send repeats none.
+            if isinstance(result, NotSent) and result.cause is FailureCause.WITHHELD:
+                # No replica received anything, so the next send is not a retry.
                 self.sends -= 1
             else:
                 self.refusals += 1
@@ -79,15 +79,17 @@
         elif not isinstance(result, Delivered):
             self.runs += 1
 
-    def progress(self) -> Progress:
-        """Return what decides how the call ends."""
-        return Progress(self.route, self.runs, self.last, self.left_s, self.answer.started)
+    def progress(self) -> CallProgress:
+        """Return the state on which the ending of the call depends."""
+        return CallProgress(
+            self.route, self.runs, self.last_result, self.left_s, self.answer.started
+        )
 
     @property
     def priority(self) -> int:
-        """Return the call's rank; 0 is the most urgent.
+        """Return the priority of the call; 0 is the most urgent.
 
-        The one of its organisation goes before that of its route.
+        The priority of its organisation overrides that of its route.
         """
         organisation = self.organisation
         if organisation is None or organisation.priority is None:
@@ -95,9 +97,9 @@
         return organisation.priority
 
     @property
-    def returned(self) -> bool:
-        """Return whether the caller was likely refused before and has come back."""
-        return is_retry(self.route, self.call.budget_s)
+    def is_caller_retry(self) -> bool:
+        """Return whether this is likely a retry of a call that was refused."""
+        return is_retry(self.route, self.call.caller_timeout_s)
 
     @property
     def since_arrival_s(self) -> float:
@@ -106,5 +108,5 @@
 
     @property
     def left_s(self) -> float:
-        """Return the time that is left for the call, in seconds."""
-        return self.ends_s - boottime_s()
+        """Return the time until the deadline, in seconds."""
+        return self.deadline_s - boottime_s()
--- a/tests/gateway/test_selection.py
+++ b/tests/gateway/test_selection.py
@@ -1,4 +1,4 @@
-"""Which replica an attempt goes to, and what the dispatcher is asked for."""
+"""Selection of the replica for an attempt, and the queries to the dispatcher."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from limeshelf.dispatch.messages import Stage, VerdictKind
 from limeshelf.dispatch.rate_limiter import RatePermit
 from limeshelf.gateway.answer import Answer
-from limeshelf.gateway.exchange import Broken, BrokenBy, Delivered, NeverRan, NotSent
+from limeshelf.gateway.exchange import Broken, Delivered, FailureCause, NeverRan, NotSent
 from limeshelf.gateway.selection import ReplicaSelector, Selected
 from limeshelf.gateway.state import CallState
 from limeshelf.platform.replicas import read_record
@@ -31,7 +31,7 @@
 NEED = ModelNeed('m', '', 100, 50, 20, ())
 
 
-def selector_of(wire: FakeNode, turns: Any = None) -> ReplicaSelector:
+def selector_of(wire: FakeNode, permits: Any = None) -> ReplicaSelector:
     directory = ReplicaDirectory(read_record)
     for number in range(2):
         for service in (ENGINE, PLAIN):
@@ -49,32 +49,32 @@
                 )
             )
     return ReplicaSelector(
-        directory, PlainReplicaSelector(directory, 'z1'), client_of(wire), turns or Turns()
+        directory, PlainReplicaSelector(directory, 'z1'), client_of(wire), permits or FakePermits()
     )
 
 
-class Turns:
-    """Gives turns as told, and notes for which replicas it was asked."""
+class FakePermits:
+    """Returns preset permits, and records the replicas that it was asked for."""
 
-    def __init__(self, **turns: RatePermit) -> None:
-        self.turns = turns
+    def __init__(self, **permits: RatePermit) -> None:
+        self.permits = permits
         self.asked: list[str] = []
 
     async def acquire(self, replica: Replica, patience_s: float) -> RatePermit:
         self.asked.append(replica.replica_id)
-        return self.turns[replica.replica_id]
+        return self.permits[replica.replica_id]
 
 
 def state_of(service: ServiceSpec, need: ModelNeed | None = None, **changes: Any) -> CallState:
     now_s = boottime_s()
     call = Call('c', 'POST', 'h', '/r/x', (), b'', now_s, None, need, None)
-    answer: Answer = _Nowhere()
+    answer: Answer = _UnusedAnswer()
     state = CallState(call, answer, make_route(), service, now_s + 10.0)
     return attrs.evolve(state, **changes)
 
 
-class _Nowhere:
-    """An answer that no test here sends."""
+class _UnusedAnswer:
+    """An answer that fails the test when it is used."""
 
     started = False
 
@@ -83,18 +83,18 @@
 
 
 @in_loop
-async def test_model_call_goes_where_the_dispatcher_grants() -> None:
+async def test_model_call_goes_to_the_granted_replica() -> None:
     wire = FakeNode(VerdictKind.GRANTED)
     selected = await selector_of(wire).select(state_of(ENGINE, NEED))
     assert isinstance(selected, Selected)
     assert selected.replica.replica_id == 'r0'
-    selected.note_first_event()
-    selected.note_end()
+    selected.report_first_event()
+    selected.report_end()
     assert [stage for _, stage in wire.stages()] == [Stage.READ, Stage.ENDED]
 
 
 @in_loop
-async def test_grant_of_a_replica_that_has_left_is_given_back() -> None:
+async def test_grant_for_a_leaving_replica_is_released() -> None:
     wire = FakeNode(VerdictKind.GRANTED)
     selector = selector_of(wire)
     replica = selector.directory.get('r0')
@@ -107,7 +107,7 @@
 
 
 @in_loop
-async def test_dispatcher_hears_of_replicas_out_of_reach_and_of_the_callers_patience() -> None:
+async def test_query_has_the_unreachable_replicas_and_the_callers_patience() -> None:
     wire = FakeNode(VerdictKind.REFUSED)
     selector = selector_of(wire)
     replica = selector.directory.get('r1')
@@ -117,7 +117,7 @@
     assert await selector.select(state) == NoCapacity(0.07)
     query = wire.sent[0][1]
     assert query.excluded == ['r1', 'r9']
-    # Callers wait four objectives of 1 s here, of which 0.85 may pass.
+    # The caller's patience is four objectives of 1 s; 0.85 of it may be waited.
     assert 3300 <= query.left_ms <= 3400
     assert 900 <= query.objective_ms <= 1000
 
@@ -131,7 +131,7 @@
     selected = await selector_of(wire).select(state_of(PLAIN, excluded=excluded))
     assert isinstance(selected, Selected)
     assert selected.replica.replica_id == chosen
-    selected.note_end()
+    selected.report_end()
     assert wire.sent == []
 
 
@@ -143,12 +143,12 @@
 
 def test_results_count_as_runs_or_refusals() -> None:
     state = state_of(PLAIN)
-    for result in (NeverRan(reached=True), Broken(BrokenBy.SILENT), Delivered(200, 0.1)):
-        state.note_result(result)
-    assert (state.refusals, state.runs, state.last) == (1, 1, Delivered(200, 0.1))
+    for result in (NeverRan(reached=True), Broken(FailureCause.SILENT), Delivered(200, 0.1)):
+        state.record_result(result)
+    assert (state.refusals, state.runs, state.last_result) == (1, 1, Delivered(200, 0.1))
 
 
-def limit(selector: ReplicaSelector, *replica_ids: str) -> None:
+def limit_rate(selector: ReplicaSelector, *replica_ids: str) -> None:
     for replica_id in replica_ids:
         replica = selector.directory.get(replica_id)
         assert replica is not None
@@ -156,60 +156,61 @@
 
 
 @in_loop
-async def test_plain_call_passes_over_a_replica_without_a_turn() -> None:
-    turns = Turns(p0=RatePermit(False, 0.4))
-    selector = selector_of(FakeNode(VerdictKind.GRANTED), turns)
-    limit(selector, 'p0')
+async def test_plain_call_skips_a_replica_without_a_permit() -> None:
+    permits = FakePermits(p0=RatePermit(False, 0.4))
+    selector = selector_of(FakeNode(VerdictKind.GRANTED), permits)
+    limit_rate(selector, 'p0')
     for _ in range(8):
         selected = await selector.select(state_of(PLAIN))
         assert isinstance(selected, Selected)
         assert selected.replica.replica_id == 'p1'
-    assert set(turns.asked) == {'p0'}
+    assert set(permits.asked) == {'p0'}
 
 
 @in_loop
-async def test_plain_call_without_any_turn_is_told_when_the_next_one_is() -> None:
+async def test_plain_call_without_any_permit_gets_the_time_until_the_next() -> None:
     selector = selector_of(
-        FakeNode(VerdictKind.GRANTED), Turns(p0=RatePermit(False, 0.4), p1=RatePermit(False, 0.3))
+        FakeNode(VerdictKind.GRANTED),
+        FakePermits(p0=RatePermit(False, 0.4), p1=RatePermit(False, 0.3)),
     )
-    limit(selector, 'p0', 'p1')
+    limit_rate(selector, 'p0', 'p1')
     assert await selector.select(state_of(PLAIN)) == NoCapacity(0.3)
     assert await selector.select(state_of(PLAIN, excluded={'p1'})) == NoHolder()
 
 
 @in_loop
-async def test_plain_call_goes_with_a_turn() -> None:
-    selector = selector_of(FakeNode(VerdictKind.GRANTED), Turns(p0=RatePermit(True, 0.0)))
-    limit(selector, 'p0')
+async def test_plain_call_gets_a_permit() -> None:
+    selector = selector_of(FakeNode(VerdictKind.GRANTED), FakePermits(p0=RatePermit(True, 0.0)))
+    limit_rate(selector, 'p0')
     selected = await selector.select(state_of(PLAIN, excluded={'p1'}))
     assert isinstance(selected, Selected)
-    assert selected.has_turn
+    assert selected.has_permit
     assert selected.may_send()
 
 
 @in_loop
-async def test_grant_without_a_turn_needs_one_and_is_given_back_without() -> None:
+async def test_grant_without_a_permit_needs_one_and_is_released_otherwise() -> None:
     for granted, stages in [(True, []), (False, [Stage.ENDED])]:
         wire = FakeNode(VerdictKind.GRANTED)
-        selector = selector_of(wire, Turns(r0=RatePermit(granted, 0.0)))
-        limit(selector, 'r0')
+        selector = selector_of(wire, FakePermits(r0=RatePermit(granted, 0.0)))
+        limit_rate(selector, 'r0')
         selected = await selector.select(state_of(ENGINE, NEED))
         assert isinstance(selected, Selected if granted else NoHolder)
         assert [stage for _, stage in wire.stages()] == stages
 
 
 @in_loop
-async def test_replica_that_names_a_rate_after_the_choice_is_not_sent_to() -> None:
+async def test_call_is_withheld_from_a_replica_that_states_a_rate_after_the_selection() -> None:
     selector = selector_of(FakeNode(VerdictKind.GRANTED))
     selected = await selector.select(state_of(PLAIN, excluded={'p1'}))
     assert isinstance(selected, Selected)
     assert selected.may_send()
-    limit(selector, 'p0')
+    limit_rate(selector, 'p0')
     assert not selected.may_send()
 
 
-def test_withheld_call_has_not_been_sent() -> None:
+def test_withheld_call_does_not_count_as_sent() -> None:
     state = state_of(PLAIN)
-    state.note_send()
-    state.note_result(NotSent(BrokenBy.WITHHELD))
+    state.begin_attempt()
+    state.record_result(NotSent(FailureCause.WITHHELD))
     assert (state.sends, state.refusals, state.runs) == (0, 0, 0)
