--- a/limeshelf/placement/eviction.py
+++ b/limeshelf/placement/eviction.py
@@ -11,8 +11,8 @@
 import attrs
 
 if TYPE_CHECKING:
-    from limeshelf.placement.survey import CopySurvey, ReplicaCopies
-    from limeshelf.placement.worth import CopyWorth
+    from limeshelf.placement.copy_values import CopyValues
+    from limeshelf.placement.survey import PlacementSnapshot, ReplicaCopies
 
 
 @attrs.frozen
@@ -27,34 +27,36 @@
 
 
 def eviction_for(
-    model: str, replica: ReplicaCopies, survey: CopySurvey, worth: CopyWorth
+    model: str, replica: ReplicaCopies, snapshot: PlacementSnapshot, copy_values: CopyValues
 ) -> Eviction | None:
     """Return what has to go before *model* fits, or ``None`` if it never does.
 
     Copies of least worth go first; of equal worth, the first by name. One that somebody who was
     refused may come back for stays.
     """
-    needed_mb = survey.size_mb(model) - survey.free_mb(replica)
+    needed_mb = snapshot.size_mb(model) - snapshot.free_mb(replica)
     if needed_mb <= 0:
         return Eviction()
-    losses = worth.losses(replica)
+    losses = copy_values.losses(replica)
     evicted: list[str] = []
     for name in losses:
-        if survey.demand(name).is_awaited:
+        if snapshot.demand(name).is_awaited:
             continue
         evicted.append(name)
-        needed_mb -= survey.size_mb(name)
+        needed_mb -= snapshot.size_mb(name)
         if needed_mb <= 0:
-            needed = _without_surplus(evicted, -needed_mb, survey)
+            needed = _without_surplus(evicted, -needed_mb, snapshot)
             return Eviction(needed, sum(losses[name] for name in needed))
     return None
 
 
-def _without_surplus(evicted: list[str], spare_mb: float, survey: CopySurvey) -> tuple[str, ...]:
+def _without_surplus(
+    evicted: list[str], spare_mb: float, snapshot: PlacementSnapshot
+) -> tuple[str, ...]:
     """Leave out copies that need not go after a larger one went, the dearest first."""
     needed = list(evicted)
     for name in reversed(evicted[:-1]):
-        if survey.size_mb(name) <= spare_mb:
-            spare_mb -= survey.size_mb(name)
+        if snapshot.size_mb(name) <= spare_mb:
+            spare_mb -= snapshot.size_mb(name)
             needed.remove(name)
     return tuple(needed)
--- a/limeshelf/placement/model_worth.py
+++ b/limeshelf/placement/model_values.py
@@ -1,6 +1,6 @@
 """What demand alone decides of a model's worth, wherever its copies stand.
 
-Owns these parts of the worth of copies (:mod:`~limeshelf.placement.worth`), each worked out
+Owns these parts of the worth of copies (:mod:`~limeshelf.placement.copy_values`), each worked out
 once for all the moves of a round. Relies on the demand for each model.
 """
 
@@ -16,19 +16,19 @@
 
 #: Worth of the only copy of a model in calls a second, whoever asks for it, so that every model
 #: stays reachable.
-ONLY_COPY_WORTH_PER_S = 0.6
+ONLY_COPY_VALUE_PER_S = 0.6
 #: The same, this many times over, before any call is seen, of a model that was found with a copy.
-QUIET_ONLY_COPY_FACTOR = 2
+LOW_DEMAND_ONLY_COPY_FACTOR = 2
 #: The calls of a model without another copy count this much.
-ONLY_COPY_FACTOR = 2.0
+ONLY_COPY_CALLS_FACTOR = 2.0
 #: Most that calls of the longer average add to the worth of an only copy.
 LASTING_LIMIT_PER_S = 0.5
 #: Added, in calls a second, while calls wait for a copy.
-WAITING_WORTH_PER_S = 1.0
+WAITING_VALUE_PER_S = 1.0
 #: Added, in calls a second, for each second for which a model that is asked for has had no
 #: copy, up to the limit (tests/placement/test_planner.py::
-#: test_starved_model_gets_its_turn_in_the_end).
-STARVED_WORTH_PER_S_PER_S = 0.15
+#: test_starved_model_is_eventually_loaded).
+STARVED_VALUE_PER_S_PER_S = 0.15
 STARVED_LIMIT_PER_S = 3.0
 #: A model whose callers cannot wait counts as asked for by this share of the mean calls a
 #: second of all such models, however few ask for it now: demand moves among them, and until a
@@ -41,16 +41,16 @@
 #: data centres are lost: with the only copy of the busiest model behind a cut, 220 calls were
 #: refused until another one was loaded. At the most it is worth less than a model that calls
 #: wait for.
-SECURED_SHARE = 0.15
-SECURED_LIMIT_PER_S = 1.5
+REDUNDANCY_SHARE = 0.15
+REDUNDANCY_LIMIT_PER_S = 1.5
 #: Callers can wait for a load if their objective is at least this many times the load from the
 #: machine's memory. Otherwise models that rise next would be unloaded for an overloaded one.
 WARM_LOADS_PER_OBJECTIVE = 2.5
 #: Calls a second, over all models, below which the copies found at the start show what is busy.
-QUIET_CALLS_PER_S = 3.0
+LOW_DEMAND_CALLS_PER_S = 3.0
 
 
-class ModelWorth:
+class ModelValues:
     """Judges the models of one service by the demand for them.
 
     :param demands: by model; a model that is not in it has none.
@@ -62,74 +62,83 @@
         self,
         engine: EngineSpec,
         demands: dict[str, ModelDemand],
-        first_copies: dict[str, int],
+        initial_copies: dict[str, int],
         starved_s: dict[str, float],
     ) -> None:
         self._engine = engine
         self._demands = demands
-        self._first_copies = first_copies
+        self._initial_copies = initial_copies
         self._starved_s = starved_s
         calls_per_s = sum(demand.calls_per_s for demand in demands.values())
         #: Whether too little was asked for yet to judge by demand.
-        self.is_quiet = calls_per_s < QUIET_CALLS_PER_S
-        self._can_wait = {name: self._judge_wait(name) for name in engine.models}
-        self._expected_per_s = self._expected_calls_per_s()
-        self._only_copy = {name: self._judge_only_copy(name) for name in engine.models}
-        self._secured = {name: self._judge_secured(name) for name in engine.models}
-
-    def can_wait_for_a_load(self, model: str) -> bool:
+        self.is_low_demand = calls_per_s < LOW_DEMAND_CALLS_PER_S
+        self._latency_tolerant = {
+            name: self._compute_latency_tolerant(name) for name in engine.models
+        }
+        self._expected_per_s = self._compute_expected_per_s()
+        self._only_copy_per_s = {
+            name: self._compute_only_copy_per_s(name) for name in engine.models
+        }
+        self._redundancy_per_s = {
+            name: self._compute_redundancy_per_s(name) for name in engine.models
+        }
+
+    def is_latency_tolerant(self, model: str) -> bool:
         """Return whether calls to a model can wait until it is loaded again.
 
         Of a model that nobody has asked for yet, the copies found at the start decide: what
         stood there is likely asked for by callers who cannot wait.
         """
-        return self._can_wait[model]
+        return self._latency_tolerant[model]
 
     def only_copy_per_s(self, model: str) -> float:
         """Return what the only copy of a model is worth, in calls a second."""
-        return self._only_copy[model]
+        return self._only_copy_per_s[model]
 
-    def secured_per_s(self, model: str) -> float:
+    def redundancy_per_s(self, model: str) -> float:
         """Return what a second copy is worth should the first be lost, in calls a second."""
-        return self._secured[model]
+        return self._redundancy_per_s[model]
 
     def _demand(self, model: str) -> ModelDemand:
         return self._demands.get(model, NO_DEMAND)
 
-    def _judge_wait(self, model: str) -> bool:
+    def _compute_latency_tolerant(self, model: str) -> bool:
         objective_s = self._demand(model).objective_s
         if not objective_s:
-            return not self._first_copies.get(model)
+            return not self._initial_copies.get(model)
         warm_load_s = self._engine.models[model].warm_load_s
         return objective_s >= WARM_LOADS_PER_OBJECTIVE * warm_load_s
 
-    def _expected_calls_per_s(self) -> float:
+    def _compute_expected_per_s(self) -> float:
         """Return what a model whose callers cannot wait counts as asked for at the least."""
-        urgent = [
+        critical_rates = [
             self._demand(model).calls_per_s
-            for model, can_wait in self._can_wait.items()
-            if not can_wait
+            for model, is_tolerant in self._latency_tolerant.items()
+            if not is_tolerant
         ]
-        return min(EXPECTED_LIMIT_PER_S, EXPECTED_SHARE * sum(urgent) / max(1, len(urgent)))
+        return min(
+            EXPECTED_LIMIT_PER_S,
+            EXPECTED_SHARE * sum(critical_rates) / max(1, len(critical_rates)),
+        )
 
-    def _judge_only_copy(self, model: str) -> float:
-        if self.is_quiet:
-            factor = QUIET_ONLY_COPY_FACTOR if self._first_copies.get(model) else 1
-            return factor * ONLY_COPY_WORTH_PER_S
+    def _compute_only_copy_per_s(self, model: str) -> float:
+        if self.is_low_demand:
+            factor = LOW_DEMAND_ONLY_COPY_FACTOR if self._initial_copies.get(model) else 1
+            return factor * ONLY_COPY_VALUE_PER_S
         demand = self._demand(model)
         calls_per_s = max(
             demand.calls_per_s / max(1.0, demand.busy_replicas),
             min(demand.lasting_calls_per_s, LASTING_LIMIT_PER_S),
         )
-        if not self._can_wait[model]:
+        if not self._latency_tolerant[model]:
             calls_per_s = max(calls_per_s, self._expected_per_s)
-        worth = ONLY_COPY_WORTH_PER_S + ONLY_COPY_FACTOR * calls_per_s
-        starved = STARVED_WORTH_PER_S_PER_S * self._starved_s.get(model, 0.0)
-        waiting = WAITING_WORTH_PER_S if demand.is_waiting else 0.0
-        return worth + min(STARVED_LIMIT_PER_S, starved) + waiting
+        value = ONLY_COPY_VALUE_PER_S + ONLY_COPY_CALLS_FACTOR * calls_per_s
+        starved = STARVED_VALUE_PER_S_PER_S * self._starved_s.get(model, 0.0)
+        waiting = WAITING_VALUE_PER_S if demand.is_waiting else 0.0
+        return value + min(STARVED_LIMIT_PER_S, starved) + waiting
 
-    def _judge_secured(self, model: str) -> float:
-        if self._can_wait[model]:
+    def _compute_redundancy_per_s(self, model: str) -> float:
+        if self._latency_tolerant[model]:
             return 0.0
         calls_per_s = self._demand(model).calls_per_s
-        return min(SECURED_LIMIT_PER_S, SECURED_SHARE * calls_per_s)
+        return min(REDUNDANCY_LIMIT_PER_S, REDUNDANCY_SHARE * calls_per_s)
--- a/limeshelf/placement/move_runner.py
+++ b/limeshelf/placement/move_runner.py
@@ -68,7 +68,7 @@
             reason=move.reason,
             from_store=move.from_store,
             tier=move.tier,
-            nearer=move.nearer,
+            nearer=move.replicas_with_weights,
             load_s=move.load_s,
             gain=move.gain,
             loss=move.loss,
--- a/limeshelf/placement/options.py
+++ b/limeshelf/placement/options.py
@@ -14,8 +14,8 @@
 from limeshelf.placement.eviction import Eviction, eviction_for
 
 if TYPE_CHECKING:
-    from limeshelf.placement.survey import CopySurvey, ReplicaCopies
-    from limeshelf.placement.worth import CopyWorth
+    from limeshelf.placement.copy_values import CopyValues
+    from limeshelf.placement.survey import PlacementSnapshot, ReplicaCopies
 
 #: An unload waits for the runs of its model, which takes about this long where there are any: a
 #: hot model's load from a disk began 3 s after it was decided, since the copy that went first
@@ -43,57 +43,59 @@
 
 
 def load_options(
-    model: str, survey: CopySurvey, worth: CopyWorth, store_allowed: bool
+    model: str, snapshot: PlacementSnapshot, copy_values: CopyValues, store_allowed: bool
 ) -> list[LoadOption]:
     """Return every option for a model.
 
     :param store_allowed: whether a load from the weight store may begin.
     """
-    spec = survey.engine.models[model]
+    spec = snapshot.engine.models[model]
     options = []
-    for replica in survey.idle:
+    for replica in snapshot.idle:
         from_store = replica.needs_store(model)
-        if replica.has(model) or (from_store and not store_allowed):
+        if replica.has_copy(model) or (from_store and not store_allowed):
             continue
-        eviction = eviction_for(model, replica, survey, worth)
+        eviction = eviction_for(model, replica, snapshot, copy_values)
         if eviction is None:
             continue
         load_s = replica.load_s(spec)
-        ready_in_s = load_s + _unload_s(eviction, survey)
+        ready_in_s = load_s + _unload_s(eviction, snapshot)
         options.append(LoadOption(replica, eviction, from_store, load_s, ready_in_s))
     return options
 
 
-def _unload_s(eviction: Eviction, survey: CopySurvey) -> float:
+def _unload_s(eviction: Eviction, snapshot: PlacementSnapshot) -> float:
     """Return how long the unloads before a load likely wait for runs, in seconds."""
-    is_busy = any(survey.running_calls(name) >= RUNNING_CALLS for name in eviction.models)
+    is_busy = any(snapshot.running_calls(name) >= RUNNING_CALLS for name in eviction.models)
     return BUSY_UNLOAD_S if is_busy else 0.0
 
 
-def near_in_s(model: str, survey: CopySurvey) -> float:
+def near_in_s(model: str, snapshot: PlacementSnapshot) -> float:
     """Return how soon a replica that is busy now could bring a model whose weights it has near.
 
     :return: in seconds; infinite where no such replica has them.
     """
-    spec = survey.engine.models[model]
+    spec = snapshot.engine.models[model]
     return min(
-        (one.free_in_s + one.load_s(spec) for one in _busy_near(model, survey)), default=math.inf
+        (one.free_in_s + one.load_s(spec) for one in _busy_near(model, snapshot)), default=math.inf
     )
 
 
-def upcoming_loads_s(models: list[str], survey: CopySurvey, worth: CopyWorth) -> dict[str, float]:
+def upcoming_loads_s(
+    models: list[str], snapshot: PlacementSnapshot, copy_values: CopyValues
+) -> dict[str, float]:
     """Return when models are likely there that busy replicas have near, the first one first.
 
     :return: seconds from now, by model; one that no such replica has room for is left out.
     """
-    free_in_s = {one.replica_id: one.free_in_s for one in survey.replicas}
+    free_in_s = {one.replica_id: one.free_in_s for one in snapshot.replicas}
     upcoming_s = {}
     for model in models:
-        spec = survey.engine.models[model]
+        spec = snapshot.engine.models[model]
         places = [
             (free_in_s[one.replica_id] + one.load_s(spec), one.replica_id)
-            for one in _busy_near(model, survey)
-            if eviction_for(model, one, survey, worth) is not None
+            for one in _busy_near(model, snapshot)
+            if eviction_for(model, one, snapshot, copy_values) is not None
         ]
         if places:
             ready_in_s, replica_id = min(places)
@@ -101,10 +103,13 @@
     return upcoming_s
 
 
-def _busy_near(model: str, survey: CopySurvey) -> list[ReplicaCopies]:
+def _busy_near(model: str, snapshot: PlacementSnapshot) -> list[ReplicaCopies]:
     """Return the replicas that load something now and have the weights of a model near."""
     return [
         one
-        for one in survey.replicas
-        if not one.is_idle and one.loading and not one.has(model) and not one.needs_store(model)
+        for one in snapshot.replicas
+        if not one.is_idle
+        and one.loading
+        and not one.has_copy(model)
+        and not one.needs_store(model)
     ]
--- a/limeshelf/placement/service.py
+++ b/limeshelf/placement/service.py
@@ -16,12 +16,12 @@
 from limeshelf.demand.unserved import Unserved, unserved
 from limeshelf.placement.adapters import AdapterPlanner
 from limeshelf.placement.move_runner import MoveRunner
+from limeshelf.placement.overdue import OverdueLoads
 from limeshelf.placement.pace import LoadPace
 from limeshelf.placement.planner import CopyPlanner, MoveReason
 from limeshelf.placement.replica_watch import ReplicaWatch
-from limeshelf.placement.starvation import Starvation
+from limeshelf.placement.starvation import StarvationTracker
 from limeshelf.placement.survey_log import SurveyLog
-from limeshelf.placement.turns import TurnBook
 from limeshelf.util.clock import boottime_s
 
 if TYPE_CHECKING:
@@ -85,8 +85,8 @@
         self._on_load = on_load
         self._moves = MoveRunner(directory, sender, tasks, on_load, lost_loads)
         self._pace = LoadPace(window_s)
-        self._starvation = Starvation()
-        self._turns = TurnBook()
+        self._starvation = StarvationTracker()
+        self._turns = OverdueLoads()
         self._survey_log = SurveyLog()
         self._upcoming_s: dict[ModelKey, float] = {}
         self._term_fence = 0
@@ -143,7 +143,7 @@
         demands = demand_by_model(service, engine, loads, self._read_ms)
         self._bring_due_adapters(service, engine)
         copies = self._replicas.copies(service)
-        starved_s = self._starvation.step(service, demands, copies)
+        starved_s = self._starvation.track(service, demands, copies)
         first_copies = self._replicas.first_copies(service)
         barred = {name for name in engine.models if self._lost_loads.is_barred(service, name)}
         planner = CopyPlanner(engine, demands, first_copies, starved_s, barred, self._turns)
@@ -161,17 +161,17 @@
                 return
             store_allowed = self._pace.allows(engine.loads_per_s)
             may_spread = self._replicas.is_settled(service)
-            move = planner.next_move(copies, store_allowed, may_spread=may_spread)
+            move = planner.next_move(copies, store_allowed, may_prefetch=may_spread)
             if move is None:
                 outlook = planner.outlook(copies, store_allowed)
-                self._note_upcoming(service, outlook.upcoming_s)
-                self._survey_log.note_passed_over(service, outlook.passed_over)
+                self._note_upcoming(service, outlook.ready_in_s)
+                self._survey_log.note_passed_over(service, outlook.not_loaded)
                 return
             if move.from_store:
                 self._pace.note()
             self._moves.begin(move)
             if move.reason is MoveReason.OVERDUE:
-                self._turns.note_begun(move.replica_id, move.model)
+                self._turns.record_start(move.replica_id, move.model)
             for replica in copies:
                 if replica.replica_id == move.replica_id:
                     replica.begin_move(move.model, move.evicted, move.load_s)
--- a/limeshelf/placement/starvation.py
+++ b/limeshelf/placement/starvation.py
@@ -16,13 +16,13 @@
     from limeshelf.placement.survey import ReplicaCopies
 
 
-class Starvation:
+class StarvationTracker:
     """Notes when each model was last placed."""
 
     def __init__(self) -> None:
-        self._placed_s: dict[tuple[str, str], float] = {}
+        self._last_placed_s: dict[tuple[str, str], float] = {}
 
-    def step(
+    def track(
         self, service: str, demands: dict[str, ModelDemand], replicas: list[ReplicaCopies]
     ) -> dict[str, float]:
         """Return for how many seconds each starved model of a service has had no copy.
@@ -31,10 +31,10 @@
         """
         now_s = boottime_s()
         placed = {model for replica in replicas for model in replica.ready | replica.loading}
-        self._placed_s.update(((service, model), now_s) for model in placed)
+        self._last_placed_s.update(((service, model), now_s) for model in placed)
         starved_s = {}
         for model, demand in demands.items():
             if model not in placed and demand.unserved_s > 0:
-                placed_s = self._placed_s.get((service, model), 0.0)
+                placed_s = self._last_placed_s.get((service, model), 0.0)
                 starved_s[model] = min(demand.unserved_s, now_s - placed_s)
         return starved_s
--- a/limeshelf/placement/survey.py
+++ b/limeshelf/placement/survey.py
@@ -21,7 +21,7 @@
 #: A load that takes longer yet keeps its replica from bringing what lies near there in time.
 LONG_LOAD_S = 2.0
 #: Share of a replica that a copy gets there at the least, however busy others keep it.
-LEAST_CAPACITY_SHARE = 0.15
+MIN_CAPACITY_SHARE = 0.15
 
 
 class WeightsTier(enum.StrEnum):
@@ -53,11 +53,11 @@
     on_disk: frozenset[str] = frozenset()
     free_in_s: float = 0.0
 
-    def has(self, model: str) -> bool:
+    def has_copy(self, model: str) -> bool:
         """Return whether a copy is there or on its way."""
         return model in self.ready or model in self.loading
 
-    def has_spare(self) -> bool:
+    def has_unloaded_local_weights(self) -> bool:
         """Return whether weights lie near here of a model that is neither ready nor coming."""
         return bool((self.in_memory | self.on_disk) - self.ready - self.loading)
 
@@ -114,7 +114,7 @@
 
 
 @attrs.frozen
-class CopySurvey:
+class PlacementSnapshot:
     """What stands where at one moment; made by :meth:`take`.
 
     :ivar engine: what a replica of the service can hold.
@@ -135,12 +135,12 @@
     _free_mb: dict[str, float] = attrs.field(factory=dict)
 
     @classmethod
-    def take(
+    def capture(
         cls,
         engine: EngineSpec,
         demands: dict[str, ModelDemand],
         replicas: list[ReplicaCopies],
-    ) -> CopySurvey:
+    ) -> PlacementSnapshot:
         """Count the copies at *replicas*.
 
         :param demands: by model; a model that is not in it has none.
@@ -150,10 +150,10 @@
         copies = {name: ModelCopies() for name in engine.models}
         idle = [replica for replica in replicas if replica.is_idle]
         loading = sum(1 for replica in replicas if replica.loading)
-        survey = cls(engine, demands, replicas, idle, loading, adapters_mb, copies, {})
-        survey._count_copies()
-        survey._sum_up_shares()
-        return survey
+        snapshot = cls(engine, demands, replicas, idle, loading, adapters_mb, copies, {})
+        snapshot._count_copies()
+        snapshot._sum_shares()
+        return snapshot
 
     def _count_copies(self) -> None:
         known = self.engine.models.keys()
@@ -166,7 +166,7 @@
                 centre = replica.data_centre
                 copies.by_centre[centre] = copies.by_centre.get(centre, 0) + 1
 
-    def _sum_up_shares(self) -> None:
+    def _sum_shares(self) -> None:
         for replica in self.replicas:
             shares = map(self.copy_share, replica.ready | replica.loading)
             self._busy_share[replica.replica_id] = sum(shares)
@@ -198,13 +198,17 @@
     def capacity_share(self, model: str, replica: ReplicaCopies) -> float:
         """Return the share of a replica that others there leave for a model."""
         busy_share = self._busy_share[replica.replica_id]
-        if replica.has(model):
+        if replica.has_copy(model):
             busy_share -= self.copy_share(model)
-        return min(1.0, max(LEAST_CAPACITY_SHARE, 1.0 - busy_share))
+        return min(1.0, max(MIN_CAPACITY_SHARE, 1.0 - busy_share))
 
-    def long_loads(self) -> int:
+    def count_long_loads(self) -> int:
         """Return how many replicas a load keeps for long yet from what lies near there."""
-        return sum(1 for one in self.replicas if one.free_in_s > LONG_LOAD_S and one.has_spare())
+        return sum(
+            1
+            for one in self.replicas
+            if one.free_in_s > LONG_LOAD_S and one.has_unloaded_local_weights()
+        )
 
     def size_mb(self, model: str) -> float:
         """Return the size of a model's weights; 0 if the configuration lacks it."""
--- a/limeshelf/placement/survey_log.py
+++ b/limeshelf/placement/survey_log.py
@@ -11,7 +11,7 @@
 from limeshelf.util.clock import boottime_s
 
 if TYPE_CHECKING:
-    from limeshelf.placement.planner import PassedOver
+    from limeshelf.placement.planner import NotLoadedReason
     from limeshelf.placement.survey import ReplicaCopies
 
 #: A change is logged this long after the one before of the same replica or model at the earliest.
@@ -26,7 +26,7 @@
 
     def __init__(self) -> None:
         self._contents: dict[str, _Contents] = {}
-        self._passed_over: dict[tuple[str, str], PassedOver] = {}
+        self._passed_over: dict[tuple[str, str], NotLoadedReason] = {}
         self._logged_s: dict[tuple[str, str], float] = {}
 
     def note_replicas(self, service: str, replicas: list[ReplicaCopies]) -> None:
@@ -47,7 +47,7 @@
             )
         self._forget_lost(service, {replica.replica_id for replica in replicas})
 
-    def note_passed_over(self, service: str, passed_over: dict[str, PassedOver]) -> None:
+    def note_passed_over(self, service: str, passed_over: dict[str, NotLoadedReason]) -> None:
         """Log each model that waits for another reason than it did."""
         for model, reason in passed_over.items():
             key = (service, model)
--- a/tests/placement/fleet_play.py
+++ b/tests/placement/fleet_play.py
@@ -23,12 +23,12 @@
 from limeshelf.orders.pending import REPORT_SETTLE_S, PendingOrders
 from limeshelf.orders.task import Loadable
 from limeshelf.placement.adapters import AdapterMove, AdapterPlanner
+from limeshelf.placement.overdue import OverdueLoads
 from limeshelf.placement.pace import LoadPace
 from limeshelf.placement.planner import CopyMove, CopyPlanner, MoveReason
 from limeshelf.placement.service import ROUND_S
-from limeshelf.placement.starvation import Starvation
+from limeshelf.placement.starvation import StarvationTracker
 from limeshelf.placement.survey import ReplicaCopies
-from limeshelf.placement.turns import TurnBook
 from limeshelf.platform.replicas import read_record
 from limeshelf.replicas.directory import ReplicaDirectory
 from limeshelf.replicas.record import Holding, ReplicaRecord, ReplicaReport
@@ -376,8 +376,8 @@
     engine: EngineSpec = attrs.field(kw_only=True)
     replicas: list[ModelReplica] = attrs.field(factory=list)
     pace: LoadPace = attrs.field(factory=lambda: LoadPace(1.0))
-    starvation: Starvation = attrs.field(factory=Starvation)
-    turns: TurnBook = attrs.field(factory=TurnBook)
+    starvation: StarvationTracker = attrs.field(factory=StarvationTracker)
+    overdue_loads: OverdueLoads = attrs.field(factory=OverdueLoads)
     report_lag_s: float = 0.0
     #: Models whose copy came and has served nobody yet.
     unused: set[str] = attrs.field(factory=set)
@@ -425,8 +425,8 @@
         totals = self.gateway.leader.latest()
         demands = demand_by_model(SERVICE, self.engine, totals, lambda *_: READ_MS)
         copies = [one.copies for one in self.replicas]
-        starved_s = self.starvation.step(SERVICE, demands, copies)
-        planner = CopyPlanner(self.engine, demands, {}, starved_s, (), self.turns)
+        starved_s = self.starvation.track(SERVICE, demands, copies)
+        planner = CopyPlanner(self.engine, demands, {}, starved_s, (), self.overdue_loads)
         while True:
             move = planner.next_move(copies, self.pace.allows(self.engine.loads_per_s))
             if move is None:
@@ -435,7 +435,7 @@
                 self.pace.note()
             self._begin(move)
             if move.reason is MoveReason.OVERDUE:
-                self.turns.note_begun(move.replica_id, move.model)
+                self.overdue_loads.record_start(move.replica_id, move.model)
 
     def _begin(self, move: CopyMove) -> None:
         replica = next(one for one in self.replicas if one.copies.replica_id == move.replica_id)
--- a/tests/placement/test_worth.py
+++ b/tests/placement/test_copy_values.py
@@ -6,9 +6,9 @@
 import pytest
 
 from limeshelf.demand.model_demand import ModelDemand
-from limeshelf.placement.model_worth import EXPECTED_LIMIT_PER_S
-from limeshelf.placement.survey import CopySurvey, ReplicaCopies
-from limeshelf.placement.worth import CopyWorth
+from limeshelf.placement.copy_values import CopyValues
+from limeshelf.placement.model_values import EXPECTED_LIMIT_PER_S
+from limeshelf.placement.survey import PlacementSnapshot, ReplicaCopies
 from tests.placement.builders import busy, engine, replica, seldom
 
 
@@ -17,9 +17,9 @@
     replicas: list[ReplicaCopies],
     first_copies: dict[str, int] | None = None,
     starved_s: dict[str, float] | None = None,
-) -> CopyWorth:
-    survey = CopySurvey.take(engine(), demands, replicas)
-    return CopyWorth(survey, first_copies or {}, starved_s or {})
+) -> CopyValues:
+    snapshot = PlacementSnapshot.capture(engine(), demands, replicas)
+    return CopyValues(snapshot, first_copies or {}, starved_s or {})
 
 
 def test_first_copy_gains_its_calls_and_what_waits_and_starves() -> None:
@@ -27,27 +27,27 @@
     replicas = [replica('r1', 'hot')]
     assert worth_of(demands, replicas).idle_gain('rare') == pytest.approx(0.6 + 2 * 0.3)
     demands['rare'] = seldom(0.3, waits=True)
-    worth = worth_of(demands, replicas, starved_s={'rare': 10.0})
-    assert worth.idle_gain('rare') == pytest.approx(0.6 + 2 * 0.3 + 1.0 + 1.5)
+    copy_values = worth_of(demands, replicas, starved_s={'rare': 10.0})
+    assert copy_values.idle_gain('rare') == pytest.approx(0.6 + 2 * 0.3 + 1.0 + 1.5)
     longer = worth_of(demands, replicas, starved_s={'rare': 100.0})
     assert longer.idle_gain('rare') == pytest.approx(0.6 + 2 * 0.3 + 1.0 + 3.0)
 
 
 def test_further_copy_gains_the_calls_that_are_served_by_it() -> None:
     replicas = [replica('r1', 'hot'), replica('r2'), replica('r3', data_centre='c2')]
-    worth = worth_of({'hot': busy(20, replicas=1.5)}, replicas)
+    copy_values = worth_of({'hot': busy(20, replicas=1.5)}, replicas)
     # What one copy cannot serve, and 1.5 because a second copy secures the first.
     more_per_s = 20 * 0.5 / 1.5 + 1.5
-    assert worth.gain('hot', replicas[1]) == pytest.approx(more_per_s)
-    assert worth.gain('hot', replicas[2]) == pytest.approx(1.2 * more_per_s)
+    assert copy_values.gain('hot', replicas[1]) == pytest.approx(more_per_s)
+    assert copy_values.gain('hot', replicas[2]) == pytest.approx(1.2 * more_per_s)
 
 
 def test_busy_replica_gives_a_first_copy_half_its_worth_at_the_least() -> None:
     demands = {'hot': busy(20, replicas=2.0), 'rare': seldom(0.3)}
     replicas = [replica('r1', 'hot'), replica('r2', 'big')]
-    worth = worth_of(demands, replicas)
-    idle_gain = worth.gain('rare', replicas[1])
-    assert worth.gain('rare', replicas[0]) == pytest.approx((0.5 + 0.5 * 0.15) * idle_gain)
+    copy_values = worth_of(demands, replicas)
+    idle_gain = copy_values.gain('rare', replicas[1])
+    assert copy_values.gain('rare', replicas[0]) == pytest.approx((0.5 + 0.5 * 0.15) * idle_gain)
 
 
 def test_only_copy_is_lost_at_twice_its_worth_if_callers_cannot_wait() -> None:
@@ -58,11 +58,13 @@
         'small': ModelDemand(objective_s=2.5),
         'rare': ModelDemand(objective_s=2.4),
     }
-    worth = worth_of(demands, replicas)
-    assert worth.loss('small', replicas[0]) == pytest.approx(0.6)
+    copy_values = worth_of(demands, replicas)
+    assert copy_values.loss('small', replicas[0]) == pytest.approx(0.6)
     expected_per_s = 0.3 * (20 + 0) / 2
     assert expected_per_s > EXPECTED_LIMIT_PER_S
-    assert worth.loss('rare', replicas[0]) == pytest.approx(2 * (0.6 + 2 * EXPECTED_LIMIT_PER_S))
+    assert copy_values.loss('rare', replicas[0]) == pytest.approx(
+        2 * (0.6 + 2 * EXPECTED_LIMIT_PER_S)
+    )
     few = worth_of({**demands, 'hot': busy(6)}, replicas)
     assert few.loss('rare', replicas[0]) == pytest.approx(2 * (0.6 + 2 * 0.3 * (6 + 0) / 2))
 
@@ -71,8 +73,8 @@
     """Where few models took most calls, it was worth more, and those that waited got no place."""
     replicas = [replica('r1', 'hot', 'small', 'rare')]
     demands = {'hot': busy(60), 'rare': busy(5), 'small': ModelDemand(objective_s=1.0)}
-    worth = worth_of(demands, replicas)
-    assert worth.loss('small', replicas[0]) < 0.5 * worth.loss('rare', replicas[0])
+    copy_values = worth_of(demands, replicas)
+    assert copy_values.loss('small', replicas[0]) < 0.5 * copy_values.loss('rare', replicas[0])
 
 
 def test_copy_for_callers_that_cannot_wait_is_not_given_up_for_one_that_waits() -> None:
@@ -84,17 +86,17 @@
         'small': seldom(0.1),
         'other': seldom(0.2, waits=True),
     }
-    worth = worth_of(demands, replicas, starved_s={'other': 30.0})
-    assert worth.gain('other', replicas[0]) < 1.3 * worth.loss('rare', replicas[0])
-    assert worth.gain('other', replicas[1]) > 1.3 * worth.loss('small', replicas[1])
+    copy_values = worth_of(demands, replicas, starved_s={'other': 30.0})
+    assert copy_values.gain('other', replicas[0]) < 1.3 * copy_values.loss('rare', replicas[0])
+    assert copy_values.gain('other', replicas[1]) > 1.3 * copy_values.loss('small', replicas[1])
 
 
 def test_copies_found_are_worth_less_by_the_square_of_their_number() -> None:
     replicas = [replica(f'r{n}', 'hot') for n in range(3)]
-    worth = worth_of({}, replicas, first_copies={'hot': 4})
-    assert worth.is_quiet
-    assert worth.loss('hot', replicas[0]) == pytest.approx(0.4 * 4 / 9)
-    assert worth.idle_gain('hot') == pytest.approx(0.4 * 4 / 16)
+    copy_values = worth_of({}, replicas, first_copies={'hot': 4})
+    assert copy_values.is_low_demand
+    assert copy_values.loss('hot', replicas[0]) == pytest.approx(0.4 * 4 / 9)
+    assert copy_values.idle_gain('hot') == pytest.approx(0.4 * 4 / 16)
     assert worth_of({}, replicas, first_copies={'hot': 3}).idle_gain('hot') == 0.0
 
 
--- a/tests/placement/test_eviction.py
+++ b/tests/placement/test_eviction.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from limeshelf.demand.model_demand import ModelDemand
+from limeshelf.placement.copy_values import CopyValues
 from limeshelf.placement.eviction import Eviction, eviction_for
-from limeshelf.placement.survey import CopySurvey, ReplicaCopies
-from limeshelf.placement.worth import CopyWorth
+from limeshelf.placement.survey import PlacementSnapshot, ReplicaCopies
 from tests.placement.builders import busy, engine, replica, seldom
 
 # A replica has 156 MB for models beside 4 MB for adapters (tests/placement/builders.py).
@@ -13,8 +13,8 @@
 
 def evicted(model: str, here: ReplicaCopies, **demands: ModelDemand) -> Eviction | None:
     demands.setdefault('hot', busy(20))
-    survey = CopySurvey.take(engine(), demands, [here, replica('r9', 'hot')])
-    return eviction_for(model, here, survey, CopyWorth(survey, {}, {}))
+    snapshot = PlacementSnapshot.capture(engine(), demands, [here, replica('r9', 'hot')])
+    return eviction_for(model, here, snapshot, CopyValues(snapshot, {}, {}))
 
 
 def test_nothing_goes_where_there_is_room() -> None:
--- a/tests/placement/test_options.py
+++ b/tests/placement/test_options.py
@@ -5,6 +5,7 @@
 import math
 
 from limeshelf.demand.model_demand import ModelDemand
+from limeshelf.placement.copy_values import CopyValues
 from limeshelf.placement.options import (
     BUSY_UNLOAD_S,
     LoadOption,
@@ -12,16 +13,15 @@
     near_in_s,
     upcoming_loads_s,
 )
-from limeshelf.placement.survey import CopySurvey, ReplicaCopies
-from limeshelf.placement.worth import CopyWorth
+from limeshelf.placement.survey import PlacementSnapshot, ReplicaCopies
 from tests.placement.builders import busy, engine, replica
 
 
 def options(
     replicas: list[ReplicaCopies], store_allowed: bool = True, **demands: ModelDemand
 ) -> dict[str, LoadOption]:
-    survey = CopySurvey.take(engine(), demands, replicas)
-    found = load_options('rare', survey, CopyWorth(survey, {}, {}), store_allowed)
+    snapshot = PlacementSnapshot.capture(engine(), demands, replicas)
+    found = load_options('rare', snapshot, CopyValues(snapshot, {}, {}), store_allowed)
     return {option.replica.replica_id: option for option in found}
 
 
@@ -61,22 +61,22 @@
     return one
 
 
-def survey_of(*replicas: ReplicaCopies) -> CopySurvey:
-    return CopySurvey.take(engine(), {}, list(replicas))
+def survey_of(*replicas: ReplicaCopies) -> PlacementSnapshot:
+    return PlacementSnapshot.capture(engine(), {}, list(replicas))
 
 
 def test_busy_replica_brings_what_it_has_near_after_its_load() -> None:
     disk_load_s = engine().models['rare'].disk_load_s
-    survey = survey_of(occupied('r1', 3.0, 'rare'), occupied('r2', 1.0, 'rare'), replica('r3'))
-    assert near_in_s('rare', survey) == 1.0 + disk_load_s
-    assert near_in_s('other', survey) == math.inf
+    snapshot = survey_of(occupied('r1', 3.0, 'rare'), occupied('r2', 1.0, 'rare'), replica('r3'))
+    assert near_in_s('rare', snapshot) == 1.0 + disk_load_s
+    assert near_in_s('other', snapshot) == math.inf
 
 
 def test_models_that_wait_for_one_replica_come_one_after_the_other() -> None:
-    survey = survey_of(occupied('r1', 2.0, 'rare', 'other'))
-    worth = CopyWorth(survey, {}, {})
+    snapshot = survey_of(occupied('r1', 2.0, 'rare', 'other'))
+    copy_values = CopyValues(snapshot, {}, {})
     disk_load_s = engine().models['rare'].disk_load_s
-    assert upcoming_loads_s(['rare', 'other', 'small'], survey, worth) == {
+    assert upcoming_loads_s(['rare', 'other', 'small'], snapshot, copy_values) == {
         'rare': 2.0 + disk_load_s,
         'other': 2.0 + 2 * disk_load_s,
     }
--- a/tests/placement/test_turns.py
+++ b/tests/placement/test_overdue.py
@@ -5,15 +5,15 @@
 import attrs
 
 from limeshelf.demand.model_demand import ModelDemand
-from limeshelf.placement.planner import GAIN_PER_LOSS, CopyMove, CopyPlanner
-from limeshelf.placement.survey import CopySurvey, ReplicaCopies
-from limeshelf.placement.turns import (
+from limeshelf.placement.overdue import (
+    OVERDUE_AFTER_S,
     SECOND_COPY_AFTER_S,
-    TURN_AFTER_S,
-    TurnBook,
-    bearable_loss_per_s,
-    due_models,
+    OverdueLoads,
+    allowed_loss_per_s,
+    overdue_models,
 )
+from limeshelf.placement.planner import MIN_GAIN_LOSS_RATIO, CopyMove, CopyPlanner
+from limeshelf.placement.survey import PlacementSnapshot, ReplicaCopies
 from tests.placement.builders import busy, engine, replica, seldom
 
 
@@ -22,11 +22,15 @@
 
 
 def due(replicas: list[ReplicaCopies], **demands: ModelDemand) -> list[str]:
-    return due_models(CopySurvey.take(engine(), demands, replicas), ())
+    return overdue_models(PlacementSnapshot.capture(engine(), demands, replicas), ())
 
 
-def due_with(turns: TurnBook, replicas: list[ReplicaCopies], **demands: ModelDemand) -> list[str]:
-    return due_models(CopySurvey.take(engine(), demands, replicas), (), turns)
+def due_with(
+    overdue_loads: OverdueLoads, replicas: list[ReplicaCopies], **demands: ModelDemand
+) -> list[str]:
+    return overdue_models(
+        PlacementSnapshot.capture(engine(), demands, replicas), (), overdue_loads
+    )
 
 
 def planned(replicas: list[ReplicaCopies], **demands: ModelDemand) -> CopyMove | None:
@@ -37,7 +41,7 @@
     """Twenty calls in a minute were refused, and no load was ever ordered."""
     replicas = [replica(f'r{n}', 'hot', 'big') for n in range(3)]
     demands = {'hot': busy(60, replicas=3.0), 'big': busy(40, replicas=3.0)}
-    assert planned(replicas, **demands, rare=waiting(TURN_AFTER_S)) is None
+    assert planned(replicas, **demands, rare=waiting(OVERDUE_AFTER_S)) is None
     move = planned(replicas, **demands, rare=waiting(60.0))
     assert move is not None
     assert (move.model, move.reason) == ('rare', 'overdue')
@@ -46,13 +50,13 @@
 def test_turn_waits_for_a_place_whose_loss_it_may_cost_by_now() -> None:
     replicas = [replica(f'r{n}', 'hot', 'big') for n in range(3)]
     demands = {'hot': busy(60, replicas=3.0), 'big': busy(40, replicas=3.0)}
-    ages_s = [TURN_AFTER_S + n for n in range(60)]
+    ages_s = [OVERDUE_AFTER_S + n for n in range(60)]
     moves = [planned(replicas, **demands, rare=waiting(age_s)) for age_s in ages_s]
     had_turn = [move is not None for move in moves]
     assert had_turn == sorted(had_turn)
     first = next(move for move in moves if move is not None)
-    deficit = first.gain - GAIN_PER_LOSS * first.loss
-    assert -deficit <= bearable_loss_per_s(first.unserved_s)
+    deficit = first.gain - MIN_GAIN_LOSS_RATIO * first.loss
+    assert -deficit <= allowed_loss_per_s(first.unserved_s)
 
 
 def test_who_waited_longest_is_first() -> None:
@@ -63,15 +67,15 @@
 def test_turns_take_a_share_of_the_replicas() -> None:
     replicas = [replica(f'r{n}', 'hot') for n in range(9)]
     demands = {'rare': waiting(12.0), 'other': waiting(15.0)}
-    turns = TurnBook()
-    turns.note_begun('r0', 'rare')
+    overdue_loads = OverdueLoads()
+    overdue_loads.record_start('r0', 'rare')
     replicas[0].loading = {'rare'}
-    assert due_with(turns, replicas, **demands) == []
+    assert due_with(overdue_loads, replicas, **demands) == []
     replicas.append(replica('r9', 'hot'))
-    assert due_with(turns, replicas, **demands) == ['other']
+    assert due_with(overdue_loads, replicas, **demands) == ['other']
     del replicas[9]
     replicas[0].loading = set()
-    assert due_with(turns, replicas, **demands) == ['other', 'rare']
+    assert due_with(overdue_loads, replicas, **demands) == ['other', 'rare']
 
 
 def test_load_of_a_waiting_model_by_its_worth_takes_nobody_his_turn() -> None:
@@ -79,7 +83,7 @@
     replicas = [replica(f'r{n}', 'hot') for n in range(6)]
     replicas[0].loading = {'rare'}
     demands = {'rare': waiting(12.0), 'other': waiting(15.0)}
-    assert due_with(TurnBook(), replicas, **demands) == ['other']
+    assert due_with(OverdueLoads(), replicas, **demands) == ['other']
 
 
 def test_copy_that_came_for_somebody_stays_until_he_is_back() -> None:
@@ -114,7 +118,7 @@
 def test_model_that_goes_unserved_beside_its_copy_gets_another_one() -> None:
     """Its replica may be cut off from callers, or full."""
     replicas = [replica('r1', 'rare'), replica('r2', 'hot')]
-    assert due(replicas, rare=waiting(TURN_AFTER_S)) == []
+    assert due(replicas, rare=waiting(OVERDUE_AFTER_S)) == []
     assert due(replicas, rare=waiting(SECOND_COPY_AFTER_S)) == ['rare']
     replicas[1].loading = {'rare'}
     assert due(replicas, rare=waiting(SECOND_COPY_AFTER_S)) == []
@@ -126,5 +130,5 @@
 
 
 def test_barred_model_has_no_turn() -> None:
-    survey = CopySurvey.take(engine(), {'rare': waiting(20.0)}, [replica('r1', 'hot')])
-    assert due_models(survey, {'rare'}) == []
+    snapshot = PlacementSnapshot.capture(engine(), {'rare': waiting(20.0)}, [replica('r1', 'hot')])
+    assert overdue_models(snapshot, {'rare'}) == []
--- a/tests/placement/test_planner.py
+++ b/tests/placement/test_planner.py
@@ -66,7 +66,7 @@
     assert (move.model, move.replica_id) == ('other', 'r3')
 
 
-def test_starved_model_gets_its_turn_in_the_end() -> None:
+def test_starved_model_is_eventually_loaded() -> None:
     """On Sljeme's scale-2 four models that were asked for had no copy for 25 s."""
     replicas = [replica('r1', 'hot'), replica('r2', 'hot'), replica('r3', 'big', 'small', 'rare')]
     for busy_replica in replicas[:2]:
@@ -301,7 +301,7 @@
     replicas += [replica(f'r{n}', 'hot', 'big') for n in range(4, 8)]
     soon, late = occupied('r3', 1.0, 'other', 'rare'), occupied('r3', 9.0, 'other', 'rare')
     assert planner(**demands).next_move([*replicas, soon]) is None
-    assert planner(**demands).outlook([*replicas, soon]).upcoming_s == {
+    assert planner(**demands).outlook([*replicas, soon]).ready_in_s == {
         'rare': 1.0 + engine().models['rare'].disk_load_s
     }
     move = planner(**demands).next_move([*replicas, late])
--- a/tests/placement/test_shift.py
+++ b/tests/placement/test_shift.py
@@ -11,7 +11,7 @@
 
 from limeshelf.calls.routes import EngineSpec, ModelSpec
 from limeshelf.demand.model_demand import ModelDemand
-from limeshelf.placement import restraint
+from limeshelf.placement import load_limits
 from limeshelf.placement.planner import CopyMove, CopyPlanner
 from limeshelf.placement.survey import ReplicaCopies
 
@@ -114,13 +114,13 @@
     ('constant', 'off', 'seconds'),
     [
         ('LONG_STARVED_S', 0.0, 4.2),
-        ('PATIENT_STORE_SHARE', 9.0, 5.6),
+        ('LATENCY_TOLERANT_LOADING_SHARE', 9.0, 5.6),
     ],
 )
 def test_without_a_rule_it_is_waited_for(
     monkeypatch: pytest.MonkeyPatch, constant: str, off: float, seconds: float
 ) -> None:
     """All replicas that could bring it are busy with models that can wait."""
-    monkeypatch.setattr(restraint, constant, off)
-    monkeypatch.setattr(restraint, 'LONG_LOADS_SHARE', 9.0)
+    monkeypatch.setattr(load_limits, constant, off)
+    monkeypatch.setattr(load_limits, 'LONG_LOADS_SHARE', 9.0)
     assert shift(copies=1) == pytest.approx(seconds)
--- a/tests/placement/test_spread.py
+++ b/tests/placement/test_spread.py
@@ -24,8 +24,8 @@
 
 def far_move(replicas: list[ReplicaCopies], *, may_spread: bool = True) -> str | None:
     """Return where the first move brings what lies nowhere, if it does."""
-    move = CopyPlanner(engine(), {}, FOUND).next_move(replicas, may_spread=may_spread)
-    return move.replica_id if move and move.reason is MoveReason.FAR else None
+    move = CopyPlanner(engine(), {}, FOUND).next_move(replicas, may_prefetch=may_spread)
+    return move.replica_id if move and move.reason is MoveReason.PREFETCH else None
 
 
 def test_far_weights_are_brought_before_any_call() -> None:
@@ -52,12 +52,12 @@
     replicas[2].on_disk = frozenset({'other'})
     replicas[2].ready = {'other'}
     plan = CopyPlanner(engine(), {}, FOUND, barred={'small'})
-    move = plan.next_move(replicas, may_spread=True)
+    move = plan.next_move(replicas, may_prefetch=True)
     assert move is not None
     assert (move.model, move.replica_id) == ('rare', 'r2')
 
 
 def test_nothing_is_spread_while_calls_come() -> None:
     plan = CopyPlanner(engine(), {'hot': busy(20, replicas=0.5)}, FOUND)
-    move = plan.next_move(standing(), may_spread=True)
-    assert move is None or move.reason is not MoveReason.FAR
+    move = plan.next_move(standing(), may_prefetch=True)
+    assert move is None or move.reason is not MoveReason.PREFETCH
--- a/tests/placement/test_starvation.py
+++ b/tests/placement/test_starvation.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from limeshelf.placement.starvation import Starvation
+from limeshelf.placement.starvation import StarvationTracker
 from limeshelf.placement.survey import ReplicaCopies
 from limeshelf.util.clock import virtual_clock
 from tests.placement.builders import replica, seldom
@@ -12,20 +12,20 @@
 
 def test_starvation_lasts_while_a_model_goes_unserved_without_a_copy() -> None:
     with virtual_clock() as clock:
-        starvation = Starvation()
+        starvation = StarvationTracker()
         waiting = {'rare': attrs.evolve(seldom(), unserved_s=2.0), 'other': seldom()}
-        assert starvation.step('lm', waiting, [replica('r1', 'hot')]) == {'rare': 2.0}
+        assert starvation.track('lm', waiting, [replica('r1', 'hot')]) == {'rare': 2.0}
         clock.advance(5.0)
         waiting['rare'] = attrs.evolve(seldom(), unserved_s=7.0)
-        assert starvation.step('lm', waiting, [replica('r1', 'hot')]) == {'rare': 7.0}
-        assert starvation.step('lm', waiting, [ReplicaCopies('r1', set(), {'rare'}, False)]) == {}
+        assert starvation.track('lm', waiting, [replica('r1', 'hot')]) == {'rare': 7.0}
+        assert starvation.track('lm', waiting, [ReplicaCopies('r1', set(), {'rare'}, False)]) == {}
         clock.advance(1.5)
         waiting['rare'] = attrs.evolve(seldom(), unserved_s=8.5)
-        assert starvation.step('lm', waiting, [replica('r1', 'hot')]) == {'rare': 1.5}
+        assert starvation.track('lm', waiting, [replica('r1', 'hot')]) == {'rare': 1.5}
 
 
 def test_new_leader_goes_on_where_the_last_one_was() -> None:
     """It began at nought, so that models starved anew with each change of leader."""
     with virtual_clock():
         waiting = {'rare': attrs.evolve(seldom(), unserved_s=9.0)}
-        assert Starvation().step('lm', waiting, [replica('r1', 'hot')]) == {'rare': 9.0}
+        assert StarvationTracker().track('lm', waiting, [replica('r1', 'hot')]) == {'rare': 9.0}
--- a/tests/placement/test_survey_log.py
+++ b/tests/placement/test_survey_log.py
@@ -8,7 +8,7 @@
 import pytest
 
 from limeshelf.placement import survey_log
-from limeshelf.placement.planner import CopyPlanner, PassedOver
+from limeshelf.placement.planner import CopyPlanner, NotLoadedReason
 from limeshelf.placement.survey_log import LEAST_PAUSE_S, SurveyLog
 from tests.placement.builders import busy, engine, replica, seldom
 
@@ -49,20 +49,28 @@
 
 def test_reason_is_written_once_until_it_changes(written: list[dict[str, Any]]) -> None:
     log = SurveyLog()
-    for reason in (PassedOver.OUTBID, PassedOver.OUTBID, PassedOver.WITHHELD):
+    for reason in (
+        NotLoadedReason.LOWER_VALUE,
+        NotLoadedReason.LOWER_VALUE,
+        NotLoadedReason.IDLE_RESERVE,
+    ):
         log.note_passed_over('lm', {'rare': reason})
     assert [line['reason'] for line in written] == ['outbid', 'withheld']
 
 
 def test_model_that_waits_again_is_written_again(written: list[dict[str, Any]]) -> None:
     log = SurveyLog()
-    for passed_over in ({'rare': PassedOver.OUTBID}, {}, {'rare': PassedOver.OUTBID}):
+    for passed_over in (
+        {'rare': NotLoadedReason.LOWER_VALUE},
+        {},
+        {'rare': NotLoadedReason.LOWER_VALUE},
+    ):
         log.note_passed_over('lm', passed_over)
     assert len(written) == 2
 
 
 def test_planner_names_why_a_waiting_model_is_not_loaded() -> None:
     planner = CopyPlanner(engine(), {'hot': busy(50.0), 'rare': seldom(waits=True)}, {'hot': 1})
-    assert planner.outlook([replica('r1', 'hot', is_idle=False)]).passed_over == {
-        'rare': PassedOver.NO_IDLE_REPLICA
+    assert planner.outlook([replica('r1', 'hot', is_idle=False)]).not_loaded == {
+        'rare': NotLoadedReason.NO_IDLE_REPLICA
     }
--- a/tests/placement/test_unserved.py
+++ b/tests/placement/test_unserved.py
@@ -13,7 +13,7 @@
 
 from limeshelf.demand.keys import KeyDemand, ModelKey
 from limeshelf.demand.model_demand import demand_by_model
-from limeshelf.placement import adapters, turns
+from limeshelf.placement import adapters, overdue
 from limeshelf.placement.planner import CopyPlanner
 from limeshelf.placement.service import ROUND_S
 from limeshelf.util.clock import VirtualClock, virtual_clock
@@ -105,10 +105,10 @@
 
 
 def model_bound_s(
-    asked: int, replicas: int, load_s: float, after_s: float = turns.TURN_AFTER_S
+    asked: int, replicas: int, load_s: float, after_s: float = overdue.OVERDUE_AFTER_S
 ) -> float:
     """Return how long one of so many models waits at the most, all others before it."""
-    at_once = max(1, int(turns.TURN_REPLICAS_SHARE * replicas))
+    at_once = max(1, int(overdue.OVERDUE_REPLICAS_SHARE * replicas))
     each_s = fleet.MODEL_UNLOAD_S + load_s + ROUND_S
     return after_s + math.ceil(asked / at_once) * each_s
 
@@ -122,7 +122,7 @@
     patient: int
     places: int = 3
 
-    def bound_s(self, after_s: float = turns.TURN_AFTER_S) -> float:
+    def bound_s(self, after_s: float = overdue.OVERDUE_AFTER_S) -> float:
         asked = self.urgent + self.patient
         return model_bound_s(asked, self.replicas, fleet.MODEL_LOAD_S, after_s)
 
@@ -285,7 +285,7 @@
     with virtual_clock() as clock:
         play = play_models(clock, SIX, seed)
         play.replicas[0].is_cut_off = True
-        bound_s = SIX.bound_s(turns.SECOND_COPY_AFTER_S)
+        bound_s = SIX.bound_s(overdue.SECOND_COPY_AFTER_S)
         play.line.run(1.2 * bound_s)
         waits = {one: play.records[key(one)].longest_unserved_s() for one in SIX.patient_names()}
         assert max(waits.values()) <= bound_s, waits
--- a/tests/placement/tier_play.py
+++ b/tests/placement/tier_play.py
@@ -159,8 +159,8 @@
             one.free_in_s = self.under_way.get(one.replica_id, (now_s, ''))[0] - now_s
         totals = self.gateway.leader.latest()
         demands = demand_by_model(SERVICE, self.engine, totals, lambda *_: fleet.READ_MS)
-        starved_s = self.starvation.step(SERVICE, demands, copies)
-        planner = CopyPlanner(self.engine, demands, {}, starved_s, (), self.turns)
+        starved_s = self.starvation.track(SERVICE, demands, copies)
+        planner = CopyPlanner(self.engine, demands, {}, starved_s, (), self.overdue_loads)
         while (
             move := planner.next_move(copies, self.pace.allows(self.engine.loads_per_s))
         ) is not None:
@@ -168,9 +168,9 @@
                 self.pace.note()
             self._begin(move)
             if move.reason is MoveReason.OVERDUE:
-                self.turns.note_begun(move.replica_id, move.model)
+                self.overdue_loads.record_start(move.replica_id, move.model)
         self.upcoming_s = {
-            name: now_s + in_s for name, in_s in planner.outlook(copies).upcoming_s.items()
+            name: now_s + in_s for name, in_s in planner.outlook(copies).ready_in_s.items()
         }
 
     def _begin(self, move: CopyMove) -> None:
