--- a/limeshelf/placement/planner.py
+++ b/limeshelf/placement/planner.py
@@ -1,9 +1,9 @@
-"""Decides which model is loaded next, and where; a plan, no orders.
+"""Chooses the next model copy to load and the replica to load it on.
 
-Owns the choice among moves, and what is told of models that wait for one. Relies on the worth
-of copies (``worth.py``), the choice of what is evicted (``eviction.py``), when a load does not
-begin (``restraint.py``) and one survey of what stands where. Who calls orders the move and logs
-it (event ``move``).
+Only plans: the caller sends the orders and logs each move (event ``move``). Copies are compared
+by their value (``copy_values.py``); ``eviction.py`` selects what is unloaded, ``load_limits.py``
+says when a load must not start, and ``overdue.py`` which models go first because they have waited
+longest.
 """
 
 from __future__ import annotations
@@ -33,65 +33,68 @@
     from limeshelf.placement.overdue import OverdueLoads
     from limeshelf.placement.survey import ReplicaCopies
 
-# Gains, losses and costs are in calls a second.
+# Gains, losses and costs are in calls per second.
 
-#: A move must gain this many times what it loses.
+#: Minimum ratio of a move's gain to the value of the copies that it evicts.
 MIN_GAIN_LOSS_RATIO = 1.3
-#: Least gain of a further copy.
+#: Minimum gain of a further copy.
 MIN_GAIN_PER_S = 0.4
-#: Cost of a load from the weight store, whose rate is limited.
+#: Cost of a load from the weight store, whose load rate is limited.
 STORE_COST_PER_S = 0.3
-#: A load that takes longer here than at another idle replica costs, of what it gains, the share
-#: of this time by which it is longer: where weights lie on a disk it takes a fifth of a load
-#: from the store, and calls wait or are refused meanwhile.
+#: A load that takes longer here than on another idle replica costs a share of its gain: the extra
+#: time divided by this value. A load from disk takes a fifth of a load from the store, and calls
+#: wait or are refused until it is done.
 LOAD_HORIZON_S = 5.0
-#: Cost of each copy that is evicted.
+#: Cost of each evicted copy.
 EVICTION_COST_PER_S = 0.05
-#: Cost of each wanted adapter that has to wait while a whole model is loaded, since a replica
-#: carries out one order at a time.
+#: Cost of each requested adapter that has to wait while a whole model is loaded, since a replica
+#: executes one order at a time.
 BLOCKED_ADAPTER_COST_PER_S = 0.3
-#: What sums of gains and losses differ by when they are added up in another order.
+#: Tolerance for floating-point sums of gains and losses that are added up in different orders.
 ROUNDING_TOLERANCE_PER_S = 1e-6
-#: Digits of gain and loss in the log line of a move.
+#: Decimal places of gain and loss in the log line of a move.
 LOGGED_DIGITS = 2
 
 
 class NotLoadedReason(enum.StrEnum):
-    """Why a model that calls wait for is not loaded now; the values stand in log lines."""
+    """Why a model that calls wait for is not loaded now; the values appear in log lines."""
 
-    #: Replicas stay idle for models that are worth more, or whose callers cannot wait.
+    #: The remaining idle replicas are reserved for models with a higher gain or with
+    #: latency-critical calls.
     IDLE_RESERVE = 'withheld'
-    #: Every idle replica holds what is worth more, or is awaited.
+    #: All that could be evicted on idle replicas is worth more, or refused callers are expected to
+    #: retry for it.
     LOWER_VALUE = 'outbid'
-    #: No idle replica has the weights near, and no load from the weight store may begin.
+    #: No idle replica has the weights locally, and no load from the weight store may start.
     STORE_LIMITED = 'store_limited'
     NO_IDLE_REPLICA = 'no_idle_replica'
 
 
 class MoveReason(enum.StrEnum):
-    """Why a model is loaded; the values stand in the log line of the move."""
+    """Why a model is loaded; the values appear in the log line of the move."""
 
     MISSING = 'missing'
-    #: It has copies, but not enough for its calls.
+    #: It has copies, but too few for its calls.
     OVERLOADED = 'crowded'
-    #: It has waited so long that it is its turn.
+    #: It has gone unserved for so long that it is loaded regardless of its gain.
     OVERDUE = 'overdue'
-    #: Its weights lie at no replica.
+    #: No replica has its weights, so they are loaded before they are requested.
     PREFETCH = 'far'
 
 
 @attrs.frozen
 class CopyMove:
-    """Load a model at a replica after the copies there that make room are gone.
+    """Loads a model on a replica after unloading the copies that make room for it.
 
     :ivar evicted: models that are unloaded there first, in this order.
-    :ivar from_store: whether the load counts against the rate of the weight store.
-    :ivar load_s: time that the load likely takes, in seconds.
-    :ivar gain: what it is worth, in calls a second.
-    :ivar loss: what the copies that go were worth.
-    :ivar unserved_s: for how long the model has been asked for and served to nobody.
+    :ivar from_store: whether the load counts against the load rate of the weight store.
+    :ivar load_s: estimated duration of the load, in seconds.
+    :ivar gain: value of the new copy, in calls per second.
+    :ivar loss: value of the evicted copies, in calls per second.
+    :ivar unserved_s: time for which the model has been requested without any call being served.
     :ivar tier: where the load finds the weights.
-    :ivar nearer: replicas that have the weights in memory or on disk while this one has not.
+    :ivar replicas_with_weights: for a load from the store, the other replicas that have the
+        weights in memory or on disk.
     """
 
     replica_id: str
@@ -109,11 +112,11 @@
 
 @attrs.frozen
 class WaitingModels:
-    """What becomes of models that calls wait for, without an order yet.
+    """What to expect for models that calls wait for and that are not being loaded yet.
 
-    :ivar upcoming_s: seconds until a model is likely there, from the memory or disk of a replica
-        that carries out another order now; models come one after the other there.
-    :ivar passed_over: why a model is not loaded now.
+    :ivar ready_in_s: estimated seconds until a model is ready. It covers models that a busy
+        replica can load from its own memory or disk; that replica loads them one after the other.
+    :ivar not_loaded: why a model is not loaded now.
     """
 
     ready_in_s: dict[str, float] = attrs.field(factory=dict)
@@ -121,15 +124,15 @@
 
 
 class CopyPlanner:
-    """Plans the copies of one engine service.
+    """Plans the model copies of one engine service.
 
-    :param engine: what a replica of the service can hold.
+    :param engine: the service's models and the capacity of each replica.
     :param demands: the demand for each model.
-    :param first_copies: copies of each model that the leader found, which show what was
-        busy before any call was seen.
-    :param starved_s: for how long a model that is asked for has had no copy.
-    :param barred: models that are loaded no more, whatever they would gain.
-    :param turns: the turns under way.
+    :param initial_copies: copies of each model when the leader first saw the replicas; an
+        indication of which models are busy before any call arrives.
+    :param starved_s: time for which each requested model has had no copy.
+    :param barred: models that must not be loaded, whatever they would gain.
+    :param overdue_loads: the running loads of overdue models.
     """
 
     def __init__(
@@ -156,14 +159,15 @@
         *,
         may_prefetch: bool = False,
     ) -> CopyMove | None:
-        """Return the move that is worth most now, if any is worth making.
+        """Return the most valuable move that is worth making now, or ``None``.
 
-        Those whose turn it is go first. Others are tried by what one more copy gains at an
-        idle replica; the first for which a move is worth making ends the search.
+        Overdue models come first. The others are tried in descending order of what one more copy
+        gains on an idle replica, until a worthwhile move is found.
 
-        :param store_allowed: whether a load from the weight store may begin now; without,
-            models come from the disks and memories of the machines alone.
-        :param may_spread: whether all replicas are known, so that what lies at none is.
+        :param store_allowed: whether a load from the weight store may start now; otherwise models
+            are loaded only from the disk and memory of the replicas' machines.
+        :param may_prefetch: whether all replicas are known, so that a model that none of them
+            reports is certain to be on none.
         """
         snapshot = PlacementSnapshot.capture(self._engine, self._demands, replicas)
         copy_values = CopyValues(
@@ -204,7 +208,7 @@
         return scored.as_move(model, MoveReason.PREFETCH, 0.0, ())
 
     def outlook(self, replicas: list[ReplicaCopies], store_allowed: bool = True) -> WaitingModels:
-        """Return what becomes of the models that calls wait for and that have no copy."""
+        """Return what to expect for the models that calls wait for and that have no copy."""
         if not any(demand.is_waiting for demand in self._demands.values()):
             return WaitingModels()
         snapshot = PlacementSnapshot.capture(self._engine, self._demands, replicas)
@@ -242,10 +246,10 @@
 def _may_gain(
     model: str, idle_gain: float, snapshot: PlacementSnapshot, copy_values: CopyValues
 ) -> bool:
-    """Return whether a load may gain more than it loses at any replica; a quick look.
+    """Return whether a load could gain more than it loses on any replica.
 
-    At no replica does a copy gain more than at an idle one in a data centre without one, and no
-    eviction loses less than the copy of least worth there.
+    A cheap check against an upper bound: a copy gains most on an idle replica in a data centre
+    without a copy, and every eviction loses at least the replica's least valuable copy.
     """
     max_loss = (
         idle_gain * ONLY_IN_DATA_CENTRE_FACTOR / MIN_GAIN_LOSS_RATIO + ROUNDING_TOLERANCE_PER_S
@@ -260,9 +264,9 @@
 def _overdue_move(
     model: str, snapshot: PlacementSnapshot, copy_values: CopyValues, store_allowed: bool
 ) -> CopyMove | None:
-    """Return the move that brings a model whose turn it is, where that costs least.
+    """Return the cheapest move that loads an overdue model.
 
-    It waits for a place whose loss it may cost by now.
+    Returns ``None`` while every move costs more than the model's waiting time allows.
     """
     unserved_s = snapshot.demand(model).unserved_s
     options = load_options(model, snapshot, copy_values, store_allowed)
@@ -278,7 +282,7 @@
 def _best_move(
     model: str, snapshot: PlacementSnapshot, copy_values: CopyValues, store_allowed: bool
 ) -> CopyMove | None:
-    """Return the move that brings a model where that is worth most after all costs."""
+    """Return the move for a model with the highest gain after all costs, if one is worthwhile."""
     store_allowed = store_allowed and may_load_from_store(model, snapshot, copy_values)
     reason = MoveReason.OVERLOADED if snapshot.copies(model).total else MoveReason.MISSING
     options = load_options(model, snapshot, copy_values, store_allowed)
@@ -297,7 +301,7 @@
 def _replicas_with_weights(
     model: str, chosen: _ScoredOption, snapshot: PlacementSnapshot
 ) -> tuple[str, ...]:
-    """Return the replicas that have the weights near where the chosen one has not."""
+    """Return the replicas that have a model's weights locally if the chosen one does not."""
     if not chosen.option.from_store:
         return ()
     replicas = (one for one in snapshot.replicas if not one.has_copy(model))
@@ -306,7 +310,7 @@
 
 @attrs.frozen
 class _ScoredOption:
-    """A possible move with its gain, and what is left of that after all costs."""
+    """A possible move, its gain, and the gain that remains after all costs."""
 
     option: LoadOption
     gain: float
@@ -350,7 +354,7 @@
 
 
 def _move_cost(option: LoadOption, snapshot: PlacementSnapshot) -> float:
-    """Return what the move itself costs, whatever is lost with the copies that go."""
+    """Return the cost of the move itself, without the value of the evicted copies."""
     evicted = set(option.eviction.models)
     cost = EVICTION_COST_PER_S * len(evicted)
     if option.from_store:
