--- a/limeshelf/placement/copy_values.py
+++ b/limeshelf/placement/copy_values.py
@@ -1,8 +1,8 @@
-"""What a copy of a model is worth, in calls a second that are served because it is there.
+"""The value of a model copy, in calls per second that are served because it exists.
 
-Owns the rule, in three questions: what one more copy gains at a replica, what is lost
-with a copy that goes, and whether demand is still too low to judge by. Relies on a survey of
-the copies, and for what demand alone decides on :mod:`~limeshelf.placement.model_values`.
+Answers three questions: what one more copy on a replica gains, what is lost with a copy that is
+evicted, and whether demand is still too low to judge by. Values that do not depend on where
+copies are come from :mod:`~limeshelf.placement.model_values`.
 """
 
 from __future__ import annotations
@@ -14,31 +14,31 @@
 if TYPE_CHECKING:
     from limeshelf.placement.survey import PlacementSnapshot, ReplicaCopies
 
-#: An only copy is lost at this many times its worth if its callers cannot wait for a load.
+#: Loss factor of a model's only copy if its calls cannot wait for a load.
 LATENCY_CRITICAL_FACTOR = 2.0
-#: Cost of each running call that an unload waits for, in calls a second. With half of it a
-#: copy served only 10 to 16 s after it was ordered.
+#: Cost of each running call that an unload waits for, in calls per second. With half of it, a copy
+#: was ready only 10 to 16 s after it was ordered.
 RUNNING_COST_PER_S = 0.2
-#: What a replica gives to a model's first copy at the least, however busy others keep it: a
-#: busy replica still serves a model that stands nowhere else.
+#: Minimum share of its value that a model's first copy has on a busy replica: a busy replica still
+#: serves a model that no other replica holds.
 FIRST_COPY_MIN_SHARE = 0.5
-#: A data centre's only copy is worth this many times more: it serves on when the centre is cut
+#: Value factor of the only copy in a data centre: it keeps serving when the data centre is cut
 #: off.
 ONLY_IN_DATA_CENTRE_FACTOR = 1.2
-#: Worth, before any call, of the second copy found of a model; further ones are worth less by
-#: the square of their number, so that a model found six times gives up a copy before one found
-#: twice.
+#: Value of a model's second initial copy before any call arrives. The value of further ones falls
+#: with the square of their number, so that a model with six initial copies gives up one before a
+#: model with two.
 INITIAL_COPY_VALUE_PER_S = 0.4
 INITIAL_VALUE_COPIES = 2
 
 
 class CopyValues:
-    """Judges the copies of one service's models.
+    """Computes the value of the copies of one service's models.
 
-    :param first_copies: copies of each model that the leader found at its start; before
-        any call they show what is busy.
-    :param starved_s: seconds for which each model that is asked for has had no copy.
-    :param models: what holds wherever copies stand, if it is worked out already.
+    :param initial_copies: copies of each model when the leader first saw the replicas; an
+        indication of which models are busy before any call arrives.
+    :param starved_s: seconds for which each requested model has had no copy.
+    :param model_values: the values that do not depend on where copies are, if already computed.
     """
 
     def __init__(
@@ -55,26 +55,26 @@
             snapshot.engine, snapshot.demands, initial_copies, starved_s
         )
         self._losses: dict[str, dict[str, float]] = {}
-        #: Whether too little was asked for yet to judge by demand.
+        #: Whether demand is still too low to judge by.
         self.is_low_demand = self._model_values.is_low_demand
 
     def starved_s(self, model: str) -> float:
-        """Return for how long a model that is asked for has had no copy, in seconds."""
+        """Return the seconds for which a requested model has had no copy."""
         return self._starved_s.get(model, 0.0)
 
     def had_initial_copies(self, model: str) -> bool:
-        """Return whether the leader found copies of a model at its start."""
+        """Return whether a replica held the model when the leader first saw it."""
         return bool(self._initial_copies.get(model))
 
     def idle_gain(self, model: str) -> float:
-        """Return what one more copy gains at a replica with nothing else to do.
+        """Return what one more copy gains on a replica that serves nothing else.
 
-        A data centre without a copy adds to that; this leaves it out.
+        The factor for a data centre without a copy is not included.
         """
         return self._gain(model, 1.0)
 
     def gain(self, model: str, replica: ReplicaCopies) -> float:
-        """Return what one more copy gains at a replica, in calls a second."""
+        """Return what one more copy on a replica gains, in calls per second."""
         capacity = self._snapshot.capacity_share(model, replica)
         copies = self._snapshot.copies(model)
         gain = self._gain(model, capacity)
@@ -93,15 +93,16 @@
         redundancy = self._model_values.redundancy_per_s(model) if copies.total == 1 else 0.0
         gain = redundancy + self._served_per_s(model, copies.capacity + capacity) - served_now
         if copies.total > copies.ready:
-            # What is refused until the copy on its way is there says nothing of a further one.
+            # Calls that are refused until the copy being loaded is ready do not show a need for
+            # another one.
             return gain
         return max(gain, capacity * self._snapshot.demand(model).refused_per_s)
 
     def losses(self, replica: ReplicaCopies) -> dict[str, float]:
-        """Return what is lost with each ready copy at a replica, the least first.
+        """Return the loss for each ready copy on a replica, in ascending order.
 
-        Copies of equal worth stand in the order of their names. Counted once a replica, since
-        every model that is planned asks for it at each.
+        Copies with the same loss are ordered by name. Cached per replica, since every planned
+        model asks for the losses on every replica.
         """
         by_model = self._losses.get(replica.replica_id)
         if by_model is None:
@@ -111,13 +112,13 @@
         return by_model
 
     def min_loss(self, replica: ReplicaCopies) -> float:
-        """Return what is lost with the ready copy of least worth at a replica; 0 without any."""
+        """Return the loss for the least valuable ready copy on a replica; 0 if it has none."""
         return next(iter(self.losses(replica).values()), 0.0)
 
     def loss(self, model: str, replica: ReplicaCopies) -> float:
-        """Return what is lost with a ready copy, in calls a second.
+        """Return what is lost when a ready copy is evicted, in calls per second.
 
-        Copies on their way serve nobody yet, so they replace none
+        Copies that are still loading serve no calls yet, so they do not replace a ready one
         (tests/placement/test_planner.py::test_last_ready_copy_stays).
         """
         if model not in self._snapshot.engine.models:
@@ -141,14 +142,14 @@
         )
 
     def _served_per_s(self, model: str, capacity: float) -> float:
-        """Return the calls a second that are served with a capacity in replicas."""
+        """Return the calls per second that a capacity, in replicas, can serve."""
         demand = self._snapshot.demand(model)
         if demand.busy_replicas <= 0:
             return 0.0
         return demand.calls_per_s * min(1.0, capacity / demand.busy_replicas)
 
     def _initial_copy_value(self, model: str, copies: int) -> float:
-        """Return what the last of *copies* copies is worth before any call."""
+        """Return the value of the last of *copies* copies before any call arrives."""
         if copies > self._initial_copies.get(model, 0):
             return 0.0
         return INITIAL_COPY_VALUE_PER_S * INITIAL_VALUE_COPIES**2 / copies**2
