--- a/limeshelf/placement/model_values.py
+++ b/limeshelf/placement/model_values.py
@@ -1,7 +1,7 @@
-"""What demand alone decides of a model's worth, wherever its copies stand.
+"""The parts of a copy's value that depend only on demand, not on where the copies are.
 
-Owns these parts of the worth of copies (:mod:`~limeshelf.placement.copy_values`), each worked out
-once for all the moves of a round. Relies on the demand for each model.
+They are computed once for all moves of a round; :mod:`~limeshelf.placement.copy_values` builds on
+them. A model is latency-tolerant if its calls can wait for a load, and latency-critical otherwise.
 """
 
 from __future__ import annotations
@@ -14,48 +14,46 @@
     from limeshelf.calls.routes import EngineSpec
     from limeshelf.demand.model_demand import ModelDemand
 
-#: Worth of the only copy of a model in calls a second, whoever asks for it, so that every model
-#: stays reachable.
+#: Value of the only copy of any model, in calls per second, so that every model stays reachable.
 ONLY_COPY_VALUE_PER_S = 0.6
-#: The same, this many times over, before any call is seen, of a model that was found with a copy.
+#: Factor on that value before any call arrives, for a model that had an initial copy.
 LOW_DEMAND_ONLY_COPY_FACTOR = 2
-#: The calls of a model without another copy count this much.
+#: Weight of a model's calls per second in the value of its only copy.
 ONLY_COPY_CALLS_FACTOR = 2.0
-#: Most that calls of the longer average add to the worth of an only copy.
+#: Upper limit of the long-term call rate in the value of an only copy.
 LASTING_LIMIT_PER_S = 0.5
-#: Added, in calls a second, while calls wait for a copy.
+#: Added, in calls per second, while calls wait for a copy.
 WAITING_VALUE_PER_S = 1.0
-#: Added, in calls a second, for each second for which a model that is asked for has had no
-#: copy, up to the limit (tests/placement/test_planner.py::
-#: test_starved_model_is_eventually_loaded).
+#: Added, in calls per second, for each second for which a requested model has had no copy, up to
+#: the limit (tests/placement/test_planner.py::test_starved_model_is_eventually_loaded).
 STARVED_VALUE_PER_S_PER_S = 0.15
 STARVED_LIMIT_PER_S = 3.0
-#: A model whose callers cannot wait counts as asked for by this share of the mean calls a
-#: second of all such models, however few ask for it now: demand moves among them, and until a
-#: load is done all calls to the one it moves to are refused.
+#: A latency-critical model counts as having at least this share of the mean call rate of all such
+#: models, however few calls it gets now: demand moves among them, and all calls to a model without
+#: a copy are refused until a load is done.
 EXPECTED_SHARE = 0.3
-#: The same at the most. Where few models take most calls, a share of the mean would be more than
-#: most are asked for, and copies that nobody asks for would take all places.
+#: Upper limit of that rate. Where few models get most of the calls, a share of the mean would
+#: exceed the demand for most models, and copies without calls would fill all replicas.
 EXPECTED_LIMIT_PER_S = 1.5
-#: A second copy is worth this share of a model's calls at the least, because replicas and
-#: data centres are lost: with the only copy of the busiest model behind a cut, 220 calls were
-#: refused until another one was loaded. At the most it is worth less than a model that calls
-#: wait for.
+#: A second copy is worth at least this share of a model's calls, because replicas and data centres
+#: fail: when the only copy of the busiest model was cut off, 220 calls were refused until another
+#: one was loaded. The limit keeps it below the value of a model that calls wait for.
 REDUNDANCY_SHARE = 0.15
 REDUNDANCY_LIMIT_PER_S = 1.5
-#: Callers can wait for a load if their objective is at least this many times the load from the
-#: machine's memory. Otherwise models that rise next would be unloaded for an overloaded one.
+#: Calls can wait for a load if their latency objective is at least this many times the load time
+#: from the machine's memory. With a lower ratio, models whose demand rises next would be unloaded
+#: for an overloaded one.
 WARM_LOADS_PER_OBJECTIVE = 2.5
-#: Calls a second, over all models, below which the copies found at the start show what is busy.
+#: Calls per second, over all models, below which the initial copies show which models are busy.
 LOW_DEMAND_CALLS_PER_S = 3.0
 
 
 class ModelValues:
-    """Judges the models of one service by the demand for them.
+    """Computes the demand-based values of one service's models.
 
-    :param demands: by model; a model that is not in it has none.
-    :param first_copies: copies of each model that the leader found at its start.
-    :param starved_s: seconds for which each model that is asked for has had no copy.
+    :param demands: by model; a missing model has no demand.
+    :param initial_copies: copies of each model when the leader first saw the replicas.
+    :param starved_s: seconds for which each requested model has had no copy.
     """
 
     def __init__(
@@ -70,7 +68,7 @@
         self._initial_copies = initial_copies
         self._starved_s = starved_s
         calls_per_s = sum(demand.calls_per_s for demand in demands.values())
-        #: Whether too little was asked for yet to judge by demand.
+        #: Whether demand is still too low to judge by.
         self.is_low_demand = calls_per_s < LOW_DEMAND_CALLS_PER_S
         self._latency_tolerant = {
             name: self._compute_latency_tolerant(name) for name in engine.models
@@ -86,17 +84,17 @@
     def is_latency_tolerant(self, model: str) -> bool:
         """Return whether calls to a model can wait until it is loaded again.
 
-        Of a model that nobody has asked for yet, the copies found at the start decide: what
-        stood there is likely asked for by callers who cannot wait.
+        Before a model's first call, its initial copies decide: a model that had one is likely to
+        get latency-critical calls.
         """
         return self._latency_tolerant[model]
 
     def only_copy_per_s(self, model: str) -> float:
-        """Return what the only copy of a model is worth, in calls a second."""
+        """Return the value of a model's only copy, in calls per second."""
         return self._only_copy_per_s[model]
 
     def redundancy_per_s(self, model: str) -> float:
-        """Return what a second copy is worth should the first be lost, in calls a second."""
+        """Return the value of a second copy as a stand-by for the first, in calls per second."""
         return self._redundancy_per_s[model]
 
     def _demand(self, model: str) -> ModelDemand:
@@ -110,7 +108,7 @@
         return objective_s >= WARM_LOADS_PER_OBJECTIVE * warm_load_s
 
     def _compute_expected_per_s(self) -> float:
-        """Return what a model whose callers cannot wait counts as asked for at the least."""
+        """Return the minimum call rate that a latency-critical model counts as having."""
         critical_rates = [
             self._demand(model).calls_per_s
             for model, is_tolerant in self._latency_tolerant.items()
