--- a/limeshelf/placement/survey.py
+++ b/limeshelf/placement/survey.py
@@ -1,8 +1,7 @@
-"""Which copies stand where, counted once for a plan.
+"""The state of replicas and model copies that one planning round works on.
 
-Owns the view of replicas that planning works on, and the counts over it; each question of
-the planner then reads one count, since the planner runs several times a second over tens of
-replicas and models. Relies on the demand for each model.
+Copies and free capacity are counted once per snapshot, since the planner queries them several
+times a second over tens of replicas and models.
 """
 
 from __future__ import annotations
@@ -18,14 +17,15 @@
     from limeshelf.calls.routes import EngineSpec, ModelSpec
     from limeshelf.demand.model_demand import ModelDemand
 
-#: A load that takes longer yet keeps its replica from bringing what lies near there in time.
+#: A replica whose running load takes longer than this cannot load its local weights in time.
 LONG_LOAD_S = 2.0
-#: Share of a replica that a copy gets there at the least, however busy others keep it.
+#: Minimum share of a replica that counts as available to a copy, however busy other copies keep
+#: it.
 MIN_CAPACITY_SHARE = 0.15
 
 
 class WeightsTier(enum.StrEnum):
-    """Where a load finds the weights; the values stand in log lines."""
+    """Where a load finds the weights; the values appear in log lines."""
 
     MEMORY = 'memory'
     DISK = 'disk'
@@ -34,14 +34,14 @@
 
 @attrs.define
 class ReplicaCopies:
-    """A replica as the planner of copies sees it.
+    """The planner's view of a replica.
 
     :ivar ready: models that it holds and that are not about to be unloaded.
-    :ivar loading: models on their way to it.
-    :ivar is_idle: whether it can take an order for a whole model now.
-    :ivar in_memory: models whose weights lie in the memory of the machine.
-    :ivar on_disk: models whose weights lie on its disk.
-    :ivar free_in_s: until the load under way there is likely done, in seconds.
+    :ivar loading: models that are being loaded.
+    :ivar is_idle: whether it can accept an order for a whole model now.
+    :ivar in_memory: models whose weights are in the memory of its machine.
+    :ivar on_disk: models whose weights are on the disk of its machine.
+    :ivar free_in_s: estimated seconds until the running load is done.
     """
 
     replica_id: str
@@ -54,15 +54,15 @@
     free_in_s: float = 0.0
 
     def has_copy(self, model: str) -> bool:
-        """Return whether a copy is there or on its way."""
+        """Return whether the replica holds a model or is loading it."""
         return model in self.ready or model in self.loading
 
     def has_unloaded_local_weights(self) -> bool:
-        """Return whether weights lie near here of a model that is neither ready nor coming."""
+        """Return whether it has local weights of a model that it neither holds nor is loading."""
         return bool((self.in_memory | self.on_disk) - self.ready - self.loading)
 
     def tier(self, model: str) -> WeightsTier:
-        """Return where a load here finds the weights of a model."""
+        """Return where a load on this replica finds the weights of a model."""
         if model in self.in_memory:
             return WeightsTier.MEMORY
         return WeightsTier.DISK if model in self.on_disk else WeightsTier.STORE
@@ -72,7 +72,7 @@
         return self.tier(model) is WeightsTier.STORE
 
     def load_s(self, spec: ModelSpec) -> float:
-        """Return the time that a load of a model takes here, in seconds."""
+        """Return how long a load of a model takes on this replica, in seconds."""
         match self.tier(spec.name):
             case WeightsTier.MEMORY:
                 return spec.warm_load_s
@@ -82,9 +82,9 @@
                 return spec.load_s
 
     def begin_move(self, model: str, evicted: tuple[str, ...], load_s: float = 0.0) -> None:
-        """Count a move that was ordered here.
+        """Apply a move that was ordered on this replica.
 
-        :param load_s: time that its load likely takes, in seconds.
+        :param load_s: estimated duration of its load, in seconds.
         """
         self.is_idle = False
         self.ready -= set(evicted)
@@ -96,10 +96,10 @@
 class ModelCopies:
     """The copies of one model.
 
-    :ivar ready: copies that serve.
-    :ivar total: copies that serve or are on their way.
-    :ivar by_centre: the same as *total*, by data centre; only centres with a copy are in it.
-    :ivar capacity: replicas that others leave to all its copies, as a sum of shares.
+    :ivar ready: copies that serve calls.
+    :ivar total: copies that serve calls or are being loaded.
+    :ivar by_centre: *total* by data centre; only data centres with a copy are listed.
+    :ivar capacity: replicas available to all its copies, as a sum of shares.
     :ivar ready_capacity: the same for the ready copies alone.
     """
 
@@ -115,13 +115,13 @@
 
 @attrs.frozen
 class PlacementSnapshot:
-    """What stands where at one moment; made by :meth:`take`.
+    """The replicas and copies at one moment; created by :meth:`capture`.
 
-    :ivar engine: what a replica of the service can hold.
-    :ivar idle: the replicas that can take an order for a whole model now.
-    :ivar loading: how many replicas load a whole model.
-    :ivar adapters_mb: room kept free for adapters at each replica: the most that they may
-        take, whatever models they belong to.
+    :ivar engine: the service's models and the capacity of each replica.
+    :ivar idle: the replicas that can accept an order for a whole model now.
+    :ivar loading: number of replicas that are loading a whole model.
+    :ivar adapters_mb: memory reserved for adapters on each replica: the most that they can
+        occupy, whatever models they belong to.
     """
 
     engine: EngineSpec
@@ -141,9 +141,9 @@
         demands: dict[str, ModelDemand],
         replicas: list[ReplicaCopies],
     ) -> PlacementSnapshot:
-        """Count the copies at *replicas*.
+        """Count the copies on *replicas*.
 
-        :param demands: by model; a model that is not in it has none.
+        :param demands: by model; a missing model has no demand.
         """
         largest_mb = max((spec.adapter_mb for spec in engine.models.values()), default=0.0)
         adapters_mb = largest_mb * engine.adapter_places
@@ -180,15 +180,15 @@
                     copies.ready_capacity += capacity
 
     def copies(self, model: str) -> ModelCopies:
-        """Return the copies of a model; none of one that the configuration lacks."""
+        """Return the copies of a model; none if the configuration does not list it."""
         return self._copies.get(model, _NO_COPIES)
 
     def demand(self, model: str) -> ModelDemand:
-        """Return the demand for a model."""
+        """Return the demand for a model; :data:`NO_DEMAND` if it has none."""
         return self.demands.get(model, NO_DEMAND)
 
     def running_calls(self, model: str) -> float:
-        """Return the calls under way at each ready copy of a model, in the mean."""
+        """Return the mean number of running calls per ready copy of a model."""
         return self.demand(model).running / max(1, self.copies(model).ready)
 
     def copy_share(self, model: str) -> float:
@@ -196,14 +196,14 @@
         return self.demand(model).busy_replicas / max(1, self.copies(model).total)
 
     def capacity_share(self, model: str, replica: ReplicaCopies) -> float:
-        """Return the share of a replica that others there leave for a model."""
+        """Return the share of a replica that its other copies leave to a model."""
         busy_share = self._busy_share[replica.replica_id]
         if replica.has_copy(model):
             busy_share -= self.copy_share(model)
         return min(1.0, max(MIN_CAPACITY_SHARE, 1.0 - busy_share))
 
     def count_long_loads(self) -> int:
-        """Return how many replicas a load keeps for long yet from what lies near there."""
+        """Return how many replicas with unloaded local weights stay busy with a load for long."""
         return sum(
             1
             for one in self.replicas
@@ -211,12 +211,12 @@
         )
 
     def size_mb(self, model: str) -> float:
-        """Return the size of a model's weights; 0 if the configuration lacks it."""
+        """Return the size of a model's weights; 0 if the configuration does not list it."""
         spec = self.engine.models.get(model)
         return spec.size_mb if spec else 0.0
 
     def free_mb(self, replica: ReplicaCopies) -> float:
-        """Return the room for weights at a replica; below zero if it holds too much."""
+        """Return the memory free for weights on a replica; negative if it holds too much."""
         known_mb = self._free_mb.get(replica.replica_id)
         if known_mb is None:
             used_mb = sum(self.size_mb(name) for name in replica.ready | replica.loading)
