--- a/limeshelf/placement/load_limits.py
+++ b/limeshelf/placement/load_limits.py
@@ -1,8 +1,6 @@
-"""When a load does not begin, whatever it gains, so that replicas stay free for others.
+"""Rules that keep a load from starting, whatever it gains, so that replicas stay free.
 
-A replica carries out one order at a time, and a load from the weight store takes seconds. Owns
-these rules alone; relies on the survey for what loads where, and on the worth of copies for whose
-callers can wait.
+A replica executes one order at a time, and a load from the weight store takes seconds.
 """
 
 from __future__ import annotations
@@ -13,33 +11,34 @@
     from limeshelf.placement.copy_values import CopyValues
     from limeshelf.placement.survey import PlacementSnapshot
 
-#: Moves that gain less leave this share of the replicas idle for urgent ones.
+#: Moves with a lower gain leave RESERVED_SHARE of the replicas idle for urgent ones.
 URGENT_GAIN_PER_S = 2.0
 RESERVED_SHARE = 0.34
-#: Models whose callers can wait leave this share of the replicas idle, whatever they gain: when
-#: demand moved to a model whose callers cannot, every replica that had its weights near was
-#: busy with one that was asked for once.
+#: Latency-tolerant models leave this share of the replicas idle, whatever they gain. Without it,
+#: when demand moved to a latency-critical model, every replica with its weights was busy loading a
+#: model that had been requested once.
 LATENCY_TOLERANT_RESERVED_SHARE = 0.5
-#: A model that has been asked for without a copy for this long counts like the others.
+#: A latency-tolerant model that has been requested without a copy for this long counts like a
+#: latency-critical one.
 LONG_STARVED_S = 6.0
-#: A model whose callers can wait comes from the weight store only while no more than this share
-#: of the replicas loads something: a load from the store occupies a replica for six seconds,
-#: and when demand moved to a model in the first of them, three of six replicas were bringing
-#: models that were asked for once.
+#: A latency-tolerant model is loaded from the weight store only while at most this share of the
+#: replicas is loading: such a load occupies a replica for six seconds, and when demand moved
+#: during the first of them, three of six replicas were loading models that had been requested
+#: once.
 LATENCY_TOLERANT_LOADING_SHARE = 0.2
-#: Once this share of the replicas brings models from the weight store in place of what they have
-#: near, no other begins. A model without a copy whose callers cannot wait comes all the same.
+#: Once this share of the replicas is occupied by loads from the weight store while they have other
+#: weights locally, no further one starts. A latency-critical model without a copy is exempt.
 LONG_LOADS_SHARE = 0.34
-#: Once a model is on its way to this share of the replicas, no further copy of it is ordered.
+#: Once this share of the replicas is loading the same model, no further copy of it is ordered.
 MODEL_LOADING_SHARE = 0.2
 
 
 def must_keep_idle_reserve(
     model: str, idle_gain: float, snapshot: PlacementSnapshot, copy_values: CopyValues
 ) -> bool:
-    """Return whether a load from the weight store waits, so that replicas stay idle for others.
+    """Return whether a load from the weight store would use replicas that are kept idle.
 
-    :param idle_gain: what a further copy gains at an idle replica, in calls a second.
+    :param idle_gain: what a further copy gains on an idle replica, in calls per second.
     """
     if copy_values.is_low_demand:
         return False
@@ -53,7 +52,7 @@
 
 
 def may_load_from_store(model: str, snapshot: PlacementSnapshot, copy_values: CopyValues) -> bool:
-    """Return whether a replica may bring a model from the weight store now."""
+    """Return whether a replica may load a model from the weight store now."""
     if copy_values.is_low_demand:
         return True
     is_tolerant = copy_values.is_latency_tolerant(model)
@@ -68,6 +67,6 @@
 
 
 def has_enough_loading(model: str, snapshot: PlacementSnapshot) -> bool:
-    """Return whether so many copies are on their way that what they serve is to be seen first."""
+    """Return whether enough copies of a model are loading that no further one is ordered."""
     loading = snapshot.copies(model).total - snapshot.copies(model).ready
     return loading >= max(1.0, MODEL_LOADING_SHARE * len(snapshot.replicas))
