--- a/limeshelf/placement/overdue.py
+++ b/limeshelf/placement/overdue.py
@@ -1,8 +1,7 @@
-"""Which models get a copy because they have waited longest, whatever they gain.
+"""Selects models that are loaded because they have waited longest, whatever they gain.
 
-What is worth most goes first as long as it is a matter of worth; a model that few ask for would
-then wait for ever. Owns the rule, and the turns under way as this process ordered them. Relies on
-the survey for who waits and what comes.
+Moves are otherwise chosen by gain, so a model with few calls could wait forever. Keeps the loads
+that this process started for overdue models, since they may only use a share of the replicas.
 """
 
 from __future__ import annotations
@@ -14,34 +13,34 @@
 
     from limeshelf.placement.survey import PlacementSnapshot, ReplicaCopies
 
-#: A model that was asked for and served to nobody for this long has its turn.
+#: A model is overdue once it has been requested for this long without any call being served.
 OVERDUE_AFTER_S = 12.0
-#: What its turn may cost, in calls a second, for each second beyond that. It has no limit, so
-#: that the turn comes whatever the copies there are worth.
+#: Net loss, in calls per second, that the load of an overdue model may cause for each second
+#: beyond that. It is unlimited, so that the load happens whatever the existing copies are worth.
 ALLOWED_LOSS_PER_S_PER_S = 0.5
-#: One that has one copy and goes unserved all the same (its replica is cut off, or full) gets a
-#: second after this long, and no further one: what nobody can serve would take all places.
+#: A model that goes unserved despite one copy (its replica is cut off or full) gets a second one
+#: after this long. It gets no third: a model that cannot be served would occupy all replicas.
 SECOND_COPY_AFTER_S = 30.0
-#: Share of the replicas that bring such models at the same time, at least one: what those that
-#: are served now give up for it.
+#: Share of the replicas, at least one, that load overdue models at the same time. It bounds what
+#: the models that are being served give up.
 OVERDUE_REPLICAS_SHARE = 0.2
 
 
 class OverdueLoads:
-    """The turns under way: which model comes where because it waited longest.
+    """The running loads that were started because their model was overdue.
 
-    Loads of such models that their worth alone brings take nobody's turn.
+    Loads of overdue models that were chosen by their gain do not count.
     """
 
     def __init__(self) -> None:
         self._model_by_replica: dict[str, str] = {}
 
     def record_start(self, replica_id: str, model: str) -> None:
-        """Note that a turn begins."""
+        """Record that the load of an overdue model starts on a replica."""
         self._model_by_replica[replica_id] = model
 
     def count_running(self, replicas: list[ReplicaCopies]) -> int:
-        """Return how many turns are under way, and forget those that are over."""
+        """Return how many of these loads are running, and drop the finished ones."""
         loading = {replica.replica_id: replica.loading for replica in replicas}
         self._model_by_replica = {
             replica_id: model
@@ -54,10 +53,11 @@
 def overdue_models(
     snapshot: PlacementSnapshot, barred: Collection[str], overdue_loads: OverdueLoads | None = None
 ) -> list[str]:
-    """Return the models whose turn it is, who waited longest first.
+    """Return the models to load now because they are overdue, longest unserved first.
 
-    :param barred: models that are loaded no more.
-    :param turns: those under way.
+    :param barred: models that must not be loaded.
+    :param overdue_loads: the running loads of overdue models; while they use their share of the
+        replicas, no model is returned.
     """
     under_way = overdue_loads.count_running(snapshot.replicas) if overdue_loads is not None else 0
     if under_way >= max(1, int(OVERDUE_REPLICAS_SHARE * len(snapshot.replicas))):
@@ -71,7 +71,7 @@
 
 
 def allowed_loss_per_s(unserved_s: float) -> float:
-    """Return what a turn may cost beyond what it gains, in calls a second."""
+    """Return the net loss that loading an overdue model may cause, in calls per second."""
     return ALLOWED_LOSS_PER_S_PER_S * max(0.0, unserved_s - OVERDUE_AFTER_S)
 
 
