--- a/limeshelf/placement/__init__.py
+++ b/limeshelf/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Which copy of which model stands at which replica."""
+"""Decides which models and adapters each replica holds."""
--- a/limeshelf/placement/starvation.py
+++ b/limeshelf/placement/starvation.py
@@ -1,8 +1,8 @@
-"""For how long models that are asked for have had no copy, and served nobody.
+"""Tracks for how long requested models have had no copy.
 
-Owns when each model last had a copy or one on its way, as this process saw it. Relies on the
-demand for how long a model has gone unserved, which every process that may lead knows, so that a
-new leader goes on where the last one was.
+Keeps when this process last saw each model held or loading. How long a model has gone unserved
+comes from the demand, which every process that may become leader receives, so a new leader
+continues with its predecessor's waiting times.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class StarvationTracker:
-    """Notes when each model was last placed."""
+    """Tracks when each model was last held or loading."""
 
     def __init__(self) -> None:
         self._last_placed_s: dict[tuple[str, str], float] = {}
@@ -25,7 +25,7 @@
     def track(
         self, service: str, demands: dict[str, ModelDemand], replicas: list[ReplicaCopies]
     ) -> dict[str, float]:
-        """Return for how many seconds each starved model of a service has had no copy.
+        """Return the seconds for which each starved model of a service has had no copy.
 
         A model stays starved without further calls for as long as it counts as unserved.
         """
