--- a/limeshelf/placement/adapter_retries.py
+++ b/limeshelf/placement/adapter_backoff.py
@@ -16,10 +16,10 @@
     from limeshelf.demand.keys import ModelKey
 
 #: Pause after the first failure; doubled with each further one.
-FIRST_PAUSE_S = 0.5
-LONGEST_PAUSE_S = 8.0
+INITIAL_BACKOFF_S = 0.5
+MAX_BACKOFF_S = 8.0
 #: An adapter that was not tried within this time is forgotten.
-FORGET_S = 60.0
+FORGET_AFTER_S = 60.0
 
 
 @attrs.define
@@ -27,10 +27,10 @@
     """Failures in a row; the last one on the steady clock."""
 
     last_s: float
-    pause_s: float = FIRST_PAUSE_S
+    backoff_s: float = INITIAL_BACKOFF_S
 
 
-class AdapterRetries:
+class AdapterBackoff:
     """Says when each adapter may be tried again."""
 
     def __init__(self) -> None:
@@ -41,15 +41,15 @@
         failures = self._failures.get(key)
         if failures is None:
             return True
-        return boottime_s() - failures.last_s >= failures.pause_s
+        return boottime_s() - failures.last_s >= failures.backoff_s
 
-    def note_ended(self, key: ModelKey, came: bool) -> None:
+    def record_result(self, key: ModelKey, succeeded: bool) -> None:
         """Note that a move of an adapter has ended.
 
         :param came: whether the adapter is there.
         """
         now_s = boottime_s()
-        if came:
+        if succeeded:
             self._failures.pop(key, None)
             return
         failures = self._failures.get(key)
@@ -57,10 +57,10 @@
             self._failures[key] = _Failures(now_s)
         else:
             failures.last_s = now_s
-            failures.pause_s = min(LONGEST_PAUSE_S, 2 * failures.pause_s)
+            failures.backoff_s = min(MAX_BACKOFF_S, 2 * failures.backoff_s)
         self._forget_old(now_s)
 
     def _forget_old(self, now_s: float) -> None:
-        old = [key for key, one in self._failures.items() if now_s - one.last_s > FORGET_S]
+        old = [key for key, one in self._failures.items() if now_s - one.last_s > FORGET_AFTER_S]
         for key in old:
             del self._failures[key]
--- a/limeshelf/placement/adapters.py
+++ b/limeshelf/placement/adapters.py
@@ -22,15 +22,15 @@
     from limeshelf.replicas.replica import Replica
 
 #: Adapters that may be on their way to one replica together.
-MAX_LOADING = 4
+MAX_CONCURRENT_LOADS = 4
 #: An adapter that was asked for within this time is not evicted, except by a turn.
-KEEP_S = 0.6
+MIN_IDLE_S = 0.6
 #: An adapter that was asked for and served to nobody for this long has its turn: one that is
 #: served goes for it, whoever asks for that.
-TURN_AFTER_S = 3.0
+OVERDUE_AFTER_S = 3.0
 #: One that came for somebody stays for this long after it was last asked for, or until it was
 #: served. It comes within fractions of a second, and so do its callers.
-AWAITED_S = 5.0
+RETRY_WINDOW_S = 5.0
 #: It counts as awaited once it has gone unserved for longer than the first event of an answer
 #: takes: of a busy one, some call always waits for that.
 AWAITED_AFTER_S = 1.0
@@ -40,9 +40,9 @@
 MAX_UNSERVED_PLACES = 2
 # Costs are in calls a slot: what a replica has under way, divided by its slots.
 #: Cost of each adapter on its way there already.
-LOADING_COST_SHARE = 0.1
+LOADING_COST_CALLS_PER_SLOT = 0.1
 #: Cost of an eviction.
-EVICTION_COST_SHARE = 0.05
+EVICTION_COST_CALLS_PER_SLOT = 0.05
 
 _NO_DEMAND = KeyTotals()
 
@@ -133,11 +133,15 @@
             return None
         if holders and not self._needs_another_place(key, holders, pending_orders):
             return None
-        is_turn = self._has_turn(key, boottime_s())
+        is_overdue = self._is_overdue(key, boottime_s())
         options = [
             option
             for replica in others
-            if (option := self._option(key, replica, pending_orders[replica.replica_id], is_turn))
+            if (
+                option := self._option(
+                    key, replica, pending_orders[replica.replica_id], is_overdue
+                )
+            )
         ]
         if not options:
             return None
@@ -165,26 +169,26 @@
         return len(holders) < MAX_UNSERVED_PLACES and unserved_s >= SECOND_PLACE_AFTER_S
 
     def _option(
-        self, key: ModelKey, replica: Replica, pending: PendingOrders, is_turn: bool
+        self, key: ModelKey, replica: Replica, pending: PendingOrders, is_overdue: bool
     ) -> _Option | None:
         loading = _count_loading(replica, pending)
         is_known = pending.is_fresh and pending.is_claimed_under(self.fence)
-        if not is_known or pending.models_expected() or loading >= MAX_LOADING:
+        if not is_known or pending.models_expected() or loading >= MAX_CONCURRENT_LOADS:
             return None
-        place = self._find_place(replica, pending, loading, is_turn)
+        place = self._find_place(replica, pending, loading, is_overdue)
         if place is None:
             return None
         calls_per_slot = self.directory.load_of(replica).calls / max(1, replica.record.slots)
         cost = (
             calls_per_slot
-            + LOADING_COST_SHARE * loading
-            + (EVICTION_COST_SHARE if place.evicted else 0.0)
+            + LOADING_COST_CALLS_PER_SLOT * loading
+            + (EVICTION_COST_CALLS_PER_SLOT if place.evicted else 0.0)
         )
         move = AdapterMove(replica, key, place.evicted, self._demand(key).unserved_s(boottime_s()))
         return _Option((replica.health.is_suspended(), cost), move)
 
     def _find_place(
-        self, replica: Replica, pending: PendingOrders, loading: int, is_turn: bool
+        self, replica: Replica, pending: PendingOrders, loading: int, is_overdue: bool
     ) -> AdapterPlace | None:
         """Return a place beside what is held and on its way, or ``None`` if all are in use.
 
@@ -204,7 +208,7 @@
         awaited = [key for key in held if self._is_awaited(key, now_s)]
         served = [key for key in held if key not in awaited]
         idle = [key for key in served if self._is_idle(key, now_s)]
-        if not idle and is_turn and not any(self._has_turn(key, now_s) for key in awaited):
+        if not idle and is_overdue and not any(self._is_overdue(key, now_s) for key in awaited):
             # One turn at a replica at a time: the one before has served somebody, or is over.
             idle = served
         if not idle:
@@ -218,14 +222,16 @@
 
     def _is_awaited(self, key: ModelKey, now_s: float) -> bool:
         demand = self._demand(key)
-        return demand.unserved_s(now_s) >= AWAITED_AFTER_S and now_s - demand.seen_s <= AWAITED_S
+        return (
+            demand.unserved_s(now_s) >= AWAITED_AFTER_S and now_s - demand.seen_s <= RETRY_WINDOW_S
+        )
 
-    def _has_turn(self, key: ModelKey, now_s: float) -> bool:
-        return self._demand(key).unserved_s(now_s) >= TURN_AFTER_S
+    def _is_overdue(self, key: ModelKey, now_s: float) -> bool:
+        return self._demand(key).unserved_s(now_s) >= OVERDUE_AFTER_S
 
     def _is_idle(self, key: ModelKey, now_s: float) -> bool:
         demand = self._demand(key)
-        return demand.running == 0 and now_s - demand.seen_s > KEEP_S
+        return demand.running == 0 and now_s - demand.seen_s > MIN_IDLE_S
 
     def _demand(self, key: ModelKey) -> KeyTotals:
         return self.totals.get(key, _NO_DEMAND)
--- a/limeshelf/placement/eviction.py
+++ b/limeshelf/placement/eviction.py
@@ -26,7 +26,7 @@
     loss: float = 0.0
 
 
-def eviction_for(
+def choose_eviction(
     model: str, replica: ReplicaCopies, snapshot: PlacementSnapshot, copy_values: CopyValues
 ) -> Eviction | None:
     """Return what has to go before *model* fits, or ``None`` if it never does.
@@ -45,12 +45,12 @@
         evicted.append(name)
         needed_mb -= snapshot.size_mb(name)
         if needed_mb <= 0:
-            needed = _without_surplus(evicted, -needed_mb, snapshot)
+            needed = _without_unneeded(evicted, -needed_mb, snapshot)
             return Eviction(needed, sum(losses[name] for name in needed))
     return None
 
 
-def _without_surplus(
+def _without_unneeded(
     evicted: list[str], spare_mb: float, snapshot: PlacementSnapshot
 ) -> tuple[str, ...]:
     """Leave out copies that need not go after a larger one went, the dearest first."""
--- a/limeshelf/placement/options.py
+++ b/limeshelf/placement/load_options.py
@@ -11,7 +11,7 @@
 
 import attrs
 
-from limeshelf.placement.eviction import Eviction, eviction_for
+from limeshelf.placement.eviction import Eviction, choose_eviction
 
 if TYPE_CHECKING:
     from limeshelf.placement.copy_values import CopyValues
@@ -22,7 +22,7 @@
 #: was answering one call.
 BUSY_UNLOAD_S = 2.0
 #: Calls under way at a copy from which on its unload counts as one that waits.
-RUNNING_CALLS = 0.5
+BUSY_RUNNING_CALLS = 0.5
 
 
 @attrs.frozen
@@ -55,7 +55,7 @@
         from_store = replica.needs_store(model)
         if replica.has_copy(model) or (from_store and not store_allowed):
             continue
-        eviction = eviction_for(model, replica, snapshot, copy_values)
+        eviction = choose_eviction(model, replica, snapshot, copy_values)
         if eviction is None:
             continue
         load_s = replica.load_s(spec)
@@ -66,22 +66,23 @@
 
 def _unload_s(eviction: Eviction, snapshot: PlacementSnapshot) -> float:
     """Return how long the unloads before a load likely wait for runs, in seconds."""
-    is_busy = any(snapshot.running_calls(name) >= RUNNING_CALLS for name in eviction.models)
+    is_busy = any(snapshot.running_calls(name) >= BUSY_RUNNING_CALLS for name in eviction.models)
     return BUSY_UNLOAD_S if is_busy else 0.0
 
 
-def near_in_s(model: str, snapshot: PlacementSnapshot) -> float:
+def local_ready_in_s(model: str, snapshot: PlacementSnapshot) -> float:
     """Return how soon a replica that is busy now could bring a model whose weights it has near.
 
     :return: in seconds; infinite where no such replica has them.
     """
     spec = snapshot.engine.models[model]
     return min(
-        (one.free_in_s + one.load_s(spec) for one in _busy_near(model, snapshot)), default=math.inf
+        (one.free_in_s + one.load_s(spec) for one in _busy_with_local_weights(model, snapshot)),
+        default=math.inf,
     )
 
 
-def upcoming_loads_s(
+def predicted_ready_in_s(
     models: list[str], snapshot: PlacementSnapshot, copy_values: CopyValues
 ) -> dict[str, float]:
     """Return when models are likely there that busy replicas have near, the first one first.
@@ -89,21 +90,21 @@
     :return: seconds from now, by model; one that no such replica has room for is left out.
     """
     free_in_s = {one.replica_id: one.free_in_s for one in snapshot.replicas}
-    upcoming_s = {}
+    predicted_s = {}
     for model in models:
         spec = snapshot.engine.models[model]
-        places = [
+        candidates = [
             (free_in_s[one.replica_id] + one.load_s(spec), one.replica_id)
-            for one in _busy_near(model, snapshot)
-            if eviction_for(model, one, snapshot, copy_values) is not None
+            for one in _busy_with_local_weights(model, snapshot)
+            if choose_eviction(model, one, snapshot, copy_values) is not None
         ]
-        if places:
-            ready_in_s, replica_id = min(places)
-            upcoming_s[model] = free_in_s[replica_id] = ready_in_s
-    return upcoming_s
+        if candidates:
+            ready_in_s, replica_id = min(candidates)
+            predicted_s[model] = free_in_s[replica_id] = ready_in_s
+    return predicted_s
 
 
-def _busy_near(model: str, snapshot: PlacementSnapshot) -> list[ReplicaCopies]:
+def _busy_with_local_weights(model: str, snapshot: PlacementSnapshot) -> list[ReplicaCopies]:
     """Return the replicas that load something now and have the weights of a model near."""
     return [
         one
--- a/limeshelf/placement/move_runner.py
+++ b/limeshelf/placement/move_runner.py
@@ -13,7 +13,7 @@
 from limeshelf.orders.order import OrderKind
 from limeshelf.orders.task import Loadable, OrderTask
 from limeshelf.orders.task_runner import TaskRunner
-from limeshelf.placement.adapter_retries import AdapterRetries
+from limeshelf.placement.adapter_backoff import AdapterBackoff
 from limeshelf.util.clock import MS_PER_S, boottime_s
 
 if TYPE_CHECKING:
@@ -30,7 +30,7 @@
 
 #: An unload before a load takes about this long; it moves only the time that is announced to
 #: waiting calls.
-UNLOAD_S = 0.6
+UNLOAD_ESTIMATE_S = 0.6
 
 
 class MoveRunner:
@@ -45,18 +45,18 @@
         directory: ReplicaDirectory,
         sender: OrderSender,
         tasks: TaskSet,
-        on_load: Callable[[], None],
+        on_load_start: Callable[[], None],
         lost_loads: LostLoads,
     ) -> None:
-        self._adapter_retries = AdapterRetries()
+        self._adapter_backoff = AdapterBackoff()
         self._directory = directory
         self._sender = sender
         self._lost_loads = lost_loads
-        self._runner = TaskRunner(directory, sender, self._note_load_ended)
+        self._runner = TaskRunner(directory, sender, self._record_load_result)
         self._tasks = tasks
-        self._on_load = on_load
+        self._on_load_start = on_load_start
 
-    def begin(self, move: CopyMove) -> None:
+    def start(self, move: CopyMove) -> None:
         """Load a model at a replica, after the evicted ones are unloaded there."""
         replica = self._directory.get(move.replica_id)
         assert replica is not None
@@ -74,18 +74,18 @@
             loss=move.loss,
             unserved_ms=int(move.unserved_s * MS_PER_S),
         )
-        ready_s = boottime_s() + move.load_s + (UNLOAD_S if move.evicted else 0.0)
+        ready_s = boottime_s() + move.load_s + (UNLOAD_ESTIMATE_S if move.evicted else 0.0)
         tasks = [OrderTask(OrderKind.UNLOAD, name) for name in move.evicted]
         tasks.append(OrderTask(OrderKind.LOAD, move.model, '', move.load_s))
         self._sender.pending(replica).expect(Loadable(move.model), ready_s)
-        self._on_load()
+        self._on_load_start()
         self._tasks.spawn(self._run(replica, tasks), 'move')
 
-    def may_try(self, key: ModelKey) -> bool:
+    def may_try_adapter(self, key: ModelKey) -> bool:
         """Return whether an adapter may be ordered now, by how its last moves ended."""
-        return self._adapter_retries.may_try(key)
+        return self._adapter_backoff.may_try(key)
 
-    def begin_adapter(self, move: AdapterMove) -> None:
+    def start_adapter(self, move: AdapterMove) -> None:
         """Load an adapter at a replica, after the evicted one is unloaded there."""
         log_change(
             'adapter_move',
@@ -106,13 +106,13 @@
         self._tasks.spawn(self._run_adapter(move, tasks), 'adapter')
 
     async def _run_adapter(self, move: AdapterMove, tasks: list[OrderTask]) -> None:
-        came = False
+        succeeded = False
         try:
-            came = await self._run(move.replica, tasks)
+            succeeded = await self._run(move.replica, tasks)
         finally:
-            self._adapter_retries.note_ended(move.key, came)
+            self._adapter_backoff.record_result(move.key, succeeded)
 
-    def _note_load_ended(self, replica: Replica, task: OrderTask) -> None:
+    def _record_load_result(self, replica: Replica, task: OrderTask) -> None:
         if task.is_done(replica):
             self._lost_loads.note_came(replica.record.service, task.model, task.adapter)
         else:
--- a/limeshelf/placement/planner.py
+++ b/limeshelf/placement/planner.py
@@ -19,10 +19,15 @@
     may_load_from_store,
     must_keep_idle_reserve,
 )
+from limeshelf.placement.load_options import (
+    LoadOption,
+    load_options,
+    local_ready_in_s,
+    predicted_ready_in_s,
+)
 from limeshelf.placement.model_values import ModelValues
-from limeshelf.placement.options import LoadOption, load_options, near_in_s, upcoming_loads_s
 from limeshelf.placement.overdue import allowed_loss_per_s, overdue_models
-from limeshelf.placement.spread import spread_option
+from limeshelf.placement.prefetch import choose_prefetch
 from limeshelf.placement.survey import PlacementSnapshot, WeightsTier
 
 if TYPE_CHECKING:
@@ -200,7 +205,7 @@
     def _prefetch_move(
         self, snapshot: PlacementSnapshot, copy_values: CopyValues
     ) -> CopyMove | None:
-        found = spread_option(snapshot, copy_values, self._barred)
+        found = choose_prefetch(snapshot, copy_values, self._barred)
         if found is None:
             return None
         model, option = found
@@ -222,7 +227,7 @@
         ]
         waiting.sort(key=lambda name: (-copy_values.idle_gain(name), name))
         loadable = [name for name in waiting if name not in self._barred]
-        ready_in_s = upcoming_loads_s(loadable, snapshot, copy_values)
+        ready_in_s = predicted_ready_in_s(loadable, snapshot, copy_values)
         not_loaded = {
             name: _not_loaded_reason(name, snapshot, copy_values, store_allowed)
             for name in waiting
@@ -292,7 +297,7 @@
     if not worthwhile:
         return None
     best = max(worthwhile, key=lambda one: one.net)
-    if best.option.from_store and best.option.ready_in_s > near_in_s(model, snapshot):
+    if best.option.from_store and best.option.ready_in_s > local_ready_in_s(model, snapshot):
         return None
     unserved_s = snapshot.demand(model).unserved_s
     return best.as_move(model, reason, unserved_s, _replicas_with_weights(model, best, snapshot))
--- a/limeshelf/placement/spread.py
+++ b/limeshelf/placement/prefetch.py
@@ -10,7 +10,7 @@
 
 from typing import TYPE_CHECKING
 
-from limeshelf.placement.options import LoadOption, load_options
+from limeshelf.placement.load_options import LoadOption, load_options
 
 if TYPE_CHECKING:
     from collections.abc import Collection
@@ -19,53 +19,53 @@
     from limeshelf.placement.survey import PlacementSnapshot, ReplicaCopies
 
 #: Share of the replicas that may load something while weights are spread.
-SPREADING_SHARE = 0.7
+MAX_LOADING_SHARE = 0.7
 
 
-def far_models(snapshot: PlacementSnapshot, barred: Collection[str]) -> list[str]:
+def uncached_models(snapshot: PlacementSnapshot, barred: Collection[str]) -> list[str]:
     """Return the models whose weights lie at no replica, nor are on their way to one."""
-    near: set[str] = set()
+    cached: set[str] = set()
     for replica in snapshot.replicas:
-        near |= replica.ready | replica.loading | replica.in_memory | replica.on_disk
-    return [name for name in snapshot.engine.models if name not in near and name not in barred]
+        cached |= replica.ready | replica.loading | replica.in_memory | replica.on_disk
+    return [name for name in snapshot.engine.models if name not in cached and name not in barred]
 
 
-def spread_option(
+def choose_prefetch(
     snapshot: PlacementSnapshot, copy_values: CopyValues, barred: Collection[str]
 ) -> tuple[str, LoadOption] | None:
     """Return the next model to bring near, and where; ``None`` if there is none.
 
     It goes where the copies that a load may push off the disk lie elsewhere as well.
     """
-    if not copy_values.is_low_demand or snapshot.loading >= SPREADING_SHARE * len(
+    if not copy_values.is_low_demand or snapshot.loading >= MAX_LOADING_SHARE * len(
         snapshot.replicas
     ):
         return None
     if any(not one.is_idle and not one.loading for one in snapshot.replicas):
         # What it holds may not be known yet.
         return None
-    for model in far_models(snapshot, barred):
+    for model in uncached_models(snapshot, barred):
         options = [
             option
             for option in load_options(model, snapshot, copy_values, store_allowed=True)
-            if all(_is_spare(name, snapshot, copy_values) for name in option.eviction.models)
+            if all(_is_dispensable(name, snapshot, copy_values) for name in option.eviction.models)
         ]
         if options:
-            return model, min(options, key=lambda one: _cost(one, snapshot))
+            return model, min(options, key=lambda one: _prefetch_cost(one, snapshot))
     return None
 
 
-def _is_spare(model: str, snapshot: PlacementSnapshot, copy_values: CopyValues) -> bool:
+def _is_dispensable(model: str, snapshot: PlacementSnapshot, copy_values: CopyValues) -> bool:
     """Return whether a copy may go for a while without one who asks for it missing it."""
     return snapshot.copies(model).ready > 1 or not copy_values.had_initial_copies(model)
 
 
-def _cost(option: LoadOption, snapshot: PlacementSnapshot) -> tuple[int, float, str]:
-    only_here = _only_near_here(option.replica, snapshot)
+def _prefetch_cost(option: LoadOption, snapshot: PlacementSnapshot) -> tuple[int, float, str]:
+    only_here = _count_only_cached_here(option.replica, snapshot)
     return only_here, option.eviction.loss, option.replica.replica_id
 
 
-def _only_near_here(replica: ReplicaCopies, snapshot: PlacementSnapshot) -> int:
+def _count_only_cached_here(replica: ReplicaCopies, snapshot: PlacementSnapshot) -> int:
     """Return how many models lie on this replica's disk, unused, and nowhere else."""
     elsewhere: set[str] = set()
     for other in snapshot.replicas:
--- a/limeshelf/placement/replica_watch.py
+++ b/limeshelf/placement/replica_watch.py
@@ -28,7 +28,7 @@
 #: The leader polls every replica this often.
 POLL_INTERVAL_S = 0.5
 #: Replicas of a service that start together are found within this time.
-SETTLED_S = 2.0
+STABLE_AFTER_S = 2.0
 
 
 class ReplicaWatch:
@@ -46,9 +46,9 @@
         self._sender = sender
         self._tasks = tasks
         self._polled_s: dict[ReplicaStart, float] = {}
-        self._first_copies: dict[str, dict[str, int]] = {}
-        self._first_seen: set[ReplicaStart] = set()
-        self._found_s: dict[str, float] = {}
+        self._initial_copies: dict[str, dict[str, int]] = {}
+        self._counted_starts: set[ReplicaStart] = set()
+        self._last_found_s: dict[str, float] = {}
 
     async def claim_all(self, service: str, engine: EngineSpec) -> None:
         """Make every replica of a service note the fence of the term."""
@@ -56,26 +56,26 @@
         claims = (self._sender.claim(replica, engine) for replica in replicas)
         await asyncio.gather(*claims)
 
-    def note_first_copies(self, service: str) -> None:
+    def record_initial_copies(self, service: str) -> None:
         """Count what replicas hold when they are first seen; it shows what is busy."""
-        copies = self._first_copies.setdefault(service, {})
+        copies = self._initial_copies.setdefault(service, {})
         for replica in self._directory.of_service(service):
-            if replica.start in self._first_seen:
+            if replica.start in self._counted_starts:
                 continue
-            self._first_seen.add(replica.start)
-            self._found_s[service] = boottime_s()
+            self._counted_starts.add(replica.start)
+            self._last_found_s[service] = boottime_s()
             for model in replica.holdings:
                 copies[model] = copies.get(model, 0) + 1
 
     def first_copies(self, service: str) -> dict[str, int]:
         """Return the copies of each model that were found at the start."""
-        return self._first_copies.get(service, {})
+        return self._initial_copies.get(service, {})
 
-    def is_settled(self, service: str) -> bool:
+    def is_replica_set_stable(self, service: str) -> bool:
         """Return whether no replica of a service was found lately."""
-        return boottime_s() - self._found_s.get(service, 0.0) >= SETTLED_S
+        return boottime_s() - self._last_found_s.get(service, 0.0) >= STABLE_AFTER_S
 
-    def poll_due(self, service: str, engine: EngineSpec) -> None:
+    def start_due_polls(self, service: str, engine: EngineSpec) -> None:
         """Start the polls whose time has come."""
         now_s = boottime_s()
         for replica in self._directory.of_service(service):
@@ -94,25 +94,25 @@
     def copies(self, service: str) -> list[ReplicaCopies]:
         """Return the replicas to plan for; the models of lost ones come up elsewhere."""
         return [
-            self._copies_at(replica, pending)
+            self._view_of(replica, pending)
             for replica in self._directory.of_service(service)
             if not _is_lost(replica, pending := self._sender.pending(replica))
         ]
 
-    def _copies_at(self, replica: Replica, pending: PendingOrders) -> ReplicaCopies:
+    def _view_of(self, replica: Replica, pending: PendingOrders) -> ReplicaCopies:
         report = replica.report
         return ReplicaCopies(
             replica.replica_id,
             set(replica.holdings) - replica.retiring,
             pending.models_expected(),
-            is_idle=self._may_take_orders(replica, pending),
+            is_idle=self._can_accept_orders(replica, pending),
             data_centre=replica.record.data_centre,
             in_memory=report.in_memory if report else frozenset(),
             on_disk=report.on_disk if report else frozenset(),
             free_in_s=_free_in_s(pending),
         )
 
-    def _may_take_orders(self, replica: Replica, pending: PendingOrders) -> bool:
+    def _can_accept_orders(self, replica: Replica, pending: PendingOrders) -> bool:
         busy = bool(replica.report and replica.report.busy)
         return (
             pending.is_fresh
@@ -123,22 +123,22 @@
             and not replica.backpressure.is_paused
         )
 
-    def is_coming_or_held(self, key: ModelKey) -> bool:
+    def is_held_or_loading(self, key: ModelKey) -> bool:
         """Return whether a model is at some replica or on its way to one."""
         model = Loadable(key.model)
         replicas = self._directory.of_service(key.service)
         coming = any(self._sender.pending(replica).expects(model) for replica in replicas)
         return coming or any(replica.holds(key.model) for replica in replicas)
 
-    def awaited(self) -> dict[ModelKey, float]:
+    def loading_ready_times(self) -> dict[ModelKey, float]:
         """Return the models on their way, with the boot clock's time when each is likely there."""
-        awaited: dict[ModelKey, float] = {}
+        earliest_s: dict[ModelKey, float] = {}
         for replica in self._directory.all():
             for (model, adapter), ready_s in self._sender.pending(replica).ready_times_s().items():
                 if not adapter:
                     key = ModelKey(replica.record.service, model)
-                    awaited[key] = min(ready_s, awaited.get(key, ready_s))
-        return awaited
+                    earliest_s[key] = min(ready_s, earliest_s.get(key, ready_s))
+        return earliest_s
 
 
 def _free_in_s(pending: PendingOrders) -> float:
--- a/limeshelf/placement/service.py
+++ b/limeshelf/placement/service.py
@@ -17,11 +17,11 @@
 from limeshelf.placement.adapters import AdapterPlanner
 from limeshelf.placement.move_runner import MoveRunner
 from limeshelf.placement.overdue import OverdueLoads
-from limeshelf.placement.pace import LoadPace
+from limeshelf.placement.placement_log import PlacementLog
 from limeshelf.placement.planner import CopyPlanner, MoveReason
 from limeshelf.placement.replica_watch import ReplicaWatch
 from limeshelf.placement.starvation import StarvationTracker
-from limeshelf.placement.survey_log import SurveyLog
+from limeshelf.placement.store_load_limiter import StoreLoadLimiter
 from limeshelf.util.clock import boottime_s
 
 if TYPE_CHECKING:
@@ -38,18 +38,18 @@
     from limeshelf.util.tasks import TaskSet
 
 #: Time between plans, unless a call that waits for a model brings one forward.
-ROUND_S = 0.2
+ROUND_INTERVAL_S = 0.2
 #: Two plans begin this far apart at the least, however many calls wait: each gateway reports each
 #: model that it lacks several times a second.
-LEAST_ROUND_S = 0.05
+MIN_ROUND_INTERVAL_S = 0.05
 #: The same while another process leads: only the sums of demand are brought up to date.
-FOLLOWER_ROUND_S = 0.5
+FOLLOWER_ROUND_INTERVAL_S = 0.5
 #: After a process's start, records of replicas come in for this long; copies counted earlier
 #: would miss those of busy models.
-START_SETTLE_S = 1.5
+STARTUP_DISCOVERY_S = 1.5
 #: Between a new term's claims and its first plan, for what a predecessor ordered late. Reports
 #: are some 100 ms old.
-TERM_SETTLE_S = 0.25
+TERM_START_DELAY_S = 0.25
 
 
 class PlacementService:
@@ -71,7 +71,7 @@
         config: Callable[[], ServingConfig | None],
         window_s: float,
         read_ms: Callable[[str, float], float],
-        on_load: Callable[[], None],
+        on_load_start: Callable[[], None],
         lost_loads: LostLoads,
     ) -> None:
         self.totals = DemandTotals()
@@ -80,19 +80,19 @@
         self._sender = sender
         self._config = config
         self._read_ms = read_ms
-        self._replicas = ReplicaWatch(directory, leadership, sender, tasks)
+        self._replica_monitor = ReplicaWatch(directory, leadership, sender, tasks)
         self._lost_loads = lost_loads
-        self._on_load = on_load
-        self._moves = MoveRunner(directory, sender, tasks, on_load, lost_loads)
-        self._pace = LoadPace(window_s)
+        self._on_load_start = on_load_start
+        self._move_runner = MoveRunner(directory, sender, tasks, on_load_start, lost_loads)
+        self._store_load_limiter = StoreLoadLimiter(window_s)
         self._starvation = StarvationTracker()
-        self._turns = OverdueLoads()
-        self._survey_log = SurveyLog()
-        self._upcoming_s: dict[ModelKey, float] = {}
+        self._overdue_loads = OverdueLoads()
+        self._placement_log = PlacementLog()
+        self._predicted_ready_s: dict[ModelKey, float] = {}
         self._term_fence = 0
         self._started_s = boottime_s()
-        self._wanted = asyncio.Event()
-        self._planned_s = 0.0
+        self._plan_requested = asyncio.Event()
+        self._last_plan_s = 0.0
 
     def may_order(self) -> bool:
         """Return whether this process gives the orders now."""
@@ -101,56 +101,60 @@
     async def run(self) -> None:
         """Plan and order for as long as this process may; wait otherwise."""
         while True:
-            await self._until_due()
-            self._planned_s = boottime_s()
+            await self._wait_for_next_round()
+            self._last_plan_s = boottime_s()
             loads = self.totals.step()
             config = self._config()
             if not self.may_order() or config is None:
                 continue
             if self._leadership.fence != self._term_fence:
-                await self._begin_term(config)
-            for name, engine in _placeable(config):
+                await self._start_term(config)
+            for name, engine in _services_with_models(config):
                 await self._plan(name, engine, loads)
 
-    async def _until_due(self) -> None:
+    async def _wait_for_next_round(self) -> None:
         """Wait for the next plan; a model that is waited for brings it forward."""
         try:
-            async with asyncio.timeout(ROUND_S if self._leadership.term else FOLLOWER_ROUND_S):
-                await self._wanted.wait()
+            async with asyncio.timeout(
+                ROUND_INTERVAL_S if self._leadership.term else FOLLOWER_ROUND_INTERVAL_S
+            ):
+                await self._plan_requested.wait()
         except TimeoutError:
             # The usual case: nobody waits for a model that is not there.
             return
-        await asyncio.sleep(max(0.0, self._planned_s + LEAST_ROUND_S - boottime_s()))
-        self._wanted.clear()
+        await asyncio.sleep(max(0.0, self._last_plan_s + MIN_ROUND_INTERVAL_S - boottime_s()))
+        self._plan_requested.clear()
 
-    async def _begin_term(self, config: ServingConfig) -> None:
+    async def _start_term(self, config: ServingConfig) -> None:
         self._term_fence = self._leadership.fence
-        self._upcoming_s.clear()
-        for name, engine in _placeable(config):
-            self._pace.reset(engine.loads_per_s)
-            await self._replicas.claim_all(name, engine)
+        self._predicted_ready_s.clear()
+        for name, engine in _services_with_models(config):
+            self._store_load_limiter.reset(engine.loads_per_s)
+            await self._replica_monitor.claim_all(name, engine)
         # What a predecessor ordered late has come by now, or never will.
-        await asyncio.sleep(TERM_SETTLE_S)
+        await asyncio.sleep(TERM_START_DELAY_S)
 
     async def _plan(
         self, service: str, engine: EngineSpec, loads: dict[ModelKey, KeyTotals]
     ) -> None:
-        self._replicas.note_first_copies(service)
-        self._replicas.poll_due(service, engine)
-        if boottime_s() - self._started_s < START_SETTLE_S:
+        self._replica_monitor.record_initial_copies(service)
+        self._replica_monitor.start_due_polls(service, engine)
+        if boottime_s() - self._started_s < STARTUP_DISCOVERY_S:
             # Records of replicas are still coming in.
             return
         demands = demand_by_model(service, engine, loads, self._read_ms)
-        self._bring_due_adapters(service, engine)
-        copies = self._replicas.copies(service)
+        self._load_unserved_adapters(service, engine)
+        copies = self._replica_monitor.copies(service)
         starved_s = self._starvation.track(service, demands, copies)
-        first_copies = self._replicas.first_copies(service)
+        initial_copies = self._replica_monitor.first_copies(service)
         barred = {name for name in engine.models if self._lost_loads.is_barred(service, name)}
-        planner = CopyPlanner(engine, demands, first_copies, starved_s, barred, self._turns)
-        self._survey_log.note_replicas(service, copies)
-        await self._begin_moves(service, engine, planner, copies)
+        planner = CopyPlanner(
+            engine, demands, initial_copies, starved_s, barred, self._overdue_loads
+        )
+        self._placement_log.log_replicas(service, copies)
+        await self._start_moves(service, engine, planner, copies)
 
-    async def _begin_moves(
+    async def _start_moves(
         self, service: str, engine: EngineSpec, planner: CopyPlanner, copies: list[ReplicaCopies]
     ) -> None:
         while True:
@@ -159,19 +163,19 @@
             await asyncio.sleep(0)
             if not self.may_order():
                 return
-            store_allowed = self._pace.allows(engine.loads_per_s)
-            may_spread = self._replicas.is_settled(service)
-            move = planner.next_move(copies, store_allowed, may_prefetch=may_spread)
+            store_allowed = self._store_load_limiter.may_load(engine.loads_per_s)
+            may_prefetch = self._replica_monitor.is_replica_set_stable(service)
+            move = planner.next_move(copies, store_allowed, may_prefetch=may_prefetch)
             if move is None:
-                outlook = planner.outlook(copies, store_allowed)
-                self._note_upcoming(service, outlook.ready_in_s)
-                self._survey_log.note_passed_over(service, outlook.not_loaded)
+                waiting = planner.outlook(copies, store_allowed)
+                self._update_predicted_times(service, waiting.ready_in_s)
+                self._placement_log.log_not_loaded(service, waiting.not_loaded)
                 return
             if move.from_store:
-                self._pace.note()
-            self._moves.begin(move)
+                self._store_load_limiter.record_load()
+            self._move_runner.start(move)
             if move.reason is MoveReason.OVERDUE:
-                self._turns.record_start(move.replica_id, move.model)
+                self._overdue_loads.record_start(move.replica_id, move.model)
             for replica in copies:
                 if replica.replica_id == move.replica_id:
                     replica.begin_move(move.model, move.evicted, move.load_s)
@@ -183,30 +187,30 @@
         """
         self.totals.note_missing(key)
         engine = self._engine_of(key)
-        if not self._replicas.is_coming_or_held(key):
-            self._wanted.set()
+        if not self._replica_monitor.is_held_or_loading(key):
+            self._plan_requested.set()
         if self.may_order() and engine is not None and key.adapter and key.model in engine.models:
-            self._bring_adapters(key.service, engine, [key])
+            self._load_adapters(key.service, engine, [key])
 
     def _engine_of(self, key: ModelKey) -> EngineSpec | None:
         config = self._config()
         service = config.services.get(key.service) if config else None
         return service.engine if service else None
 
-    def _bring_due_adapters(self, service: str, engine: EngineSpec) -> None:
-        self._bring_adapters(service, engine, self._adapter_planner(service, engine).due())
+    def _load_unserved_adapters(self, service: str, engine: EngineSpec) -> None:
+        self._load_adapters(service, engine, self._adapter_planner(service, engine).due())
 
-    def _bring_adapters(self, service: str, engine: EngineSpec, keys: list[ModelKey]) -> None:
+    def _load_adapters(self, service: str, engine: EngineSpec, keys: list[ModelKey]) -> None:
         replicas = self._directory.of_service(service)
         pending = {replica.replica_id: self._sender.pending(replica) for replica in replicas}
         planner = self._adapter_planner(service, engine)
         for key in keys:
             barred = self._lost_loads.is_barred(service, key.model, key.adapter)
-            if barred or not self._moves.may_try(key):
+            if barred or not self._move_runner.may_try_adapter(key):
                 continue
             move = planner.plan(key, pending)
             if move is not None:
-                self._moves.begin_adapter(move)
+                self._move_runner.start_adapter(move)
 
     def _adapter_planner(self, service: str, engine: EngineSpec) -> AdapterPlanner:
         fence = self._leadership.fence
@@ -223,19 +227,21 @@
 
         A time is when the model is likely there, on the boot clock.
         """
-        return self._upcoming_s | self._replicas.awaited()
+        return self._predicted_ready_s | self._replica_monitor.loading_ready_times()
 
-    def _note_upcoming(self, service: str, upcoming_s: dict[str, float]) -> None:
+    def _update_predicted_times(self, service: str, ready_in_s: dict[str, float]) -> None:
         now_s = boottime_s()
-        others = {key: at_s for key, at_s in self._upcoming_s.items() if key.service != service}
-        planned = {ModelKey(service, name): now_s + in_s for name, in_s in upcoming_s.items()}
-        is_new = not planned.keys() <= self._upcoming_s.keys()
-        self._upcoming_s = others | planned
+        others = {
+            key: at_s for key, at_s in self._predicted_ready_s.items() if key.service != service
+        }
+        planned = {ModelKey(service, name): now_s + in_s for name, in_s in ready_in_s.items()}
+        is_new = not planned.keys() <= self._predicted_ready_s.keys()
+        self._predicted_ready_s = others | planned
         if is_new:
-            self._on_load()
+            self._on_load_start()
 
 
-def _placeable(config: ServingConfig) -> Iterator[tuple[str, EngineSpec]]:
+def _services_with_models(config: ServingConfig) -> Iterator[tuple[str, EngineSpec]]:
     """Return the engine services that have models, by name."""
     for service in config.engine_services():
         assert service.engine is not None
--- a/limeshelf/placement/pace.py
+++ b/limeshelf/placement/store_load_limiter.py
@@ -15,7 +15,7 @@
 BURST_LOADS = 1.5
 
 
-class LoadPace:
+class StoreLoadLimiter:
     """Counts the loads that began in a sliding window.
 
     A new holder of the lease has no count of what its predecessor began, so it starts as if
@@ -26,7 +26,7 @@
 
     def __init__(self, window_s: float) -> None:
         self._window_s = window_s
-        self._begun_s: deque[float] = deque()
+        self._load_times_s: deque[float] = deque()
 
     def reset(self, loads_per_s: float) -> None:
         """Start a new term of the lease."""
@@ -34,18 +34,18 @@
         steady_loads = int(loads_per_s * self._window_s)
         step_s = self._window_s / max(1, steady_loads)
         start_s = now_s - self._window_s
-        self._begun_s = deque(start_s + step_s * (n + 1) for n in range(steady_loads - 1))
+        self._load_times_s = deque(start_s + step_s * (n + 1) for n in range(steady_loads - 1))
 
-    def allows(self, loads_per_s: float) -> bool:
+    def may_load(self, loads_per_s: float) -> bool:
         """Return whether one more load may begin now.
 
         :param loads_per_s: the steady rate that the configuration allows.
         """
         oldest_s = boottime_s() - self._window_s
-        while self._begun_s and self._begun_s[0] < oldest_s:
-            self._begun_s.popleft()
-        return len(self._begun_s) + 1 <= loads_per_s * self._window_s + BURST_LOADS
+        while self._load_times_s and self._load_times_s[0] < oldest_s:
+            self._load_times_s.popleft()
+        return len(self._load_times_s) + 1 <= loads_per_s * self._window_s + BURST_LOADS
 
-    def note(self) -> None:
+    def record_load(self) -> None:
         """Count a load that begins now."""
-        self._begun_s.append(boottime_s())
+        self._load_times_s.append(boottime_s())
--- a/tests/placement/fleet_play.py
+++ b/tests/placement/fleet_play.py
@@ -24,10 +24,10 @@
 from limeshelf.orders.task import Loadable
 from limeshelf.placement.adapters import AdapterMove, AdapterPlanner
 from limeshelf.placement.overdue import OverdueLoads
-from limeshelf.placement.pace import LoadPace
 from limeshelf.placement.planner import CopyMove, CopyPlanner, MoveReason
-from limeshelf.placement.service import ROUND_S
+from limeshelf.placement.service import ROUND_INTERVAL_S
 from limeshelf.placement.starvation import StarvationTracker
+from limeshelf.placement.store_load_limiter import StoreLoadLimiter
 from limeshelf.placement.survey import ReplicaCopies
 from limeshelf.platform.replicas import read_record
 from limeshelf.replicas.directory import ReplicaDirectory
@@ -177,7 +177,7 @@
 
     def begin(self) -> None:
         self.line.every(lambda: COUNTS_S, self.gateway.send, COUNTS_S)
-        self.line.every(lambda: ROUND_S, self._round, ROUND_S)
+        self.line.every(lambda: ROUND_INTERVAL_S, self._round, ROUND_INTERVAL_S)
 
     def _round(self) -> None:
         self.gateway.step()
@@ -375,7 +375,7 @@
 
     engine: EngineSpec = attrs.field(kw_only=True)
     replicas: list[ModelReplica] = attrs.field(factory=list)
-    pace: LoadPace = attrs.field(factory=lambda: LoadPace(1.0))
+    pace: StoreLoadLimiter = attrs.field(factory=lambda: StoreLoadLimiter(1.0))
     starvation: StarvationTracker = attrs.field(factory=StarvationTracker)
     overdue_loads: OverdueLoads = attrs.field(factory=OverdueLoads)
     report_lag_s: float = 0.0
@@ -428,11 +428,11 @@
         starved_s = self.starvation.track(SERVICE, demands, copies)
         planner = CopyPlanner(self.engine, demands, {}, starved_s, (), self.overdue_loads)
         while True:
-            move = planner.next_move(copies, self.pace.allows(self.engine.loads_per_s))
+            move = planner.next_move(copies, self.pace.may_load(self.engine.loads_per_s))
             if move is None:
                 return
             if move.from_store:
-                self.pace.note()
+                self.pace.record_load()
             self._begin(move)
             if move.reason is MoveReason.OVERDUE:
                 self.overdue_loads.record_start(move.replica_id, move.model)
--- a/tests/placement/test_adapters.py
+++ b/tests/placement/test_adapters.py
@@ -14,9 +14,9 @@
 from limeshelf.orders.pending import REPORT_SETTLE_S, PendingOrders
 from limeshelf.orders.task import Loadable
 from limeshelf.placement.adapters import (
-    AWAITED_S,
+    OVERDUE_AFTER_S,
+    RETRY_WINDOW_S,
     SECOND_PLACE_AFTER_S,
-    TURN_AFTER_S,
     AdapterPlanner,
 )
 from limeshelf.platform.replicas import read_record
@@ -183,9 +183,9 @@
     fleet.seen('a1', ago_s=0.3, running=2.0)
     fleet.seen('a2', ago_s=0.2)
     fleet.seen('a3', ago_s=0.1)
-    fleet.unserved('a6', TURN_AFTER_S - 0.1)
+    fleet.unserved('a6', OVERDUE_AFTER_S - 0.1)
     assert fleet.plan() is None
-    fleet.unserved('a6', TURN_AFTER_S)
+    fleet.unserved('a6', OVERDUE_AFTER_S)
     assert fleet.plan() == ('r1', 'a2')
 
 
@@ -193,8 +193,8 @@
     fleet.add('r1', 'a1', 'a2', 'a3')
     fleet.seen('a1', ago_s=0.2)
     fleet.seen('a2', ago_s=0.1)
-    fleet.unserved('a3', TURN_AFTER_S + 1.0)
-    fleet.unserved('a6', TURN_AFTER_S)
+    fleet.unserved('a3', OVERDUE_AFTER_S + 1.0)
+    fleet.unserved('a6', OVERDUE_AFTER_S)
     assert fleet.plan() is None
     fleet.seen('a3', ago_s=0.0)
     assert fleet.plan() == ('r1', 'a1')
@@ -204,10 +204,10 @@
     fleet.add('r1', 'a1', 'a2', 'a3')
     fleet.seen('a1', ago_s=0.1)
     fleet.seen('a2', ago_s=0.1)
-    fleet.unserved('a3', AWAITED_S, ago_s=AWAITED_S - 0.5)
+    fleet.unserved('a3', RETRY_WINDOW_S, ago_s=RETRY_WINDOW_S - 0.5)
     fleet.unserved('a6', 1.0)
     assert fleet.plan() is None
-    fleet.unserved('a3', AWAITED_S + 0.5, ago_s=AWAITED_S + 0.1)
+    fleet.unserved('a3', RETRY_WINDOW_S + 0.5, ago_s=RETRY_WINDOW_S + 0.1)
     assert fleet.plan() == ('r1', 'a3')
 
 
@@ -260,5 +260,5 @@
     fleet.add('r1', 'a1', 'a2', 'a3')
     for adapter in ('a1', 'a2', 'a3'):
         fleet.unserved(adapter, 0.3)
-    fleet.unserved('a6', TURN_AFTER_S)
+    fleet.unserved('a6', OVERDUE_AFTER_S)
     assert fleet.plan() is not None
--- a/tests/placement/test_eviction.py
+++ b/tests/placement/test_eviction.py
@@ -4,7 +4,7 @@
 
 from limeshelf.demand.model_demand import ModelDemand
 from limeshelf.placement.copy_values import CopyValues
-from limeshelf.placement.eviction import Eviction, eviction_for
+from limeshelf.placement.eviction import Eviction, choose_eviction
 from limeshelf.placement.survey import PlacementSnapshot, ReplicaCopies
 from tests.placement.builders import busy, engine, replica, seldom
 
@@ -14,7 +14,7 @@
 def evicted(model: str, here: ReplicaCopies, **demands: ModelDemand) -> Eviction | None:
     demands.setdefault('hot', busy(20))
     snapshot = PlacementSnapshot.capture(engine(), demands, [here, replica('r9', 'hot')])
-    return eviction_for(model, here, snapshot, CopyValues(snapshot, {}, {}))
+    return choose_eviction(model, here, snapshot, CopyValues(snapshot, {}, {}))
 
 
 def test_nothing_goes_where_there_is_room() -> None:
--- a/tests/placement/test_options.py
+++ b/tests/placement/test_load_options.py
@@ -6,12 +6,12 @@
 
 from limeshelf.demand.model_demand import ModelDemand
 from limeshelf.placement.copy_values import CopyValues
-from limeshelf.placement.options import (
+from limeshelf.placement.load_options import (
     BUSY_UNLOAD_S,
     LoadOption,
     load_options,
-    near_in_s,
-    upcoming_loads_s,
+    local_ready_in_s,
+    predicted_ready_in_s,
 )
 from limeshelf.placement.survey import PlacementSnapshot, ReplicaCopies
 from tests.placement.builders import busy, engine, replica
@@ -68,15 +68,15 @@
 def test_busy_replica_brings_what_it_has_near_after_its_load() -> None:
     disk_load_s = engine().models['rare'].disk_load_s
     snapshot = survey_of(occupied('r1', 3.0, 'rare'), occupied('r2', 1.0, 'rare'), replica('r3'))
-    assert near_in_s('rare', snapshot) == 1.0 + disk_load_s
-    assert near_in_s('other', snapshot) == math.inf
+    assert local_ready_in_s('rare', snapshot) == 1.0 + disk_load_s
+    assert local_ready_in_s('other', snapshot) == math.inf
 
 
 def test_models_that_wait_for_one_replica_come_one_after_the_other() -> None:
     snapshot = survey_of(occupied('r1', 2.0, 'rare', 'other'))
     copy_values = CopyValues(snapshot, {}, {})
     disk_load_s = engine().models['rare'].disk_load_s
-    assert upcoming_loads_s(['rare', 'other', 'small'], snapshot, copy_values) == {
+    assert predicted_ready_in_s(['rare', 'other', 'small'], snapshot, copy_values) == {
         'rare': 2.0 + disk_load_s,
         'other': 2.0 + 2 * disk_load_s,
     }
--- a/tests/placement/test_survey_log.py
+++ b/tests/placement/test_placement_log.py
@@ -7,9 +7,9 @@
 import attrs
 import pytest
 
-from limeshelf.placement import survey_log
+from limeshelf.placement import placement_log
+from limeshelf.placement.placement_log import MIN_LOG_INTERVAL_S, PlacementLog
 from limeshelf.placement.planner import CopyPlanner, NotLoadedReason
-from limeshelf.placement.survey_log import LEAST_PAUSE_S, SurveyLog
 from tests.placement.builders import busy, engine, replica, seldom
 
 
@@ -20,52 +20,54 @@
     now_s = [100.0]
 
     def tick() -> float:
-        now_s[0] += LEAST_PAUSE_S
+        now_s[0] += MIN_LOG_INTERVAL_S
         return now_s[0]
 
-    monkeypatch.setattr(survey_log, 'boottime_s', tick)
+    monkeypatch.setattr(placement_log, 'boottime_s', tick)
     monkeypatch.setattr(
-        survey_log, 'log_change', lambda event, **fields: lines.append({'event': event, **fields})
+        placement_log,
+        'log_change',
+        lambda event, **fields: lines.append({'event': event, **fields}),
     )
     return lines
 
 
 def test_contents_of_a_replica_are_written_when_they_change(written: list[dict[str, Any]]) -> None:
-    log = SurveyLog()
+    log = PlacementLog()
     one = replica('r1', 'hot')
-    log.note_replicas('lm', [one])
-    log.note_replicas('lm', [one])
+    log.log_replicas('lm', [one])
+    log.log_replicas('lm', [one])
     assert len(written) == 1
-    log.note_replicas('lm', [attrs.evolve(one, on_disk=frozenset({'rare'}))])
+    log.log_replicas('lm', [attrs.evolve(one, on_disk=frozenset({'rare'}))])
     assert written[-1]['on_disk'] == ['rare']
 
 
 def test_replica_that_came_back_is_written_again(written: list[dict[str, Any]]) -> None:
-    log = SurveyLog()
+    log = PlacementLog()
     for replicas in ([replica('r1', 'hot')], [], [replica('r1', 'hot')]):
-        log.note_replicas('lm', replicas)
+        log.log_replicas('lm', replicas)
     assert len(written) == 2
 
 
 def test_reason_is_written_once_until_it_changes(written: list[dict[str, Any]]) -> None:
-    log = SurveyLog()
+    log = PlacementLog()
     for reason in (
         NotLoadedReason.LOWER_VALUE,
         NotLoadedReason.LOWER_VALUE,
         NotLoadedReason.IDLE_RESERVE,
     ):
-        log.note_passed_over('lm', {'rare': reason})
+        log.log_not_loaded('lm', {'rare': reason})
     assert [line['reason'] for line in written] == ['outbid', 'withheld']
 
 
 def test_model_that_waits_again_is_written_again(written: list[dict[str, Any]]) -> None:
-    log = SurveyLog()
-    for passed_over in (
+    log = PlacementLog()
+    for not_loaded in (
         {'rare': NotLoadedReason.LOWER_VALUE},
         {},
         {'rare': NotLoadedReason.LOWER_VALUE},
     ):
-        log.note_passed_over('lm', passed_over)
+        log.log_not_loaded('lm', not_loaded)
     assert len(written) == 2
 
 
--- a/tests/placement/test_replica_watch.py
+++ b/tests/placement/test_replica_watch.py
@@ -13,7 +13,7 @@
 from limeshelf.orders.pending import LOST_AFTER_POLLS, REPORT_SETTLE_S
 from limeshelf.orders.sender import OrderSender
 from limeshelf.orders.task import Loadable
-from limeshelf.placement.replica_watch import SETTLED_S, ReplicaWatch
+from limeshelf.placement.replica_watch import STABLE_AFTER_S, ReplicaWatch
 from limeshelf.platform.replicas import read_record
 from limeshelf.replicas.directory import ReplicaDirectory
 from limeshelf.replicas.health import Failure
@@ -114,13 +114,13 @@
     world = World()
     now_s = [100.0]
     monkeypatch.setattr('limeshelf.placement.replica_watch.boottime_s', lambda: now_s[0])
-    world.watch.note_first_copies('lm')
-    assert not world.watch.is_settled('lm')
-    now_s[0] += SETTLED_S
-    assert world.watch.is_settled('lm')
+    world.watch.record_initial_copies('lm')
+    assert not world.watch.is_replica_set_stable('lm')
+    now_s[0] += STABLE_AFTER_S
+    assert world.watch.is_replica_set_stable('lm')
     world.add('r3', 'm1')
-    world.watch.note_first_copies('lm')
-    assert not world.watch.is_settled('lm')
+    world.watch.record_initial_copies('lm')
+    assert not world.watch.is_replica_set_stable('lm')
 
 
 def test_lost_replica_is_not_planned_for() -> None:
@@ -150,9 +150,9 @@
 
 def test_first_copies_count_each_replica_once() -> None:
     world = World()
-    world.watch.note_first_copies('lm')
+    world.watch.record_initial_copies('lm')
     world.add('r3', 'm1')
-    world.watch.note_first_copies('lm')
+    world.watch.record_initial_copies('lm')
     assert world.watch.first_copies('lm') == {'m1': 3, 'm2': 1}
     assert world.watch.first_copies('other') == {}
 
@@ -162,7 +162,7 @@
     world.pending('r1').expect(Loadable('m3'), 9.0)
     world.pending('r2').expect(Loadable('m3'), 7.0)
     world.pending('r2').expect(Loadable('m1', 'a1'), 1.0)
-    assert world.watch.awaited() == {ModelKey('lm', 'm3'): 7.0}
-    assert world.watch.is_coming_or_held(ModelKey('lm', 'm3'))
-    assert world.watch.is_coming_or_held(ModelKey('lm', 'm1', 'a9'))
-    assert not world.watch.is_coming_or_held(ModelKey('lm', 'm4'))
+    assert world.watch.loading_ready_times() == {ModelKey('lm', 'm3'): 7.0}
+    assert world.watch.is_held_or_loading(ModelKey('lm', 'm3'))
+    assert world.watch.is_held_or_loading(ModelKey('lm', 'm1', 'a9'))
+    assert not world.watch.is_held_or_loading(ModelKey('lm', 'm4'))
--- a/tests/placement/test_service.py
+++ b/tests/placement/test_service.py
@@ -18,7 +18,7 @@
 from limeshelf.orders.order import OrderKind, OrderOutcome, ReplicaOrder, ReplicaOrderAnswer
 from limeshelf.orders.pending import REPORT_SETTLE_S
 from limeshelf.orders.sender import OrderSender
-from limeshelf.placement.service import LEAST_ROUND_S, PlacementService
+from limeshelf.placement.service import MIN_ROUND_INTERVAL_S, PlacementService
 from limeshelf.platform.orders import ReplicaOrderClient
 from limeshelf.platform.replicas import read_record
 from limeshelf.replicas.directory import ReplicaDirectory
@@ -174,7 +174,7 @@
 
 def test_many_calls_for_a_model_that_does_not_come_cost_few_plans() -> None:
     """The leader planned without a pause, and its calls and peers waited."""
-    assert planned_rounds(2.0, wants_per_s=200) <= 2.0 / LEAST_ROUND_S + 1
+    assert planned_rounds(2.0, wants_per_s=200) <= 2.0 / MIN_ROUND_INTERVAL_S + 1
 
 
 class HangingWire:
--- a/tests/placement/test_pace.py
+++ b/tests/placement/test_store_load_limiter.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from limeshelf.placement.pace import LoadPace
+from limeshelf.placement.store_load_limiter import StoreLoadLimiter
 from limeshelf.util.clock import virtual_clock
 
 
@@ -10,11 +10,11 @@
     with virtual_clock() as clock:
         begun: list[float] = []
         for _ in range(3):
-            pace = LoadPace(5.0)
-            pace.reset(1.4)
+            limiter = StoreLoadLimiter(5.0)
+            limiter.reset(1.4)
             for _ in range(40):
-                if pace.allows(1.4):
-                    pace.note()
+                if limiter.may_load(1.4):
+                    limiter.record_load()
                     begun.append(clock.now_s)
                 clock.advance(0.1)
         for start in begun:
@@ -24,11 +24,11 @@
 
 def test_new_leader_may_begin_few_loads_at_once() -> None:
     with virtual_clock():
-        pace = LoadPace(5.0)
-        pace.reset(1.4)
+        limiter = StoreLoadLimiter(5.0)
+        limiter.reset(1.4)
         begun = 0
-        while pace.allows(1.4):
-            pace.note()
+        while limiter.may_load(1.4):
+            limiter.record_load()
             begun += 1
         # Seven fill the window, six of them taken as begun; 1.5 more are bearable.
         assert begun == 2
--- a/tests/placement/test_unserved.py
+++ b/tests/placement/test_unserved.py
@@ -15,7 +15,7 @@
 from limeshelf.demand.model_demand import demand_by_model
 from limeshelf.placement import adapters, overdue
 from limeshelf.placement.planner import CopyPlanner
-from limeshelf.placement.service import ROUND_S
+from limeshelf.placement.service import ROUND_INTERVAL_S
 from limeshelf.util.clock import VirtualClock, virtual_clock
 from tests.placement import fleet_play as fleet
 from tests.placement.fleet_play import (
@@ -45,7 +45,7 @@
     Turns begin after a time, and are taken one after the other: each takes a round, a move, and
     the pause until a caller is there.
     """
-    return adapters.TURN_AFTER_S + waiting * (ROUND_S + ADAPTER_MOVE_S + pause_s)
+    return adapters.OVERDUE_AFTER_S + waiting * (ROUND_INTERVAL_S + ADAPTER_MOVE_S + pause_s)
 
 
 def lost_share(asked: int, places: int) -> float:
@@ -54,7 +54,7 @@
     Who has no place changes evenly among all that are asked for; in each turn a place is empty
     for the time of a move besides.
     """
-    move_share = ADAPTER_MOVE_S / (adapters.TURN_AFTER_S + ADAPTER_MOVE_S)
+    move_share = ADAPTER_MOVE_S / (adapters.OVERDUE_AFTER_S + ADAPTER_MOVE_S)
     return (asked - places) / asked + move_share / places
 
 
@@ -109,7 +109,7 @@
 ) -> float:
     """Return how long one of so many models waits at the most, all others before it."""
     at_once = max(1, int(overdue.OVERDUE_REPLICAS_SHARE * replicas))
-    each_s = fleet.MODEL_UNLOAD_S + load_s + ROUND_S
+    each_s = fleet.MODEL_UNLOAD_S + load_s + ROUND_INTERVAL_S
     return after_s + math.ceil(asked / at_once) * each_s
 
 
@@ -309,7 +309,7 @@
         totals = play.gateway.leader
         totals.take('g2', [])
         for _ in range(150):
-            clock.advance(ROUND_S)
+            clock.advance(ROUND_INTERVAL_S)
             totals.take('g2', [BAD_COUNTS[name]])
             used = [KeyDemand(key(f'urgent-{n}'), 0, 9, 0, 400, 0, 0, 0) for n in range(2)]
             totals.take('g1', used)
--- a/tests/placement/tier_play.py
+++ b/tests/placement/tier_play.py
@@ -162,10 +162,10 @@
         starved_s = self.starvation.track(SERVICE, demands, copies)
         planner = CopyPlanner(self.engine, demands, {}, starved_s, (), self.overdue_loads)
         while (
-            move := planner.next_move(copies, self.pace.allows(self.engine.loads_per_s))
+            move := planner.next_move(copies, self.pace.may_load(self.engine.loads_per_s))
         ) is not None:
             if move.from_store:
-                self.pace.note()
+                self.pace.record_load()
             self._begin(move)
             if move.reason is MoveReason.OVERDUE:
                 self.overdue_loads.record_start(move.replica_id, move.model)
