--- a/limeshelf/placement/adapter_backoff.py
+++ b/limeshelf/placement/adapter_backoff.py
@@ -1,7 +1,7 @@
-"""When an adapter whose move failed is tried again.
+"""Exponential backoff for adapters whose moves fail.
 
-Owns the pause of each adapter that failed. Relies on the clock alone. Without a pause, an adapter
-that never comes would cost another one its place in every round.
+Without it, an adapter that can never be loaded would cause another one to be evicted in every
+round.
 """
 
 from __future__ import annotations
@@ -15,23 +15,26 @@
 if TYPE_CHECKING:
     from limeshelf.demand.keys import ModelKey
 
-#: Pause after the first failure; doubled with each further one.
+#: Backoff after the first failure; doubled with each further one.
 INITIAL_BACKOFF_S = 0.5
 MAX_BACKOFF_S = 8.0
-#: An adapter that was not tried within this time is forgotten.
+#: An adapter is forgotten when its last failure is this long ago.
 FORGET_AFTER_S = 60.0
 
 
 @attrs.define
 class _Failures:
-    """Failures in a row; the last one on the steady clock."""
+    """Consecutive failures of one adapter.
+
+    :ivar last_s: time of the last one, on the boot clock.
+    """
 
     last_s: float
     backoff_s: float = INITIAL_BACKOFF_S
 
 
 class AdapterBackoff:
-    """Says when each adapter may be tried again."""
+    """Decides when an adapter whose moves failed may be ordered again."""
 
     def __init__(self) -> None:
         self._failures: dict[ModelKey, _Failures] = {}
@@ -44,9 +47,9 @@
         return boottime_s() - failures.last_s >= failures.backoff_s
 
     def record_result(self, key: ModelKey, succeeded: bool) -> None:
-        """Note that a move of an adapter has ended.
+        """Record how a move of an adapter ended.
 
-        :param came: whether the adapter is there.
+        :param succeeded: whether the adapter was loaded.
         """
         now_s = boottime_s()
         if succeeded:
