--- a/limeshelf/placement/adapters.py
+++ b/limeshelf/placement/adapters.py
@@ -1,7 +1,7 @@
-"""Decides at which replica an adapter is loaded, and which adapter is evicted there.
+"""Chooses the replica that an adapter is loaded on, and the adapter that is evicted there.
 
-Owns that rule; keeps nothing. Relies on the replicas' holdings and reports, on the orders
-to them that are pending, and on the demand for each adapter. Who calls orders the move.
+Only plans and keeps no state: it reads the replicas' holdings and reports, the orders pending at
+them and the demand for each adapter. The caller sends the orders.
 """
 
 from __future__ import annotations
@@ -21,25 +21,25 @@
     from limeshelf.replicas.directory import ReplicaDirectory
     from limeshelf.replicas.replica import Replica
 
-#: Adapters that may be on their way to one replica together.
+#: Maximum number of adapters being loaded on one replica at the same time.
 MAX_CONCURRENT_LOADS = 4
-#: An adapter that was asked for within this time is not evicted, except by a turn.
+#: An adapter that was requested within this time is evicted only for an overdue one.
 MIN_IDLE_S = 0.6
-#: An adapter that was asked for and served to nobody for this long has its turn: one that is
-#: served goes for it, whoever asks for that.
+#: An adapter is overdue once it has been requested for this long without any call being served: an
+#: adapter that is being served is evicted for it, however many calls that one gets.
 OVERDUE_AFTER_S = 3.0
-#: One that came for somebody stays for this long after it was last asked for, or until it was
-#: served. It comes within fractions of a second, and so do its callers.
+#: An adapter with unserved callers is kept for this long after its last request, or until it
+#: serves a call. It is loaded within fractions of a second, and its callers retry just as quickly.
 RETRY_WINDOW_S = 5.0
-#: It counts as awaited once it has gone unserved for longer than the first event of an answer
-#: takes: of a busy one, some call always waits for that.
+#: An adapter counts as awaited only once it has gone unserved for longer than the first event of
+#: an answer takes: a busy adapter always has some call that waits for its first event.
 AWAITED_AFTER_S = 1.0
-#: One that goes unserved beside the one place that it has gets a second after this long, and no
-#: further one: what nobody can serve would take them all.
+#: An adapter that goes unserved although one replica holds it is loaded on a second one after this
+#: long. It gets no third place: an adapter that cannot be served would occupy all of them.
 SECOND_PLACE_AFTER_S = 20.0
 MAX_UNSERVED_PLACES = 2
-# Costs are in calls a slot: what a replica has under way, divided by its slots.
-#: Cost of each adapter on its way there already.
+# Costs are in calls per slot: the running calls of a replica divided by its slots.
+#: Cost of each adapter that the replica is already loading.
 LOADING_COST_CALLS_PER_SLOT = 0.1
 #: Cost of an eviction.
 EVICTION_COST_CALLS_PER_SLOT = 0.05
@@ -49,11 +49,11 @@
 
 @attrs.frozen
 class AdapterMove:
-    """Load an adapter at a replica.
+    """Loads an adapter on a replica.
 
     :ivar key: the adapter.
-    :ivar evicted: the adapter that is unloaded there first, if one has to go.
-    :ivar unserved_s: for how long it has been asked for and served to nobody.
+    :ivar evicted: the adapter that is unloaded there first, if one has to be.
+    :ivar unserved_s: time for which it has been requested without any call being served.
     """
 
     replica: Replica
@@ -64,9 +64,9 @@
 
 @attrs.frozen
 class AdapterPlace:
-    """A place for one more adapter at a replica.
+    """A place for one more adapter on a replica.
 
-    :ivar evicted: the adapter whose place it is; ``None`` for a free place.
+    :ivar evicted: the adapter that has to be evicted; ``None`` if the place is free.
     """
 
     evicted: ModelKey | None = None
@@ -74,9 +74,9 @@
 
 @attrs.frozen
 class _Option:
-    """A possible move; the one of least cost is made.
+    """A possible move; the one with the lowest cost is chosen.
 
-    :ivar cost: whether the replica is suspended, and then its cost in calls a slot.
+    :ivar cost: whether the replica is suspended, then its cost in calls per slot.
     """
 
     cost: tuple[bool, float]
@@ -85,11 +85,11 @@
 
 @attrs.define
 class AdapterPlanner:
-    """Plans adapters of one engine service.
+    """Plans the adapters of one engine service.
 
     :param totals: the demand for each key over all gateways.
-    :param fence: of the term; a replica that was not shown it may still carry out what a
-        predecessor ordered (tests/placement/test_adapters.py::
+    :param fence: the fence of the leader's term. A replica that has not acknowledged it may
+        still execute orders of a predecessor (tests/placement/test_adapters.py::
         test_replica_that_was_not_claimed_takes_no_adapter).
     """
 
@@ -101,9 +101,9 @@
     _holders_by_model: dict[str, list[Replica]] | None = None
 
     def due(self) -> list[ModelKey]:
-        """Return the adapters that are asked for and go unserved, who waited longest first.
+        """Return the adapters that are requested but go unserved, longest waiting first.
 
-        Some of them are held and about to serve.
+        Some of them are already loaded and about to serve.
         """
         now_s = boottime_s()
         due = [
@@ -117,10 +117,10 @@
         return sorted(due, key=lambda key: -self._demand(key).unserved_s(now_s))
 
     def plan(self, key: ModelKey, pending_orders: dict[str, PendingOrders]) -> AdapterMove | None:
-        """Return the move that brings an adapter to a replica that holds its model.
+        """Return the move that loads an adapter on a replica that holds its model.
 
-        ``None`` if the adapter is on its way, or there within reach, or if no replica can take
-        it now.
+        Returns ``None`` if the adapter is being loaded, if a reachable replica holds it, or if no
+        replica can load it now.
 
         :param pending_orders: by the id of each replica of the service.
         """
@@ -148,7 +148,7 @@
         return min(options, key=lambda option: option.cost).move
 
     def _holders(self, model: str) -> list[Replica]:
-        """Return the replicas that hold a model; counted once, since many adapters ask."""
+        """Return the replicas that hold a model; indexed once, since many adapters need it."""
         if self._holders_by_model is None:
             self._holders_by_model = {}
             for replica in self.directory.of_service(self.service):
@@ -159,7 +159,7 @@
     def _needs_another_place(
         self, key: ModelKey, holders: list[Replica], pending_orders: dict[str, PendingOrders]
     ) -> bool:
-        """Return whether an adapter is loaded again beside the places that it has."""
+        """Return whether an adapter is loaded on one more replica than hold it already."""
         if all(
             replica.health.is_suspended() or pending_orders[replica.replica_id].is_lost
             for replica in holders
@@ -190,10 +190,11 @@
     def _find_place(
         self, replica: Replica, pending: PendingOrders, loading: int, is_overdue: bool
     ) -> AdapterPlace | None:
-        """Return a place beside what is held and on its way, or ``None`` if all are in use.
+        """Return a free place, or one whose adapter can be evicted; ``None`` if there is neither.
 
-        Of adapters that nobody runs or asked for lately, the one asked for longest ago goes; in
-        a turn, of all that were served.
+        Places reserved by running loads are not free. The adapter requested longest ago is
+        evicted, among those without running calls or recent requests; for an overdue adapter,
+        among all that serve their callers.
         """
         held = [
             ModelKey(self.service, model, adapter)
@@ -209,14 +210,15 @@
         served = [key for key in held if key not in awaited]
         idle = [key for key in served if self._is_idle(key, now_s)]
         if not idle and is_overdue and not any(self._is_overdue(key, now_s) for key in awaited):
-            # One turn at a replica at a time: the one before has served somebody, or is over.
+            # One overdue adapter per replica at a time: the previous one has to serve a call or
+            # expire.
             idle = served
         if not idle:
             return None
         return AdapterPlace(min(idle, key=self._eviction_order))
 
     def _eviction_order(self, key: ModelKey) -> tuple[float, float]:
-        """Return what orders adapters for eviction; an unload waits for the calls that run."""
+        """Return the sort key for evictions; an unload has to wait for running calls."""
         demand = self._demand(key)
         return demand.running, demand.seen_s
 
@@ -238,9 +240,9 @@
 
 
 def _count_loading(replica: Replica, pending: PendingOrders) -> int:
-    """Return the adapters on their way, by the replica's report or by orders to it.
+    """Return the number of adapters being loaded, by the replica's report or by orders to it.
 
-    A report lists also those that were given up here and still come
+    The report also lists loads that this process has given up on but that still complete
     (tests/orders/test_capacity.py::test_adapter_on_its_way_takes_a_place).
     """
     reported = set(replica.report.loading) if replica.report else set()
