--- a/limeshelf/placement/eviction.py
+++ b/limeshelf/placement/eviction.py
@@ -1,7 +1,6 @@
-"""Which copies are evicted at a replica to make room for a model.
+"""Selects the copies that are evicted from a replica to make room for a model.
 
-Owns that choice alone. Relies on what each copy there is worth; who calls weighs the loss
-against the gain.
+The caller weighs the loss against the gain of the model.
 """
 
 from __future__ import annotations
@@ -17,9 +16,9 @@
 
 @attrs.frozen
 class Eviction:
-    """Copies that go; none where there is room already.
+    """Copies to evict; empty if there is enough room already.
 
-    :ivar loss: what they were worth together, in calls a second.
+    :ivar loss: their total value, in calls per second.
     """
 
     models: tuple[str, ...] = ()
@@ -29,10 +28,10 @@
 def choose_eviction(
     model: str, replica: ReplicaCopies, snapshot: PlacementSnapshot, copy_values: CopyValues
 ) -> Eviction | None:
-    """Return what has to go before *model* fits, or ``None`` if it never does.
+    """Return what to evict so that *model* fits, or ``None`` if it cannot fit.
 
-    Copies of least worth go first; of equal worth, the first by name. One that somebody who was
-    refused may come back for stays.
+    The least valuable copies go first; copies of the same value are ordered by name. A copy that
+    refused callers are expected to retry for is kept.
     """
     needed_mb = snapshot.size_mb(model) - snapshot.free_mb(replica)
     if needed_mb <= 0:
@@ -53,7 +52,7 @@
 def _without_unneeded(
     evicted: list[str], spare_mb: float, snapshot: PlacementSnapshot
 ) -> tuple[str, ...]:
-    """Leave out copies that need not go after a larger one went, the dearest first."""
+    """Leave out copies that a larger eviction made unnecessary, the most valuable first."""
     needed = list(evicted)
     for name in reversed(evicted[:-1]):
         if snapshot.size_mb(name) <= spare_mb:
