--- a/limeshelf/placement/load_options.py
+++ b/limeshelf/placement/load_options.py
@@ -1,7 +1,6 @@
-"""Where a model could be loaded now, and how soon it would be there.
+"""The replicas that could load a model now, and how soon it would be ready there.
 
-Owns these rules alone; who calls weighs the options against one another. Relies on the
-survey for what stands where, and on the choice of what is evicted.
+The caller compares the options.
 """
 
 from __future__ import annotations
@@ -17,22 +16,21 @@
     from limeshelf.placement.copy_values import CopyValues
     from limeshelf.placement.survey import PlacementSnapshot, ReplicaCopies
 
-#: An unload waits for the runs of its model, which takes about this long where there are any: a
-#: hot model's load from a disk began 3 s after it was decided, since the copy that went first
-#: was answering one call.
+#: Estimated time for which an unload waits for the running calls of its model: a load of a busy
+#: model from disk started 3 s after it was planned, since the evicted copy was answering one call.
 BUSY_UNLOAD_S = 2.0
-#: Calls under way at a copy from which on its unload counts as one that waits.
+#: Mean running calls of a copy from which its unload counts as waiting for them.
 BUSY_RUNNING_CALLS = 0.5
 
 
 @attrs.frozen
 class LoadOption:
-    """A replica that could bring a model now.
+    """A replica that could load a model now.
 
-    :ivar eviction: what goes there first.
-    :ivar from_store: whether the load counts against the rate of the weight store.
-    :ivar load_s: time of the load itself, in seconds.
-    :ivar ready_in_s: the same with the unloads before it.
+    :ivar eviction: what is unloaded there first.
+    :ivar from_store: whether the load counts against the load rate of the weight store.
+    :ivar load_s: duration of the load itself, in seconds.
+    :ivar ready_in_s: the same including the unloads before it.
     """
 
     replica: ReplicaCopies
@@ -47,7 +45,7 @@
 ) -> list[LoadOption]:
     """Return every option for a model.
 
-    :param store_allowed: whether a load from the weight store may begin.
+    :param store_allowed: whether a load from the weight store may start.
     """
     spec = snapshot.engine.models[model]
     options = []
@@ -65,15 +63,15 @@
 
 
 def _unload_s(eviction: Eviction, snapshot: PlacementSnapshot) -> float:
-    """Return how long the unloads before a load likely wait for runs, in seconds."""
+    """Return how long the unloads before a load are expected to wait for calls, in seconds."""
     is_busy = any(snapshot.running_calls(name) >= BUSY_RUNNING_CALLS for name in eviction.models)
     return BUSY_UNLOAD_S if is_busy else 0.0
 
 
 def local_ready_in_s(model: str, snapshot: PlacementSnapshot) -> float:
-    """Return how soon a replica that is busy now could bring a model whose weights it has near.
+    """Return how soon a busy replica could have loaded a model from its local weights.
 
-    :return: in seconds; infinite where no such replica has them.
+    :return: in seconds; infinite if no busy replica has them.
     """
     spec = snapshot.engine.models[model]
     return min(
@@ -85,9 +83,11 @@
 def predicted_ready_in_s(
     models: list[str], snapshot: PlacementSnapshot, copy_values: CopyValues
 ) -> dict[str, float]:
-    """Return when models are likely there that busy replicas have near, the first one first.
+    """Return when busy replicas are expected to have loaded models from their local weights.
 
-    :return: seconds from now, by model; one that no such replica has room for is left out.
+    Models are scheduled in the given order.
+
+    :return: seconds from now, by model; a model that no such replica has room for is left out.
     """
     free_in_s = {one.replica_id: one.free_in_s for one in snapshot.replicas}
     predicted_s = {}
@@ -105,7 +105,7 @@
 
 
 def _busy_with_local_weights(model: str, snapshot: PlacementSnapshot) -> list[ReplicaCopies]:
-    """Return the replicas that load something now and have the weights of a model near."""
+    """Return the replicas that are loading something else and have a model's weights locally."""
     return [
         one
         for one in snapshot.replicas
