--- a/limeshelf/placement/store_load_limiter.py
+++ b/limeshelf/placement/store_load_limiter.py
@@ -1,7 +1,6 @@
 """Keeps loads from the weight store below the rate that it allows.
 
-Owns the times at which this process, as the leader, began loads. Loads from a machine's
-own disk or memory do not count. Relies on the clock alone.
+Loads from a machine's own disk or memory do not count.
 """
 
 from __future__ import annotations
@@ -10,16 +9,16 @@
 
 from limeshelf.util.clock import boottime_s
 
-#: Loads beyond the steady rate that a window may hold; the platform counts a fault from more
-#: than three. Held by tests/placement/test_pace.py.
+#: Loads above the steady rate that a window may contain. The platform counts a fault from more
+#: than three; checked by tests/placement/test_store_load_limiter.py.
 BURST_LOADS = 1.5
 
 
 class StoreLoadLimiter:
-    """Counts the loads that began in a sliding window.
+    """Counts the loads that this process started in a sliding window.
 
-    A new holder of the lease has no count of what its predecessor began, so it starts as if
-    all but one of the loads that fill the window had begun, evenly spread over it.
+    A new lease holder does not know its predecessor's loads. It therefore starts as if all but
+    one of the loads that fill a window had been started, evenly spaced over the window.
 
     :param window_s: length of the window over which the platform counts loads.
     """
@@ -37,7 +36,7 @@
         self._load_times_s = deque(start_s + step_s * (n + 1) for n in range(steady_loads - 1))
 
     def may_load(self, loads_per_s: float) -> bool:
-        """Return whether one more load may begin now.
+        """Return whether one more load may start now.
 
         :param loads_per_s: the steady rate that the configuration allows.
         """
@@ -47,5 +46,5 @@
         return len(self._load_times_s) + 1 <= loads_per_s * self._window_s + BURST_LOADS
 
     def record_load(self) -> None:
-        """Count a load that begins now."""
+        """Record a load that starts now."""
         self._load_times_s.append(boottime_s())
