--- a/limeshelf/placement/prefetch.py
+++ b/limeshelf/placement/prefetch.py
@@ -1,9 +1,8 @@
-"""Brings weights near that lie at no replica, while that takes nothing from callers.
+"""Loads models whose weights no replica has, as long as that costs callers nothing.
 
-A load from a replica's memory or disk takes a second where one from the weight store takes
-several, so whoever may be asked for next is loaded somewhere once, before it is asked for. The
-copy that makes room for it comes back from memory. Owns the rule alone; relies on the survey for
-where weights lie.
+A load from a replica's memory or disk takes one second, a load from the weight store several.
+Every model is therefore loaded on some replica once, before it is requested. The copy that is
+evicted for it can be reloaded from memory.
 """
 
 from __future__ import annotations
@@ -18,12 +17,12 @@
     from limeshelf.placement.copy_values import CopyValues
     from limeshelf.placement.survey import PlacementSnapshot, ReplicaCopies
 
-#: Share of the replicas that may load something while weights are spread.
+#: Maximum share of the replicas that may be loading while weights are prefetched.
 MAX_LOADING_SHARE = 0.7
 
 
 def uncached_models(snapshot: PlacementSnapshot, barred: Collection[str]) -> list[str]:
-    """Return the models whose weights lie at no replica, nor are on their way to one."""
+    """Return the models whose weights no replica has or is loading."""
     cached: set[str] = set()
     for replica in snapshot.replicas:
         cached |= replica.ready | replica.loading | replica.in_memory | replica.on_disk
@@ -33,16 +32,16 @@
 def choose_prefetch(
     snapshot: PlacementSnapshot, copy_values: CopyValues, barred: Collection[str]
 ) -> tuple[str, LoadOption] | None:
-    """Return the next model to bring near, and where; ``None`` if there is none.
+    """Return the next model to prefetch and its option, or ``None``.
 
-    It goes where the copies that a load may push off the disk lie elsewhere as well.
+    Prefers a replica where the weights that the load may displace from disk are also on others.
     """
     if not copy_values.is_low_demand or snapshot.loading >= MAX_LOADING_SHARE * len(
         snapshot.replicas
     ):
         return None
     if any(not one.is_idle and not one.loading for one in snapshot.replicas):
-        # What it holds may not be known yet.
+        # Its contents may not be known yet.
         return None
     for model in uncached_models(snapshot, barred):
         options = [
@@ -56,7 +55,7 @@
 
 
 def _is_dispensable(model: str, snapshot: PlacementSnapshot, copy_values: CopyValues) -> bool:
-    """Return whether a copy may go for a while without one who asks for it missing it."""
+    """Return whether a copy can be evicted for a while without its callers being affected."""
     return snapshot.copies(model).ready > 1 or not copy_values.had_initial_copies(model)
 
 
@@ -66,7 +65,7 @@
 
 
 def _count_only_cached_here(replica: ReplicaCopies, snapshot: PlacementSnapshot) -> int:
-    """Return how many models lie on this replica's disk, unused, and nowhere else."""
+    """Return how many models without a copy here have their weights only on this disk."""
     elsewhere: set[str] = set()
     for other in snapshot.replicas:
         if other.replica_id != replica.replica_id:
