--- a/limeshelf/placement/placement_log.py
+++ b/limeshelf/placement/placement_log.py
@@ -1,6 +1,6 @@
-"""What the leader logs of its view: where weights lie, and what waits without being loaded.
+"""Logs what the leader plans with: where weights are, and why requested models are not loaded.
 
-Owns what was logged last, so that only changes are. Relies on the event log alone.
+Keeps what was logged last, so that only changes are logged.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
     from limeshelf.placement.planner import NotLoadedReason
     from limeshelf.placement.survey import ReplicaCopies
 
-#: A change is logged this long after the one before of the same replica or model at the earliest.
+#: Minimum time between two lines for the same replica or model.
 MIN_LOG_INTERVAL_S = 1.0
 
 #: What a replica holds ready, in memory and on disk.
@@ -22,7 +22,7 @@
 
 
 class PlacementLog:
-    """Logs changes of what the leader plans with (events ``weights`` and ``passed_over``)."""
+    """Logs changes of the leader's planning state (events ``weights`` and ``passed_over``)."""
 
     def __init__(self) -> None:
         self._contents: dict[str, _Contents] = {}
@@ -30,7 +30,7 @@
         self._last_logged_s: dict[tuple[str, str], float] = {}
 
     def log_replicas(self, service: str, replicas: list[ReplicaCopies]) -> None:
-        """Log each replica whose weights lie elsewhere than they did."""
+        """Log each replica whose copies or local weights changed."""
         for replica in replicas:
             contents = (frozenset(replica.ready), replica.in_memory, replica.on_disk)
             name = replica.replica_id
@@ -48,7 +48,7 @@
         self._forget_removed(service, {replica.replica_id for replica in replicas})
 
     def log_not_loaded(self, service: str, not_loaded: dict[str, NotLoadedReason]) -> None:
-        """Log each model that waits for another reason than it did."""
+        """Log each model that is not loaded, when the reason changes."""
         for model, reason in not_loaded.items():
             key = (service, model)
             if self._not_loaded.get(key) == reason or not self._may_log(key):
