--- a/limeshelf/placement/move_runner.py
+++ b/limeshelf/placement/move_runner.py
@@ -1,8 +1,7 @@
-"""Turns the planner's moves into orders and sees them through.
+"""Carries out the planned moves as orders to replicas.
 
-Owns nothing; marks at once what a move brings and takes away, so that the next plan
-counts it.
-Relies on the task runner, whose order sender checks the room before each load.
+Marks what a move loads and unloads as pending right away, so that the next plan takes it into
+account. The order sender checks the free memory before each load.
 """
 
 from __future__ import annotations
@@ -28,16 +27,16 @@
     from limeshelf.replicas.replica import Replica
     from limeshelf.util.tasks import TaskSet
 
-#: An unload before a load takes about this long; it moves only the time that is announced to
-#: waiting calls.
+#: Estimated duration of the unload before a load; only affects the time announced to waiting
+#: calls.
 UNLOAD_ESTIMATE_S = 0.6
 
 
 class MoveRunner:
     """Carries out moves, each in a task of its own.
 
-    :param on_load: called when the load of a model begins, so that waiting calls
-        learn when it is likely there.
+    :param on_load_start: called when the load of a model starts, so that waiting calls are told
+        when it is expected to be ready.
     """
 
     def __init__(
@@ -57,7 +56,7 @@
         self._on_load_start = on_load_start
 
     def start(self, move: CopyMove) -> None:
-        """Load a model at a replica, after the evicted ones are unloaded there."""
+        """Load a model on a replica after unloading the evicted copies."""
         replica = self._directory.get(move.replica_id)
         assert replica is not None
         log_change(
@@ -82,11 +81,11 @@
         self._tasks.spawn(self._run(replica, tasks), 'move')
 
     def may_try_adapter(self, key: ModelKey) -> bool:
-        """Return whether an adapter may be ordered now, by how its last moves ended."""
+        """Return whether the backoff after failed moves allows ordering an adapter now."""
         return self._adapter_backoff.may_try(key)
 
     def start_adapter(self, move: AdapterMove) -> None:
-        """Load an adapter at a replica, after the evicted one is unloaded there."""
+        """Load an adapter on a replica after unloading the evicted one."""
         log_change(
             'adapter_move',
             replica=move.replica.replica_id,
