--- a/limeshelf/placement/replica_watch.py
+++ b/limeshelf/placement/replica_watch.py
@@ -1,8 +1,7 @@
-"""The replicas that the leader plans for: polls, claims and what they held at first.
+"""Tracks the replicas that the leader plans for: polls, claims and initial copies.
 
-Polls them, claims those that have not noted the term's fence, remembers what each
-held when it was first seen, and describes them to the planner. Owns the times of the
-polls; relies on the directory and on what is pending at each replica.
+Polls the replicas, claims those that have not acknowledged the term's fence, counts the copies
+that each held when it was first seen, and describes the replicas to the planner.
 """
 
 from __future__ import annotations
@@ -25,14 +24,14 @@
     from limeshelf.replicas.starts import ReplicaStart
     from limeshelf.util.tasks import TaskSet
 
-#: The leader polls every replica this often.
+#: Interval at which the leader polls each replica.
 POLL_INTERVAL_S = 0.5
-#: Replicas of a service that start together are found within this time.
+#: Replicas of a service that start together are discovered within this time.
 STABLE_AFTER_S = 2.0
 
 
 class ReplicaWatch:
-    """Polls the replicas of a leader and describes them to the planner."""
+    """Polls the leader's replicas and describes them to the planner."""
 
     def __init__(
         self,
@@ -51,13 +50,13 @@
         self._last_found_s: dict[str, float] = {}
 
     async def claim_all(self, service: str, engine: EngineSpec) -> None:
-        """Make every replica of a service note the fence of the term."""
+        """Make every replica of a service acknowledge the fence of the term."""
         replicas = self._directory.of_service(service)
         claims = (self._sender.claim(replica, engine) for replica in replicas)
         await asyncio.gather(*claims)
 
     def record_initial_copies(self, service: str) -> None:
-        """Count what replicas hold when they are first seen; it shows what is busy."""
+        """Count the copies on replicas seen for the first time; they show what is busy."""
         copies = self._initial_copies.setdefault(service, {})
         for replica in self._directory.of_service(service):
             if replica.start in self._counted_starts:
@@ -68,15 +67,15 @@
                 copies[model] = copies.get(model, 0) + 1
 
     def first_copies(self, service: str) -> dict[str, int]:
-        """Return the copies of each model that were found at the start."""
+        """Return the copies of each model that replicas held when they were first seen."""
         return self._initial_copies.get(service, {})
 
     def is_replica_set_stable(self, service: str) -> bool:
-        """Return whether no replica of a service was found lately."""
+        """Return whether no replica of a service has been discovered recently."""
         return boottime_s() - self._last_found_s.get(service, 0.0) >= STABLE_AFTER_S
 
     def start_due_polls(self, service: str, engine: EngineSpec) -> None:
-        """Start the polls whose time has come."""
+        """Start the polls that are due."""
         now_s = boottime_s()
         for replica in self._directory.of_service(service):
             if now_s - self._polled_s.get(replica.start, 0.0) >= POLL_INTERVAL_S:
@@ -87,12 +86,12 @@
         if not await self._sender.poll(replica):
             return
         if not self._sender.pending(replica).is_claimed_under(self._leadership.fence):
-            # New in this term, or back in reach: what was ordered before may
-            # arrive just now (tests/orders/test_sender.py::test_replica_back_in_reach).
+            # New in this term, or reachable again: earlier orders may only arrive now
+            # (tests/orders/test_sender.py::test_replica_back_in_reach).
             await self._sender.claim(replica, engine)
 
     def copies(self, service: str) -> list[ReplicaCopies]:
-        """Return the replicas to plan for; the models of lost ones come up elsewhere."""
+        """Return the replicas to plan for, without lost ones, whose models are then reloaded."""
         return [
             self._view_of(replica, pending)
             for replica in self._directory.of_service(service)
@@ -124,14 +123,17 @@
         )
 
     def is_held_or_loading(self, key: ModelKey) -> bool:
-        """Return whether a model is at some replica or on its way to one."""
+        """Return whether any replica holds a model or is loading it."""
         model = Loadable(key.model)
         replicas = self._directory.of_service(key.service)
         coming = any(self._sender.pending(replica).expects(model) for replica in replicas)
         return coming or any(replica.holds(key.model) for replica in replicas)
 
     def loading_ready_times(self) -> dict[ModelKey, float]:
-        """Return the models on their way, with the boot clock's time when each is likely there."""
+        """Return the models being loaded, with the time at which each should be ready.
+
+        :returns: times on the boot clock.
+        """
         earliest_s: dict[ModelKey, float] = {}
         for replica in self._directory.all():
             for (model, adapter), ready_s in self._sender.pending(replica).ready_times_s().items():
@@ -142,15 +144,15 @@
 
 
 def _free_in_s(pending: PendingOrders) -> float:
-    """Return how long the loads of whole models under way at a replica likely take yet."""
+    """Return how long the running loads of whole models on a replica are expected to take."""
     ready_s = [at_s for item, at_s in pending.ready_times_s().items() if not item.adapter]
     return max(0.0, max(ready_s, default=0.0) - boottime_s())
 
 
 def _is_lost(replica: Replica, pending: PendingOrders) -> bool:
-    """Return whether what stands at a replica counts as lost.
+    """Return whether a replica counts as lost, with all that it holds.
 
-    One missed poll is enough where calls cannot reach it either: each second that the only
-    copy of a busy model counts as there, its calls are refused.
+    A single missed poll is enough if calls cannot reach the replica either: while the only copy
+    of a busy model still counts as present, its calls are refused.
     """
     return pending.is_lost or (pending.missed_polls > 0 and replica.health.is_suspended())
