--- a/limeshelf/placement/service.py
+++ b/limeshelf/placement/service.py
@@ -1,8 +1,8 @@
-"""The leader's round: which models and adapters come and go, while this process leads.
+"""The leader's planning loop, which loads and unloads models and adapters.
 
-Owns the sums of demand and the pace of loads from the weight store. Relies on
-:mod:`limeshelf.placement.replica_watch` for what is at the replicas, on the planners for the
-choice, and on :mod:`limeshelf.placement.move_runner` for carrying it out.
+Owns the demand totals and the limiter for loads from the weight store.
+:mod:`limeshelf.placement.replica_watch` describes the replicas, the planners choose the moves, and
+:mod:`limeshelf.placement.move_runner` carries them out.
 """
 
 from __future__ import annotations
@@ -37,18 +37,18 @@
     from limeshelf.replicas.directory import ReplicaDirectory
     from limeshelf.util.tasks import TaskSet
 
-#: Time between plans, unless a call that waits for a model brings one forward.
+#: Interval between plans, unless a call that waits for a model triggers one earlier.
 ROUND_INTERVAL_S = 0.2
-#: Two plans begin this far apart at the least, however many calls wait: each gateway reports each
-#: model that it lacks several times a second.
+#: Minimum interval between two plans, however many calls wait: each gateway reports each model
+#: that it lacks several times a second.
 MIN_ROUND_INTERVAL_S = 0.05
-#: The same while another process leads: only the sums of demand are brought up to date.
+#: Interval while another process leads; only the demand totals are updated.
 FOLLOWER_ROUND_INTERVAL_S = 0.5
-#: After a process's start, records of replicas come in for this long; copies counted earlier
-#: would miss those of busy models.
+#: Replica records arrive for this long after the process starts. Copies counted earlier would miss
+#: those of busy models.
 STARTUP_DISCOVERY_S = 1.5
-#: Between a new term's claims and its first plan, for what a predecessor ordered late. Reports
-#: are some 100 ms old.
+#: Delay between the claims of a new term and its first plan, for orders that a predecessor sent
+#: late. Reports are about 100 ms old.
 TERM_START_DELAY_S = 0.25
 
 
@@ -57,9 +57,9 @@
 
     :param config: returns the configuration in force.
     :param window_s: window in which loads from the weight store are counted.
-    :param read_ms: returns the milliseconds that reading tokens of a model takes.
-    :param on_load: called when the load of a model begins.
-    :param lost_loads: says which loads are ordered no more.
+    :param read_ms: returns the milliseconds that prefilling tokens of a model takes.
+    :param on_load_start: called when the load of a model starts.
+    :param lost_loads: tells which loads must not be ordered any more.
     """
 
     def __init__(
@@ -95,11 +95,11 @@
         self._last_plan_s = 0.0
 
     def may_order(self) -> bool:
-        """Return whether this process gives the orders now."""
+        """Return whether this process may send orders now."""
         return self._leadership.order_time_left_s() > 0
 
     async def run(self) -> None:
-        """Plan and order for as long as this process may; wait otherwise."""
+        """Plan and send orders while this process leads; otherwise only update demand totals."""
         while True:
             await self._wait_for_next_round()
             self._last_plan_s = boottime_s()
@@ -113,14 +113,14 @@
                 await self._plan(name, engine, loads)
 
     async def _wait_for_next_round(self) -> None:
-        """Wait for the next plan; a model that is waited for brings it forward."""
+        """Wait until the next plan is due; a call for a missing model triggers it early."""
         try:
             async with asyncio.timeout(
                 ROUND_INTERVAL_S if self._leadership.term else FOLLOWER_ROUND_INTERVAL_S
             ):
                 await self._plan_requested.wait()
         except TimeoutError:
-            # The usual case: nobody waits for a model that is not there.
+            # The usual case: no call waits for a missing model.
             return
         await asyncio.sleep(max(0.0, self._last_plan_s + MIN_ROUND_INTERVAL_S - boottime_s()))
         self._plan_requested.clear()
@@ -131,7 +131,7 @@
         for name, engine in _services_with_models(config):
             self._store_load_limiter.reset(engine.loads_per_s)
             await self._replica_monitor.claim_all(name, engine)
-        # What a predecessor ordered late has come by now, or never will.
+        # After this delay, late orders of a predecessor have arrived, or they never will.
         await asyncio.sleep(TERM_START_DELAY_S)
 
     async def _plan(
@@ -140,7 +140,7 @@
         self._replica_monitor.record_initial_copies(service)
         self._replica_monitor.start_due_polls(service, engine)
         if boottime_s() - self._started_s < STARTUP_DISCOVERY_S:
-            # Records of replicas are still coming in.
+            # Replica records are still arriving.
             return
         demands = demand_by_model(service, engine, loads, self._read_ms)
         self._load_unserved_adapters(service, engine)
@@ -158,8 +158,8 @@
         self, service: str, engine: EngineSpec, planner: CopyPlanner, copies: list[ReplicaCopies]
     ) -> None:
         while True:
-            # Calls and peers go first: with 161 models at 59 replicas a plan takes tens of
-            # milliseconds, one move some.
+            # Yield to calls and peers: with 161 models on 59 replicas a plan takes tens of
+            # milliseconds, and a single move several.
             await asyncio.sleep(0)
             if not self.may_order():
                 return
@@ -181,9 +181,9 @@
                     replica.begin_move(move.model, move.evicted, move.load_s)
 
     def want(self, key: ModelKey) -> None:
-        """A call waits for *key*; bring an adapter at once, a model with the next plan.
+        """Load *key*, which a call waits for: an adapter at once, a model with the next plan.
 
-        What can't be brought now, or whose wish is lost on its way, comes with a later plan.
+        If it cannot be loaded now, or the request is lost, a later plan loads it.
         """
         self.totals.note_missing(key)
         engine = self._engine_of(key)
@@ -217,15 +217,15 @@
         return AdapterPlanner(service, engine, self._directory, self.totals.latest(), fence)
 
     def unserved(self, kind: UnservedKind) -> Unserved:
-        """Return what goes unserved of a kind; nothing while another process leads."""
+        """Return the unserved keys of a kind; none while another process leads."""
         if not self.may_order():
             return Unserved()
         return unserved(kind, self.totals.latest(), boottime_s())
 
     def awaited(self) -> dict[ModelKey, float]:
-        """Return the models on their way or to be ordered next, with the time of each.
+        """Return the models that are being loaded or will be ordered next.
 
-        A time is when the model is likely there, on the boot clock.
+        :returns: the time at which each should be ready, on the boot clock.
         """
         return self._predicted_ready_s | self._replica_monitor.loading_ready_times()
 
@@ -242,7 +242,7 @@
 
 
 def _services_with_models(config: ServingConfig) -> Iterator[tuple[str, EngineSpec]]:
-    """Return the engine services that have models, by name."""
+    """Yield the engine services that have models, with their names."""
     for service in config.engine_services():
         assert service.engine is not None
         if service.engine.models:
