--- a/tests/placement/builders.py
+++ b/tests/placement/builders.py
@@ -34,12 +34,12 @@
     )
 
 
-def seldom(calls_per_s: float = 0.3, waits: bool = False) -> ModelDemand:
+def rare_calls(calls_per_s: float = 0.3, call_waits: bool = False) -> ModelDemand:
     """Return the demand of few calls that can wait for a load."""
     return ModelDemand(
         calls_per_s=calls_per_s,
         lasting_calls_per_s=calls_per_s,
         busy_replicas=0.03,
-        is_waiting=waits,
+        is_waiting=call_waits,
         objective_s=6.0,
     )
--- a/tests/placement/fleet_play.py
+++ b/tests/placement/fleet_simulation.py
@@ -41,12 +41,12 @@
 
 SERVICE = 'lm'
 #: Between two messages of the gateway.
-COUNTS_S = 0.1
+COUNTS_INTERVAL_S = 0.1
 FENCE = 5
 
 
 @attrs.define
-class Timeline:
+class EventQueue:
     """What happens when, on a clock that is moved from one to the next."""
 
     clock: VirtualClock
@@ -75,38 +75,38 @@
 
 
 @attrs.define
-class Record:
+class CallRecord:
     """The calls for one thing: when each came, and whether it was served."""
 
     calls: list[tuple[float, bool]] = attrs.field(factory=list)
-    asks: int = 0
-    answered: int = 0
+    requests: int = 0
+    served_requests: int = 0
 
-    def served(self) -> int:
+    def served_calls(self) -> int:
         return sum(is_served for _, is_served in self.calls)
 
-    def stretches(self) -> list[list[float]]:
+    def unserved_periods(self) -> list[list[float]]:
         """Return the calls of each time for which it was asked for and served to nobody.
 
         The last time of each is when it was served, if it was.
         """
-        found: list[list[float]] = []
+        periods: list[list[float]] = []
         current: list[float] = []
         for at_s, is_served in self.calls:
             if current and at_s - current[-1] > UNSERVED_LIFE_S:
-                found.append(current)
+                periods.append(current)
                 current = []
             if current or not is_served:
                 current.append(at_s)
             if is_served and current:
-                found.append(current)
+                periods.append(current)
                 current = []
-        return [*found, current] if current else found
+        return [*periods, current] if current else periods
 
-    def longest_unserved_s(self, since_s: float = 0.0, least_calls: int = 4) -> float:
+    def longest_unserved_s(self, since_s: float = 0.0, min_calls: int = 4) -> float:
         """Return the longest time unserved, of those with so many calls; from then on alone."""
-        late = [[at_s for at_s in calls if at_s >= since_s] for calls in self.stretches()]
-        return max((one[-1] - one[0] for one in late if len(one) >= least_calls), default=0.0)
+        late = [[at_s for at_s in calls if at_s >= since_s] for calls in self.unserved_periods()]
+        return max((one[-1] - one[0] for one in late if len(one) >= min_calls), default=0.0)
 
 
 @attrs.define
@@ -114,94 +114,96 @@
     """The counts of one gateway, and the sums of demand at the leader and at its heir."""
 
     leader: DemandTotals = attrs.field(factory=DemandTotals)
-    heir: DemandTotals = attrs.field(factory=DemandTotals)
+    standby: DemandTotals = attrs.field(factory=DemandTotals)
     counts: dict[ModelKey, KeyDemand] = attrs.field(factory=dict)
-    ages: dict[ModelKey, ServiceAges] = attrs.field(factory=dict)
-    asked_s: dict[ModelKey, float] = attrs.field(factory=dict)
-    loses_wishes: bool = False
-    is_doubled: bool = False
-    is_disordered: bool = False
-    _before: list[KeyDemand] = attrs.field(factory=list)
-
-    def of(self, key: ModelKey) -> KeyDemand:
-        self.ages.setdefault(key, ServiceAges())
+    service_ages: dict[ModelKey, ServiceAges] = attrs.field(factory=dict)
+    last_call_s: dict[ModelKey, float] = attrs.field(factory=dict)
+    drops_load_requests: bool = False
+    duplicates_messages: bool = False
+    reorders_messages: bool = False
+    _previous: list[KeyDemand] = attrs.field(factory=list)
+
+    def counts_for(self, key: ModelKey) -> KeyDemand:
+        self.service_ages.setdefault(key, ServiceAges())
         return self.counts.setdefault(key, KeyDemand(key))
 
-    def began(self, key: ModelKey, objective_ms: int) -> KeyDemand:
-        counts = self.of(key)
+    def record_call(self, key: ModelKey, objective_ms: int) -> KeyDemand:
+        counts = self.counts_for(key)
         counts.started += 1
         counts.objective_ms = objective_ms
         now_s = boottime_s()
-        if now_s - self.asked_s.get(key, now_s) > UNSERVED_LIFE_S:
-            self.ages[key].forget_waiting()
-        self.asked_s[key] = now_s
-        self.ages[key].note_asked(now_s)
+        if now_s - self.last_call_s.get(key, now_s) > UNSERVED_LIFE_S:
+            self.service_ages[key].forget_waiting()
+        self.last_call_s[key] = now_s
+        self.service_ages[key].note_asked(now_s)
         return counts
 
-    def note_served(self, key: ModelKey) -> None:
-        self.ages[key].note_served(boottime_s())
+    def record_served(self, key: ModelKey) -> None:
+        self.service_ages[key].note_served(boottime_s())
 
-    def send(self) -> None:
+    def send_counts(self) -> None:
         """Send the counts to both, as the faults have it."""
-        now = [self._told(one) for one in self.counts.values()]
+        now = [self._current(one) for one in self.counts.values()]
         messages = [now]
-        if self.is_doubled:
+        if self.duplicates_messages:
             messages = [now, now]
-        if self.is_disordered:
-            messages = [now, self._before]
+        if self.reorders_messages:
+            messages = [now, self._previous]
         for message in messages:
             self.leader.take('g1', message)
-            self.heir.take('g1', message)
-        self._before = now
+            self.standby.take('g1', message)
+        self._previous = now
 
-    def _told(self, counts: KeyDemand) -> KeyDemand:
-        told = msgspec.structs.replace(counts)
-        self.ages[counts.key].tell(told, boottime_s())
-        return told
+    def _current(self, counts: KeyDemand) -> KeyDemand:
+        counts_now = msgspec.structs.replace(counts)
+        self.service_ages[counts.key].tell(counts_now, boottime_s())
+        return counts_now
 
     def replace_leader(self) -> None:
-        self.leader, self.heir = self.heir, self.leader
+        self.leader, self.standby = self.standby, self.leader
 
-    def step(self) -> None:
+    def update_totals(self) -> None:
         self.leader.step()
-        self.heir.step()
+        self.standby.step()
 
 
 @attrs.define
-class Play:
+class Simulation:
     """Callers before a gateway; what each kind of play shares."""
 
-    line: Timeline
+    events: EventQueue
     gateway: Gateway = attrs.field(factory=Gateway)
-    records: dict[ModelKey, Record] = attrs.field(factory=dict)
+    records: dict[ModelKey, CallRecord] = attrs.field(factory=dict)
 
-    def begin(self) -> None:
-        self.line.every(lambda: COUNTS_S, self.gateway.send, COUNTS_S)
-        self.line.every(lambda: ROUND_INTERVAL_S, self._round, ROUND_INTERVAL_S)
+    def start(self) -> None:
+        self.events.every(lambda: COUNTS_INTERVAL_S, self.gateway.send_counts, COUNTS_INTERVAL_S)
+        self.events.every(lambda: ROUND_INTERVAL_S, self._round, ROUND_INTERVAL_S)
 
     def _round(self) -> None:
-        self.gateway.step()
+        self.gateway.update_totals()
         self.plan()
 
-    def ask(self, key: ModelKey, objective_ms: int, back_s: Callable[[], float]) -> None:
+    def request(self, key: ModelKey, objective_ms: int, retry_in_s: Callable[[], float]) -> None:
         """Call once; who is refused comes back once."""
-        record = self.records.setdefault(key, Record())
-        record.asks += 1
+        record = self.records.setdefault(key, CallRecord())
+        record.requests += 1
 
-        def again() -> None:
-            record.answered += self._call(key, objective_ms)
+        def retry() -> None:
+            record.served_requests += self._call(key, objective_ms)
 
         if self._call(key, objective_ms):
-            record.answered += 1
+            record.served_requests += 1
         else:
-            self.line.after(back_s(), again)
+            self.events.after(retry_in_s(), retry)
 
     def _call(self, key: ModelKey, objective_ms: int) -> bool:
-        counts = self.gateway.began(key, objective_ms)
+        counts = self.gateway.record_call(key, objective_ms)
         is_served = self.serve(key, counts)
-        self.records.setdefault(key, Record()).calls.append((self.line.clock.now_s, is_served))
+        self.records.setdefault(key, CallRecord()).calls.append(
+            (self.events.clock.now_s, is_served)
+        )
         if is_served:
-            self.gateway.note_served(key)
+            self.gateway.record_served(key)
         return is_served
 
     def serve(self, key: ModelKey, counts: KeyDemand) -> bool:
@@ -228,17 +230,17 @@
     pending: PendingOrders = attrs.field(factory=PendingOrders)
     running: dict[str, int] = attrs.field(factory=dict)
     free_s: float = 0.0
-    orders: int = 1
+    completed_orders: int = 1
     is_cut_off: bool = False
     #: What the leader does once a report shows the end of an order.
-    unreported: list[Callable[[], object]] = attrs.field(factory=list)
+    after_report: list[Callable[[], object]] = attrs.field(factory=list)
 
     def report(self) -> ReplicaReport:
-        return ReplicaReport((Holding('m1', frozenset(self.held)),), False, self.orders)
+        return ReplicaReport((Holding('m1', frozenset(self.held)),), False, self.completed_orders)
 
 
 @attrs.define
-class AdapterPlay(Play):
+class AdapterSimulation(Simulation):
     """One model's adapters, more of them than places."""
 
     engine: EngineSpec = attrs.field(kw_only=True)
@@ -247,26 +249,26 @@
     reports_are_late: bool = False
 
     @classmethod
-    def of(
+    def create(
         cls, clock: VirtualClock, places: int, adapters: list[str], replicas: int = 1
-    ) -> AdapterPlay:
+    ) -> AdapterSimulation:
         """Return a play whose places are taken by the first adapters."""
         model = ModelSpec('m1', 70.0, 6.0, 1.0, frozenset(adapters), 1.0)
-        play = cls(
-            Timeline(clock), engine=EngineSpec(16, 10_000, 200.0, places, 2.0, {'m1': model})
+        simulation = cls(
+            EventQueue(clock), engine=EngineSpec(16, 10_000, 200.0, places, 2.0, {'m1': model})
         )
         for number in range(replicas):
             name = f'r{number}'
             held = set(adapters[number * places : (number + 1) * places])
-            replica = play.replicas[name] = AdapterReplica(name, held)
-            play.directory.take_record(
+            replica = simulation.replicas[name] = AdapterReplica(name, held)
+            simulation.directory.take_record(
                 ReplicaRecord(name, SERVICE, f'ip:{name}', 'z1', 16, False, None, (), 1)
             )
             replica.pending.note_claimed(FENCE)
         clock.advance(1.1 * REPORT_SETTLE_S)
-        play._report()
-        play.line.every(lambda: COUNTS_S, play._report, COUNTS_S)
-        return play
+        simulation._report()
+        simulation.events.every(lambda: COUNTS_INTERVAL_S, simulation._report, COUNTS_INTERVAL_S)
+        return simulation
 
     def _report(self) -> None:
         if self.reports_are_late:
@@ -275,22 +277,22 @@
             report = replica.report()
             self.directory.take_report(name, report)
             replica.pending.note_report(report)
-            for note in replica.unreported:
+            for note in replica.after_report:
                 note()
-            replica.unreported.clear()
+            replica.after_report.clear()
 
     def serve(self, key: ModelKey, counts: KeyDemand) -> bool:
         for replica in self.replicas.values():
             if key.adapter in replica.held and not replica.is_cut_off:
-                self._run(replica, key.adapter, counts)
+                self._start_call(replica, key.adapter, counts)
                 return True
         counts.wanted += 1
-        if not self.gateway.loses_wishes:
+        if not self.gateway.drops_load_requests:
             self.gateway.leader.note_missing(key)
-            self._bring([key])
+            self._load([key])
         return False
 
-    def _run(self, replica: AdapterReplica, adapter: str, counts: KeyDemand) -> None:
+    def _start_call(self, replica: AdapterReplica, adapter: str, counts: KeyDemand) -> None:
         replica.running[adapter] = replica.running.get(adapter, 0) + 1
         counts.running += 1
 
@@ -298,54 +300,57 @@
             replica.running[adapter] -= 1
             counts.running -= 1
 
-        self.line.after(ADAPTER_CALL_S, end)
+        self.events.after(ADAPTER_CALL_S, end)
 
     def plan(self) -> None:
-        self._bring(self._planner().due())
+        self._load(self._planner().due())
 
     def _planner(self) -> AdapterPlanner:
         totals = self.gateway.leader.latest()
         return AdapterPlanner(SERVICE, self.engine, self.directory, totals, FENCE)
 
-    def _bring(self, keys: list[ModelKey]) -> None:
+    def _load(self, keys: list[ModelKey]) -> None:
         pending = {name: replica.pending for name, replica in self.replicas.items()}
         planner = self._planner()
         for key in keys:
             move = planner.plan(key, pending)
             if move is not None:
-                self._begin(move)
+                self._start_move(move)
 
-    def _begin(self, move: AdapterMove) -> None:
+    def _start_move(self, move: AdapterMove) -> None:
         replica = self.replicas[move.replica.replica_id]
         item = Loadable('m1', move.key.adapter)
-        gone = move.evicted
-        now_s = self.line.clock.now_s
+        evicted_key = move.evicted
+        now_s = self.events.clock.now_s
         replica.pending.expect(item, now_s)
         start_s = max(now_s, replica.free_s)
         unload_s = 0.0
-        if gone is not None:
-            replica.pending.note_unloading(Loadable('m1', gone.adapter))
-            unload_s = ADAPTER_UNLOAD_S + ADAPTER_CALL_S * bool(replica.running.get(gone.adapter))
-            self.line.after(
-                start_s + unload_s - now_s, lambda: self._unloaded(replica, gone.adapter)
+        if evicted_key is not None:
+            replica.pending.note_unloading(Loadable('m1', evicted_key.adapter))
+            unload_s = ADAPTER_UNLOAD_S + ADAPTER_CALL_S * bool(
+                replica.running.get(evicted_key.adapter)
+            )
+            self.events.after(
+                start_s + unload_s - now_s,
+                lambda: self._finish_unload(replica, evicted_key.adapter),
             )
         replica.free_s = start_s + unload_s + ADAPTER_LOAD_S
-        self.line.after(replica.free_s - now_s, lambda: self._loaded(replica, item))
+        self.events.after(replica.free_s - now_s, lambda: self._finish_load(replica, item))
 
-    def _unloaded(self, replica: AdapterReplica, adapter: str) -> None:
+    def _finish_unload(self, replica: AdapterReplica, adapter: str) -> None:
         replica.held.discard(adapter)
-        gone = [Loadable('m1', adapter)]
-        replica.unreported.append(lambda: replica.pending.note_unload_ended(gone))
-        self._ordered(replica)
+        evicted = [Loadable('m1', adapter)]
+        replica.after_report.append(lambda: replica.pending.note_unload_ended(evicted))
+        self._complete_order(replica)
 
-    def _loaded(self, replica: AdapterReplica, item: Loadable) -> None:
+    def _finish_load(self, replica: AdapterReplica, item: Loadable) -> None:
         replica.held.add(item.adapter)
         assert len(replica.held) <= self.engine.adapter_places
-        replica.unreported.append(lambda: replica.pending.note_ended(item))
-        self._ordered(replica)
+        replica.after_report.append(lambda: replica.pending.note_ended(item))
+        self._complete_order(replica)
 
-    def _ordered(self, replica: AdapterReplica) -> None:
-        replica.orders += 1
+    def _complete_order(self, replica: AdapterReplica) -> None:
+        replica.completed_orders += 1
         self._report()
 
 
@@ -355,7 +360,7 @@
 IDLE_UNLOAD_S = 0.2
 MODEL_CALL_S = 0.5
 #: Of any prompt: reading bounds nothing here.
-READ_MS = 0.0
+PREFILL_MS = 0.0
 
 
 @attrs.define
@@ -370,40 +375,42 @@
 
 
 @attrs.define
-class ModelPlay(Play):
+class ModelSimulation(Simulation):
     """Replicas that hold a few models each, where there are more models than places."""
 
     engine: EngineSpec = attrs.field(kw_only=True)
     replicas: list[ModelReplica] = attrs.field(factory=list)
-    pace: StoreLoadLimiter = attrs.field(factory=lambda: StoreLoadLimiter(1.0))
+    store_load_limiter: StoreLoadLimiter = attrs.field(factory=lambda: StoreLoadLimiter(1.0))
     starvation: StarvationTracker = attrs.field(factory=StarvationTracker)
     overdue_loads: OverdueLoads = attrs.field(factory=OverdueLoads)
     report_lag_s: float = 0.0
     #: Models whose copy came and has served nobody yet.
     unused: set[str] = attrs.field(factory=set)
     #: Those that were unloaded before, though somebody might have come back: when, and for what.
-    gone_too_soon: list[tuple[float, str, str]] = attrs.field(factory=list)
+    evicted_too_early: list[tuple[float, str, str]] = attrs.field(factory=list)
 
     @classmethod
-    def of(cls, clock: VirtualClock, replicas: int, places: int, models: list[str]) -> ModelPlay:
+    def create(
+        cls, clock: VirtualClock, replicas: int, places: int, models: list[str]
+    ) -> ModelSimulation:
         """Return a play whose places are taken by the first models."""
         specs = {
             name: ModelSpec(name, 70.0, MODEL_LOAD_S, 0.6, frozenset(), 0.0, 1.3)
             for name in models
         }
         engine = EngineSpec(16, 100_000, 70.0 * places + 20.0, 8, 2.0, specs)
-        play = cls(Timeline(clock), engine=engine)
+        simulation = cls(EventQueue(clock), engine=engine)
         for number in range(replicas):
             held = {models[(number * places + n) % len(models)] for n in range(places)}
             copies = ReplicaCopies(f'r{number}', held, set(), True, f'c{number % 3}')
-            play.replicas.append(ModelReplica(copies, serving=set(held)))
-        return play
+            simulation.replicas.append(ModelReplica(copies, serving=set(held)))
+        return simulation
 
     def serve(self, key: ModelKey, counts: KeyDemand) -> bool:
         holders = [one for one in self.replicas if key.model in one.serving and not one.is_cut_off]
         if not holders:
             counts.wanted += 1
-            if not self.gateway.loses_wishes:
+            if not self.gateway.drops_load_requests:
                 self.gateway.leader.note_missing(key)
             return False
         replica = min(holders, key=lambda one: one.running)
@@ -418,49 +425,51 @@
             replica.running -= 1
             counts.running -= 1
 
-        self.line.after(MODEL_CALL_S, end)
+        self.events.after(MODEL_CALL_S, end)
         return True
 
     def plan(self) -> None:
         totals = self.gateway.leader.latest()
-        demands = demand_by_model(SERVICE, self.engine, totals, lambda *_: READ_MS)
+        demands = demand_by_model(SERVICE, self.engine, totals, lambda *_: PREFILL_MS)
         copies = [one.copies for one in self.replicas]
         starved_s = self.starvation.track(SERVICE, demands, copies)
         planner = CopyPlanner(self.engine, demands, {}, starved_s, (), self.overdue_loads)
         while True:
-            move = planner.next_move(copies, self.pace.may_load(self.engine.loads_per_s))
+            move = planner.next_move(
+                copies, self.store_load_limiter.may_load(self.engine.loads_per_s)
+            )
             if move is None:
                 return
             if move.from_store:
-                self.pace.record_load()
-            self._begin(move)
+                self.store_load_limiter.record_load()
+            self._start_move(move)
             if move.reason is MoveReason.OVERDUE:
                 self.overdue_loads.record_start(move.replica_id, move.model)
 
-    def _begin(self, move: CopyMove) -> None:
+    def _start_move(self, move: CopyMove) -> None:
         replica = next(one for one in self.replicas if one.copies.replica_id == move.replica_id)
         is_busy = bool(move.evicted) and replica.running > 0
         unload_s = MODEL_UNLOAD_S if is_busy else IDLE_UNLOAD_S * bool(move.evicted)
         replica.copies.begin_move(move.model, move.evicted)
         replica.serving -= set(move.evicted)
         for name in self.unused.intersection(move.evicted):
-            self._note_unused_copy_goes(name, move.model)
-        self.line.after(unload_s + move.load_s, lambda: self._loaded(replica, move.model))
+            self._check_unused_eviction(name, move.model)
+        self.events.after(unload_s + move.load_s, lambda: self._finish_load(replica, move.model))
 
-    def _note_unused_copy_goes(self, model: str, brought: str) -> None:
-        now_s = self.line.clock.now_s
+    def _check_unused_eviction(self, model: str, brought: str) -> None:
+        now_s = self.events.clock.now_s
         self.unused.discard(model)
         called_s, was_served = self.records[ModelKey(SERVICE, model)].calls[-1]
         if not was_served and now_s - called_s < RETURN_LIFE_S:
-            self.gone_too_soon.append((now_s, model, brought))
+            self.evicted_too_early.append((now_s, model, brought))
 
-    def _loaded(self, replica: ModelReplica, model: str) -> None:
+    def _finish_load(self, replica: ModelReplica, model: str) -> None:
         replica.serving.add(model)
         if not any(model in one.serving for one in self.replicas if one is not replica):
             self.unused.add(model)
-        self.line.after(self.report_lag_s, lambda: self._reported(replica, model))
+        self.events.after(self.report_lag_s, lambda: self._report_load(replica, model))
 
-    def _reported(self, replica: ModelReplica, model: str) -> None:
+    def _report_load(self, replica: ModelReplica, model: str) -> None:
         replica.copies.loading.discard(model)
         replica.copies.ready.add(model)
         replica.copies.is_idle = True
--- a/tests/placement/test_adapters.py
+++ b/tests/placement/test_adapters.py
@@ -90,7 +90,7 @@
         yield Fleet(clock)
 
 
-def test_least_busy_replica_with_a_free_place_takes_it(fleet: Fleet) -> None:
+def test_least_busy_replica_with_a_free_place_is_chosen(fleet: Fleet) -> None:
     fleet.add('r1', 'a1')
     fleet.add('r2', 'a1')
     busy = fleet.directory.get('r1')
@@ -99,13 +99,13 @@
     assert fleet.plan() == ('r2', None)
 
 
-def test_of_equal_replicas_the_first_takes_it(fleet: Fleet) -> None:
+def test_first_of_equal_replicas_is_chosen(fleet: Fleet) -> None:
     fleet.add('r1')
     fleet.add('r2')
     assert fleet.plan() == ('r1', None)
 
 
-def test_adapter_that_is_there_or_on_its_way_is_not_loaded_again(fleet: Fleet) -> None:
+def test_held_or_loading_adapter_is_not_loaded_again(fleet: Fleet) -> None:
     fleet.add('r1')
     fleet.pending['r1'].expect(Loadable('m1', 'a6'), boottime_s())
     fleet.add('r2')
@@ -132,7 +132,7 @@
     assert fleet.plan() is None
 
 
-def test_adapters_that_the_report_lists_as_loading_take_places(fleet: Fleet) -> None:
+def test_adapters_reported_as_loading_occupy_places(fleet: Fleet) -> None:
     fleet.add('r1', 'a1', loading=('a2', 'a3'))
     fleet.seen('a1', ago_s=0.1)
     assert fleet.plan() is None
@@ -145,7 +145,7 @@
     assert fleet.plan() is None
 
 
-def test_replica_that_loads_a_whole_model_takes_no_adapter(fleet: Fleet) -> None:
+def test_replica_that_loads_a_whole_model_is_not_chosen(fleet: Fleet) -> None:
     fleet.add('r1')
     fleet.pending['r1'].expect(Loadable('m2'), boottime_s())
     assert fleet.plan() is None
@@ -161,13 +161,13 @@
     assert fleet.plan() == ('r2', None)
 
 
-def test_replica_without_a_fresh_poll_takes_no_adapter(fleet: Fleet) -> None:
+def test_replica_without_a_fresh_poll_is_not_chosen(fleet: Fleet) -> None:
     fleet.add('r1')
     fleet.pending['r1'].note_claimed(1)
     assert fleet.plan() is None
 
 
-def test_adapters_that_go_unserved_are_due_who_waited_longest_first(fleet: Fleet) -> None:
+def test_unserved_adapters_are_ordered_by_waiting_time(fleet: Fleet) -> None:
     fleet.clock.advance(60.0)
     fleet.unserved('a1', 2.0)
     fleet.unserved('a2', 5.0)
@@ -177,7 +177,7 @@
     assert fleet.due() == ['a2', 'a1']
 
 
-def test_adapter_that_waits_beside_places_in_steady_use_has_its_turn(fleet: Fleet) -> None:
+def test_overdue_adapter_replaces_one_in_steady_use(fleet: Fleet) -> None:
     """One of 60 calls for the ninth of nine adapters found it, however long it was asked for."""
     fleet.add('r1', 'a1', 'a2', 'a3')
     fleet.seen('a1', ago_s=0.3, running=2.0)
@@ -189,7 +189,7 @@
     assert fleet.plan() == ('r1', 'a2')
 
 
-def test_one_turn_at_a_time_costs_a_replica_its_places(fleet: Fleet) -> None:
+def test_replica_loads_one_overdue_adapter_at_a_time(fleet: Fleet) -> None:
     fleet.add('r1', 'a1', 'a2', 'a3')
     fleet.seen('a1', ago_s=0.2)
     fleet.seen('a2', ago_s=0.1)
@@ -200,7 +200,7 @@
     assert fleet.plan() == ('r1', 'a1')
 
 
-def test_adapter_that_came_for_somebody_stays_until_he_is_back(fleet: Fleet) -> None:
+def test_awaited_adapter_is_kept_until_its_callers_retry(fleet: Fleet) -> None:
     fleet.add('r1', 'a1', 'a2', 'a3')
     fleet.seen('a1', ago_s=0.1)
     fleet.seen('a2', ago_s=0.1)
@@ -230,7 +230,7 @@
     assert fleet.plan() == ('r2', None)
 
 
-def test_adapter_that_goes_unserved_beside_its_place_gets_another(fleet: Fleet) -> None:
+def test_adapter_that_goes_unserved_despite_its_place_gets_another(fleet: Fleet) -> None:
     fleet.clock.advance(60.0)
     fleet.add('r1', 'a6')
     fleet.add('r2', 'a1')
@@ -240,7 +240,7 @@
     assert fleet.plan() == ('r2', None)
 
 
-def test_adapter_that_nobody_can_serve_takes_two_places_at_the_most(fleet: Fleet) -> None:
+def test_adapter_that_cannot_be_served_occupies_at_most_two_places(fleet: Fleet) -> None:
     fleet.clock.advance(60.0)
     fleet.add('r1', 'a6')
     fleet.add('r2', 'a6')
@@ -249,7 +249,7 @@
     assert fleet.plan() is None
 
 
-def test_adapter_that_the_configuration_lacks_takes_no_place(fleet: Fleet) -> None:
+def test_adapter_missing_from_the_configuration_is_not_loaded(fleet: Fleet) -> None:
     fleet.add('r1', 'a1')
     planner = AdapterPlanner('lm', ENGINE, fleet.directory, fleet.totals, FENCE)
     assert planner.plan(ModelKey('lm', 'm1', 'no-such'), fleet.pending) is None
--- a/tests/placement/test_shift.py
+++ b/tests/placement/test_demand_shift.py
@@ -17,15 +17,15 @@
 
 STEP_S = 0.2
 LIMIT_S = 20.0
-PATIENT = [f'patient-{n}' for n in range(8)]
-URGENT = ['now', 'next', 'other-1', 'other-2', 'other-3']
+TOLERANT = [f'patient-{n}' for n in range(8)]
+CRITICAL = ['now', 'next', 'other-1', 'other-2', 'other-3']
 MODELS = {
-    name: ModelSpec(name, 70.0, 6.0, 0.6, frozenset(), 0.0, 1.3) for name in [*URGENT, *PATIENT]
+    name: ModelSpec(name, 70.0, 6.0, 0.6, frozenset(), 0.0, 1.3) for name in [*CRITICAL, *TOLERANT]
 }
 ENGINE = EngineSpec(48, 100_000, 230.0, 8, 1.6, MODELS)
 
 
-def urgent(calls_per_s: float = 0.0, is_waiting: bool = False) -> ModelDemand:
+def critical(calls_per_s: float = 0.0, is_waiting: bool = False) -> ModelDemand:
     return ModelDemand(
         calls_per_s,
         calls_per_s,
@@ -36,7 +36,7 @@
     )
 
 
-def patient() -> ModelDemand:
+def tolerant() -> ModelDemand:
     return ModelDemand(0.3, 0.3, 0.03, is_waiting=True, objective_s=5.0)
 
 
@@ -49,7 +49,7 @@
     moves: dict[str, tuple[float, CopyMove]] = attrs.field(factory=dict)
 
     @classmethod
-    def standing(cls, disks: dict[str, tuple[str, ...]], *held: tuple[str, ...]) -> Fleet:
+    def create(cls, disks: dict[str, tuple[str, ...]], *held: tuple[str, ...]) -> Fleet:
         replicas = []
         for number, models in enumerate(held):
             name = f'r{number}'
@@ -76,7 +76,9 @@
             at.begin_move(move.model, move.evicted, move.load_s + 2.0 * runs)
         self.now_s += STEP_S
 
-    def until_copies(self, model: str, copies: int, demands: dict[str, ModelDemand]) -> float:
+    def seconds_until_copies(
+        self, model: str, copies: int, demands: dict[str, ModelDemand]
+    ) -> float:
         """Return the seconds until so many copies of a model are ready."""
         began_s = self.now_s
         while sum(model in one.ready for one in self.replicas) < copies:
@@ -86,9 +88,9 @@
         return self.now_s - began_s
 
 
-def shift(copies: int) -> float:
+def copy_delay_s(copies: int) -> float:
     """Return how long the model that demand moves to waits for so many copies."""
-    fleet = Fleet.standing(
+    fleet = Fleet.create(
         {'r4': ('next',), 'r5': ('next',)},
         ('now', 'other-1', 'patient-0'),
         ('now', 'other-2', 'patient-1'),
@@ -97,17 +99,17 @@
         ('other-2', 'patient-0', 'patient-3'),
         ('other-3', 'patient-1', 'patient-4'),
     )
-    others = {name: urgent() for name in URGENT if name.startswith('other')}
-    before = {'now': urgent(20), **others, **{name: patient() for name in PATIENT}}
+    others = {name: critical() for name in CRITICAL if name.startswith('other')}
+    before = {'now': critical(20), **others, **{name: tolerant() for name in TOLERANT}}
     for _ in range(10):
         fleet.step(before)
-    after = {**before, 'now': urgent(5), 'next': urgent(30, is_waiting=True)}
-    return fleet.until_copies('next', copies, after)
+    after = {**before, 'now': critical(5), 'next': critical(30, is_waiting=True)}
+    return fleet.seconds_until_copies('next', copies, after)
 
 
-def test_model_that_cannot_wait_stands_before_demand_moves_to_it() -> None:
+def test_latency_critical_model_is_loaded_before_demand_moves_to_it() -> None:
     """Among replicas that models bring which can wait: 0 s. It was 4.2 and 6.2 s, see below."""
-    assert shift(copies=1) == 0.0
+    assert copy_delay_s(copies=1) == 0.0
 
 
 @pytest.mark.parametrize(
@@ -117,10 +119,10 @@
         ('LATENCY_TOLERANT_LOADING_SHARE', 9.0, 5.6),
     ],
 )
-def test_without_a_rule_it_is_waited_for(
+def test_without_a_limit_calls_wait_for_it(
     monkeypatch: pytest.MonkeyPatch, constant: str, off: float, seconds: float
 ) -> None:
     """All replicas that could bring it are busy with models that can wait."""
     monkeypatch.setattr(load_limits, constant, off)
     monkeypatch.setattr(load_limits, 'LONG_LOADS_SHARE', 9.0)
-    assert shift(copies=1) == pytest.approx(seconds)
+    assert copy_delay_s(copies=1) == pytest.approx(seconds)
--- a/tests/placement/test_patient_service.py
+++ b/tests/placement/test_latency_tolerant_service.py
@@ -4,7 +4,7 @@
 
 from collections import Counter
 
-from tests.placement.tier_play import play_day
+from tests.placement.tier_simulation import simulate_day
 
 #: Least of its worth that a class of calls must earn on a quiet day, and the margin to hold it by.
 FLOOR_SHARE = 0.44
@@ -14,11 +14,11 @@
 SEEDS = range(1, 9)
 
 
-def test_callers_that_can_wait_are_not_refused_before_a_load_that_would_serve_them() -> None:
+def test_latency_tolerant_calls_are_not_refused_before_a_load_that_would_serve_them() -> None:
     """0.62 of the first calls were refused, and seven of ten loads came from the weight store."""
     outcomes: Counter[str] = Counter()
     for seed in SEEDS:
-        outcomes += play_day(seed).outcomes
+        outcomes += simulate_day(seed).outcomes
     asked = sum(count for name, count in outcomes.items() if not name.startswith('back'))
     late = outcomes['late'] + outcomes['back in time'] + outcomes['back late']
     earned_share = (outcomes['in time'] + LATE_SHARE * late) / asked
--- a/tests/placement/test_load_options.py
+++ b/tests/placement/test_load_options.py
@@ -25,7 +25,7 @@
     return {option.replica.replica_id: option for option in found}
 
 
-def test_load_is_as_long_as_the_way_of_the_weights() -> None:
+def test_load_time_depends_on_the_tier_of_the_weights() -> None:
     disk, memory = replica('disk'), replica('memory')
     disk.on_disk = memory.in_memory = frozenset({'rare'})
     found = options([replica('store'), disk, memory])
@@ -45,7 +45,7 @@
     assert found['answering'].ready_in_s == found['answering'].load_s + BUSY_UNLOAD_S
 
 
-def test_replicas_that_cannot_are_left_out() -> None:
+def test_replicas_that_cannot_load_are_left_out() -> None:
     occupied = replica('occupied', is_idle=False)
     holder = replica('holder', 'rare')
     assert options([occupied, holder]) == {}
@@ -65,14 +65,14 @@
     return PlacementSnapshot.capture(engine(), {}, list(replicas))
 
 
-def test_busy_replica_brings_what_it_has_near_after_its_load() -> None:
+def test_busy_replica_loads_its_local_weights_after_its_current_load() -> None:
     disk_load_s = engine().models['rare'].disk_load_s
     snapshot = survey_of(occupied('r1', 3.0, 'rare'), occupied('r2', 1.0, 'rare'), replica('r3'))
     assert local_ready_in_s('rare', snapshot) == 1.0 + disk_load_s
     assert local_ready_in_s('other', snapshot) == math.inf
 
 
-def test_models_that_wait_for_one_replica_come_one_after_the_other() -> None:
+def test_models_that_wait_for_one_replica_are_loaded_in_sequence() -> None:
     snapshot = survey_of(occupied('r1', 2.0, 'rare', 'other'))
     copy_values = CopyValues(snapshot, {}, {})
     disk_load_s = engine().models['rare'].disk_load_s
--- a/tests/placement/test_placement_log.py
+++ b/tests/placement/test_placement_log.py
@@ -10,7 +10,7 @@
 from limeshelf.placement import placement_log
 from limeshelf.placement.placement_log import MIN_LOG_INTERVAL_S, PlacementLog
 from limeshelf.placement.planner import CopyPlanner, NotLoadedReason
-from tests.placement.builders import busy, engine, replica, seldom
+from tests.placement.builders import busy, engine, rare_calls, replica
 
 
 @pytest.fixture
@@ -32,7 +32,7 @@
     return lines
 
 
-def test_contents_of_a_replica_are_written_when_they_change(written: list[dict[str, Any]]) -> None:
+def test_contents_of_a_replica_are_logged_when_they_change(written: list[dict[str, Any]]) -> None:
     log = PlacementLog()
     one = replica('r1', 'hot')
     log.log_replicas('lm', [one])
@@ -42,14 +42,14 @@
     assert written[-1]['on_disk'] == ['rare']
 
 
-def test_replica_that_came_back_is_written_again(written: list[dict[str, Any]]) -> None:
+def test_replica_that_returns_is_logged_again(written: list[dict[str, Any]]) -> None:
     log = PlacementLog()
     for replicas in ([replica('r1', 'hot')], [], [replica('r1', 'hot')]):
         log.log_replicas('lm', replicas)
     assert len(written) == 2
 
 
-def test_reason_is_written_once_until_it_changes(written: list[dict[str, Any]]) -> None:
+def test_reason_is_logged_once_until_it_changes(written: list[dict[str, Any]]) -> None:
     log = PlacementLog()
     for reason in (
         NotLoadedReason.LOWER_VALUE,
@@ -60,7 +60,7 @@
     assert [line['reason'] for line in written] == ['outbid', 'withheld']
 
 
-def test_model_that_waits_again_is_written_again(written: list[dict[str, Any]]) -> None:
+def test_model_that_waits_again_is_logged_again(written: list[dict[str, Any]]) -> None:
     log = PlacementLog()
     for not_loaded in (
         {'rare': NotLoadedReason.LOWER_VALUE},
@@ -71,8 +71,10 @@
     assert len(written) == 2
 
 
-def test_planner_names_why_a_waiting_model_is_not_loaded() -> None:
-    planner = CopyPlanner(engine(), {'hot': busy(50.0), 'rare': seldom(waits=True)}, {'hot': 1})
+def test_planner_states_why_a_waiting_model_is_not_loaded() -> None:
+    planner = CopyPlanner(
+        engine(), {'hot': busy(50.0), 'rare': rare_calls(call_waits=True)}, {'hot': 1}
+    )
     assert planner.outlook([replica('r1', 'hot', is_idle=False)]).not_loaded == {
         'rare': NotLoadedReason.NO_IDLE_REPLICA
     }
--- a/tests/placement/test_planner.py
+++ b/tests/placement/test_planner.py
@@ -10,15 +10,15 @@
 from limeshelf.demand.model_demand import ModelDemand
 from limeshelf.placement.planner import CopyMove, CopyPlanner, MoveReason
 from limeshelf.placement.survey import ReplicaCopies
-from tests.placement.builders import CAPACITY_MB, SIZES, busy, engine, replica, seldom
+from tests.placement.builders import CAPACITY_MB, SIZES, busy, engine, rare_calls, replica
 
 
 def planner(**demands: ModelDemand) -> CopyPlanner:
     return CopyPlanner(engine(), demands, {})
 
 
-def test_missing_model_that_is_asked_for_comes_first() -> None:
-    move = planner(hot=busy(20, replicas=0.9), rare=seldom(waits=True)).next_move(
+def test_missing_requested_model_comes_first() -> None:
+    move = planner(hot=busy(20, replicas=0.9), rare=rare_calls(call_waits=True)).next_move(
         [replica('r1', 'hot', 'big'), replica('r2', 'small', 'other')]
     )
     assert move is not None
@@ -33,7 +33,7 @@
     assert 'hot' not in move.evicted
 
 
-def test_copy_that_is_needed_is_not_evicted_for_a_seldom_model() -> None:
+def test_busy_copy_is_not_evicted_for_a_rarely_called_model() -> None:
     """Copies of the busy model went one by one for models with a call now and then.
 
     Seen on Sljeme's scale-1: one replica of nine was left to the busiest model.
@@ -42,22 +42,22 @@
     demands = {
         'hot': busy(20, replicas=2.0),
         'big': busy(3),
-        'small': seldom(),
-        'rare': seldom(),
-        'other': seldom(waits=True),
+        'small': rare_calls(),
+        'rare': rare_calls(),
+        'other': rare_calls(call_waits=True),
     }
     move = planner(**demands).next_move(replicas)
     assert move is None or 'hot' not in move.evicted
 
 
-def test_seldom_models_take_turns_in_the_room_that_is_left() -> None:
+def test_rarely_called_models_replace_each_other_in_the_remaining_room() -> None:
     replicas = [replica('r1', 'hot', 'big'), replica('r2', 'hot', 'small', 'rare')]
     demands = {
         'hot': busy(20, replicas=2.0),
         'big': busy(3),
-        'small': seldom(0.1),
+        'small': rare_calls(0.1),
         'rare': ModelDemand(objective_s=6.0),
-        'other': seldom(waits=True),
+        'other': rare_calls(call_waits=True),
     }
     replicas[1].ready = {'hot', 'small'}
     replicas.append(replica('r3', 'rare', 'small', 'big'))
@@ -74,9 +74,9 @@
     demands = {
         'hot': busy(20, replicas=2.0),
         'big': busy(3),
-        'small': seldom(0.1),
-        'rare': seldom(0.1),
-        'other': seldom(0.2, waits=True),
+        'small': rare_calls(0.1),
+        'rare': rare_calls(0.1),
+        'other': rare_calls(0.2, call_waits=True),
     }
     assert CopyPlanner(engine(), demands, {}).next_move(replicas) is None
     move = CopyPlanner(engine(), demands, {}, {'other': 20.0}).next_move(replicas)
@@ -85,7 +85,7 @@
     assert 'hot' not in move.evicted
 
 
-def test_busy_model_gets_no_copy_beyond_its_need_and_a_second_one() -> None:
+def test_busy_model_gets_no_copy_beyond_its_need_and_one_spare() -> None:
     """The second stands for the first should that be lost."""
     replicas = [replica('r1', 'hot', 'big'), replica('r2', 'small', 'other', 'rare')]
     move = planner(hot=busy(20, replicas=0.4)).next_move(replicas)
@@ -95,10 +95,10 @@
     assert planner(hot=busy(20, replicas=0.4)).next_move(replicas) is None
 
 
-def test_model_whose_callers_can_wait_gets_no_copy_beyond_its_need() -> None:
+def test_latency_tolerant_model_gets_no_spare_copy() -> None:
     replicas = [replica('r1', 'hot', 'big'), replica('r2', 'small', 'other', 'rare')]
-    patient = attrs.evolve(busy(20, replicas=0.4), objective_s=6.0)
-    assert planner(hot=patient).next_move(replicas) is None
+    tolerant = attrs.evolve(busy(20, replicas=0.4), objective_s=6.0)
+    assert planner(hot=tolerant).next_move(replicas) is None
 
 
 def test_copies_go_to_other_data_centres_first() -> None:
@@ -127,17 +127,19 @@
 def test_last_ready_copy_stays() -> None:
     """A copy on its way serves nobody, so it lets no ready one go."""
     loading = ReplicaCopies('r2', {'small'}, {'hot'}, False)
-    move = planner(hot=busy(20), other=seldom()).next_move([replica('r1', 'hot', 'big'), loading])
+    move = planner(hot=busy(20), other=rare_calls()).next_move(
+        [replica('r1', 'hot', 'big'), loading]
+    )
     assert move is None or 'hot' not in move.evicted
 
 
-def test_moves_that_are_not_urgent_leave_replicas_free() -> None:
+def test_moves_with_low_gain_leave_replicas_idle() -> None:
     replicas = [
         replica('r1', 'hot', is_idle=False),
         replica('r2', 'big', is_idle=False),
         replica('r3', 'small'),
     ]
-    demands = {'hot': busy(20, 0.5), 'big': busy(3), 'small': seldom(), 'other': seldom()}
+    demands = {'hot': busy(20, 0.5), 'big': busy(3), 'small': rare_calls(), 'other': rare_calls()}
     assert planner(**demands).next_move(replicas) is None
     demands['other'] = busy(5)
     move = planner(**demands).next_move(replicas)
@@ -145,21 +147,23 @@
     assert move.model == 'other'
 
 
-def test_quiet_start_keeps_what_was_busy() -> None:
+def test_low_demand_keeps_initial_copies() -> None:
     replicas = [
         replica('r1', 'hot', 'other'),
         replica('r2', 'hot', 'big'),
         replica('r3', 'hot', 'small', 'rare'),
     ]
-    plan = CopyPlanner(engine(), {}, {'hot': 3, 'big': 1, 'small': 1, 'rare': 1, 'other': 1})
-    assert plan.next_move(replicas) is None
+    copy_planner = CopyPlanner(
+        engine(), {}, {'hot': 3, 'big': 1, 'small': 1, 'rare': 1, 'other': 1}
+    )
+    assert copy_planner.next_move(replicas) is None
 
 
-def test_quiet_start_evicts_surplus_copies_for_models_without_one() -> None:
+def test_low_demand_evicts_surplus_copies_for_models_without_one() -> None:
     replicas = [replica(f'r{n}', 'hot', 'big') for n in range(4)]
     replicas[0].ready = {'hot', 'small', 'rare'}
-    plan = CopyPlanner(engine(), {}, {'hot': 4, 'big': 3, 'small': 1, 'rare': 1})
-    move = plan.next_move(replicas)
+    copy_planner = CopyPlanner(engine(), {}, {'hot': 4, 'big': 3, 'small': 1, 'rare': 1})
+    move = copy_planner.next_move(replicas)
     assert move is not None
     assert (move.model, len(move.evicted)) == ('other', 1)
 
@@ -200,25 +204,25 @@
     assert move.gain >= move.loss
 
 
-def test_quiet_start_takes_from_the_model_with_most_copies() -> None:
+def test_low_demand_evicts_from_the_model_with_most_copies() -> None:
     replicas = [
         replica('r1', 'hot', 'big'),
         replica('r2', 'hot', 'big'),
         replica('r3', 'hot', 'small', 'rare'),
         replica('r4', 'hot', 'rare', 'small'),
     ]
-    plan = CopyPlanner(engine(), {}, {'hot': 4, 'big': 2, 'small': 2, 'rare': 2})
-    move = plan.next_move(replicas)
+    copy_planner = CopyPlanner(engine(), {}, {'hot': 4, 'big': 2, 'small': 2, 'rare': 2})
+    move = copy_planner.next_move(replicas)
     assert move is not None
     assert (move.model, move.evicted) == ('other', ('hot',))
 
 
-def test_move_is_typed() -> None:
+def test_move_is_immutable() -> None:
     with pytest.raises(AttributeError):
         CopyMove('r1', 'm', (), True, MoveReason.MISSING).model = 'n'  # type: ignore[misc]
 
 
-def test_model_of_callers_that_cannot_wait_is_not_unloaded() -> None:
+def test_latency_critical_model_is_not_unloaded() -> None:
     demands = {
         'hot': busy(30),
         'other': ModelDemand(objective_s=1.0),
@@ -231,46 +235,48 @@
     assert (move.model, set(move.evicted)) == ('hot', {'small', 'rare'})
 
 
-def near(name: str, *models: str, disk: tuple[str, ...] = ()) -> ReplicaCopies:
+def with_disk(name: str, *models: str, disk: tuple[str, ...] = ()) -> ReplicaCopies:
     """Return a replica with weights on the disk of its machine."""
     held = replica(name, *models)
     held.on_disk = frozenset(disk)
     return held
 
 
-def test_model_is_loaded_where_its_weights_are_nearest() -> None:
-    replicas = [near('r1', 'hot'), near('r2', 'hot', disk=('rare',))]
-    move = planner(hot=busy(5), rare=seldom(waits=True)).next_move(replicas)
+def test_model_is_loaded_where_its_weights_are_local() -> None:
+    replicas = [with_disk('r1', 'hot'), with_disk('r2', 'hot', disk=('rare',))]
+    move = planner(hot=busy(5), rare=rare_calls(call_waits=True)).next_move(replicas)
     assert move is not None
     assert (move.model, move.replica_id, move.from_store) == ('rare', 'r2', False)
     assert move.load_s == engine().models['rare'].disk_load_s
 
 
-def test_without_the_store_models_come_from_machines_alone() -> None:
-    replicas = [near('r1', 'hot'), near('r2', 'hot', disk=('small',))]
-    demands = planner(hot=busy(5), rare=seldom(2.0, waits=True), small=seldom(waits=True))
+def test_without_the_store_models_are_loaded_from_local_weights_only() -> None:
+    replicas = [with_disk('r1', 'hot'), with_disk('r2', 'hot', disk=('small',))]
+    demands = planner(
+        hot=busy(5), rare=rare_calls(2.0, call_waits=True), small=rare_calls(call_waits=True)
+    )
     move = demands.next_move(replicas, store_allowed=False)
     assert move is not None
     assert move.model == 'small'
 
 
-def test_models_whose_callers_can_wait_leave_replicas_free() -> None:
+def test_latency_tolerant_models_leave_replicas_idle() -> None:
     """All that had the weights near were busy when demand moved to a model that cannot wait."""
     replicas = [replica(f'r{n}', 'hot', 'big', is_idle=n > 2) for n in range(4)]
-    demands = {'hot': busy(5), 'big': busy(5), 'rare': seldom(2.0, waits=True)}
+    demands = {'hot': busy(5), 'big': busy(5), 'rare': rare_calls(2.0, call_waits=True)}
     assert planner(**demands).next_move(replicas) is None
     starved = CopyPlanner(engine(), demands, {}, {'rare': 12.0}).next_move(replicas)
     assert starved is not None
     assert starved.model == 'rare'
-    urgent = attrs.evolve(demands['rare'], objective_s=0.4)
-    move = planner(**{**demands, 'rare': urgent}).next_move(replicas)
+    critical = attrs.evolve(demands['rare'], objective_s=0.4)
+    move = planner(**{**demands, 'rare': critical}).next_move(replicas)
     assert move is not None
     assert move.model == 'rare'
 
 
-def test_load_from_the_store_for_callers_that_can_wait_occupies_few_replicas() -> None:
+def test_store_loads_of_latency_tolerant_models_occupy_few_replicas() -> None:
     replicas = [replica(f'r{n}', 'hot', 'big') for n in range(6)]
-    demands = {'hot': busy(5), 'big': busy(5), 'rare': seldom(2.0, waits=True)}
+    demands = {'hot': busy(5), 'big': busy(5), 'rare': rare_calls(2.0, call_waits=True)}
     move = planner(**demands).next_move(replicas)
     assert move is not None
     assert (move.model, move.from_store) == ('rare', True)
@@ -294,10 +300,10 @@
     return one
 
 
-def test_weights_that_a_busy_replica_has_near_are_waited_for() -> None:
+def test_busy_replica_with_local_weights_is_waited_for() -> None:
     """A load from the store takes longer, and occupies a replica for all of that time."""
     replicas = [replica('r1', 'hot', 'big'), replica('r2', 'hot', 'small')]
-    demands = {'hot': busy(5), 'big': busy(5), 'rare': seldom(2.0, waits=True)}
+    demands = {'hot': busy(5), 'big': busy(5), 'rare': rare_calls(2.0, call_waits=True)}
     replicas += [replica(f'r{n}', 'hot', 'big') for n in range(4, 8)]
     soon, late = occupied('r3', 1.0, 'other', 'rare'), occupied('r3', 9.0, 'other', 'rare')
     assert planner(**demands).next_move([*replicas, soon]) is None
@@ -309,11 +315,11 @@
     assert (move.model, move.from_store) == ('rare', True)
 
 
-def test_model_that_waits_is_loaded_from_near_however_few_replicas_are_idle() -> None:
+def test_local_weights_are_loaded_however_few_replicas_are_idle() -> None:
     """Loads of a second were withheld as those of six were."""
     replicas = [replica('r1', 'hot', 'big')]
     replicas += [occupied(f'r{n}', 1.0, 'other') for n in range(2, 7)]
-    demands = {'hot': busy(5), 'big': busy(5), 'rare': seldom(2.0, waits=True)}
+    demands = {'hot': busy(5), 'big': busy(5), 'rare': rare_calls(2.0, call_waits=True)}
     assert planner(**demands).next_move(replicas) is None
     replicas[0].on_disk = frozenset({'rare'})
     move = planner(**demands).next_move(replicas)
@@ -321,20 +327,20 @@
     assert (move.model, move.replica_id, move.from_store) == ('rare', 'r1', False)
 
 
-def test_few_replicas_bring_models_from_the_store_at_the_same_time() -> None:
+def test_few_replicas_load_from_the_store_at_the_same_time() -> None:
     """The others can bring what they have near meanwhile, whoever asks for the far ones."""
     replicas = [replica(f'r{n}', 'big') for n in range(3)]
     replicas += [occupied(f'r{n}', 5.0, 'other', 'small') for n in (3, 4, 5)]
     demands = {'big': busy(5), 'hot': busy(30, replicas=5.0)}
-    plan = planner(**demands)
-    assert plan.next_move(replicas) is None
+    copy_planner = planner(**demands)
+    assert copy_planner.next_move(replicas) is None
     replicas[5].free_in_s = 1.0
-    move = plan.next_move(replicas)
+    move = copy_planner.next_move(replicas)
     assert move is not None
     assert (move.model, move.from_store) == ('hot', True)
 
 
-def test_new_replicas_that_have_nothing_near_load_from_the_store_all_at_once() -> None:
+def test_new_replicas_without_local_weights_load_from_the_store_all_at_once() -> None:
     """Where most replicas were new, a third of them at a time brought what calls waited for."""
     replicas = [replica(f'r{n}') for n in range(3)]
     for n in (3, 4, 5):
@@ -347,7 +353,7 @@
     assert (move.model, move.from_store) == ('hot', True)
 
 
-def test_model_without_a_copy_whose_callers_cannot_wait_comes_from_the_store_at_once() -> None:
+def test_latency_critical_model_without_a_copy_loads_from_the_store_at_once() -> None:
     replicas = [replica(f'r{n}', 'big') for n in range(3)]
     replicas += [occupied(f'r{n}', 5.0, 'other') for n in (3, 4, 5)]
     move = planner(big=busy(5), rare=busy(9)).next_move(replicas)
@@ -355,7 +361,7 @@
     assert (move.model, move.from_store) == ('rare', True)
 
 
-def test_one_model_is_on_its_way_to_few_replicas_at_the_same_time() -> None:
+def test_one_model_is_loaded_on_few_replicas_at_the_same_time() -> None:
     """Four of six replicas brought one model; when they were done, few asked for it."""
     replicas = [replica(f'r{n}', 'big') for n in range(5)]
     for one in replicas:
--- a/tests/placement/test_prefetch.py
+++ b/tests/placement/test_prefetch.py
@@ -6,10 +6,10 @@
 from limeshelf.placement.survey import ReplicaCopies
 from tests.placement.builders import busy, engine, replica
 
-FOUND = {'hot': 2, 'big': 2, 'small': 1, 'other': 1}
+INITIAL_COPIES = {'hot': 2, 'big': 2, 'small': 1, 'other': 1}
 
 
-def standing() -> list[ReplicaCopies]:
+def full_replicas() -> list[ReplicaCopies]:
     """Return replicas without room; nobody has the weights of ``rare``."""
     replicas = [
         replica('r1', 'hot', 'big'),
@@ -22,42 +22,42 @@
     return replicas
 
 
-def far_move(replicas: list[ReplicaCopies], *, may_spread: bool = True) -> str | None:
+def prefetch_target(replicas: list[ReplicaCopies], *, may_spread: bool = True) -> str | None:
     """Return where the first move brings what lies nowhere, if it does."""
-    move = CopyPlanner(engine(), {}, FOUND).next_move(replicas, may_prefetch=may_spread)
+    move = CopyPlanner(engine(), {}, INITIAL_COPIES).next_move(replicas, may_prefetch=may_spread)
     return move.replica_id if move and move.reason is MoveReason.PREFETCH else None
 
 
-def test_far_weights_are_brought_before_any_call() -> None:
-    assert far_move(standing()) in ('r1', 'r2')
+def test_uncached_weights_are_prefetched_before_any_call() -> None:
+    assert prefetch_target(full_replicas()) in ('r1', 'r2')
 
 
-def test_nothing_is_far_before_all_replicas_are_known() -> None:
-    assert far_move(standing(), may_spread=False) is None
-    unknown = standing()
+def test_nothing_is_prefetched_before_all_replicas_are_known() -> None:
+    assert prefetch_target(full_replicas(), may_spread=False) is None
+    unknown = full_replicas()
     unknown[2].loading = set()
-    assert far_move(unknown) is None
+    assert prefetch_target(unknown) is None
 
 
-def test_last_copy_that_was_found_is_not_given_up_for_it() -> None:
-    replicas = standing()
+def test_last_initial_copy_is_not_evicted_for_a_prefetch() -> None:
+    replicas = full_replicas()
     replicas[1] = replica('r2', 'small', 'other', is_idle=False)
     replicas[1].loading = {'big'}
-    assert far_move(replicas) is None
+    assert prefetch_target(replicas) is None
 
 
-def test_disk_that_holds_the_only_weights_of_others_is_spared() -> None:
-    replicas = standing()
+def test_disk_with_the_only_weights_of_a_model_is_avoided() -> None:
+    replicas = full_replicas()
     replicas[0].on_disk |= {'small'}
     replicas[2].on_disk = frozenset({'other'})
     replicas[2].ready = {'other'}
-    plan = CopyPlanner(engine(), {}, FOUND, barred={'small'})
-    move = plan.next_move(replicas, may_prefetch=True)
+    planner = CopyPlanner(engine(), {}, INITIAL_COPIES, barred={'small'})
+    move = planner.next_move(replicas, may_prefetch=True)
     assert move is not None
     assert (move.model, move.replica_id) == ('rare', 'r2')
 
 
-def test_nothing_is_spread_while_calls_come() -> None:
-    plan = CopyPlanner(engine(), {'hot': busy(20, replicas=0.5)}, FOUND)
-    move = plan.next_move(standing(), may_prefetch=True)
+def test_nothing_is_prefetched_while_calls_arrive() -> None:
+    planner = CopyPlanner(engine(), {'hot': busy(20, replicas=0.5)}, INITIAL_COPIES)
+    move = planner.next_move(full_replicas(), may_prefetch=True)
     assert move is None or move.reason is not MoveReason.PREFETCH
--- a/tests/placement/test_replica_watch.py
+++ b/tests/placement/test_replica_watch.py
@@ -76,7 +76,7 @@
     world.directory.take_report('r1', report)
 
 
-def test_only_a_claimed_replica_that_was_polled_since_takes_orders(clock: list[float]) -> None:
+def test_replica_accepts_orders_only_when_claimed_and_polled_since(clock: list[float]) -> None:
     world = World()
     assert world.idle() == []
     claim_and_poll(world, clock, ReplicaReport((Holding('m1'),), False, 0))
@@ -85,13 +85,13 @@
     assert world.idle() == []
 
 
-def test_busy_replica_takes_no_order(clock: list[float]) -> None:
+def test_busy_replica_accepts_no_order(clock: list[float]) -> None:
     world = World()
     claim_and_poll(world, clock, ReplicaReport((Holding('m1'),), True, 0))
     assert world.idle() == []
 
 
-def test_replica_with_a_model_on_its_way_takes_no_order(clock: list[float]) -> None:
+def test_replica_that_loads_a_model_accepts_no_order(clock: list[float]) -> None:
     world = World()
     claim_and_poll(world, clock, ReplicaReport((Holding('m1'),), False, 0))
     world.pending('r1').expect(Loadable('m1', 'a1'), 0.0)
@@ -110,7 +110,7 @@
     assert [copies.free_in_s for copies in world.watch.copies('lm')] == [4.0, 0.0]
 
 
-def test_replicas_are_settled_once_no_other_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_replica_set_is_stable_once_no_other_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
     world = World()
     now_s = [100.0]
     monkeypatch.setattr('limeshelf.placement.replica_watch.boottime_s', lambda: now_s[0])
@@ -140,7 +140,7 @@
     assert [copies.replica_id for copies in world.watch.copies('lm')] == ['r2']
 
 
-def test_model_that_retires_is_no_copy() -> None:
+def test_retiring_model_does_not_count_as_copy() -> None:
     world = World()
     replica = world.directory.get('r1')
     assert replica is not None
@@ -148,7 +148,7 @@
     assert [copies.ready for copies in world.watch.copies('lm')] == [{'m1'}, {'m1'}]
 
 
-def test_first_copies_count_each_replica_once() -> None:
+def test_initial_copies_count_each_replica_once() -> None:
     world = World()
     world.watch.record_initial_copies('lm')
     world.add('r3', 'm1')
@@ -157,7 +157,7 @@
     assert world.watch.first_copies('other') == {}
 
 
-def test_awaited_model_comes_with_its_earliest_load() -> None:
+def test_loading_model_is_ready_with_its_earliest_load() -> None:
     world = World()
     world.pending('r1').expect(Loadable('m3'), 9.0)
     world.pending('r2').expect(Loadable('m3'), 7.0)
--- a/tests/placement/test_service.py
+++ b/tests/placement/test_service.py
@@ -68,7 +68,7 @@
             await asyncio.sleep(0.02)
 
 
-def service_of(
+def create_service(
     directory: ReplicaDirectory, leadership: Any, sender: OrderSender, tasks: TaskSet, config: Any
 ) -> PlacementService:
     return PlacementService(
@@ -84,7 +84,7 @@
     )
 
 
-def wanted(adapters: list[str], adapter: str, fence: int = 5) -> list[tuple[str, str]]:
+def orders_for_call(adapters: list[str], adapter: str, fence: int = 5) -> list[tuple[str, str]]:
     """Return the orders after a call waited for an adapter of m1."""
 
     async def run() -> list[tuple[str, str]]:
@@ -101,7 +101,7 @@
         sender = OrderSender(
             client, directory, leadership, 'g-1', GatewayMetrics(), lambda: config
         )
-        service = service_of(directory, leadership, sender, tasks, config)
+        service = create_service(directory, leadership, sender, tasks, config)
         replica = directory.get('e-1')
         assert replica is not None
         await sender.claim(replica, ENGINE)
@@ -122,24 +122,24 @@
 
 
 def test_wanted_adapter_is_loaded_at_once() -> None:
-    assert wanted(['a1'], 'a2') == [('load', 'a2')]
+    assert orders_for_call(['a1'], 'a2') == [('load', 'a2')]
 
 
-def test_idle_adapter_is_evicted_where_all_places_are_taken() -> None:
-    orders = wanted(['a1', 'a2'], 'a3')
+def test_idle_adapter_is_evicted_where_all_places_are_occupied() -> None:
+    orders = orders_for_call(['a1', 'a2'], 'a3')
     assert [op for op, _ in orders] == ['unload', 'load']
     assert orders[-1] == ('load', 'a3')
 
 
-def test_adapter_that_is_there_is_not_ordered() -> None:
-    assert wanted(['a1'], 'a1') == []
+def test_held_adapter_is_not_ordered() -> None:
+    assert orders_for_call(['a1'], 'a1') == []
 
 
-def test_who_does_not_lead_orders_nothing() -> None:
-    assert wanted(['a1'], 'a2', fence=0) == []
+def test_follower_orders_nothing() -> None:
+    assert orders_for_call(['a1'], 'a2', fence=0) == []
 
 
-def planned_rounds(seconds: float, wants_per_s: int) -> int:
+def count_rounds(seconds: float, calls_per_s: int) -> int:
     """Return how often a leader plans while calls report a model that never comes."""
     rounds = 0
 
@@ -152,7 +152,7 @@
         sender = OrderSender(
             ReplicaOrderClient(), directory, leadership, 'g-1', GatewayMetrics(), lambda: config
         )
-        service = service_of(directory, leadership, sender, tasks, config)
+        service = create_service(directory, leadership, sender, tasks, config)
         step = service.totals.step
 
         def counted() -> Any:
@@ -162,9 +162,9 @@
 
         service.totals.step = counted  # type: ignore[method-assign]
         running = asyncio.create_task(service.run())
-        for _ in range(int(seconds * wants_per_s)):
+        for _ in range(int(seconds * calls_per_s)):
             service.want(ModelKey('lm', 'm1'))
-            await asyncio.sleep(1 / wants_per_s)
+            await asyncio.sleep(1 / calls_per_s)
         running.cancel()
         await tasks.close()
 
@@ -172,12 +172,12 @@
     return rounds
 
 
-def test_many_calls_for_a_model_that_does_not_come_cost_few_plans() -> None:
+def test_many_calls_for_a_model_that_cannot_be_loaded_cause_few_plans() -> None:
     """The leader planned without a pause, and its calls and peers waited."""
-    assert planned_rounds(2.0, wants_per_s=200) <= 2.0 / MIN_ROUND_INTERVAL_S + 1
+    assert count_rounds(2.0, calls_per_s=200) <= 2.0 / MIN_ROUND_INTERVAL_S + 1
 
 
-class HangingWire:
+class HangingClient:
     """Replicas that report what they hold and have near, and never answer an order to load."""
 
     async def report(self, address: str, replica_id: str) -> ReplicaReport:
@@ -192,13 +192,13 @@
         raise AssertionError
 
 
-def announced_times(waiting: list[str]) -> dict[str, float]:
+def announced_ready_s(waiting: list[str]) -> dict[str, float]:
     """Return in how many seconds the models that calls wait for are there, as the leader tells."""
     specs = {
         name: ModelSpec(name, 70.0, 6.0, 0.6, frozenset(), 0.0, 1.3) for name in ('m1', 'm2', 'm3')
     }
     engine = EngineSpec(8, 1000, 150.0, 2, 1.0, specs)
-    told: dict[str, float] = {}
+    announced: dict[str, float] = {}
 
     async def run() -> None:
         directory = ReplicaDirectory(read_record)
@@ -206,26 +206,28 @@
         directory.take_record(ReplicaRecord('e-1', 'lm', 'lm:1', 'z1', 8, False, None, held, 1))
         leadership: Any = FixedTerm(5)
         config: Any = Config({'lm': ServiceSpec('lm', 50, engine)})
-        wire: Any = HangingWire()
+        wire: Any = HangingClient()
         tasks = TaskSet()
         sender = OrderSender(wire, directory, leadership, 'g-1', GatewayMetrics(), lambda: config)
-        service = service_of(directory, leadership, sender, tasks, config)
+        service = create_service(directory, leadership, sender, tasks, config)
         running = asyncio.create_task(service.run())
         for calls in range(1, 40):
             demands = [KeyDemand(ModelKey('lm', name), calls, 0, calls, 5000) for name in waiting]
             service.totals.take('g-2', demands)
             await asyncio.sleep(0.1)
-        told.update({key.model: at_s - boottime_s() for key, at_s in service.awaited().items()})
+        announced.update(
+            {key.model: at_s - boottime_s() for key, at_s in service.awaited().items()}
+        )
         running.cancel()
         await tasks.close()
 
     run_virtual(run())
-    return told
+    return announced
 
 
-def test_time_of_a_model_that_comes_after_another_is_told_before_its_order() -> None:
+def test_ready_time_of_a_model_queued_after_another_is_announced_before_its_order() -> None:
     """A call for it was refused with a time that nobody had planned."""
-    assert announced_times(['m2']).keys() == {'m2'}
-    both = announced_times(['m2', 'm3'])
+    assert announced_ready_s(['m2']).keys() == {'m2'}
+    both = announced_ready_s(['m2', 'm3'])
     assert both.keys() == {'m2', 'm3'}
     assert abs(both['m2'] - both['m3']) >= 1.3
--- a/tests/placement/test_store_load_limiter.py
+++ b/tests/placement/test_store_load_limiter.py
@@ -6,7 +6,7 @@
 from limeshelf.util.clock import virtual_clock
 
 
-def test_loads_keep_the_rate_also_across_a_change_of_leader() -> None:
+def test_loads_keep_the_rate_across_changes_of_leader() -> None:
     with virtual_clock() as clock:
         begun: list[float] = []
         for _ in range(3):
@@ -22,7 +22,7 @@
             assert len(window) <= 1.4 * 5.0 * 1.1 + 3
 
 
-def test_new_leader_may_begin_few_loads_at_once() -> None:
+def test_new_leader_may_start_few_loads_at_once() -> None:
     with virtual_clock():
         limiter = StoreLoadLimiter(5.0)
         limiter.reset(1.4)
--- a/tests/placement/test_unserved.py
+++ b/tests/placement/test_unserved.py
@@ -17,14 +17,14 @@
 from limeshelf.placement.planner import CopyPlanner
 from limeshelf.placement.service import ROUND_INTERVAL_S
 from limeshelf.util.clock import VirtualClock, virtual_clock
-from tests.placement import fleet_play as fleet
-from tests.placement.fleet_play import (
+from tests.placement import fleet_simulation as fleet
+from tests.placement.fleet_simulation import (
     SERVICE,
-    AdapterPlay,
     AdapterReplica,
-    ModelPlay,
+    AdapterSimulation,
+    CallRecord,
     ModelReplica,
-    Record,
+    ModelSimulation,
 )
 
 if TYPE_CHECKING:
@@ -33,10 +33,10 @@
 EIGHT = [f'a{n}' for n in range(8)]
 NINTH = 'ninth'
 ADAPTER_MOVE_S = fleet.ADAPTER_UNLOAD_S + fleet.ADAPTER_CALL_S + fleet.ADAPTER_LOAD_S
-NINTH_PAUSE_S = 1.0
-BACK_S = 0.5
-URGENT_MS = 400
-PATIENT_MS = 5000
+NINTH_INTERVAL_S = 1.0
+RETRY_IN_S = 0.5
+LATENCY_CRITICAL_MS = 400
+LATENCY_TOLERANT_MS = 5000
 
 
 def adapter_bound_s(waiting: int, pause_s: float) -> float:
@@ -48,156 +48,173 @@
     return adapters.OVERDUE_AFTER_S + waiting * (ROUND_INTERVAL_S + ADAPTER_MOVE_S + pause_s)
 
 
-def lost_share(asked: int, places: int) -> float:
+def max_lost_share(requested: int, places: int) -> float:
     """Return the share of calls that those in steady use lose at the most.
 
     Who has no place changes evenly among all that are asked for; in each turn a place is empty
     for the time of a move besides.
     """
     move_share = ADAPTER_MOVE_S / (adapters.OVERDUE_AFTER_S + ADAPTER_MOVE_S)
-    return (asked - places) / asked + move_share / places
+    return (requested - places) / requested + move_share / places
 
 
 def key(model: str, adapter: str = '') -> ModelKey:
     return ModelKey(SERVICE, model, adapter)
 
 
-def play_adapters(clock: VirtualClock, pause_s: float, seconds: float = 60.0) -> AdapterPlay:
+def simulate_adapters(
+    clock: VirtualClock, pause_s: float, seconds: float = 60.0
+) -> AdapterSimulation:
     """Let eight adapters be asked for at an even pace, and a ninth once a second."""
-    play = AdapterPlay.of(clock, 8, [*EIGHT, NINTH])
-    play.begin()
+    simulation = AdapterSimulation.create(clock, 8, [*EIGHT, NINTH])
+    simulation.start()
     for n, name in enumerate(EIGHT):
-        ask_evenly(play, name, pause_s, pause_s * n / 8)
-    ask_evenly(play, NINTH, NINTH_PAUSE_S, 0.05)
-    play.line.run(seconds)
-    return play
+        request_periodically(simulation, name, pause_s, pause_s * n / 8)
+    request_periodically(simulation, NINTH, NINTH_INTERVAL_S, 0.05)
+    simulation.events.run(seconds)
+    return simulation
 
 
-def ask_evenly(play: AdapterPlay, name: str, pause_s: float, first_s: float) -> None:
-    play.line.every(
+def request_periodically(
+    simulation: AdapterSimulation, name: str, pause_s: float, first_s: float
+) -> None:
+    simulation.events.every(
         lambda: pause_s,
-        lambda: play.ask(key('m1', name), URGENT_MS, lambda: BACK_S),
+        lambda: simulation.request(key('m1', name), LATENCY_CRITICAL_MS, lambda: RETRY_IN_S),
         first_s,
     )
 
 
-def sum_up(play: AdapterPlay, names: list[str]) -> Record:
-    total = Record()
+def total_record(simulation: AdapterSimulation, names: list[str]) -> CallRecord:
+    total = CallRecord()
     for name in names:
-        one = play.records[key('m1', name)]
-        total.asks += one.asks
-        total.answered += one.answered
+        one = simulation.records[key('m1', name)]
+        total.requests += one.requests
+        total.served_requests += one.served_requests
         total.calls += one.calls
     return total
 
 
 @pytest.mark.parametrize('pause_s', [0.5, 0.59, 0.7, 1.0])
-def test_ninth_adapter_beside_eight_in_use_is_served_again_and_again(pause_s: float) -> None:
+def test_ninth_adapter_beside_eight_in_use_is_served_repeatedly(pause_s: float) -> None:
     """One of its 60 calls found it, however long it was asked for."""
     with virtual_clock() as clock:
-        play = play_adapters(clock, pause_s)
-        ninth, eight = sum_up(play, [NINTH]), sum_up(play, EIGHT)
-        bound_s = adapter_bound_s(1, NINTH_PAUSE_S)
-        assert ninth.longest_unserved_s(least_calls=1) <= bound_s
+        simulation = simulate_adapters(clock, pause_s)
+        ninth, eight = total_record(simulation, [NINTH]), total_record(simulation, EIGHT)
+        bound_s = adapter_bound_s(1, NINTH_INTERVAL_S)
+        assert ninth.longest_unserved_s(min_calls=1) <= bound_s
         for name in EIGHT:
-            assert sum_up(play, [name]).longest_unserved_s(least_calls=1) <= bound_s
-        assert eight.answered >= (1 - lost_share(9, 8)) * eight.asks
+            assert total_record(simulation, [name]).longest_unserved_s(min_calls=1) <= bound_s
+        assert eight.served_requests >= (1 - max_lost_share(9, 8)) * eight.requests
 
 
 def model_bound_s(
-    asked: int, replicas: int, load_s: float, after_s: float = overdue.OVERDUE_AFTER_S
+    requested: int, replicas: int, load_s: float, after_s: float = overdue.OVERDUE_AFTER_S
 ) -> float:
     """Return how long one of so many models waits at the most, all others before it."""
-    at_once = max(1, int(overdue.OVERDUE_REPLICAS_SHARE * replicas))
-    each_s = fleet.MODEL_UNLOAD_S + load_s + ROUND_INTERVAL_S
-    return after_s + math.ceil(asked / at_once) * each_s
+    concurrent = max(1, int(overdue.OVERDUE_REPLICAS_SHARE * replicas))
+    load_each_s = fleet.MODEL_UNLOAD_S + load_s + ROUND_INTERVAL_S
+    return after_s + math.ceil(requested / concurrent) * load_each_s
 
 
 @attrs.frozen
-class Shape:
+class FleetShape:
     """A fleet and what is asked of it."""
 
     replicas: int
-    urgent: int
-    patient: int
+    critical: int
+    tolerant: int
     places: int = 3
 
     def bound_s(self, after_s: float = overdue.OVERDUE_AFTER_S) -> float:
-        asked = self.urgent + self.patient
-        return model_bound_s(asked, self.replicas, fleet.MODEL_LOAD_S, after_s)
+        requested = self.critical + self.tolerant
+        return model_bound_s(requested, self.replicas, fleet.MODEL_LOAD_S, after_s)
 
-    def urgent_names(self) -> list[str]:
-        return [f'urgent-{n}' for n in range(self.urgent)]
+    def critical_names(self) -> list[str]:
+        return [f'urgent-{n}' for n in range(self.critical)]
 
-    def patient_names(self) -> list[str]:
-        return [f'patient-{n}' for n in range(self.patient)]
+    def tolerant_names(self) -> list[str]:
+        return [f'patient-{n}' for n in range(self.tolerant)]
 
 
-SIX = Shape(6, 10, 16)
-SMALL = Shape(3, 4, 6)
+SIX_REPLICAS = FleetShape(6, 10, 16)
+THREE_REPLICAS = FleetShape(3, 4, 6)
 
 
-def play_models(clock: VirtualClock, shape: Shape, seed: int) -> ModelPlay:
+def simulate_models(clock: VirtualClock, shape: FleetShape, seed: int) -> ModelSimulation:
     """Let urgent demand move each 10 s beside patient models that few ask for."""
-    chance = random.Random(seed)
-    names = shape.urgent_names()
-    play = ModelPlay.of(clock, shape.replicas, shape.places, [*names, *shape.patient_names()])
-    play.begin()
+    rng = random.Random(seed)
+    names = shape.critical_names()
+    simulation = ModelSimulation.create(
+        clock, shape.replicas, shape.places, [*names, *shape.tolerant_names()]
+    )
+    simulation.start()
     hot: list[str] = []
 
     def move_demand() -> None:
-        hot[:] = chance.sample(names, 2)
+        hot[:] = rng.sample(names, 2)
 
-    def ask_urgent() -> None:
-        name = chance.choice(hot if chance.random() < 0.8 else names)
-        play.ask(key(name), URGENT_MS, lambda: URGENT_MS / 3000)
+    def request_critical() -> None:
+        name = rng.choice(hot if rng.random() < 0.8 else names)
+        simulation.request(key(name), LATENCY_CRITICAL_MS, lambda: LATENCY_CRITICAL_MS / 3000)
 
-    rate_per_s = chance.uniform(20, 60) * shape.replicas / SIX.replicas
-    play.line.every(lambda: 10.0, move_demand, 0.0)
-    play.line.every(lambda: chance.expovariate(rate_per_s), ask_urgent, 0.01)
-    for name in shape.patient_names():
-        ask_patiently(play, name, chance)
-    return play
+    rate_per_s = rng.uniform(20, 60) * shape.replicas / SIX_REPLICAS.replicas
+    simulation.events.every(lambda: 10.0, move_demand, 0.0)
+    simulation.events.every(lambda: rng.expovariate(rate_per_s), request_critical, 0.01)
+    for name in shape.tolerant_names():
+        request_rarely(simulation, name, rng)
+    return simulation
 
 
-def ask_patiently(play: ModelPlay, name: str, chance: random.Random) -> None:
+def request_rarely(simulation: ModelSimulation, name: str, rng: random.Random) -> None:
     """Ask with 20 s left; who is refused comes back within a third of that."""
-    play.line.every(
-        lambda: chance.uniform(4.0, 8.0),
-        lambda: play.ask(key(name), PATIENT_MS, lambda: chance.uniform(3.0, 20.0 / 3)),
-        chance.uniform(0.0, 8.0),
+    simulation.events.every(
+        lambda: rng.uniform(4.0, 8.0),
+        lambda: simulation.request(
+            key(name), LATENCY_TOLERANT_MS, lambda: rng.uniform(3.0, 20.0 / 3)
+        ),
+        rng.uniform(0.0, 8.0),
     )
 
 
 @pytest.mark.parametrize('seed', range(1, 7))
-def test_patient_models_beside_urgent_demand_that_moves_are_all_served(seed: int) -> None:
+def test_latency_tolerant_models_beside_moving_demand_are_all_served(seed: int) -> None:
     """6 to 12 of some 20 were never there when somebody asked."""
     with virtual_clock() as clock:
-        play = play_models(clock, SIX, seed)
-        play.line.run(1.3 * SIX.bound_s())
-        waits = {one: play.records[key(one)] for one in SIX.patient_names()}
+        simulation = simulate_models(clock, SIX_REPLICAS, seed)
+        simulation.events.run(1.3 * SIX_REPLICAS.bound_s())
+        tolerant_records = {
+            one: simulation.records[key(one)] for one in SIX_REPLICAS.tolerant_names()
+        }
         late = {
             name: record.longest_unserved_s()
-            for name, record in waits.items()
-            if record.longest_unserved_s() > SIX.bound_s()
+            for name, record in tolerant_records.items()
+            if record.longest_unserved_s() > SIX_REPLICAS.bound_s()
         }
         assert late == {}
 
 
-def test_copy_that_came_for_somebody_is_there_when_he_is_back() -> None:
+def test_awaited_copy_is_still_there_when_its_caller_retries() -> None:
     """12 to 25 copies a play were evicted for another model before the caller came back."""
-    gone = {}
+    evicted_early = {}
     for seed in range(1, 7):
         with virtual_clock() as clock:
-            play = play_models(clock, SIX, seed)
-            play.line.run(0.5 * SIX.bound_s())
-            gone[seed] = len(play.gone_too_soon)
-    assert not any(gone.values()), gone
+            simulation = simulate_models(clock, SIX_REPLICAS, seed)
+            simulation.events.run(0.5 * SIX_REPLICAS.bound_s())
+            evicted_early[seed] = len(simulation.evicted_too_early)
+    assert not any(evicted_early.values()), evicted_early
 
 
 #: Faults begin within this time, and end with it.
 FAULTS_S = 30.0
-FAULT_NAMES = ['new leader', 'lost wishes', 'late reports', 'cut off', 'doubled', 'disorder']
+FAULT_NAMES = [
+    'new leader',
+    'lost load requests',
+    'late reports',
+    'cut off',
+    'doubled',
+    'disorder',
+]
 faults = st.lists(
     st.tuples(st.sampled_from(FAULT_NAMES), st.floats(0.0, 25.0), st.floats(1.0, 15.0)),
     min_size=1,
@@ -206,32 +223,36 @@
 
 
 def inject(
-    play: AdapterPlay | ModelPlay,
+    simulation: AdapterSimulation | ModelSimulation,
     fault: tuple[str, float, float],
-    be_late: Callable[[bool], None],
+    set_late: Callable[[bool], None],
 ) -> None:
     """Let a fault begin after some time and end after some more."""
     name, begins_s, lasts_s = fault
-    gateway = play.gateway
+    gateway = simulation.gateway
     cut_off: AdapterReplica | ModelReplica
-    cut_off = play.replicas['r0'] if isinstance(play, AdapterPlay) else play.replicas[0]
+    cut_off = (
+        simulation.replicas['r0']
+        if isinstance(simulation, AdapterSimulation)
+        else simulation.replicas[0]
+    )
 
     def switch(is_on: bool) -> None:
         if name == 'new leader':
             gateway.replace_leader()
-        elif name == 'lost wishes':
-            gateway.loses_wishes = is_on
+        elif name == 'lost load requests':
+            gateway.drops_load_requests = is_on
         elif name == 'late reports':
-            be_late(is_on)
+            set_late(is_on)
         elif name == 'cut off':
             cut_off.is_cut_off = is_on
         elif name == 'doubled':
-            gateway.is_doubled = is_on
+            gateway.duplicates_messages = is_on
         else:
-            gateway.is_disordered = is_on
+            gateway.reorders_messages = is_on
 
-    play.line.after(begins_s, lambda: switch(True))
-    play.line.after(min(FAULTS_S, begins_s + lasts_s), lambda: switch(False))
+    simulation.events.after(begins_s, lambda: switch(True))
+    simulation.events.after(min(FAULTS_S, begins_s + lasts_s), lambda: switch(False))
 
 
 @given(faults=faults, seed=st.integers(1, 1000))
@@ -241,19 +262,23 @@
 ) -> None:
     """An age that was kept by one process, or ended with an order, was lost with it."""
     with virtual_clock() as clock:
-        play = play_models(clock, SMALL, seed)
+        simulation = simulate_models(clock, THREE_REPLICAS, seed)
 
-        def be_late(is_late: bool) -> None:
-            play.report_lag_s = 2.0 if is_late else 0.0
+        def set_late(is_late: bool) -> None:
+            simulation.report_lag_s = 2.0 if is_late else 0.0
 
         for fault in faults:
-            inject(play, fault, be_late)
-        play.line.run(FAULTS_S)
-        over_s = clock.now_s
-        play.line.run(1.2 * SMALL.bound_s())
-        waits = {one: play.records[key(one)] for one in SMALL.patient_names()}
-        late = {name: one.longest_unserved_s(over_s) for name, one in waits.items()}
-        assert max(late.values()) <= SMALL.bound_s(), late
+            inject(simulation, fault, set_late)
+        simulation.events.run(FAULTS_S)
+        faults_end_s = clock.now_s
+        simulation.events.run(1.2 * THREE_REPLICAS.bound_s())
+        tolerant_records = {
+            one: simulation.records[key(one)] for one in THREE_REPLICAS.tolerant_names()
+        }
+        late = {
+            name: one.longest_unserved_s(faults_end_s) for name, one in tolerant_records.items()
+        }
+        assert max(late.values()) <= THREE_REPLICAS.bound_s(), late
 
 
 @given(faults=faults, pause_s=st.sampled_from([0.4, 0.5, 0.59, 0.7]))
@@ -263,32 +288,35 @@
 ) -> None:
     """A wish that met a bad moment was not kept."""
     with virtual_clock() as clock:
-        play = play_adapters(clock, pause_s, 0.0)
+        simulation = simulate_adapters(clock, pause_s, 0.0)
 
-        def be_late(is_late: bool) -> None:
-            play.reports_are_late = is_late
+        def set_late(is_late: bool) -> None:
+            simulation.reports_are_late = is_late
 
         for fault in faults:
-            inject(play, fault, be_late)
-        play.line.run(FAULTS_S)
-        over_s = clock.now_s
-        play.line.run(30.0)
+            inject(simulation, fault, set_late)
+        simulation.events.run(FAULTS_S)
+        faults_end_s = clock.now_s
+        simulation.events.run(30.0)
         # All nine may wait when a cut ends.
-        bound_s = adapter_bound_s(9, NINTH_PAUSE_S)
+        bound_s = adapter_bound_s(9, NINTH_INTERVAL_S)
         for name in [*EIGHT, NINTH]:
-            one = play.records[key('m1', name)]
-            assert one.longest_unserved_s(over_s, least_calls=1) <= bound_s, name
+            one = simulation.records[key('m1', name)]
+            assert one.longest_unserved_s(faults_end_s, min_calls=1) <= bound_s, name
 
 
 @pytest.mark.parametrize('seed', [1, 2, 3])
 def test_models_whose_replica_stays_cut_off_are_served_elsewhere(seed: int) -> None:
     with virtual_clock() as clock:
-        play = play_models(clock, SIX, seed)
-        play.replicas[0].is_cut_off = True
-        bound_s = SIX.bound_s(overdue.SECOND_COPY_AFTER_S)
-        play.line.run(1.2 * bound_s)
-        waits = {one: play.records[key(one)].longest_unserved_s() for one in SIX.patient_names()}
-        assert max(waits.values()) <= bound_s, waits
+        simulation = simulate_models(clock, SIX_REPLICAS, seed)
+        simulation.replicas[0].is_cut_off = True
+        bound_s = SIX_REPLICAS.bound_s(overdue.SECOND_COPY_AFTER_S)
+        simulation.events.run(1.2 * bound_s)
+        tolerant_records = {
+            one: simulation.records[key(one)].longest_unserved_s()
+            for one in SIX_REPLICAS.tolerant_names()
+        }
+        assert max(tolerant_records.values()) <= bound_s, tolerant_records
 
 
 HUGE = 2**62
@@ -302,11 +330,11 @@
 
 
 @pytest.mark.parametrize('name', BAD_COUNTS)
-def test_bad_counts_take_no_place(name: str) -> None:
+def test_bad_counts_cause_no_load(name: str) -> None:
     """What cannot be loaded, or was asked for by nobody, would have its turn by age for ever."""
     with virtual_clock() as clock:
-        play = ModelPlay.of(clock, 2, 1, ['urgent-0', 'urgent-1', 'patient-0'])
-        totals = play.gateway.leader
+        simulation = ModelSimulation.create(clock, 2, 1, ['urgent-0', 'urgent-1', 'patient-0'])
+        totals = simulation.gateway.leader
         totals.take('g2', [])
         for _ in range(150):
             clock.advance(ROUND_INTERVAL_S)
@@ -314,22 +342,22 @@
             used = [KeyDemand(key(f'urgent-{n}'), 0, 9, 0, 400, 0, 0, 0) for n in range(2)]
             totals.take('g1', used)
             totals.step()
-            demands = demand_by_model(SERVICE, play.engine, totals.latest(), lambda *_: 0.0)
-            plan = CopyPlanner(play.engine, demands, {})
-            assert plan.next_move([one.copies for one in play.replicas]) is None
+            demands = demand_by_model(SERVICE, simulation.engine, totals.latest(), lambda *_: 0.0)
+            plan = CopyPlanner(simulation.engine, demands, {})
+            assert plan.next_move([one.copies for one in simulation.replicas]) is None
 
 
 @pytest.mark.parametrize('count', [-HUGE, -1, HUGE])
-def test_bad_counts_of_an_adapter_take_one_place_at_the_most(count: int) -> None:
+def test_bad_counts_of_an_adapter_occupy_at_most_one_place(count: int) -> None:
     with virtual_clock() as clock:
-        play = play_adapters(clock, 0.5, 5.0)
+        simulation = simulate_adapters(clock, 0.5, 5.0)
         bad = KeyDemand(key('m1', 'no-such'), count, count, count, 0, count, count, count)
         real = KeyDemand(key('m1', NINTH), count, 0, count, 0, count, count, 0)
-        play.gateway.leader.take('g2', [])
-        play.line.every(
-            lambda: 1.0, lambda: play.gateway.leader.take('g2', [bad, real]), first_s=0.0
+        simulation.gateway.leader.take('g2', [])
+        simulation.events.every(
+            lambda: 1.0, lambda: simulation.gateway.leader.take('g2', [bad, real]), first_s=0.0
         )
-        play.line.run(60.0)
-        eight = sum_up(play, EIGHT)
-        assert not any('no-such' in one.held for one in play.replicas.values())
-        assert eight.answered >= (1 - lost_share(9, 8)) * eight.asks
+        simulation.events.run(60.0)
+        eight = total_record(simulation, EIGHT)
+        assert not any('no-such' in one.held for one in simulation.replicas.values())
+        assert eight.served_requests >= (1 - max_lost_share(9, 8)) * eight.requests
