--- a/tests/placement/builders.py
+++ b/tests/placement/builders.py
@@ -1,4 +1,4 @@
-"""One engine service, its replicas and demand, as the tests of placement need them."""
+"""An engine service, its replicas and demand for the placement tests."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def busy(calls_per_s: float, replicas: float = 0.0) -> ModelDemand:
-    """Return the demand of so many calls that keep so many replicas busy."""
+    """Return the demand of that many calls, which keep that many replicas busy."""
     return ModelDemand(
         calls_per_s=calls_per_s,
         lasting_calls_per_s=calls_per_s,
--- a/tests/placement/fleet_simulation.py
+++ b/tests/placement/fleet_simulation.py
@@ -1,8 +1,7 @@
-"""Plays of the planners against callers and stand-in replicas, on a virtual clock.
+"""Simulates the planners with callers and stand-in replicas on a virtual clock.
 
-Drives the real sums of demand and the real planners as the leader's round does. Loads and unloads
-take their time, callers who were refused come back once, and what was served is told in the
-counts of a gateway.
+Runs the real demand totals and planners as the leader's rounds do. Loads and unloads take time,
+refused callers retry once, and served calls reach the totals through a gateway's counts.
 """
 
 from __future__ import annotations
@@ -40,14 +39,14 @@
     from limeshelf.util.clock import VirtualClock
 
 SERVICE = 'lm'
-#: Between two messages of the gateway.
+#: Interval between two messages of the gateway.
 COUNTS_INTERVAL_S = 0.1
 FENCE = 5
 
 
 @attrs.define
 class EventQueue:
-    """What happens when, on a clock that is moved from one to the next."""
+    """Scheduled actions, and the clock that is advanced from one to the next."""
 
     clock: VirtualClock
     _due: list[tuple[float, int, Callable[[], None]]] = attrs.field(factory=list)
@@ -57,7 +56,7 @@
         heapq.heappush(self._due, (self.clock.now_s + delay_s, next(self._numbers), act))
 
     def every(self, gap_s: Callable[[], float], act: Callable[[], None], first_s: float) -> None:
-        """Do something again and again; *gap_s* returns the pause until the next time."""
+        """Repeat an action; *gap_s* returns the pause until the next time."""
 
         def once() -> None:
             act()
@@ -76,7 +75,11 @@
 
 @attrs.define
 class CallRecord:
-    """The calls for one thing: when each came, and whether it was served."""
+    """The calls for one key: when each arrived, and whether it was served.
+
+    :ivar requests: requests, each with at most one retry.
+    :ivar served_requests: those that were served at the first attempt or at the retry.
+    """
 
     calls: list[tuple[float, bool]] = attrs.field(factory=list)
     requests: int = 0
@@ -86,9 +89,9 @@
         return sum(is_served for _, is_served in self.calls)
 
     def unserved_periods(self) -> list[list[float]]:
-        """Return the calls of each time for which it was asked for and served to nobody.
+        """Return the call times of each period in which the key was requested but not served.
 
-        The last time of each is when it was served, if it was.
+        The last time of a period is that of the call that was served, if one was.
         """
         periods: list[list[float]] = []
         current: list[float] = []
@@ -104,14 +107,14 @@
         return [*periods, current] if current else periods
 
     def longest_unserved_s(self, since_s: float = 0.0, min_calls: int = 4) -> float:
-        """Return the longest time unserved, of those with so many calls; from then on alone."""
+        """Return the longest unserved period with at least *min_calls* calls since *since_s*."""
         late = [[at_s for at_s in calls if at_s >= since_s] for calls in self.unserved_periods()]
         return max((one[-1] - one[0] for one in late if len(one) >= min_calls), default=0.0)
 
 
 @attrs.define
 class Gateway:
-    """The counts of one gateway, and the sums of demand at the leader and at its heir."""
+    """The counts of one gateway, and the demand totals at the leader and at a standby."""
 
     leader: DemandTotals = attrs.field(factory=DemandTotals)
     standby: DemandTotals = attrs.field(factory=DemandTotals)
@@ -142,7 +145,7 @@
         self.service_ages[key].note_served(boottime_s())
 
     def send_counts(self) -> None:
-        """Send the counts to both, as the faults have it."""
+        """Send the counts to both processes, with the injected message faults."""
         now = [self._current(one) for one in self.counts.values()]
         messages = [now]
         if self.duplicates_messages:
@@ -169,7 +172,7 @@
 
 @attrs.define
 class Simulation:
-    """Callers before a gateway; what each kind of play shares."""
+    """Callers in front of a gateway; the common part of all simulations."""
 
     events: EventQueue
     gateway: Gateway = attrs.field(factory=Gateway)
@@ -184,7 +187,7 @@
         self.plan()
 
     def request(self, key: ModelKey, objective_ms: int, retry_in_s: Callable[[], float]) -> None:
-        """Call once; who is refused comes back once."""
+        """Make a call; if it is refused, retry once."""
         record = self.records.setdefault(key, CallRecord())
         record.requests += 1
 
@@ -215,7 +218,7 @@
         raise NotImplementedError
 
 
-#: An adapter's unload, its load, and the run of a call.
+#: Duration of an adapter's unload, of its load, and of a call.
 ADAPTER_UNLOAD_S = 0.1
 ADAPTER_LOAD_S = 0.3
 ADAPTER_CALL_S = 0.1
@@ -223,7 +226,10 @@
 
 @attrs.define
 class AdapterReplica:
-    """A replica that holds a model and loads one adapter at a time."""
+    """A replica that holds one model and loads one adapter at a time.
+
+    :ivar after_report: actions of the leader once a report shows the end of an order.
+    """
 
     name: str
     held: set[str]
@@ -232,7 +238,6 @@
     free_s: float = 0.0
     completed_orders: int = 1
     is_cut_off: bool = False
-    #: What the leader does once a report shows the end of an order.
     after_report: list[Callable[[], object]] = attrs.field(factory=list)
 
     def report(self) -> ReplicaReport:
@@ -241,7 +246,7 @@
 
 @attrs.define
 class AdapterSimulation(Simulation):
-    """One model's adapters, more of them than places."""
+    """The adapters of one model, more of them than there are places."""
 
     engine: EngineSpec = attrs.field(kw_only=True)
     directory: ReplicaDirectory = attrs.field(factory=lambda: ReplicaDirectory(read_record))
@@ -252,7 +257,7 @@
     def create(
         cls, clock: VirtualClock, places: int, adapters: list[str], replicas: int = 1
     ) -> AdapterSimulation:
-        """Return a play whose places are taken by the first adapters."""
+        """Return a simulation whose places are occupied by the first adapters."""
         model = ModelSpec('m1', 70.0, 6.0, 1.0, frozenset(adapters), 1.0)
         simulation = cls(
             EventQueue(clock), engine=EngineSpec(16, 10_000, 200.0, places, 2.0, {'m1': model})
@@ -354,29 +359,29 @@
         self._report()
 
 
-#: A model's load from the weight store, and its unload where calls run.
+#: Duration of a model's load from the weight store, and of its unload while calls run.
 MODEL_LOAD_S = 6.0
 MODEL_UNLOAD_S = 2.0
 IDLE_UNLOAD_S = 0.2
 MODEL_CALL_S = 0.5
-#: Of any prompt: reading bounds nothing here.
+#: Prefill time of any prompt; zero, so that prefill limits nothing here.
 PREFILL_MS = 0.0
 
 
 @attrs.define
 class ModelReplica:
-    """A replica with some places for models, one order at a time."""
+    """A replica with a few places for models that executes one order at a time."""
 
     copies: ReplicaCopies
     running: int = 0
     is_cut_off: bool = False
-    #: What came and is not yet known to the leader to be there.
+    #: Models that serve calls, including those that the leader does not know of yet.
     serving: set[str] = attrs.field(factory=set)
 
 
 @attrs.define
 class ModelSimulation(Simulation):
-    """Replicas that hold a few models each, where there are more models than places."""
+    """Replicas that hold a few models each, with more models than places."""
 
     engine: EngineSpec = attrs.field(kw_only=True)
     replicas: list[ModelReplica] = attrs.field(factory=list)
@@ -384,16 +389,17 @@
     starvation: StarvationTracker = attrs.field(factory=StarvationTracker)
     overdue_loads: OverdueLoads = attrs.field(factory=OverdueLoads)
     report_lag_s: float = 0.0
-    #: Models whose copy came and has served nobody yet.
+    #: Models whose copy has been loaded but has not served a call.
     unused: set[str] = attrs.field(factory=set)
-    #: Those that were unloaded before, though somebody might have come back: when, and for what.
+    #: Evictions of such copies while a caller might still have retried: the time, the model, and
+    #: the model that was loaded instead.
     evicted_too_early: list[tuple[float, str, str]] = attrs.field(factory=list)
 
     @classmethod
     def create(
         cls, clock: VirtualClock, replicas: int, places: int, models: list[str]
     ) -> ModelSimulation:
-        """Return a play whose places are taken by the first models."""
+        """Return a simulation whose places are occupied by the first models."""
         specs = {
             name: ModelSpec(name, 70.0, MODEL_LOAD_S, 0.6, frozenset(), 0.0, 1.3)
             for name in models
@@ -456,12 +462,12 @@
             self._check_unused_eviction(name, move.model)
         self.events.after(unload_s + move.load_s, lambda: self._finish_load(replica, move.model))
 
-    def _check_unused_eviction(self, model: str, brought: str) -> None:
+    def _check_unused_eviction(self, model: str, loaded: str) -> None:
         now_s = self.events.clock.now_s
         self.unused.discard(model)
         called_s, was_served = self.records[ModelKey(SERVICE, model)].calls[-1]
         if not was_served and now_s - called_s < RETURN_LIFE_S:
-            self.evicted_too_early.append((now_s, model, brought))
+            self.evicted_too_early.append((now_s, model, loaded))
 
     def _finish_load(self, replica: ModelReplica, model: str) -> None:
         replica.serving.add(model)
--- a/tests/placement/tier_simulation.py
+++ b/tests/placement/tier_simulation.py
@@ -1,6 +1,6 @@
-"""A play of placement and admission together, where weights lie in memories, on disks or far.
+"""Simulates placement and admission together, with weights in memory, on disk or in the store.
 
-Callers that find no copy are held or refused by the rules of admission; a replica keeps
+Calls for a missing model are held or refused by the admission rules; a replica's machine caches
 the weights that it used last.
 """
 
@@ -27,7 +27,7 @@
     from limeshelf.placement.planner import CopyMove
     from limeshelf.util.clock import VirtualClock
 
-#: Models whose weights a replica's memory and disk hold.
+#: Number of models whose weights fit in a machine's memory and on its disk.
 MEMORY_MODELS = 2
 DISK_MODELS = 6
 LATENCY_CRITICAL = make_route(objective_s=0.4, timeout_s=12.0)
@@ -36,7 +36,7 @@
 
 @attrs.frozen
 class Call:
-    """One caller's try, while it waits."""
+    """One attempt of a caller, while it waits."""
 
     model: str
     route: Route
@@ -46,7 +46,7 @@
 
 @attrs.define
 class CachedWeights:
-    """What one replica's machine keeps, the last used first."""
+    """The models whose weights a replica's machine caches, most recently used first."""
 
     in_memory: list[str] = attrs.field(factory=list)
     on_disk: list[str] = attrs.field(factory=list)
@@ -61,18 +61,18 @@
 
 @attrs.define
 class TierSimulation(ModelSimulation):
-    """Adds to the plays of models where weights lie, and calls that are held.
+    """Adds cached weights and held calls to the simulation of models.
 
-    :ivar outcomes: of patient first tries: ``in time``, ``late`` or ``refused``; of those who came
-        back, with ``back`` before it.
-    :ivar loads: of patient models, by tier.
+    :ivar outcomes: of latency-tolerant first attempts: ``in time``, ``late`` or ``refused``; those
+        of retries have the prefix ``back``.
+    :ivar loads: of latency-tolerant models (named ``patient-N``), by source of the weights.
     """
 
     cached_weights: dict[str, CachedWeights] = attrs.field(factory=dict)
     outcomes: Counter[str] = attrs.field(factory=Counter)
-    urgent_outcomes: Counter[str] = attrs.field(factory=Counter)
+    critical_outcomes: Counter[str] = attrs.field(factory=Counter)
     loads: Counter[str] = attrs.field(factory=Counter)
-    #: When the load under way at each replica ends, and of which model.
+    #: When the running load on each replica ends, and its model.
     running_loads: dict[str, tuple[float, str]] = attrs.field(factory=dict)
     predicted_ready_s: dict[str, float] = attrs.field(factory=dict)
 
@@ -85,7 +85,7 @@
         models: list[str],
         rng: random.Random,
     ) -> TierSimulation:
-        """Return a play whose disks hold what stands there and a few models more."""
+        """Return a simulation whose disks cache the loaded models and a few more."""
         simulation = cls.create(clock, replicas, places, models)
         assert isinstance(simulation, TierSimulation)
         for one in simulation.replicas:
@@ -101,9 +101,9 @@
         replica.copies.in_memory = frozenset(weights.in_memory)
         replica.copies.on_disk = frozenset(weights.on_disk)
 
-    def start_request(self, model: str, route: Route, *, returned: bool = False) -> None:
-        """Let a caller try once; one that is refused comes back at the time it was told."""
-        self._attempt(Call(model, route, self.events.clock.now_s, returned))
+    def start_request(self, model: str, route: Route, *, is_retry: bool = False) -> None:
+        """Make an attempt; a refused caller retries at the announced time."""
+        self._attempt(Call(model, route, self.events.clock.now_s, is_retry))
 
     def _attempt(self, call: Call) -> None:
         key = ModelKey(SERVICE, call.model)
@@ -121,9 +121,9 @@
             return
         self._record_outcome(call, 'refused')
         if not call.is_retry:
-            back_s = decision.retry_after_s
+            retry_in_s = decision.retry_after_s
             self.events.after(
-                back_s, lambda: self.start_request(call.model, call.route, returned=True)
+                retry_in_s, lambda: self.start_request(call.model, call.route, is_retry=True)
             )
 
     def _waited_s(self, call: Call) -> float:
@@ -153,7 +153,7 @@
         )
 
     def _record_outcome(self, call: Call, outcome: str) -> None:
-        outcomes = self.outcomes if call.route is LATENCY_TOLERANT else self.urgent_outcomes
+        outcomes = self.outcomes if call.route is LATENCY_TOLERANT else self.critical_outcomes
         outcomes[f'back {outcome}' if call.is_retry else outcome] += 1
 
     def plan(self) -> None:
@@ -172,14 +172,14 @@
         ) is not None:
             if move.from_store:
                 self.store_load_limiter.record_load()
-            self._begin(move)
+            self._start_move(move)
             if move.reason is MoveReason.OVERDUE:
                 self.overdue_loads.record_start(move.replica_id, move.model)
         self.predicted_ready_s = {
             name: now_s + in_s for name, in_s in planner.outlook(copies).ready_in_s.items()
         }
 
-    def _begin(self, move: CopyMove) -> None:
+    def _start_move(self, move: CopyMove) -> None:
         replica = next(one for one in self.replicas if one.copies.replica_id == move.replica_id)
         is_busy = bool(move.evicted) and replica.running > 0
         unload_s = fleet.MODEL_UNLOAD_S if is_busy else fleet.IDLE_UNLOAD_S * bool(move.evicted)
@@ -199,7 +199,11 @@
 
 
 def simulate_day(seed: int, seconds: float = 60.0) -> TierSimulation:
-    """Play a day without a fault: urgent demand moves, few ask for each of many patient models."""
+    """Simulate a fault-free day.
+
+    Latency-critical demand moves among models; each of many latency-tolerant models is rarely
+    requested.
+    """
     rng = random.Random(seed)
     critical = [f'urgent-{n}' for n in range(10)]
     tolerant = [f'patient-{n}' for n in range(16)]
