--- a/tests/placement/test_copy_values.py
+++ b/tests/placement/test_copy_values.py
@@ -1,4 +1,4 @@
-"""What a copy of a model gains, and what is lost with one."""
+"""What a copy of a model gains, and what is lost when it is evicted."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 def test_further_copy_gains_the_calls_that_are_served_by_it() -> None:
     replicas = [replica('r1', 'hot'), replica('r2'), replica('r3', data_centre='c2')]
     copy_values = values_of({'hot': busy(20, replicas=1.5)}, replicas)
-    # What one copy cannot serve, and 1.5 because a second copy secures the first.
+    # The calls that one copy cannot serve, plus 1.5 for the redundancy of a second copy.
     more_per_s = 20 * 0.5 / 1.5 + 1.5
     assert copy_values.gain('hot', replicas[1]) == pytest.approx(more_per_s)
     assert copy_values.gain('hot', replicas[2]) == pytest.approx(1.2 * more_per_s)
@@ -51,7 +51,7 @@
 
 
 def test_loss_of_an_only_copy_counts_twice_if_latency_critical() -> None:
-    """Demand moves among such models, so each counts as asked for by a share of the mean."""
+    """Demand moves among latency-critical models, so each counts as having a share of the mean."""
     replicas = [replica('r1', 'hot', 'small', 'rare')]
     demands = {
         'hot': busy(20),
@@ -70,7 +70,7 @@
 
 
 def test_copy_without_calls_is_worth_less_than_that_of_a_busy_model() -> None:
-    """Where few models took most calls, it was worth more, and those that waited got no place."""
+    """Where few models got most calls, it was worth more, and waiting models were not loaded."""
     replicas = [replica('r1', 'hot', 'small', 'rare')]
     demands = {'hot': busy(60), 'rare': busy(5), 'small': ModelDemand(objective_s=1.0)}
     copy_values = values_of(demands, replicas)
@@ -78,7 +78,7 @@
 
 
 def test_latency_critical_copy_is_not_evicted_for_a_waiting_model() -> None:
-    """Six of ten such models had lost their only copy when demand moved to two of them."""
+    """Six of ten latency-critical models had no copy left when demand moved to two of them."""
     replicas = [replica('r1', 'hot', 'rare'), replica('r2', 'hot', 'small')]
     demands = {
         'hot': busy(20),
@@ -106,12 +106,12 @@
 
 
 def test_calls_refused_for_lack_of_capacity_raise_the_gain() -> None:
-    """The estimate of what a copy serves may be too high; refusals are counted."""
+    """The estimate of what a copy can serve may be too high; refusals are counted exactly."""
     replicas = [replica('r1', 'hot'), replica('r2')]
     demand = attrs.evolve(busy(20, replicas=0.9), refused_per_s=12.0)
     assert values_of({'hot': demand}, replicas).gain('hot', replicas[1]) == pytest.approx(12.0)
     assert values_of({'hot': demand}, replicas).loss('hot', replicas[0]) > 12.0
-    # A copy on its way will take them.
+    # A copy that is being loaded will serve them.
     replicas.append(ReplicaCopies('r3', set(), {'hot'}, False))
     assert values_of({'hot': demand}, replicas).gain('hot', replicas[1]) < 2.0
 
--- a/tests/placement/test_demand_shift.py
+++ b/tests/placement/test_demand_shift.py
@@ -1,7 +1,7 @@
-"""How soon a model that demand moves to stands, on simulated replicas.
+"""How soon a model is ready when demand moves to it, on simulated replicas.
 
-The planner decides every 0.2 s; a load takes 6 s from the store and 1.3 s from a disk, and an
-unload waits 2 s where calls run. Each figure is beside the one with its rule off.
+The planner runs every 0.2 s. A load takes 6 s from the store and 1.3 s from disk, and an unload
+waits 2 s for running calls. Each time is compared with the one measured with its limit disabled.
 """
 
 from __future__ import annotations
@@ -42,7 +42,10 @@
 
 @attrs.define
 class Fleet:
-    """Six replicas with three models each; what is under way at each ends at a time."""
+    """Six replicas with three models each, and the moves running on them.
+
+    :ivar moves: by replica, when its move ends, and the move.
+    """
 
     now_s: float = 0.0
     replicas: list[ReplicaCopies] = attrs.field(factory=list)
@@ -60,36 +63,36 @@
 
     def step(self, demands: dict[str, ModelDemand]) -> None:
         for one in self.replicas:
-            ends = self.moves.get(one.replica_id)
-            if ends is not None and ends[0] <= self.now_s:
+            running_move = self.moves.get(one.replica_id)
+            if running_move is not None and running_move[0] <= self.now_s:
                 del self.moves[one.replica_id]
-                one.loading.discard(ends[1].model)
-                one.ready.add(ends[1].model)
-                one.on_disk |= {ends[1].model}
+                one.loading.discard(running_move[1].model)
+                one.ready.add(running_move[1].model)
+                one.on_disk |= {running_move[1].model}
                 one.is_idle = True
-            one.free_in_s = max(0.0, ends[0] - self.now_s) if ends else 0.0
-        plan = CopyPlanner(ENGINE, demands, {})
-        while (move := plan.next_move(self.replicas)) is not None:
-            at = next(one for one in self.replicas if one.replica_id == move.replica_id)
+            one.free_in_s = max(0.0, running_move[0] - self.now_s) if running_move else 0.0
+        planner = CopyPlanner(ENGINE, demands, {})
+        while (move := planner.next_move(self.replicas)) is not None:
+            target = next(one for one in self.replicas if one.replica_id == move.replica_id)
             runs = any(demands[name].running for name in move.evicted if name in demands)
-            self.moves[at.replica_id] = (self.now_s + move.load_s + 2.0 * runs, move)
-            at.begin_move(move.model, move.evicted, move.load_s + 2.0 * runs)
+            self.moves[target.replica_id] = (self.now_s + move.load_s + 2.0 * runs, move)
+            target.begin_move(move.model, move.evicted, move.load_s + 2.0 * runs)
         self.now_s += STEP_S
 
     def seconds_until_copies(
         self, model: str, copies: int, demands: dict[str, ModelDemand]
     ) -> float:
-        """Return the seconds until so many copies of a model are ready."""
-        began_s = self.now_s
+        """Return the seconds until that many copies of a model are ready."""
+        start_s = self.now_s
         while sum(model in one.ready for one in self.replicas) < copies:
             self.step(demands)
-            if self.now_s - began_s > LIMIT_S:
+            if self.now_s - start_s > LIMIT_S:
                 break
-        return self.now_s - began_s
+        return self.now_s - start_s
 
 
 def copy_delay_s(copies: int) -> float:
-    """Return how long the model that demand moves to waits for so many copies."""
+    """Return the seconds until the model that demand moves to has that many copies."""
     fleet = Fleet.create(
         {'r4': ('next',), 'r5': ('next',)},
         ('now', 'other-1', 'patient-0'),
@@ -108,7 +111,7 @@
 
 
 def test_latency_critical_model_is_loaded_before_demand_moves_to_it() -> None:
-    """Among replicas that models bring which can wait: 0 s. It was 4.2 and 6.2 s, see below."""
+    """Without the limits, replicas were loading latency-tolerant models: 4.2 and 6.2 s."""
     assert copy_delay_s(copies=1) == 0.0
 
 
@@ -122,7 +125,7 @@
 def test_without_a_limit_calls_wait_for_it(
     monkeypatch: pytest.MonkeyPatch, constant: str, off: float, seconds: float
 ) -> None:
-    """All replicas that could bring it are busy with models that can wait."""
+    """All replicas that could load it are busy with latency-tolerant models."""
     monkeypatch.setattr(load_limits, constant, off)
     monkeypatch.setattr(load_limits, 'LONG_LOADS_SHARE', 9.0)
     assert copy_delay_s(copies=1) == pytest.approx(seconds)
--- a/tests/placement/test_gain_check.py
+++ b/tests/placement/test_gain_check.py
@@ -1,4 +1,4 @@
-"""Models that cannot gain anywhere are passed over at a quick look, with the same moves."""
+"""The cheap gain check skips models that cannot gain anywhere without changing any move."""
 
 from __future__ import annotations
 
@@ -86,7 +86,7 @@
 
 
 def move_against(held_calls_per_s: float) -> CopyMove | None:
-    """Return the move for a model that gains most, at a replica that has to give up another."""
+    """Return the best move for a model at a replica that has to evict another one for it."""
     demands = {
         'other': builders.rare_calls(3.0),
         'hot': builders.rare_calls(held_calls_per_s),
--- a/tests/placement/test_load_options.py
+++ b/tests/placement/test_load_options.py
@@ -1,4 +1,4 @@
-"""Where a model could be loaded now, and how soon it would be there."""
+"""Where a model could be loaded now, and how soon it would be ready there."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
 
 
 def occupied(name: str, free_in_s: float, *on_disk: str) -> ReplicaCopies:
-    """Return a replica that loads something for so long yet, with weights on its disk."""
+    """Return a replica that is loading a model for that much longer, with weights on its disk."""
     one = replica(name, 'hot', is_idle=False)
     one.loading = {'big'}
     one.free_in_s = free_in_s
--- a/tests/placement/test_overdue.py
+++ b/tests/placement/test_overdue.py
@@ -1,4 +1,4 @@
-"""Whose turn it is to get a copy, whatever it gains."""
+"""Which models are loaded because they are overdue, whatever they gain."""
 
 from __future__ import annotations
 
@@ -79,7 +79,7 @@
 
 
 def test_load_chosen_by_gain_does_not_count_as_overdue_load() -> None:
-    """On six replicas there was nearly always such a load, and turns hardly came."""
+    """On six replicas such a load was nearly always running, so overdue models had to wait."""
     replicas = [replica(f'r{n}', 'hot') for n in range(6)]
     replicas[0].loading = {'rare'}
     demands = {'rare': unserved(12.0), 'other': unserved(15.0)}
@@ -87,7 +87,7 @@
 
 
 def test_awaited_copy_is_kept_until_its_callers_retry() -> None:
-    """Two models would otherwise take the one place from each other before either served."""
+    """Otherwise two models would evict each other in turn before either served a call."""
     replicas = [replica('r1', 'big', 'rare')]
     demands = {'big': busy(60, replicas=3.0), 'rare': unserved(15.0), 'hot': unserved(900.0)}
     move = plan_move(replicas, **demands)
@@ -99,7 +99,7 @@
 
 
 def test_awaited_copy_is_not_evicted_for_a_busier_model() -> None:
-    """It was loaded, evicted for a second copy, and loaded again, and had served nobody."""
+    """It was loaded, evicted for a second copy and reloaded, without serving a call."""
     replicas = [replica('r1', 'rare', 'small', 'other')]
     demands = {name: unserved(15.0) for name in ('rare', 'small', 'other')}
     move = plan_move(replicas, **demands, hot=busy(400, replicas=9.0))
@@ -116,7 +116,7 @@
 
 
 def test_model_that_goes_unserved_despite_a_copy_gets_another_one() -> None:
-    """Its replica may be cut off from callers, or full."""
+    """The replica that holds it may be cut off from callers, or full."""
     replicas = [replica('r1', 'rare'), replica('r2', 'hot')]
     assert overdue(replicas, rare=unserved(OVERDUE_AFTER_S)) == []
     assert overdue(replicas, rare=unserved(SECOND_COPY_AFTER_S)) == ['rare']
--- a/tests/placement/test_placement_log.py
+++ b/tests/placement/test_placement_log.py
@@ -1,4 +1,4 @@
-"""The lines that tell where weights lie and why what waits is not loaded."""
+"""The log lines about where weights are and why waiting models are not loaded."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @pytest.fixture
 def written(monkeypatch: pytest.MonkeyPatch) -> list[dict[str, Any]]:
-    """Return the lines that were written, and let a second pass before each call."""
+    """Return the lines logged so far; the minimum interval passes before each call."""
     lines: list[dict[str, Any]] = []
     now_s = [100.0]
 
--- a/tests/placement/test_planner.py
+++ b/tests/placement/test_planner.py
@@ -1,4 +1,4 @@
-"""Which copy comes or goes next."""
+"""The choice of the next model copy to load and of those to evict."""
 
 from __future__ import annotations
 
@@ -34,9 +34,9 @@
 
 
 def test_busy_copy_is_not_evicted_for_a_rarely_called_model() -> None:
-    """Copies of the busy model went one by one for models with a call now and then.
+    """Copies of the busiest model were evicted one by one for models with a call now and then.
 
-    Seen on Sljeme's scale-1: one replica of nine was left to the busiest model.
+    Finally one replica of nine served the busiest model.
     """
     replicas = [replica('r1', 'hot', 'big'), replica('r2', 'hot', 'small', 'rare')]
     demands = {
@@ -67,7 +67,7 @@
 
 
 def test_starved_model_is_eventually_loaded() -> None:
-    """On Sljeme's scale-2 four models that were asked for had no copy for 25 s."""
+    """Four requested models had no copy for 25 s."""
     replicas = [replica('r1', 'hot'), replica('r2', 'hot'), replica('r3', 'big', 'small', 'rare')]
     for busy_replica in replicas[:2]:
         busy_replica.is_idle = False
@@ -86,7 +86,7 @@
 
 
 def test_busy_model_gets_no_copy_beyond_its_need_and_one_spare() -> None:
-    """The second stands for the first should that be lost."""
+    """The spare copy stands in if the first one is lost."""
     replicas = [replica('r1', 'hot', 'big'), replica('r2', 'small', 'other', 'rare')]
     move = planner(hot=busy(20, replicas=0.4)).next_move(replicas)
     assert move is not None
@@ -125,7 +125,7 @@
 
 
 def test_last_ready_copy_stays() -> None:
-    """A copy on its way serves nobody, so it lets no ready one go."""
+    """A copy that is still loading serves no calls, so it does not replace a ready one."""
     loading = ReplicaCopies('r2', {'small'}, {'hot'}, False)
     move = planner(hot=busy(20), other=rare_calls()).next_move(
         [replica('r1', 'hot', 'big'), loading]
@@ -197,9 +197,9 @@
     move = planner(**demands).next_move(replicas)
     if move is None:
         return
-    at = next(one for one in replicas if one.replica_id == move.replica_id)
-    assert move.model not in at.ready
-    kept = (at.ready - set(move.evicted)) | {move.model}
+    target = next(one for one in replicas if one.replica_id == move.replica_id)
+    assert move.model not in target.ready
+    kept = (target.ready - set(move.evicted)) | {move.model}
     assert sum(SIZES[name] for name in kept) + 4.0 <= CAPACITY_MB
     assert move.gain >= move.loss
 
@@ -261,7 +261,7 @@
 
 
 def test_latency_tolerant_models_leave_replicas_idle() -> None:
-    """All that had the weights near were busy when demand moved to a model that cannot wait."""
+    """All replicas with local weights were busy when demand moved to a latency-critical model."""
     replicas = [replica(f'r{n}', 'hot', 'big', is_idle=n > 2) for n in range(4)]
     demands = {'hot': busy(5), 'big': busy(5), 'rare': rare_calls(2.0, call_waits=True)}
     assert planner(**demands).next_move(replicas) is None
@@ -292,7 +292,7 @@
 
 
 def occupied(name: str, free_in_s: float, loading: str, *on_disk: str) -> ReplicaCopies:
-    """Return a replica that loads a model for so long yet, with weights on its disk."""
+    """Return a replica that is loading a model for that much longer, with weights on its disk."""
     one = replica(name, 'hot', 'big', is_idle=False)
     one.loading = {loading}
     one.free_in_s = free_in_s
@@ -316,7 +316,7 @@
 
 
 def test_local_weights_are_loaded_however_few_replicas_are_idle() -> None:
-    """Loads of a second were withheld as those of six were."""
+    """Loads that take one second were withheld like loads that take six."""
     replicas = [replica('r1', 'hot', 'big')]
     replicas += [occupied(f'r{n}', 1.0, 'other') for n in range(2, 7)]
     demands = {'hot': busy(5), 'big': busy(5), 'rare': rare_calls(2.0, call_waits=True)}
@@ -328,7 +328,7 @@
 
 
 def test_few_replicas_load_from_the_store_at_the_same_time() -> None:
-    """The others can bring what they have near meanwhile, whoever asks for the far ones."""
+    """The other replicas stay free to load their local weights meanwhile."""
     replicas = [replica(f'r{n}', 'big') for n in range(3)]
     replicas += [occupied(f'r{n}', 5.0, 'other', 'small') for n in (3, 4, 5)]
     demands = {'big': busy(5), 'hot': busy(30, replicas=5.0)}
@@ -341,7 +341,7 @@
 
 
 def test_new_replicas_without_local_weights_load_from_the_store_all_at_once() -> None:
-    """Where most replicas were new, a third of them at a time brought what calls waited for."""
+    """When most replicas were new, only a third of them at a time loaded the awaited models."""
     replicas = [replica(f'r{n}') for n in range(3)]
     for n in (3, 4, 5):
         one = replica(f'r{n}', is_idle=False)
@@ -362,7 +362,7 @@
 
 
 def test_one_model_is_loaded_on_few_replicas_at_the_same_time() -> None:
-    """Four of six replicas brought one model; when they were done, few asked for it."""
+    """Four of six replicas loaded the same model; when they were done, few calls asked for it."""
     replicas = [replica(f'r{n}', 'big') for n in range(5)]
     for one in replicas:
         one.on_disk = frozenset({'hot'})
@@ -371,6 +371,6 @@
     demands = {'big': busy(5), 'hot': busy(60, replicas=6.0)}
     move = planner(**demands).next_move(replicas)
     assert move is not None
-    at = next(one for one in replicas if one.replica_id == move.replica_id)
-    at.begin_move('hot', move.evicted, move.load_s)
+    target = next(one for one in replicas if one.replica_id == move.replica_id)
+    target.begin_move('hot', move.evicted, move.load_s)
     assert planner(**demands).next_move(replicas) is None
--- a/tests/placement/test_prefetch.py
+++ b/tests/placement/test_prefetch.py
@@ -1,4 +1,4 @@
-"""Weights that lie at no replica are brought near while that takes nothing from callers."""
+"""Weights that no replica has are prefetched while that costs callers nothing."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def full_replicas() -> list[ReplicaCopies]:
-    """Return replicas without room; nobody has the weights of ``rare``."""
+    """Return replicas without free room, none of which has the weights of ``rare``."""
     replicas = [
         replica('r1', 'hot', 'big'),
         replica('r2', 'hot', 'big'),
@@ -23,7 +23,7 @@
 
 
 def prefetch_target(replicas: list[ReplicaCopies], *, may_spread: bool = True) -> str | None:
-    """Return where the first move brings what lies nowhere, if it does."""
+    """Return the replica of the first move if that move is a prefetch."""
     move = CopyPlanner(engine(), {}, INITIAL_COPIES).next_move(replicas, may_prefetch=may_spread)
     return move.replica_id if move and move.reason is MoveReason.PREFETCH else None
 
--- a/tests/placement/test_store_load_limiter.py
+++ b/tests/placement/test_store_load_limiter.py
@@ -1,4 +1,4 @@
-"""How many loads begin in any window."""
+"""How many loads from the weight store start in any window."""
 
 from __future__ import annotations
 
@@ -30,5 +30,6 @@
         while limiter.may_load(1.4):
             limiter.record_load()
             begun += 1
-        # Seven fill the window, six of them taken as begun; 1.5 more are bearable.
+        # Seven loads fill the window. Six of them count as started, and 1.5 more are allowed as a
+        # burst.
         assert begun == 2
