--- a/tests/placement/test_adapter_backoff.py
+++ b/tests/placement/test_adapter_backoff.py
@@ -1,4 +1,4 @@
-"""When an adapter whose move failed is tried again."""
+"""When an adapter whose moves failed is ordered again."""
 
 from __future__ import annotations
 
--- a/tests/placement/test_adapters.py
+++ b/tests/placement/test_adapters.py
@@ -1,4 +1,4 @@
-"""At which replica an adapter is loaded, and which adapter is evicted there."""
+"""Which replica an adapter is loaded on, and which adapter is evicted there."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     from collections.abc import Iterator
 
 ADAPTERS = frozenset({'a1', 'a2', 'a3', 'a4', 'a5', 'a6'})
-#: Three places for adapters at each replica.
+#: Three places for adapters on each replica.
 ENGINE = EngineSpec(8, 1000, 150.0, 3, 1.0, {'m1': ModelSpec('m1', 70.0, 5.0, 1.0, ADAPTERS, 1.0)})
 WANTED = ModelKey('lm', 'm1', 'a6')
 FENCE = 5
@@ -37,7 +37,7 @@
 
 @attrs.define
 class Fleet:
-    """Replicas that hold a model with some adapters, claimed and freshly polled."""
+    """Replicas that hold a model with some adapters; claimed, with a fresh report."""
 
     clock: VirtualClock
 
@@ -63,7 +63,7 @@
         )
 
     def unserved(self, adapter: str, since_s: float, ago_s: float = 0.1) -> None:
-        """Let an adapter be asked for and not served since so long ago, last *ago_s* ago."""
+        """Let an adapter have gone unserved since *since_s* ago, last requested *ago_s* ago."""
         now_s = boottime_s()
         key = ModelKey('lm', 'm1', adapter)
         self.totals[key] = KeyTotals(
@@ -75,7 +75,7 @@
         return [key.adapter for key in planner.due()]
 
     def plan(self) -> tuple[str, str | None] | None:
-        """Return the replica, and the adapter that goes there, of the next move."""
+        """Return the replica of the next move and the adapter that is evicted there."""
         planner = AdapterPlanner('lm', ENGINE, self.directory, self.totals, FENCE)
         move = planner.plan(WANTED, self.pending)
         if move is None:
@@ -178,7 +178,7 @@
 
 
 def test_overdue_adapter_replaces_one_in_steady_use(fleet: Fleet) -> None:
-    """One of 60 calls for the ninth of nine adapters found it, however long it was asked for."""
+    """One of 60 calls for the ninth of nine adapters was served, however long it was requested."""
     fleet.add('r1', 'a1', 'a2', 'a3')
     fleet.seen('a1', ago_s=0.3, running=2.0)
     fleet.seen('a2', ago_s=0.2)
@@ -256,7 +256,7 @@
 
 
 def test_busy_adapter_whose_answers_begin_is_not_awaited(fleet: Fleet) -> None:
-    """Of a busy one some call always waits for its first event, and no turn would ever come."""
+    """Otherwise a busy adapter is never evicted: some call always waits for its first event."""
     fleet.add('r1', 'a1', 'a2', 'a3')
     for adapter in ('a1', 'a2', 'a3'):
         fleet.unserved(adapter, 0.3)
--- a/tests/placement/test_deadly_load.py
+++ b/tests/placement/test_deadly_load.py
@@ -1,14 +1,10 @@
-"""A model whose load ends each replica that begins it is ordered no more after a few ends.
+"""A model whose load crashes replicas is not ordered any more after a few crashes.
 
-What users would see: one replica after the other ends, empty when it is back, for as long as
-somebody asks for the model; whatever ran there breaks off.
+Calls wait for a model that no replica holds; the leader orders its load; the replica crashes.
+If the leader keeps that result for this replica alone, the next replica gets the order, and so
+on for as long as the model is requested. Each one returns empty, and its running calls break off.
 
-Order of events: calls wait for a model that no replica holds; the leader orders its load; the
-replica ends; the model is still wanted, and the next replica gets the order.
-
-Cause: as with a call that ends replicas, what the load did was kept for the replica alone.
-
-Evidence: with four replicas that end under the load and are back after 0.6 s, 15 ended in 12 s.
+With four replicas that crash under the load and return after 0.6 s, 15 crashed in 12 s.
 """
 
 from __future__ import annotations
@@ -17,7 +13,7 @@
 
 from tests.support.fleet import CENTRES, FleetWorld, run_fleet
 
-#: Ends of replicas under one load that are allowed over the whole fleet.
+#: Maximum number of crashes under one load over the whole fleet.
 ALLOWED = 3
 
 
--- a/tests/placement/test_latency_tolerant_service.py
+++ b/tests/placement/test_latency_tolerant_service.py
@@ -1,4 +1,4 @@
-"""Callers that can wait for a load are served in their objective where weights lie near."""
+"""Latency-tolerant calls are served within their objective where weights are local."""
 
 from __future__ import annotations
 
@@ -6,10 +6,11 @@
 
 from tests.placement.tier_simulation import simulate_day
 
-#: Least of its worth that a class of calls must earn on a quiet day, and the margin to hold it by.
+#: Minimum share of its full score that a class of calls must reach on a fault-free day, and the
+#: margin by which the test requires more.
 FLOOR_SHARE = 0.44
 MARGIN_SHARE = 0.1
-#: An answer after the objective earns this share.
+#: Share of the score for an answer after the objective.
 LATE_SHARE = 0.1
 SEEDS = range(1, 9)
 
--- a/tests/placement/test_replica_watch.py
+++ b/tests/placement/test_replica_watch.py
@@ -1,4 +1,4 @@
-"""What the leader knows of the replicas that it plans for."""
+"""How the leader's view of the replicas is built."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
 
 @attrs.define
 class FixedTerm:
-    """A leadership whose term does not change by itself."""
+    """A leadership whose term never changes."""
 
     term: Term = attrs.field(factory=lambda: Term(FENCE, 1e12, 1))
     fence: int = FENCE
 
 
 class World:
-    """Two replicas of one service, neither asked for anything yet."""
+    """Two replicas of one service without any demand."""
 
     def __init__(self) -> None:
         self.directory = ReplicaDirectory(read_record)
--- a/tests/placement/test_service.py
+++ b/tests/placement/test_service.py
@@ -1,4 +1,4 @@
-"""The leader brings what calls wait for, over a replica that takes real orders."""
+"""The leader loads what calls wait for, on a stand-in replica that executes real orders."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 @attrs.define
 class FixedTerm:
-    """A leadership whose term does not change by itself."""
+    """A leadership whose term only changes when it is ended."""
 
     fence: int
 
@@ -54,7 +54,7 @@
 
 @attrs.frozen
 class Config:
-    """The part of a configuration that orders read."""
+    """The part of a configuration that the placement service reads."""
 
     services: dict[str, ServiceSpec]
 
@@ -109,7 +109,7 @@
         await asyncio.sleep(REPORT_SETTLE_S + 0.05)
         await sender.poll(replica)
         service.want(ModelKey('lm', 'm1', adapter))
-        # What is on its way is not ordered again.
+        # An adapter that is being loaded is not ordered again.
         service.want(ModelKey('lm', 'm1', adapter))
         if service.may_order() and adapter not in adapters:
             await wait_until(lambda: adapter in stand_in.models['m1'])
@@ -140,7 +140,7 @@
 
 
 def count_rounds(seconds: float, calls_per_s: int) -> int:
-    """Return how often a leader plans while calls report a model that never comes."""
+    """Return how often a process plans while calls report a model that is never loaded."""
     rounds = 0
 
     async def run() -> None:
@@ -173,12 +173,12 @@
 
 
 def test_many_calls_for_a_model_that_cannot_be_loaded_cause_few_plans() -> None:
-    """The leader planned without a pause, and its calls and peers waited."""
+    """Without a minimum interval the leader planned nonstop, and its calls and peers waited."""
     assert count_rounds(2.0, calls_per_s=200) <= 2.0 / MIN_ROUND_INTERVAL_S + 1
 
 
 class HangingClient:
-    """Replicas that report what they hold and have near, and never answer an order to load."""
+    """An order client whose replicas report weights on disk but never answer an order to load."""
 
     async def report(self, address: str, replica_id: str) -> ReplicaReport:
         return ReplicaReport((Holding('m1'),), False, 0, on_disk=frozenset({'m2', 'm3'}))
@@ -193,7 +193,7 @@
 
 
 def announced_ready_s(waiting: list[str]) -> dict[str, float]:
-    """Return in how many seconds the models that calls wait for are there, as the leader tells."""
+    """Return the announced seconds until each model that calls wait for is ready."""
     specs = {
         name: ModelSpec(name, 70.0, 6.0, 0.6, frozenset(), 0.0, 1.3) for name in ('m1', 'm2', 'm3')
     }
@@ -226,7 +226,7 @@
 
 
 def test_ready_time_of_a_model_queued_after_another_is_announced_before_its_order() -> None:
-    """A call for it was refused with a time that nobody had planned."""
+    """A call for the queued model was refused without a planned ready time."""
     assert announced_ready_s(['m2']).keys() == {'m2'}
     both = announced_ready_s(['m2', 'm3'])
     assert both.keys() == {'m2', 'm3'}
--- a/tests/placement/test_unserved.py
+++ b/tests/placement/test_unserved.py
@@ -1,4 +1,4 @@
-"""All that is asked for is served in the end, and soon; the planners played on a virtual clock."""
+"""Every requested model and adapter is served within a bound; planners run on a virtual clock."""
 
 from __future__ import annotations
 
@@ -40,19 +40,19 @@
 
 
 def adapter_bound_s(waiting: int, pause_s: float) -> float:
-    """Return how long an adapter waits at the most where so many have no place.
+    """Return the maximum waiting time of an adapter when *waiting* adapters have no place.
 
-    Turns begin after a time, and are taken one after the other: each takes a round, a move, and
-    the pause until a caller is there.
+    They become overdue after a time and are then loaded one after the other. Each load takes a
+    round, a move, and the pause until its caller retries.
     """
     return adapters.OVERDUE_AFTER_S + waiting * (ROUND_INTERVAL_S + ADAPTER_MOVE_S + pause_s)
 
 
 def max_lost_share(requested: int, places: int) -> float:
-    """Return the share of calls that those in steady use lose at the most.
+    """Return the maximum share of calls that adapters in steady use lose.
 
-    Who has no place changes evenly among all that are asked for; in each turn a place is empty
-    for the time of a move besides.
+    The adapter without a place rotates evenly among all requested ones; in addition, a place is
+    empty during each move.
     """
     move_share = ADAPTER_MOVE_S / (adapters.OVERDUE_AFTER_S + ADAPTER_MOVE_S)
     return (requested - places) / requested + move_share / places
@@ -65,7 +65,7 @@
 def simulate_adapters(
     clock: VirtualClock, pause_s: float, seconds: float = 60.0
 ) -> AdapterSimulation:
-    """Let eight adapters be asked for at an even pace, and a ninth once a second."""
+    """Request eight adapters at an even rate, and a ninth once a second."""
     simulation = AdapterSimulation.create(clock, 8, [*EIGHT, NINTH])
     simulation.start()
     for n, name in enumerate(EIGHT):
@@ -97,7 +97,7 @@
 
 @pytest.mark.parametrize('pause_s', [0.5, 0.59, 0.7, 1.0])
 def test_ninth_adapter_beside_eight_in_use_is_served_repeatedly(pause_s: float) -> None:
-    """One of its 60 calls found it, however long it was asked for."""
+    """One of its 60 calls was served, however long it was requested."""
     with virtual_clock() as clock:
         simulation = simulate_adapters(clock, pause_s)
         ninth, eight = total_record(simulation, [NINTH]), total_record(simulation, EIGHT)
@@ -111,7 +111,7 @@
 def model_bound_s(
     requested: int, replicas: int, load_s: float, after_s: float = overdue.OVERDUE_AFTER_S
 ) -> float:
-    """Return how long one of so many models waits at the most, all others before it."""
+    """Return the maximum waiting time of one of *requested* models when all others go first."""
     concurrent = max(1, int(overdue.OVERDUE_REPLICAS_SHARE * replicas))
     load_each_s = fleet.MODEL_UNLOAD_S + load_s + ROUND_INTERVAL_S
     return after_s + math.ceil(requested / concurrent) * load_each_s
@@ -119,7 +119,7 @@
 
 @attrs.frozen
 class FleetShape:
-    """A fleet and what is asked of it."""
+    """The size of a fleet and the number of models that are requested."""
 
     replicas: int
     critical: int
@@ -142,7 +142,7 @@
 
 
 def simulate_models(clock: VirtualClock, shape: FleetShape, seed: int) -> ModelSimulation:
-    """Let urgent demand move each 10 s beside patient models that few ask for."""
+    """Move latency-critical demand every 10 s beside rarely requested latency-tolerant models."""
     rng = random.Random(seed)
     names = shape.critical_names()
     simulation = ModelSimulation.create(
@@ -167,7 +167,7 @@
 
 
 def request_rarely(simulation: ModelSimulation, name: str, rng: random.Random) -> None:
-    """Ask with 20 s left; who is refused comes back within a third of that."""
+    """Request with a deadline of 20 s; refused callers retry within a third of that."""
     simulation.events.every(
         lambda: rng.uniform(4.0, 8.0),
         lambda: simulation.request(
@@ -179,7 +179,7 @@
 
 @pytest.mark.parametrize('seed', range(1, 7))
 def test_latency_tolerant_models_beside_moving_demand_are_all_served(seed: int) -> None:
-    """6 to 12 of some 20 were never there when somebody asked."""
+    """6 to 12 of some 20 models were never loaded when a caller asked for them."""
     with virtual_clock() as clock:
         simulation = simulate_models(clock, SIX_REPLICAS, seed)
         simulation.events.run(1.3 * SIX_REPLICAS.bound_s())
@@ -195,7 +195,7 @@
 
 
 def test_awaited_copy_is_still_there_when_its_caller_retries() -> None:
-    """12 to 25 copies a play were evicted for another model before the caller came back."""
+    """12 to 25 copies per simulation were evicted for another model before the caller retried."""
     evicted_early = {}
     for seed in range(1, 7):
         with virtual_clock() as clock:
@@ -205,7 +205,7 @@
     assert not any(evicted_early.values()), evicted_early
 
 
-#: Faults begin within this time, and end with it.
+#: Faults start and end within this time.
 FAULTS_S = 30.0
 FAULT_NAMES = [
     'new leader',
@@ -227,7 +227,7 @@
     fault: tuple[str, float, float],
     set_late: Callable[[bool], None],
 ) -> None:
-    """Let a fault begin after some time and end after some more."""
+    """Start a fault after some time and end it after some more."""
     name, begins_s, lasts_s = fault
     gateway = simulation.gateway
     cut_off: AdapterReplica | ModelReplica
@@ -260,7 +260,7 @@
 def test_models_are_served_within_the_bound_after_faults(
     faults: list[tuple[str, float, float]], seed: int
 ) -> None:
-    """An age that was kept by one process, or ended with an order, was lost with it."""
+    """Waiting times were lost when they were kept by one process, or ended with an order."""
     with virtual_clock() as clock:
         simulation = simulate_models(clock, THREE_REPLICAS, seed)
 
@@ -286,7 +286,7 @@
 def test_adapters_are_served_within_the_bound_after_faults(
     faults: list[tuple[str, float, float]], pause_s: float
 ) -> None:
-    """A wish that met a bad moment was not kept."""
+    """A load request that could not be met at once was not remembered."""
     with virtual_clock() as clock:
         simulation = simulate_adapters(clock, pause_s, 0.0)
 
@@ -298,7 +298,7 @@
         simulation.events.run(FAULTS_S)
         faults_end_s = clock.now_s
         simulation.events.run(30.0)
-        # All nine may wait when a cut ends.
+        # All nine may be waiting when the replica is reachable again.
         bound_s = adapter_bound_s(9, NINTH_INTERVAL_S)
         for name in [*EIGHT, NINTH]:
             one = simulation.records[key('m1', name)]
@@ -331,7 +331,7 @@
 
 @pytest.mark.parametrize('name', BAD_COUNTS)
 def test_bad_counts_cause_no_load(name: str) -> None:
-    """What cannot be loaded, or was asked for by nobody, would have its turn by age for ever."""
+    """A model that cannot be loaded, or that was not requested, would stay overdue forever."""
     with virtual_clock() as clock:
         simulation = ModelSimulation.create(clock, 2, 1, ['urgent-0', 'urgent-1', 'patient-0'])
         totals = simulation.gateway.leader
