--- a/limeshelf/placement/replica_watch.py
+++ b/limeshelf/placement/replica_watch.py
@@ -126,8 +126,8 @@
         """Return whether any replica holds a model or is loading it."""
         model = Loadable(key.model)
         replicas = self._directory.of_service(key.service)
-        coming = any(self._sender.pending(replica).expects(model) for replica in replicas)
-        return coming or any(replica.holds(key.model) for replica in replicas)
+        is_loading = any(self._sender.pending(replica).expects(model) for replica in replicas)
+        return is_loading or any(replica.holds(key.model) for replica in replicas)
 
     def loading_ready_times(self) -> dict[ModelKey, float]:
         """Return the models being loaded, with the time at which each should be ready.
--- a/limeshelf/placement/service.py
+++ b/limeshelf/placement/service.py
@@ -103,14 +103,14 @@
         while True:
             await self._wait_for_next_round()
             self._last_plan_s = boottime_s()
-            loads = self.totals.step()
+            key_totals = self.totals.step()
             config = self._config()
             if not self.may_order() or config is None:
                 continue
             if self._leadership.fence != self._term_fence:
                 await self._start_term(config)
             for name, engine in _services_with_models(config):
-                await self._plan(name, engine, loads)
+                await self._plan(name, engine, key_totals)
 
     async def _wait_for_next_round(self) -> None:
         """Wait until the next plan is due; a call for a missing model triggers it early."""
@@ -135,14 +135,14 @@
         await asyncio.sleep(TERM_START_DELAY_S)
 
     async def _plan(
-        self, service: str, engine: EngineSpec, loads: dict[ModelKey, KeyTotals]
+        self, service: str, engine: EngineSpec, key_totals: dict[ModelKey, KeyTotals]
     ) -> None:
         self._replica_monitor.record_initial_copies(service)
         self._replica_monitor.start_due_polls(service, engine)
         if boottime_s() - self._started_s < STARTUP_DISCOVERY_S:
             # Replica records are still arriving.
             return
-        demands = demand_by_model(service, engine, loads, self._read_ms)
+        demands = demand_by_model(service, engine, key_totals, self._read_ms)
         self._load_unserved_adapters(service, engine)
         copies = self._replica_monitor.copies(service)
         starved_s = self._starvation.track(service, demands, copies)
--- a/tests/placement/fleet_simulation.py
+++ b/tests/placement/fleet_simulation.py
@@ -85,7 +85,7 @@
     requests: int = 0
     served_requests: int = 0
 
-    def served_calls(self) -> int:
+    def served(self) -> int:
         return sum(is_served for _, is_served in self.calls)
 
     def unserved_periods(self) -> list[list[float]]:
--- a/tests/placement/test_copy_values.py
+++ b/tests/placement/test_copy_values.py
@@ -15,11 +15,11 @@
 def values_of(
     demands: dict[str, ModelDemand],
     replicas: list[ReplicaCopies],
-    first_copies: dict[str, int] | None = None,
+    initial_copies: dict[str, int] | None = None,
     starved_s: dict[str, float] | None = None,
 ) -> CopyValues:
     snapshot = PlacementSnapshot.capture(engine(), demands, replicas)
-    return CopyValues(snapshot, first_copies or {}, starved_s or {})
+    return CopyValues(snapshot, initial_copies or {}, starved_s or {})
 
 
 def test_first_copy_gains_its_calls_and_waiting_and_starvation_bonuses() -> None:
@@ -93,11 +93,11 @@
 
 def test_value_of_initial_copies_falls_with_the_square_of_their_number() -> None:
     replicas = [replica(f'r{n}', 'hot') for n in range(3)]
-    copy_values = values_of({}, replicas, first_copies={'hot': 4})
+    copy_values = values_of({}, replicas, initial_copies={'hot': 4})
     assert copy_values.is_low_demand
     assert copy_values.loss('hot', replicas[0]) == pytest.approx(0.4 * 4 / 9)
     assert copy_values.idle_gain('hot') == pytest.approx(0.4 * 4 / 16)
-    assert values_of({}, replicas, first_copies={'hot': 3}).idle_gain('hot') == 0.0
+    assert values_of({}, replicas, initial_copies={'hot': 3}).idle_gain('hot') == 0.0
 
 
 def test_model_removed_from_the_configuration_is_evicted_at_no_loss() -> None:
