--- a/benchmarks/placement_round.py
+++ b/benchmarks/placement_round.py
@@ -34,7 +34,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from limeshelf.placement.survey import ReplicaCopies
+    from limeshelf.placement.survey import ReplicaView
 
 REPLICAS = 45
 MODELS = 196
@@ -153,7 +153,7 @@
             SERVICE, self.engine, self.totals.latest(), lambda model, tokens: 0.2 * tokens
         )
 
-    def plan_moves(self, copies: list[ReplicaCopies]) -> int:
+    def plan_moves(self, copies: list[ReplicaView]) -> int:
         """Plan all moves of a round; return how many there are."""
         planner = CopyPlanner(self.engine, self.demand(), self.watch.first_copies(SERVICE))
         moves = 0
@@ -161,10 +161,10 @@
             moves += 1
             for replica in copies:
                 if replica.replica_id == move.replica_id:
-                    replica.begin_move(move.model, move.evicted)
+                    replica.apply_move(move.model, move.evicted)
         return moves
 
-    def look_once_more(self, copies: list[ReplicaCopies]) -> None:
+    def look_once_more(self, copies: list[ReplicaView]) -> None:
         """Plan again after all moves of a round; there is none."""
         planner = CopyPlanner(self.engine, self.demand(), self.watch.first_copies(SERVICE))
         assert planner.next_move(copies) is None
--- a/limeshelf/placement/copy_values.py
+++ b/limeshelf/placement/copy_values.py
@@ -12,7 +12,7 @@
 from limeshelf.placement.model_values import ModelValues
 
 if TYPE_CHECKING:
-    from limeshelf.placement.survey import PlacementSnapshot, ReplicaCopies
+    from limeshelf.placement.survey import PlacementSnapshot, ReplicaView
 
 #: Loss factor of a model's only copy if its calls cannot wait for a load.
 LATENCY_CRITICAL_FACTOR = 2.0
@@ -73,7 +73,7 @@
         """
         return self._gain(model, 1.0)
 
-    def gain(self, model: str, replica: ReplicaCopies) -> float:
+    def gain(self, model: str, replica: ReplicaView) -> float:
         """Return what one more copy on a replica gains, in calls per second."""
         capacity = self._snapshot.capacity_share(model, replica)
         copies = self._snapshot.copies(model)
@@ -98,7 +98,7 @@
             return gain
         return max(gain, capacity * self._snapshot.demand(model).refused_per_s)
 
-    def losses(self, replica: ReplicaCopies) -> dict[str, float]:
+    def losses(self, replica: ReplicaView) -> dict[str, float]:
         """Return the loss for each ready copy on a replica, in ascending order.
 
         Copies with the same loss are ordered by name. Cached per replica, since every planned
@@ -111,11 +111,11 @@
             by_model = self._losses[replica.replica_id] = {name: lost[name] for name in ordered}
         return by_model
 
-    def min_loss(self, replica: ReplicaCopies) -> float:
+    def min_loss(self, replica: ReplicaView) -> float:
         """Return the loss for the least valuable ready copy on a replica; 0 if it has none."""
         return next(iter(self.losses(replica).values()), 0.0)
 
-    def loss(self, model: str, replica: ReplicaCopies) -> float:
+    def loss(self, model: str, replica: ReplicaView) -> float:
         """Return what is lost when a ready copy is evicted, in calls per second.
 
         Copies that are still loading serve no calls yet, so they do not replace a ready one
--- a/limeshelf/placement/eviction.py
+++ b/limeshelf/placement/eviction.py
@@ -11,7 +11,7 @@
 
 if TYPE_CHECKING:
     from limeshelf.placement.copy_values import CopyValues
-    from limeshelf.placement.survey import PlacementSnapshot, ReplicaCopies
+    from limeshelf.placement.survey import PlacementSnapshot, ReplicaView
 
 
 @attrs.frozen
@@ -26,7 +26,7 @@
 
 
 def choose_eviction(
-    model: str, replica: ReplicaCopies, snapshot: PlacementSnapshot, copy_values: CopyValues
+    model: str, replica: ReplicaView, snapshot: PlacementSnapshot, copy_values: CopyValues
 ) -> Eviction | None:
     """Return what to evict so that *model* fits, or ``None`` if it cannot fit.
 
--- a/limeshelf/placement/load_options.py
+++ b/limeshelf/placement/load_options.py
@@ -14,7 +14,7 @@
 
 if TYPE_CHECKING:
     from limeshelf.placement.copy_values import CopyValues
-    from limeshelf.placement.survey import PlacementSnapshot, ReplicaCopies
+    from limeshelf.placement.survey import PlacementSnapshot, ReplicaView
 
 #: Estimated time for which an unload waits for the running calls of its model: a load of a busy
 #: model from disk started 3 s after it was planned, since the evicted copy was answering one call.
@@ -33,7 +33,7 @@
     :ivar ready_in_s: the same including the unloads before it.
     """
 
-    replica: ReplicaCopies
+    replica: ReplicaView
     eviction: Eviction
     from_store: bool
     load_s: float
@@ -104,7 +104,7 @@
     return predicted_s
 
 
-def _busy_with_local_weights(model: str, snapshot: PlacementSnapshot) -> list[ReplicaCopies]:
+def _busy_with_local_weights(model: str, snapshot: PlacementSnapshot) -> list[ReplicaView]:
     """Return the replicas that are loading something else and have a model's weights locally."""
     return [
         one
--- a/limeshelf/placement/overdue.py
+++ b/limeshelf/placement/overdue.py
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from collections.abc import Collection
 
-    from limeshelf.placement.survey import PlacementSnapshot, ReplicaCopies
+    from limeshelf.placement.survey import PlacementSnapshot, ReplicaView
 
 #: A model is overdue once it has been requested for this long without any call being served.
 OVERDUE_AFTER_S = 12.0
@@ -39,7 +39,7 @@
         """Record that the load of an overdue model starts on a replica."""
         self._model_by_replica[replica_id] = model
 
-    def count_running(self, replicas: list[ReplicaCopies]) -> int:
+    def count_running(self, replicas: list[ReplicaView]) -> int:
         """Return how many of these loads are running, and drop the finished ones."""
         loading = {replica.replica_id: replica.loading for replica in replicas}
         self._model_by_replica = {
--- a/limeshelf/placement/placement_log.py
+++ b/limeshelf/placement/placement_log.py
@@ -12,7 +12,7 @@
 
 if TYPE_CHECKING:
     from limeshelf.placement.planner import NotLoadedReason
-    from limeshelf.placement.survey import ReplicaCopies
+    from limeshelf.placement.survey import ReplicaView
 
 #: Minimum time between two lines for the same replica or model.
 MIN_LOG_INTERVAL_S = 1.0
@@ -29,7 +29,7 @@
         self._not_loaded: dict[tuple[str, str], NotLoadedReason] = {}
         self._last_logged_s: dict[tuple[str, str], float] = {}
 
-    def log_replicas(self, service: str, replicas: list[ReplicaCopies]) -> None:
+    def log_replicas(self, service: str, replicas: list[ReplicaView]) -> None:
         """Log each replica whose copies or local weights changed."""
         for replica in replicas:
             contents = (frozenset(replica.ready), replica.in_memory, replica.on_disk)
--- a/limeshelf/placement/planner.py
+++ b/limeshelf/placement/planner.py
@@ -36,7 +36,7 @@
     from limeshelf.calls.routes import EngineSpec
     from limeshelf.demand.model_demand import ModelDemand
     from limeshelf.placement.overdue import OverdueLoads
-    from limeshelf.placement.survey import ReplicaCopies
+    from limeshelf.placement.survey import ReplicaView
 
 # Gains, losses and costs are in calls per second.
 
@@ -159,7 +159,7 @@
 
     def next_move(
         self,
-        replicas: list[ReplicaCopies],
+        replicas: list[ReplicaView],
         store_allowed: bool = True,
         *,
         may_prefetch: bool = False,
@@ -212,7 +212,7 @@
         scored = _ScoredOption(option, copy_values.gain(model, option.replica), 0.0)
         return scored.as_move(model, MoveReason.PREFETCH, 0.0, ())
 
-    def outlook(self, replicas: list[ReplicaCopies], store_allowed: bool = True) -> WaitingModels:
+    def outlook(self, replicas: list[ReplicaView], store_allowed: bool = True) -> WaitingModels:
         """Return what to expect for the models that calls wait for and that have no copy."""
         if not any(demand.is_waiting for demand in self._demands.values()):
             return WaitingModels()
--- a/limeshelf/placement/prefetch.py
+++ b/limeshelf/placement/prefetch.py
@@ -15,7 +15,7 @@
     from collections.abc import Collection
 
     from limeshelf.placement.copy_values import CopyValues
-    from limeshelf.placement.survey import PlacementSnapshot, ReplicaCopies
+    from limeshelf.placement.survey import PlacementSnapshot, ReplicaView
 
 #: Maximum share of the replicas that may be loading while weights are prefetched.
 MAX_LOADING_SHARE = 0.7
@@ -64,7 +64,7 @@
     return only_here, option.eviction.loss, option.replica.replica_id
 
 
-def _count_only_cached_here(replica: ReplicaCopies, snapshot: PlacementSnapshot) -> int:
+def _count_only_cached_here(replica: ReplicaView, snapshot: PlacementSnapshot) -> int:
     """Return how many models without a copy here have their weights only on this disk."""
     elsewhere: set[str] = set()
     for other in snapshot.replicas:
--- a/limeshelf/placement/replica_watch.py
+++ b/limeshelf/placement/replica_watch.py
@@ -11,7 +11,7 @@
 
 from limeshelf.demand.keys import ModelKey
 from limeshelf.orders.task import Loadable
-from limeshelf.placement.survey import ReplicaCopies
+from limeshelf.placement.survey import ReplicaView
 from limeshelf.util.clock import boottime_s
 
 if TYPE_CHECKING:
@@ -90,7 +90,7 @@
             # (tests/orders/test_sender.py::test_replica_back_in_reach).
             await self._sender.claim(replica, engine)
 
-    def copies(self, service: str) -> list[ReplicaCopies]:
+    def copies(self, service: str) -> list[ReplicaView]:
         """Return the replicas to plan for, without lost ones, whose models are then reloaded."""
         return [
             self._view_of(replica, pending)
@@ -98,9 +98,9 @@
             if not _is_lost(replica, pending := self._sender.pending(replica))
         ]
 
-    def _view_of(self, replica: Replica, pending: PendingOrders) -> ReplicaCopies:
+    def _view_of(self, replica: Replica, pending: PendingOrders) -> ReplicaView:
         report = replica.report
-        return ReplicaCopies(
+        return ReplicaView(
             replica.replica_id,
             set(replica.holdings) - replica.retiring,
             pending.models_expected(),
--- a/limeshelf/placement/service.py
+++ b/limeshelf/placement/service.py
@@ -33,7 +33,7 @@
     from limeshelf.demand.unserved import UnservedKind
     from limeshelf.lease.leadership import Leadership
     from limeshelf.orders.sender import OrderSender
-    from limeshelf.placement.survey import ReplicaCopies
+    from limeshelf.placement.survey import ReplicaView
     from limeshelf.replicas.directory import ReplicaDirectory
     from limeshelf.util.tasks import TaskSet
 
@@ -155,7 +155,7 @@
         await self._start_moves(service, engine, planner, copies)
 
     async def _start_moves(
-        self, service: str, engine: EngineSpec, planner: CopyPlanner, copies: list[ReplicaCopies]
+        self, service: str, engine: EngineSpec, planner: CopyPlanner, copies: list[ReplicaView]
     ) -> None:
         while True:
             # Yield to calls and peers: with 161 models on 59 replicas a plan takes tens of
@@ -178,7 +178,7 @@
                 self._overdue_loads.record_start(move.replica_id, move.model)
             for replica in copies:
                 if replica.replica_id == move.replica_id:
-                    replica.begin_move(move.model, move.evicted, move.load_s)
+                    replica.apply_move(move.model, move.evicted, move.load_s)
 
     def want(self, key: ModelKey) -> None:
         """Load *key*, which a call waits for: an adapter at once, a model with the next plan.
--- a/limeshelf/placement/starvation.py
+++ b/limeshelf/placement/starvation.py
@@ -13,7 +13,7 @@
 
 if TYPE_CHECKING:
     from limeshelf.demand.model_demand import ModelDemand
-    from limeshelf.placement.survey import ReplicaCopies
+    from limeshelf.placement.survey import ReplicaView
 
 
 class StarvationTracker:
@@ -23,7 +23,7 @@
         self._last_placed_s: dict[tuple[str, str], float] = {}
 
     def track(
-        self, service: str, demands: dict[str, ModelDemand], replicas: list[ReplicaCopies]
+        self, service: str, demands: dict[str, ModelDemand], replicas: list[ReplicaView]
     ) -> dict[str, float]:
         """Return the seconds for which each starved model of a service has had no copy.
 
--- a/limeshelf/placement/survey.py
+++ b/limeshelf/placement/survey.py
@@ -33,7 +33,7 @@
 
 
 @attrs.define
-class ReplicaCopies:
+class ReplicaView:
     """The planner's view of a replica.
 
     :ivar ready: models that it holds and that are not about to be unloaded.
@@ -81,7 +81,7 @@
             case WeightsTier.STORE:
                 return spec.load_s
 
-    def begin_move(self, model: str, evicted: tuple[str, ...], load_s: float = 0.0) -> None:
+    def apply_move(self, model: str, evicted: tuple[str, ...], load_s: float = 0.0) -> None:
         """Apply a move that was ordered on this replica.
 
         :param load_s: estimated duration of its load, in seconds.
@@ -126,8 +126,8 @@
 
     engine: EngineSpec
     demands: dict[str, ModelDemand]
-    replicas: list[ReplicaCopies]
-    idle: list[ReplicaCopies]
+    replicas: list[ReplicaView]
+    idle: list[ReplicaView]
     loading: int
     adapters_mb: float
     _copies: dict[str, ModelCopies]
@@ -139,7 +139,7 @@
         cls,
         engine: EngineSpec,
         demands: dict[str, ModelDemand],
-        replicas: list[ReplicaCopies],
+        replicas: list[ReplicaView],
     ) -> PlacementSnapshot:
         """Count the copies on *replicas*.
 
@@ -195,7 +195,7 @@
         """Return the share of a replica that each copy of a model keeps busy."""
         return self.demand(model).busy_replicas / max(1, self.copies(model).total)
 
-    def capacity_share(self, model: str, replica: ReplicaCopies) -> float:
+    def capacity_share(self, model: str, replica: ReplicaView) -> float:
         """Return the share of a replica that its other copies leave to a model."""
         busy_share = self._busy_share[replica.replica_id]
         if replica.has_copy(model):
@@ -215,7 +215,7 @@
         spec = self.engine.models.get(model)
         return spec.size_mb if spec else 0.0
 
-    def free_mb(self, replica: ReplicaCopies) -> float:
+    def free_mb(self, replica: ReplicaView) -> float:
         """Return the memory free for weights on a replica; negative if it holds too much."""
         known_mb = self._free_mb.get(replica.replica_id)
         if known_mb is None:
--- a/tests/placement/builders.py
+++ b/tests/placement/builders.py
@@ -4,7 +4,7 @@
 
 from limeshelf.calls.routes import EngineSpec, ModelSpec
 from limeshelf.demand.model_demand import ModelDemand
-from limeshelf.placement.survey import ReplicaCopies
+from limeshelf.placement.survey import ReplicaView
 
 SIZES = {'big': 70.0, 'hot': 70.0, 'small': 40.0, 'rare': 40.0, 'other': 60.0}
 CAPACITY_MB = 160.0
@@ -17,10 +17,8 @@
     return EngineSpec(8, 10000, CAPACITY_MB, 4, 2.0, models)
 
 
-def replica(
-    name: str, *models: str, is_idle: bool = True, data_centre: str = 'c1'
-) -> ReplicaCopies:
-    return ReplicaCopies(name, set(models), set(), is_idle, data_centre)
+def replica(name: str, *models: str, is_idle: bool = True, data_centre: str = 'c1') -> ReplicaView:
+    return ReplicaView(name, set(models), set(), is_idle, data_centre)
 
 
 def busy(calls_per_s: float, replicas: float = 0.0) -> ModelDemand:
--- a/tests/placement/fleet_simulation.py
+++ b/tests/placement/fleet_simulation.py
@@ -27,7 +27,7 @@
 from limeshelf.placement.service import ROUND_INTERVAL_S
 from limeshelf.placement.starvation import StarvationTracker
 from limeshelf.placement.store_load_limiter import StoreLoadLimiter
-from limeshelf.placement.survey import ReplicaCopies
+from limeshelf.placement.survey import ReplicaView
 from limeshelf.platform.replicas import read_record
 from limeshelf.replicas.directory import ReplicaDirectory
 from limeshelf.replicas.record import Holding, ReplicaRecord, ReplicaReport
@@ -372,7 +372,7 @@
 class ModelReplica:
     """A replica with a few places for models that executes one order at a time."""
 
-    copies: ReplicaCopies
+    copies: ReplicaView
     running: int = 0
     is_cut_off: bool = False
     #: Models that serve calls, including those that the leader does not know of yet.
@@ -408,7 +408,7 @@
         simulation = cls(EventQueue(clock), engine=engine)
         for number in range(replicas):
             held = {models[(number * places + n) % len(models)] for n in range(places)}
-            copies = ReplicaCopies(f'r{number}', held, set(), True, f'c{number % 3}')
+            copies = ReplicaView(f'r{number}', held, set(), True, f'c{number % 3}')
             simulation.replicas.append(ModelReplica(copies, serving=set(held)))
         return simulation
 
@@ -456,7 +456,7 @@
         replica = next(one for one in self.replicas if one.copies.replica_id == move.replica_id)
         is_busy = bool(move.evicted) and replica.running > 0
         unload_s = MODEL_UNLOAD_S if is_busy else IDLE_UNLOAD_S * bool(move.evicted)
-        replica.copies.begin_move(move.model, move.evicted)
+        replica.copies.apply_move(move.model, move.evicted)
         replica.serving -= set(move.evicted)
         for name in self.unused.intersection(move.evicted):
             self._check_unused_eviction(name, move.model)
--- a/tests/placement/test_copy_values.py
+++ b/tests/placement/test_copy_values.py
@@ -8,13 +8,13 @@
 from limeshelf.demand.model_demand import ModelDemand
 from limeshelf.placement.copy_values import CopyValues
 from limeshelf.placement.model_values import EXPECTED_LIMIT_PER_S
-from limeshelf.placement.survey import PlacementSnapshot, ReplicaCopies
+from limeshelf.placement.survey import PlacementSnapshot, ReplicaView
 from tests.placement.builders import busy, engine, rare_calls, replica
 
 
 def values_of(
     demands: dict[str, ModelDemand],
-    replicas: list[ReplicaCopies],
+    replicas: list[ReplicaView],
     initial_copies: dict[str, int] | None = None,
     starved_s: dict[str, float] | None = None,
 ) -> CopyValues:
@@ -112,7 +112,7 @@
     assert values_of({'hot': demand}, replicas).gain('hot', replicas[1]) == pytest.approx(12.0)
     assert values_of({'hot': demand}, replicas).loss('hot', replicas[0]) > 12.0
     # A copy that is being loaded will serve them.
-    replicas.append(ReplicaCopies('r3', set(), {'hot'}, False))
+    replicas.append(ReplicaView('r3', set(), {'hot'}, False))
     assert values_of({'hot': demand}, replicas).gain('hot', replicas[1]) < 2.0
 
 
--- a/tests/placement/test_demand_shift.py
+++ b/tests/placement/test_demand_shift.py
@@ -13,7 +13,7 @@
 from limeshelf.demand.model_demand import ModelDemand
 from limeshelf.placement import load_limits
 from limeshelf.placement.planner import CopyMove, CopyPlanner
-from limeshelf.placement.survey import ReplicaCopies
+from limeshelf.placement.survey import ReplicaView
 
 STEP_S = 0.2
 LIMIT_S = 20.0
@@ -48,7 +48,7 @@
     """
 
     now_s: float = 0.0
-    replicas: list[ReplicaCopies] = attrs.field(factory=list)
+    replicas: list[ReplicaView] = attrs.field(factory=list)
     moves: dict[str, tuple[float, CopyMove]] = attrs.field(factory=dict)
 
     @classmethod
@@ -56,7 +56,7 @@
         replicas = []
         for number, models in enumerate(held):
             name = f'r{number}'
-            one = ReplicaCopies(name, set(models), set(), True, f'c{number % 3}')
+            one = ReplicaView(name, set(models), set(), True, f'c{number % 3}')
             one.on_disk = frozenset((*models, *disks.get(name, ())))
             replicas.append(one)
         return cls(replicas=replicas)
@@ -76,7 +76,7 @@
             target = next(one for one in self.replicas if one.replica_id == move.replica_id)
             runs = any(demands[name].running for name in move.evicted if name in demands)
             self.moves[target.replica_id] = (self.now_s + move.load_s + 2.0 * runs, move)
-            target.begin_move(move.model, move.evicted, move.load_s + 2.0 * runs)
+            target.apply_move(move.model, move.evicted, move.load_s + 2.0 * runs)
         self.now_s += STEP_S
 
     def seconds_until_copies(
--- a/tests/placement/test_eviction.py
+++ b/tests/placement/test_eviction.py
@@ -5,13 +5,13 @@
 from limeshelf.demand.model_demand import ModelDemand
 from limeshelf.placement.copy_values import CopyValues
 from limeshelf.placement.eviction import Eviction, choose_eviction
-from limeshelf.placement.survey import PlacementSnapshot, ReplicaCopies
+from limeshelf.placement.survey import PlacementSnapshot, ReplicaView
 from tests.placement.builders import busy, engine, rare_calls, replica
 
 # A replica has 156 MB for models beside 4 MB for adapters (tests/placement/builders.py).
 
 
-def evicted(model: str, here: ReplicaCopies, **demands: ModelDemand) -> Eviction | None:
+def evicted(model: str, here: ReplicaView, **demands: ModelDemand) -> Eviction | None:
     demands.setdefault('hot', busy(20))
     snapshot = PlacementSnapshot.capture(engine(), demands, [here, replica('r9', 'hot')])
     return choose_eviction(model, here, snapshot, CopyValues(snapshot, {}, {}))
@@ -44,5 +44,5 @@
 
 
 def test_running_load_leaves_no_room() -> None:
-    here = ReplicaCopies('r1', {'small'}, {'big', 'other'}, True)
+    here = ReplicaView('r1', {'small'}, {'big', 'other'}, True)
     assert evicted('hot', here) is None
--- a/tests/placement/test_gain_check.py
+++ b/tests/placement/test_gain_check.py
@@ -12,7 +12,7 @@
 from limeshelf.demand.model_demand import ModelDemand
 from limeshelf.placement import planner
 from limeshelf.placement.planner import CopyMove, CopyPlanner
-from limeshelf.placement.survey import ReplicaCopies
+from limeshelf.placement.survey import ReplicaView
 from tests.placement import builders
 
 MODELS = [f'm{number}' for number in range(16)]
@@ -48,9 +48,9 @@
     )
 
 
-def fleet(rng: random.Random) -> list[ReplicaCopies]:
+def fleet(rng: random.Random) -> list[ReplicaView]:
     return [
-        ReplicaCopies(
+        ReplicaView(
             f'r{number}',
             set(rng.sample(MODELS, rng.randint(2, 3))),
             set(),
@@ -72,7 +72,7 @@
     while (move := copy_planner.next_move(replicas)) is not None:
         planned.append(move)
         here = next(one for one in replicas if one.replica_id == move.replica_id)
-        here.begin_move(move.model, move.evicted)
+        here.apply_move(move.model, move.evicted)
     return planned
 
 
--- a/tests/placement/test_load_options.py
+++ b/tests/placement/test_load_options.py
@@ -13,12 +13,12 @@
     local_ready_in_s,
     predicted_ready_in_s,
 )
-from limeshelf.placement.survey import PlacementSnapshot, ReplicaCopies
+from limeshelf.placement.survey import PlacementSnapshot, ReplicaView
 from tests.placement.builders import busy, engine, replica
 
 
 def options(
-    replicas: list[ReplicaCopies], store_allowed: bool = True, **demands: ModelDemand
+    replicas: list[ReplicaView], store_allowed: bool = True, **demands: ModelDemand
 ) -> dict[str, LoadOption]:
     snapshot = PlacementSnapshot.capture(engine(), demands, replicas)
     found = load_options('rare', snapshot, CopyValues(snapshot, {}, {}), store_allowed)
@@ -52,7 +52,7 @@
     assert options([replica('store')], store_allowed=False) == {}
 
 
-def occupied(name: str, free_in_s: float, *on_disk: str) -> ReplicaCopies:
+def occupied(name: str, free_in_s: float, *on_disk: str) -> ReplicaView:
     """Return a replica that is loading a model for that much longer, with weights on its disk."""
     one = replica(name, 'hot', is_idle=False)
     one.loading = {'big'}
@@ -61,7 +61,7 @@
     return one
 
 
-def survey_of(*replicas: ReplicaCopies) -> PlacementSnapshot:
+def survey_of(*replicas: ReplicaView) -> PlacementSnapshot:
     return PlacementSnapshot.capture(engine(), {}, list(replicas))
 
 
--- a/tests/placement/test_overdue.py
+++ b/tests/placement/test_overdue.py
@@ -13,7 +13,7 @@
     overdue_models,
 )
 from limeshelf.placement.planner import MIN_GAIN_LOSS_RATIO, CopyMove, CopyPlanner
-from limeshelf.placement.survey import PlacementSnapshot, ReplicaCopies
+from limeshelf.placement.survey import PlacementSnapshot, ReplicaView
 from tests.placement.builders import busy, engine, rare_calls, replica
 
 
@@ -21,19 +21,19 @@
     return attrs.evolve(rare_calls(0.1), unserved_s=unserved_s, is_awaited=is_awaited)
 
 
-def overdue(replicas: list[ReplicaCopies], **demands: ModelDemand) -> list[str]:
+def overdue(replicas: list[ReplicaView], **demands: ModelDemand) -> list[str]:
     return overdue_models(PlacementSnapshot.capture(engine(), demands, replicas), ())
 
 
 def overdue_with(
-    overdue_loads: OverdueLoads, replicas: list[ReplicaCopies], **demands: ModelDemand
+    overdue_loads: OverdueLoads, replicas: list[ReplicaView], **demands: ModelDemand
 ) -> list[str]:
     return overdue_models(
         PlacementSnapshot.capture(engine(), demands, replicas), (), overdue_loads
     )
 
 
-def plan_move(replicas: list[ReplicaCopies], **demands: ModelDemand) -> CopyMove | None:
+def plan_move(replicas: list[ReplicaView], **demands: ModelDemand) -> CopyMove | None:
     return CopyPlanner(engine(), demands, {}).next_move(replicas)
 
 
--- a/tests/placement/test_planner.py
+++ b/tests/placement/test_planner.py
@@ -9,7 +9,7 @@
 
 from limeshelf.demand.model_demand import ModelDemand
 from limeshelf.placement.planner import CopyMove, CopyPlanner, MoveReason
-from limeshelf.placement.survey import ReplicaCopies
+from limeshelf.placement.survey import ReplicaView
 from tests.placement.builders import CAPACITY_MB, SIZES, busy, engine, rare_calls, replica
 
 
@@ -126,7 +126,7 @@
 
 def test_last_ready_copy_stays() -> None:
     """A copy that is still loading serves no calls, so it does not replace a ready one."""
-    loading = ReplicaCopies('r2', {'small'}, {'hot'}, False)
+    loading = ReplicaView('r2', {'small'}, {'hot'}, False)
     move = planner(hot=busy(20), other=rare_calls()).next_move(
         [replica('r1', 'hot', 'big'), loading]
     )
@@ -235,7 +235,7 @@
     assert (move.model, set(move.evicted)) == ('hot', {'small', 'rare'})
 
 
-def with_disk(name: str, *models: str, disk: tuple[str, ...] = ()) -> ReplicaCopies:
+def with_disk(name: str, *models: str, disk: tuple[str, ...] = ()) -> ReplicaView:
     """Return a replica with weights on the disk of its machine."""
     held = replica(name, *models)
     held.on_disk = frozenset(disk)
@@ -291,7 +291,7 @@
     assert (move.replica_id, move.from_store) == ('r0', False)
 
 
-def occupied(name: str, free_in_s: float, loading: str, *on_disk: str) -> ReplicaCopies:
+def occupied(name: str, free_in_s: float, loading: str, *on_disk: str) -> ReplicaView:
     """Return a replica that is loading a model for that much longer, with weights on its disk."""
     one = replica(name, 'hot', 'big', is_idle=False)
     one.loading = {loading}
@@ -372,5 +372,5 @@
     move = planner(**demands).next_move(replicas)
     assert move is not None
     target = next(one for one in replicas if one.replica_id == move.replica_id)
-    target.begin_move('hot', move.evicted, move.load_s)
+    target.apply_move('hot', move.evicted, move.load_s)
     assert planner(**demands).next_move(replicas) is None
--- a/tests/placement/test_prefetch.py
+++ b/tests/placement/test_prefetch.py
@@ -3,13 +3,13 @@
 from __future__ import annotations
 
 from limeshelf.placement.planner import CopyPlanner, MoveReason
-from limeshelf.placement.survey import ReplicaCopies
+from limeshelf.placement.survey import ReplicaView
 from tests.placement.builders import busy, engine, replica
 
 INITIAL_COPIES = {'hot': 2, 'big': 2, 'small': 1, 'other': 1}
 
 
-def full_replicas() -> list[ReplicaCopies]:
+def full_replicas() -> list[ReplicaView]:
     """Return replicas without free room, none of which has the weights of ``rare``."""
     replicas = [
         replica('r1', 'hot', 'big'),
@@ -22,7 +22,7 @@
     return replicas
 
 
-def prefetch_target(replicas: list[ReplicaCopies], *, may_spread: bool = True) -> str | None:
+def prefetch_target(replicas: list[ReplicaView], *, may_spread: bool = True) -> str | None:
     """Return the replica of the first move if that move is a prefetch."""
     move = CopyPlanner(engine(), {}, INITIAL_COPIES).next_move(replicas, may_prefetch=may_spread)
     return move.replica_id if move and move.reason is MoveReason.PREFETCH else None
--- a/tests/placement/test_starvation.py
+++ b/tests/placement/test_starvation.py
@@ -5,7 +5,7 @@
 import attrs
 
 from limeshelf.placement.starvation import StarvationTracker
-from limeshelf.placement.survey import ReplicaCopies
+from limeshelf.placement.survey import ReplicaView
 from limeshelf.util.clock import virtual_clock
 from tests.placement.builders import rare_calls, replica
 
@@ -18,7 +18,7 @@
         clock.advance(5.0)
         waiting['rare'] = attrs.evolve(rare_calls(), unserved_s=7.0)
         assert starvation.track('lm', waiting, [replica('r1', 'hot')]) == {'rare': 7.0}
-        assert starvation.track('lm', waiting, [ReplicaCopies('r1', set(), {'rare'}, False)]) == {}
+        assert starvation.track('lm', waiting, [ReplicaView('r1', set(), {'rare'}, False)]) == {}
         clock.advance(1.5)
         waiting['rare'] = attrs.evolve(rare_calls(), unserved_s=8.5)
         assert starvation.track('lm', waiting, [replica('r1', 'hot')]) == {'rare': 1.5}
--- a/tests/placement/tier_simulation.py
+++ b/tests/placement/tier_simulation.py
@@ -183,7 +183,7 @@
         replica = next(one for one in self.replicas if one.copies.replica_id == move.replica_id)
         is_busy = bool(move.evicted) and replica.running > 0
         unload_s = fleet.MODEL_UNLOAD_S if is_busy else fleet.IDLE_UNLOAD_S * bool(move.evicted)
-        replica.copies.begin_move(move.model, move.evicted)
+        replica.copies.apply_move(move.model, move.evicted)
         replica.serving -= set(move.evicted)
         if move.model.startswith('patient'):
             self.loads['store' if move.from_store else 'near'] += 1
