--- a/benchmarks/placement_round.py
+++ b/benchmarks/placement_round.py
@@ -34,7 +34,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from limeshelf.placement.survey import ReplicaView
+    from limeshelf.placement.snapshot import ReplicaView
 
 REPLICAS = 45
 MODELS = 196
--- a/limeshelf/placement/copy_values.py
+++ b/limeshelf/placement/copy_values.py
@@ -12,7 +12,7 @@
 from limeshelf.placement.model_values import ModelValues
 
 if TYPE_CHECKING:
-    from limeshelf.placement.survey import PlacementSnapshot, ReplicaView
+    from limeshelf.placement.snapshot import PlacementSnapshot, ReplicaView
 
 #: Loss factor of a model's only copy if its calls cannot wait for a load.
 LATENCY_CRITICAL_FACTOR = 2.0
--- a/limeshelf/placement/eviction.py
+++ b/limeshelf/placement/eviction.py
@@ -11,7 +11,7 @@
 
 if TYPE_CHECKING:
     from limeshelf.placement.copy_values import CopyValues
-    from limeshelf.placement.survey import PlacementSnapshot, ReplicaView
+    from limeshelf.placement.snapshot import PlacementSnapshot, ReplicaView
 
 
 @attrs.frozen
--- a/limeshelf/placement/load_limits.py
+++ b/limeshelf/placement/load_limits.py
@@ -9,7 +9,7 @@
 
 if TYPE_CHECKING:
     from limeshelf.placement.copy_values import CopyValues
-    from limeshelf.placement.survey import PlacementSnapshot
+    from limeshelf.placement.snapshot import PlacementSnapshot
 
 #: Moves with a lower gain leave RESERVED_SHARE of the replicas idle for urgent ones.
 URGENT_GAIN_PER_S = 2.0
--- a/limeshelf/placement/load_options.py
+++ b/limeshelf/placement/load_options.py
@@ -14,7 +14,7 @@
 
 if TYPE_CHECKING:
     from limeshelf.placement.copy_values import CopyValues
-    from limeshelf.placement.survey import PlacementSnapshot, ReplicaView
+    from limeshelf.placement.snapshot import PlacementSnapshot, ReplicaView
 
 #: Estimated time for which an unload waits for the running calls of its model: a load of a busy
 #: model from disk started 3 s after it was planned, since the evicted copy was answering one call.
--- a/limeshelf/placement/overdue.py
+++ b/limeshelf/placement/overdue.py
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from collections.abc import Collection
 
-    from limeshelf.placement.survey import PlacementSnapshot, ReplicaView
+    from limeshelf.placement.snapshot import PlacementSnapshot, ReplicaView
 
 #: A model is overdue once it has been requested for this long without any call being served.
 OVERDUE_AFTER_S = 12.0
--- a/limeshelf/placement/placement_log.py
+++ b/limeshelf/placement/placement_log.py
@@ -12,7 +12,7 @@
 
 if TYPE_CHECKING:
     from limeshelf.placement.planner import NotLoadedReason
-    from limeshelf.placement.survey import ReplicaView
+    from limeshelf.placement.snapshot import ReplicaView
 
 #: Minimum time between two lines for the same replica or model.
 MIN_LOG_INTERVAL_S = 1.0
--- a/limeshelf/placement/planner.py
+++ b/limeshelf/placement/planner.py
@@ -28,7 +28,7 @@
 from limeshelf.placement.model_values import ModelValues
 from limeshelf.placement.overdue import allowed_loss_per_s, overdue_models
 from limeshelf.placement.prefetch import choose_prefetch
-from limeshelf.placement.survey import PlacementSnapshot, WeightsTier
+from limeshelf.placement.snapshot import PlacementSnapshot, WeightsTier
 
 if TYPE_CHECKING:
     from collections.abc import Collection
@@ -36,7 +36,7 @@
     from limeshelf.calls.routes import EngineSpec
     from limeshelf.demand.model_demand import ModelDemand
     from limeshelf.placement.overdue import OverdueLoads
-    from limeshelf.placement.survey import ReplicaView
+    from limeshelf.placement.snapshot import ReplicaView
 
 # Gains, losses and costs are in calls per second.
 
--- a/limeshelf/placement/prefetch.py
+++ b/limeshelf/placement/prefetch.py
@@ -15,7 +15,7 @@
     from collections.abc import Collection
 
     from limeshelf.placement.copy_values import CopyValues
-    from limeshelf.placement.survey import PlacementSnapshot, ReplicaView
+    from limeshelf.placement.snapshot import PlacementSnapshot, ReplicaView
 
 #: Maximum share of the replicas that may be loading while weights are prefetched.
 MAX_LOADING_SHARE = 0.7
--- a/limeshelf/placement/replica_watch.py
+++ b/limeshelf/placement/replica_watch.py
@@ -11,7 +11,7 @@
 
 from limeshelf.demand.keys import ModelKey
 from limeshelf.orders.task import Loadable
-from limeshelf.placement.survey import ReplicaView
+from limeshelf.placement.snapshot import ReplicaView
 from limeshelf.util.clock import boottime_s
 
 if TYPE_CHECKING:
--- a/limeshelf/placement/service.py
+++ b/limeshelf/placement/service.py
@@ -33,7 +33,7 @@
     from limeshelf.demand.unserved import UnservedKind
     from limeshelf.lease.leadership import Leadership
     from limeshelf.orders.sender import OrderSender
-    from limeshelf.placement.survey import ReplicaView
+    from limeshelf.placement.snapshot import ReplicaView
     from limeshelf.replicas.directory import ReplicaDirectory
     from limeshelf.util.tasks import TaskSet
 
--- a/limeshelf/placement/starvation.py
+++ b/limeshelf/placement/starvation.py
@@ -13,7 +13,7 @@
 
 if TYPE_CHECKING:
     from limeshelf.demand.model_demand import ModelDemand
-    from limeshelf.placement.survey import ReplicaView
+    from limeshelf.placement.snapshot import ReplicaView
 
 
 class StarvationTracker:
--- a/tests/placement/builders.py
+++ b/tests/placement/builders.py
@@ -4,7 +4,7 @@
 
 from limeshelf.calls.routes import EngineSpec, ModelSpec
 from limeshelf.demand.model_demand import ModelDemand
-from limeshelf.placement.survey import ReplicaView
+from limeshelf.placement.snapshot import ReplicaView
 
 SIZES = {'big': 70.0, 'hot': 70.0, 'small': 40.0, 'rare': 40.0, 'other': 60.0}
 CAPACITY_MB = 160.0
--- a/tests/placement/fleet_simulation.py
+++ b/tests/placement/fleet_simulation.py
@@ -25,9 +25,9 @@
 from limeshelf.placement.overdue import OverdueLoads
 from limeshelf.placement.planner import CopyMove, CopyPlanner, MoveReason
 from limeshelf.placement.service import ROUND_INTERVAL_S
+from limeshelf.placement.snapshot import ReplicaView
 from limeshelf.placement.starvation import StarvationTracker
 from limeshelf.placement.store_load_limiter import StoreLoadLimiter
-from limeshelf.placement.survey import ReplicaView
 from limeshelf.platform.replicas import read_record
 from limeshelf.replicas.directory import ReplicaDirectory
 from limeshelf.replicas.record import Holding, ReplicaRecord, ReplicaReport
--- a/tests/placement/test_copy_values.py
+++ b/tests/placement/test_copy_values.py
@@ -8,7 +8,7 @@
 from limeshelf.demand.model_demand import ModelDemand
 from limeshelf.placement.copy_values import CopyValues
 from limeshelf.placement.model_values import EXPECTED_LIMIT_PER_S
-from limeshelf.placement.survey import PlacementSnapshot, ReplicaView
+from limeshelf.placement.snapshot import PlacementSnapshot, ReplicaView
 from tests.placement.builders import busy, engine, rare_calls, replica
 
 
--- a/tests/placement/test_demand_shift.py
+++ b/tests/placement/test_demand_shift.py
@@ -13,7 +13,7 @@
 from limeshelf.demand.model_demand import ModelDemand
 from limeshelf.placement import load_limits
 from limeshelf.placement.planner import CopyMove, CopyPlanner
-from limeshelf.placement.survey import ReplicaView
+from limeshelf.placement.snapshot import ReplicaView
 
 STEP_S = 0.2
 LIMIT_S = 20.0
--- a/tests/placement/test_eviction.py
+++ b/tests/placement/test_eviction.py
@@ -5,7 +5,7 @@
 from limeshelf.demand.model_demand import ModelDemand
 from limeshelf.placement.copy_values import CopyValues
 from limeshelf.placement.eviction import Eviction, choose_eviction
-from limeshelf.placement.survey import PlacementSnapshot, ReplicaView
+from limeshelf.placement.snapshot import PlacementSnapshot, ReplicaView
 from tests.placement.builders import busy, engine, rare_calls, replica
 
 # A replica has 156 MB for models beside 4 MB for adapters (tests/placement/builders.py).
--- a/tests/placement/test_gain_check.py
+++ b/tests/placement/test_gain_check.py
@@ -12,7 +12,7 @@
 from limeshelf.demand.model_demand import ModelDemand
 from limeshelf.placement import planner
 from limeshelf.placement.planner import CopyMove, CopyPlanner
-from limeshelf.placement.survey import ReplicaView
+from limeshelf.placement.snapshot import ReplicaView
 from tests.placement import builders
 
 MODELS = [f'm{number}' for number in range(16)]
--- a/tests/placement/test_load_options.py
+++ b/tests/placement/test_load_options.py
@@ -13,7 +13,7 @@
     local_ready_in_s,
     predicted_ready_in_s,
 )
-from limeshelf.placement.survey import PlacementSnapshot, ReplicaView
+from limeshelf.placement.snapshot import PlacementSnapshot, ReplicaView
 from tests.placement.builders import busy, engine, replica
 
 
--- a/tests/placement/test_overdue.py
+++ b/tests/placement/test_overdue.py
@@ -13,7 +13,7 @@
     overdue_models,
 )
 from limeshelf.placement.planner import MIN_GAIN_LOSS_RATIO, CopyMove, CopyPlanner
-from limeshelf.placement.survey import PlacementSnapshot, ReplicaView
+from limeshelf.placement.snapshot import PlacementSnapshot, ReplicaView
 from tests.placement.builders import busy, engine, rare_calls, replica
 
 
--- a/tests/placement/test_planner.py
+++ b/tests/placement/test_planner.py
@@ -9,7 +9,7 @@
 
 from limeshelf.demand.model_demand import ModelDemand
 from limeshelf.placement.planner import CopyMove, CopyPlanner, MoveReason
-from limeshelf.placement.survey import ReplicaView
+from limeshelf.placement.snapshot import ReplicaView
 from tests.placement.builders import CAPACITY_MB, SIZES, busy, engine, rare_calls, replica
 
 
--- a/tests/placement/test_prefetch.py
+++ b/tests/placement/test_prefetch.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from limeshelf.placement.planner import CopyPlanner, MoveReason
-from limeshelf.placement.survey import ReplicaView
+from limeshelf.placement.snapshot import ReplicaView
 from tests.placement.builders import busy, engine, replica
 
 INITIAL_COPIES = {'hot': 2, 'big': 2, 'small': 1, 'other': 1}
--- a/tests/placement/test_starvation.py
+++ b/tests/placement/test_starvation.py
@@ -4,8 +4,8 @@
 
 import attrs
 
+from limeshelf.placement.snapshot import ReplicaView
 from limeshelf.placement.starvation import StarvationTracker
-from limeshelf.placement.survey import ReplicaView
 from limeshelf.util.clock import virtual_clock
 from tests.placement.builders import rare_calls, replica
 
