--- a/benchmarks/placement_round.py
+++ b/benchmarks/placement_round.py
@@ -24,7 +24,7 @@
 from limeshelf.orders.sender import OrderSender
 from limeshelf.placement.adapters import AdapterPlanner
 from limeshelf.placement.planner import CopyPlanner
-from limeshelf.placement.replica_watch import ReplicaWatch
+from limeshelf.placement.replica_monitor import ReplicaMonitor
 from limeshelf.platform.replicas import read_record
 from limeshelf.replicas.directory import ReplicaDirectory
 from limeshelf.replicas.record import Holding, ReplicaRecord, ReplicaReport
@@ -73,7 +73,7 @@
         self.sender = OrderSender(
             unused, self.directory, leadership, 'g-1', GatewayMetrics(), lambda: None
         )
-        self.watch = ReplicaWatch(self.directory, leadership, self.sender, TaskSet())
+        self.watch = ReplicaMonitor(self.directory, leadership, self.sender, TaskSet())
         for number in range(REPLICAS):
             self._add_replica(f'r{number}')
         self.demands = self._demands()
@@ -155,7 +155,7 @@
 
     def plan_moves(self, copies: list[ReplicaView]) -> int:
         """Plan all moves of a round; return how many there are."""
-        planner = CopyPlanner(self.engine, self.demand(), self.watch.first_copies(SERVICE))
+        planner = CopyPlanner(self.engine, self.demand(), self.watch.initial_copies(SERVICE))
         moves = 0
         while (move := planner.next_move(copies)) is not None:
             moves += 1
@@ -166,7 +166,7 @@
 
     def look_once_more(self, copies: list[ReplicaView]) -> None:
         """Plan again after all moves of a round; there is none."""
-        planner = CopyPlanner(self.engine, self.demand(), self.watch.first_copies(SERVICE))
+        planner = CopyPlanner(self.engine, self.demand(), self.watch.initial_copies(SERVICE))
         assert planner.next_move(copies) is None
         planner.outlook(copies)
 
@@ -198,12 +198,12 @@
     """Print the processor time of each part of a round, and whether it is within its aim."""
     with virtual_clock() as clock:
         world = World(clock)
-        moved = world.watch.copies(SERVICE)
+        moved = world.watch.replica_views(SERVICE)
         moves = world.plan_moves(moved)
         parts: dict[str, Callable[[], object]] = {
             'demand by model': world.demand,
-            'view of the replicas': functools.partial(world.watch.copies, SERVICE),
-            'all moves': lambda: world.plan_moves(world.watch.copies(SERVICE)),
+            'view of the replicas': functools.partial(world.watch.replica_views, SERVICE),
+            'all moves': lambda: world.plan_moves(world.watch.replica_views(SERVICE)),
             'demand and a look that finds no move': lambda: world.look_once_more(moved),
             'waiting adapters': world.plan_adapters,
             'sums of demand': world.totals.step,
--- a/limeshelf/placement/replica_watch.py
+++ b/limeshelf/placement/replica_monitor.py
@@ -30,7 +30,7 @@
 STABLE_AFTER_S = 2.0
 
 
-class ReplicaWatch:
+class ReplicaMonitor:
     """Polls the leader's replicas and describes them to the planner."""
 
     def __init__(
@@ -66,7 +66,7 @@
             for model in replica.holdings:
                 copies[model] = copies.get(model, 0) + 1
 
-    def first_copies(self, service: str) -> dict[str, int]:
+    def initial_copies(self, service: str) -> dict[str, int]:
         """Return the copies of each model that replicas held when they were first seen."""
         return self._initial_copies.get(service, {})
 
@@ -90,7 +90,7 @@
             # (tests/orders/test_sender.py::test_replica_back_in_reach).
             await self._sender.claim(replica, engine)
 
-    def copies(self, service: str) -> list[ReplicaView]:
+    def replica_views(self, service: str) -> list[ReplicaView]:
         """Return the replicas to plan for, without lost ones, whose models are then reloaded."""
         return [
             self._view_of(replica, pending)
--- a/limeshelf/placement/service.py
+++ b/limeshelf/placement/service.py
@@ -1,8 +1,8 @@
 """The leader's planning loop, which loads and unloads models and adapters.
 
 Owns the demand totals and the limiter for loads from the weight store.
-:mod:`limeshelf.placement.replica_watch` describes the replicas, the planners choose the moves, and
-:mod:`limeshelf.placement.move_runner` carries them out.
+:mod:`limeshelf.placement.replica_monitor` describes the replicas, the planners choose the moves,
+and :mod:`limeshelf.placement.move_runner` carries them out.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from limeshelf.placement.overdue import OverdueLoads
 from limeshelf.placement.placement_log import PlacementLog
 from limeshelf.placement.planner import CopyPlanner, MoveReason
-from limeshelf.placement.replica_watch import ReplicaWatch
+from limeshelf.placement.replica_monitor import ReplicaMonitor
 from limeshelf.placement.starvation import StarvationTracker
 from limeshelf.placement.store_load_limiter import StoreLoadLimiter
 from limeshelf.util.clock import boottime_s
@@ -80,7 +80,7 @@
         self._sender = sender
         self._config = config
         self._read_ms = read_ms
-        self._replica_monitor = ReplicaWatch(directory, leadership, sender, tasks)
+        self._replica_monitor = ReplicaMonitor(directory, leadership, sender, tasks)
         self._lost_loads = lost_loads
         self._on_load_start = on_load_start
         self._move_runner = MoveRunner(directory, sender, tasks, on_load_start, lost_loads)
@@ -144,18 +144,18 @@
             return
         demands = demand_by_model(service, engine, key_totals, self._read_ms)
         self._load_unserved_adapters(service, engine)
-        copies = self._replica_monitor.copies(service)
-        starved_s = self._starvation.track(service, demands, copies)
-        initial_copies = self._replica_monitor.first_copies(service)
+        views = self._replica_monitor.replica_views(service)
+        starved_s = self._starvation.track(service, demands, views)
+        initial_copies = self._replica_monitor.initial_copies(service)
         barred = {name for name in engine.models if self._lost_loads.is_barred(service, name)}
         planner = CopyPlanner(
             engine, demands, initial_copies, starved_s, barred, self._overdue_loads
         )
-        self._placement_log.log_replicas(service, copies)
-        await self._start_moves(service, engine, planner, copies)
+        self._placement_log.log_replicas(service, views)
+        await self._start_moves(service, engine, planner, views)
 
     async def _start_moves(
-        self, service: str, engine: EngineSpec, planner: CopyPlanner, copies: list[ReplicaView]
+        self, service: str, engine: EngineSpec, planner: CopyPlanner, views: list[ReplicaView]
     ) -> None:
         while True:
             # Yield to calls and peers: with 161 models on 59 replicas a plan takes tens of
@@ -165,9 +165,9 @@
                 return
             store_allowed = self._store_load_limiter.may_load(engine.loads_per_s)
             may_prefetch = self._replica_monitor.is_replica_set_stable(service)
-            move = planner.next_move(copies, store_allowed, may_prefetch=may_prefetch)
+            move = planner.next_move(views, store_allowed, may_prefetch=may_prefetch)
             if move is None:
-                waiting = planner.outlook(copies, store_allowed)
+                waiting = planner.outlook(views, store_allowed)
                 self._update_predicted_times(service, waiting.ready_in_s)
                 self._placement_log.log_not_loaded(service, waiting.not_loaded)
                 return
@@ -176,7 +176,7 @@
             self._move_runner.start(move)
             if move.reason is MoveReason.OVERDUE:
                 self._overdue_loads.record_start(move.replica_id, move.model)
-            for replica in copies:
+            for replica in views:
                 if replica.replica_id == move.replica_id:
                     replica.apply_move(move.model, move.evicted, move.load_s)
 
--- a/tests/placement/test_replica_watch.py
+++ b/tests/placement/test_replica_monitor.py
@@ -13,7 +13,7 @@
 from limeshelf.orders.pending import LOST_AFTER_POLLS, REPORT_SETTLE_S
 from limeshelf.orders.sender import OrderSender
 from limeshelf.orders.task import Loadable
-from limeshelf.placement.replica_watch import STABLE_AFTER_S, ReplicaWatch
+from limeshelf.placement.replica_monitor import STABLE_AFTER_S, ReplicaMonitor
 from limeshelf.platform.replicas import read_record
 from limeshelf.replicas.directory import ReplicaDirectory
 from limeshelf.replicas.health import Failure
@@ -41,7 +41,7 @@
         self.sender = OrderSender(
             unused, self.directory, leadership, 'g-1', GatewayMetrics(), lambda: None
         )
-        self.watch = ReplicaWatch(self.directory, leadership, self.sender, TaskSet())
+        self.monitor = ReplicaMonitor(self.directory, leadership, self.sender, TaskSet())
         self.add('r1', 'm1', 'm2')
         self.add('r2', 'm1')
 
@@ -58,7 +58,7 @@
         return self.sender.pending(replica)
 
     def idle(self) -> list[str]:
-        return [copies.replica_id for copies in self.watch.copies('lm') if copies.is_idle]
+        return [copies.replica_id for copies in self.monitor.replica_views('lm') if copies.is_idle]
 
 
 @pytest.fixture
@@ -98,46 +98,46 @@
     assert world.idle() == ['r1']
     world.pending('r1').expect(Loadable('m2'), 0.0)
     assert world.idle() == []
-    assert [copies.loading for copies in world.watch.copies('lm')] == [{'m2'}, set()]
+    assert [copies.loading for copies in world.monitor.replica_views('lm')] == [{'m2'}, set()]
 
 
 def test_replica_is_free_when_its_load_is_done(monkeypatch: pytest.MonkeyPatch) -> None:
     world = World()
-    monkeypatch.setattr('limeshelf.placement.replica_watch.boottime_s', lambda: 100.0)
+    monkeypatch.setattr('limeshelf.placement.replica_monitor.boottime_s', lambda: 100.0)
     world.pending('r1').expect(Loadable('m3'), 104.0)
     world.pending('r1').expect(Loadable('m1', 'a1'), 109.0)
     world.pending('r2').expect(Loadable('m3'), 99.0)
-    assert [copies.free_in_s for copies in world.watch.copies('lm')] == [4.0, 0.0]
+    assert [copies.free_in_s for copies in world.monitor.replica_views('lm')] == [4.0, 0.0]
 
 
 def test_replica_set_is_stable_once_no_other_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
     world = World()
     now_s = [100.0]
-    monkeypatch.setattr('limeshelf.placement.replica_watch.boottime_s', lambda: now_s[0])
-    world.watch.record_initial_copies('lm')
-    assert not world.watch.is_replica_set_stable('lm')
+    monkeypatch.setattr('limeshelf.placement.replica_monitor.boottime_s', lambda: now_s[0])
+    world.monitor.record_initial_copies('lm')
+    assert not world.monitor.is_replica_set_stable('lm')
     now_s[0] += STABLE_AFTER_S
-    assert world.watch.is_replica_set_stable('lm')
+    assert world.monitor.is_replica_set_stable('lm')
     world.add('r3', 'm1')
-    world.watch.record_initial_copies('lm')
-    assert not world.watch.is_replica_set_stable('lm')
+    world.monitor.record_initial_copies('lm')
+    assert not world.monitor.is_replica_set_stable('lm')
 
 
 def test_lost_replica_is_not_planned_for() -> None:
     world = World()
     for _ in range(LOST_AFTER_POLLS):
         world.pending('r1').note_missed_poll()
-    assert [copies.replica_id for copies in world.watch.copies('lm')] == ['r2']
+    assert [copies.replica_id for copies in world.monitor.replica_views('lm')] == ['r2']
 
 
 def test_replica_that_calls_cannot_reach_is_lost_with_the_first_missed_poll() -> None:
     world = World()
     world.pending('r1').note_missed_poll()
-    assert [copies.replica_id for copies in world.watch.copies('lm')] == ['r1', 'r2']
+    assert [copies.replica_id for copies in world.monitor.replica_views('lm')] == ['r1', 'r2']
     replica = world.directory.get('r1')
     assert replica is not None
     replica.health.failed(Failure.NO_CONNECTION)
-    assert [copies.replica_id for copies in world.watch.copies('lm')] == ['r2']
+    assert [copies.replica_id for copies in world.monitor.replica_views('lm')] == ['r2']
 
 
 def test_retiring_model_does_not_count_as_copy() -> None:
@@ -145,16 +145,16 @@
     replica = world.directory.get('r1')
     assert replica is not None
     replica.retiring.add('m2')
-    assert [copies.ready for copies in world.watch.copies('lm')] == [{'m1'}, {'m1'}]
+    assert [copies.ready for copies in world.monitor.replica_views('lm')] == [{'m1'}, {'m1'}]
 
 
 def test_initial_copies_count_each_replica_once() -> None:
     world = World()
-    world.watch.record_initial_copies('lm')
+    world.monitor.record_initial_copies('lm')
     world.add('r3', 'm1')
-    world.watch.record_initial_copies('lm')
-    assert world.watch.first_copies('lm') == {'m1': 3, 'm2': 1}
-    assert world.watch.first_copies('other') == {}
+    world.monitor.record_initial_copies('lm')
+    assert world.monitor.initial_copies('lm') == {'m1': 3, 'm2': 1}
+    assert world.monitor.initial_copies('other') == {}
 
 
 def test_loading_model_is_ready_with_its_earliest_load() -> None:
@@ -162,7 +162,7 @@
     world.pending('r1').expect(Loadable('m3'), 9.0)
     world.pending('r2').expect(Loadable('m3'), 7.0)
     world.pending('r2').expect(Loadable('m1', 'a1'), 1.0)
-    assert world.watch.loading_ready_times() == {ModelKey('lm', 'm3'): 7.0}
-    assert world.watch.is_held_or_loading(ModelKey('lm', 'm3'))
-    assert world.watch.is_held_or_loading(ModelKey('lm', 'm1', 'a9'))
-    assert not world.watch.is_held_or_loading(ModelKey('lm', 'm4'))
+    assert world.monitor.loading_ready_times() == {ModelKey('lm', 'm3'): 7.0}
+    assert world.monitor.is_held_or_loading(ModelKey('lm', 'm3'))
+    assert world.monitor.is_held_or_loading(ModelKey('lm', 'm1', 'a9'))
+    assert not world.monitor.is_held_or_loading(ModelKey('lm', 'm4'))
