--- a/benchmarks/placement_round.py
+++ b/benchmarks/placement_round.py
@@ -168,7 +168,7 @@
         """Plan again after all moves of a round; there is none."""
         planner = CopyPlanner(self.engine, self.demand(), self.watch.initial_copies(SERVICE))
         assert planner.next_move(copies) is None
-        planner.outlook(copies)
+        planner.waiting_models(copies)
 
     def plan_adapters(self) -> int:
         """Plan the adapters that wait; return how many can come."""
--- a/limeshelf/placement/planner.py
+++ b/limeshelf/placement/planner.py
@@ -212,7 +212,9 @@
         scored = _ScoredOption(option, copy_values.gain(model, option.replica), 0.0)
         return scored.as_move(model, MoveReason.PREFETCH, 0.0, ())
 
-    def outlook(self, replicas: list[ReplicaView], store_allowed: bool = True) -> WaitingModels:
+    def waiting_models(
+        self, replicas: list[ReplicaView], store_allowed: bool = True
+    ) -> WaitingModels:
         """Return what to expect for the models that calls wait for and that have no copy."""
         if not any(demand.is_waiting for demand in self._demands.values()):
             return WaitingModels()
--- a/limeshelf/placement/service.py
+++ b/limeshelf/placement/service.py
@@ -167,7 +167,7 @@
             may_prefetch = self._replica_monitor.is_replica_set_stable(service)
             move = planner.next_move(views, store_allowed, may_prefetch=may_prefetch)
             if move is None:
-                waiting = planner.outlook(views, store_allowed)
+                waiting = planner.waiting_models(views, store_allowed)
                 self._update_predicted_times(service, waiting.ready_in_s)
                 self._placement_log.log_not_loaded(service, waiting.not_loaded)
                 return
--- a/tests/placement/test_placement_log.py
+++ b/tests/placement/test_placement_log.py
@@ -75,6 +75,6 @@
     planner = CopyPlanner(
         engine(), {'hot': busy(50.0), 'rare': rare_calls(call_waits=True)}, {'hot': 1}
     )
-    assert planner.outlook([replica('r1', 'hot', is_idle=False)]).not_loaded == {
+    assert planner.waiting_models([replica('r1', 'hot', is_idle=False)]).not_loaded == {
         'rare': NotLoadedReason.NO_IDLE_REPLICA
     }
--- a/tests/placement/test_planner.py
+++ b/tests/placement/test_planner.py
@@ -307,7 +307,7 @@
     replicas += [replica(f'r{n}', 'hot', 'big') for n in range(4, 8)]
     soon, late = occupied('r3', 1.0, 'other', 'rare'), occupied('r3', 9.0, 'other', 'rare')
     assert planner(**demands).next_move([*replicas, soon]) is None
-    assert planner(**demands).outlook([*replicas, soon]).ready_in_s == {
+    assert planner(**demands).waiting_models([*replicas, soon]).ready_in_s == {
         'rare': 1.0 + engine().models['rare'].disk_load_s
     }
     move = planner(**demands).next_move([*replicas, late])
--- a/tests/placement/tier_simulation.py
+++ b/tests/placement/tier_simulation.py
@@ -176,7 +176,7 @@
             if move.reason is MoveReason.OVERDUE:
                 self.overdue_loads.record_start(move.replica_id, move.model)
         self.predicted_ready_s = {
-            name: now_s + in_s for name, in_s in planner.outlook(copies).ready_in_s.items()
+            name: now_s + in_s for name, in_s in planner.waiting_models(copies).ready_in_s.items()
         }
 
     def _start_move(self, move: CopyMove) -> None:
