--- a/benchmarks/placement_round.py
+++ b/benchmarks/placement_round.py
@@ -175,7 +175,9 @@
         planner = AdapterPlanner(SERVICE, self.engine, self.directory, self.totals.latest(), FENCE)
         replicas = self.directory.of_service(SERVICE)
         pending = {replica.replica_id: self.sender.pending(replica) for replica in replicas}
-        moves = [planner.plan(key, pending) for key in planner.due()[:WAITING_ADAPTERS]]
+        moves = [
+            planner.plan(key, pending) for key in planner.unserved_adapters()[:WAITING_ADAPTERS]
+        ]
         return sum(1 for move in moves if move is not None)
 
 
--- a/limeshelf/placement/adapters.py
+++ b/limeshelf/placement/adapters.py
@@ -100,13 +100,13 @@
     fence: int
     _holders_by_model: dict[str, list[Replica]] | None = None
 
-    def due(self) -> list[ModelKey]:
+    def unserved_adapters(self) -> list[ModelKey]:
         """Return the adapters that are requested but go unserved, longest waiting first.
 
         Some of them are already loaded and about to serve.
         """
         now_s = boottime_s()
-        due = [
+        unserved = [
             key
             for key, demand in self.totals.items()
             if key.service == self.service
@@ -114,7 +114,7 @@
             and demand.is_awaited(now_s)
             and self.engine.knows(key.model, key.adapter)
         ]
-        return sorted(due, key=lambda key: -self._demand(key).unserved_s(now_s))
+        return sorted(unserved, key=lambda key: -self._demand(key).unserved_s(now_s))
 
     def plan(self, key: ModelKey, pending_orders: dict[str, PendingOrders]) -> AdapterMove | None:
         """Return the move that loads an adapter on a replica that holds its model.
--- a/limeshelf/placement/service.py
+++ b/limeshelf/placement/service.py
@@ -198,7 +198,9 @@
         return service.engine if service else None
 
     def _load_unserved_adapters(self, service: str, engine: EngineSpec) -> None:
-        self._load_adapters(service, engine, self._adapter_planner(service, engine).due())
+        self._load_adapters(
+            service, engine, self._adapter_planner(service, engine).unserved_adapters()
+        )
 
     def _load_adapters(self, service: str, engine: EngineSpec, keys: list[ModelKey]) -> None:
         replicas = self._directory.of_service(service)
--- a/tests/placement/fleet_simulation.py
+++ b/tests/placement/fleet_simulation.py
@@ -308,7 +308,7 @@
         self.events.after(ADAPTER_CALL_S, end)
 
     def plan(self) -> None:
-        self._load(self._planner().due())
+        self._load(self._planner().unserved_adapters())
 
     def _planner(self) -> AdapterPlanner:
         totals = self.gateway.leader.latest()
--- a/tests/placement/test_adapters.py
+++ b/tests/placement/test_adapters.py
@@ -72,7 +72,7 @@
 
     def due(self) -> list[str]:
         planner = AdapterPlanner('lm', ENGINE, self.directory, self.totals, FENCE)
-        return [key.adapter for key in planner.due()]
+        return [key.adapter for key in planner.unserved_adapters()]
 
     def plan(self) -> tuple[str, str | None] | None:
         """Return the replica of the next move and the adapter that is evicted there."""
