--- a/limeshelf/membership/state_exchange.py
+++ b/limeshelf/membership/state_exchange.py
@@ -89,7 +89,7 @@
             for replica in self.directory.all()
             if replica.report is not None and (whole or replica.replica_id in changed)
         ]
-        self.meter.announced_s = self.placement.awaited()
+        self.meter.announced_s = self.placement.expected_ready_times()
         now_s = boottime_s()
         awaited = [
             AwaitedLoad(key, int((ready_s - now_s) * 1000))
--- a/limeshelf/membership/want_exchange.py
+++ b/limeshelf/membership/want_exchange.py
@@ -37,10 +37,10 @@
         """Report to the leader that a call waits for *key*; nothing if none is known."""
         leader = self.leader.current()
         if leader == LOCAL:
-            self.placement.want(key)
+            self.placement.request_load(key)
         elif leader is not None:
             self.node.send(leader, ModelWanted(key))
 
     def _take_wanted(self, envelope: Envelope) -> None:
         wanted: ModelWanted = envelope.message
-        self.placement.want(wanted.key)
+        self.placement.request_load(wanted.key)
--- a/limeshelf/placement/service.py
+++ b/limeshelf/placement/service.py
@@ -180,7 +180,7 @@
                 if replica.replica_id == move.replica_id:
                     replica.apply_move(move.model, move.evicted, move.load_s)
 
-    def want(self, key: ModelKey) -> None:
+    def request_load(self, key: ModelKey) -> None:
         """Load *key*, which a call waits for: an adapter at once, a model with the next plan.
 
         If it cannot be loaded now, or the request is lost, a later plan loads it.
@@ -224,7 +224,7 @@
             return Unserved()
         return unserved(kind, self.totals.latest(), boottime_s())
 
-    def awaited(self) -> dict[ModelKey, float]:
+    def expected_ready_times(self) -> dict[ModelKey, float]:
         """Return the models that are being loaded or will be ordered next.
 
         :returns: the time at which each should be ready, on the boot clock.
--- a/tests/membership/test_want_exchange.py
+++ b/tests/membership/test_want_exchange.py
@@ -33,7 +33,7 @@
     def send(self, address: str, message: Any) -> None:
         self.sent.append((address, message))
 
-    def want(self, key: ModelKey) -> None:
+    def request_load(self, key: ModelKey) -> None:
         self.wanted.append(key)
 
 
--- a/tests/placement/test_service.py
+++ b/tests/placement/test_service.py
@@ -108,9 +108,9 @@
         stand_in.orders.clear()
         await asyncio.sleep(REPORT_SETTLE_S + 0.05)
         await sender.poll(replica)
-        service.want(ModelKey('lm', 'm1', adapter))
+        service.request_load(ModelKey('lm', 'm1', adapter))
         # An adapter that is being loaded is not ordered again.
-        service.want(ModelKey('lm', 'm1', adapter))
+        service.request_load(ModelKey('lm', 'm1', adapter))
         if service.may_order() and adapter not in adapters:
             await wait_until(lambda: adapter in stand_in.models['m1'])
         await tasks.close()
@@ -163,7 +163,7 @@
         service.totals.step = counted  # type: ignore[method-assign]
         running = asyncio.create_task(service.run())
         for _ in range(int(seconds * calls_per_s)):
-            service.want(ModelKey('lm', 'm1'))
+            service.request_load(ModelKey('lm', 'm1'))
             await asyncio.sleep(1 / calls_per_s)
         running.cancel()
         await tasks.close()
@@ -216,7 +216,10 @@
             service.totals.take('g-2', demands)
             await asyncio.sleep(0.1)
         announced.update(
-            {key.model: at_s - boottime_s() for key, at_s in service.awaited().items()}
+            {
+                key.model: at_s - boottime_s()
+                for key, at_s in service.expected_ready_times().items()
+            }
         )
         running.cancel()
         await tasks.close()
