--- a/limeshelf/membership/model_request_exchange.py
+++ b/limeshelf/membership/model_request_exchange.py
@@ -33,10 +33,10 @@
         """Tell the leader that a call waits for *key*; do nothing if no leader is known."""
         leader = self.leader.current()
         if leader == LOCAL:
-            self.placement.want(key)
+            self.placement.request_load(key)
         elif leader is not None:
             self.node.send(leader, ModelWanted(key))
 
     def _handle_request(self, envelope: Envelope) -> None:
         request: ModelWanted = envelope.message
-        self.placement.want(request.key)
+        self.placement.request_load(request.key)
--- a/limeshelf/placement/adapter_retries.py
+++ b/limeshelf/placement/adapter_backoff.py
@@ -1,7 +1,7 @@
-"""When an adapter whose move failed is tried again.
+"""Exponential backoff for adapters whose moves fail.
 
-Owns the pause of each adapter that failed. Relies on the clock alone. Without a pause, an adapter
-that never comes would cost another one its place in every round.
+Without it, an adapter that can never be loaded would cause another one to be evicted in every
+round.
 """
 
 from __future__ import annotations
@@ -15,23 +15,26 @@
 if TYPE_CHECKING:
     from limeshelf.demand.keys import ModelKey
 
-#: Pause after the first failure; doubled with each further one.
-FIRST_PAUSE_S = 0.5
-LONGEST_PAUSE_S = 8.0
-#: An adapter that was not tried within this time is forgotten.
-FORGET_S = 60.0
+#: Backoff after the first failure; doubled with each further one.
+INITIAL_BACKOFF_S = 0.5
+MAX_BACKOFF_S = 8.0
+#: An adapter is forgotten when its last failure is this long ago.
+FORGET_AFTER_S = 60.0
 
 
 @attrs.define
 class _Failures:
-    """Failures in a row; the last one on the steady clock."""
+    """Consecutive failures of one adapter.
+
+    :ivar last_s: time of the last one, on the boot clock.
+    """
 
     last_s: float
-    pause_s: float = FIRST_PAUSE_S
+    backoff_s: float = INITIAL_BACKOFF_S
 
 
-class AdapterRetries:
-    """Says when each adapter may be tried again."""
+class AdapterBackoff:
+    """Decides when an adapter whose moves failed may be ordered again."""
 
     def __init__(self) -> None:
         self._failures: dict[ModelKey, _Failures] = {}
@@ -41,15 +44,15 @@
         failures = self._failures.get(key)
         if failures is None:
             return True
-        return boottime_s() - failures.last_s >= failures.pause_s
+        return boottime_s() - failures.last_s >= failures.backoff_s
 
-    def note_ended(self, key: ModelKey, came: bool) -> None:
-        """Note that a move of an adapter has ended.
+    def record_result(self, key: ModelKey, succeeded: bool) -> None:
+        """Record how a move of an adapter ended.
 
-        :param came: whether the adapter is there.
+        :param succeeded: whether the adapter was loaded.
         """
         now_s = boottime_s()
-        if came:
+        if succeeded:
             self._failures.pop(key, None)
             return
         failures = self._failures.get(key)
@@ -57,10 +60,10 @@
             self._failures[key] = _Failures(now_s)
         else:
             failures.last_s = now_s
-            failures.pause_s = min(LONGEST_PAUSE_S, 2 * failures.pause_s)
+            failures.backoff_s = min(MAX_BACKOFF_S, 2 * failures.backoff_s)
         self._forget_old(now_s)
 
     def _forget_old(self, now_s: float) -> None:
-        old = [key for key, one in self._failures.items() if now_s - one.last_s > FORGET_S]
+        old = [key for key, one in self._failures.items() if now_s - one.last_s > FORGET_AFTER_S]
         for key in old:
             del self._failures[key]
--- a/limeshelf/placement/eviction.py
+++ b/limeshelf/placement/eviction.py
@@ -1,7 +1,6 @@
-"""Which copies are evicted at a replica to make room for a model.
+"""Selects the copies that are evicted from a replica to make room for a model.
 
-Owns that choice alone. Relies on what each copy there is worth; who calls weighs the loss
-against the gain.
+The caller weighs the loss against the gain of the model.
 """
 
 from __future__ import annotations
@@ -11,50 +10,52 @@
 import attrs
 
 if TYPE_CHECKING:
-    from limeshelf.placement.survey import CopySurvey, ReplicaCopies
-    from limeshelf.placement.worth import CopyWorth
+    from limeshelf.placement.copy_values import CopyValues
+    from limeshelf.placement.snapshot import PlacementSnapshot, ReplicaView
 
 
 @attrs.frozen
 class Eviction:
-    """Copies that go; none where there is room already.
+    """Copies to evict; empty if there is enough room already.
 
-    :ivar loss: what they were worth together, in calls a second.
+    :ivar loss: their total value, in calls per second.
     """
 
     models: tuple[str, ...] = ()
     loss: float = 0.0
 
 
-def eviction_for(
-    model: str, replica: ReplicaCopies, survey: CopySurvey, worth: CopyWorth
+def choose_eviction(
+    model: str, replica: ReplicaView, snapshot: PlacementSnapshot, copy_values: CopyValues
 ) -> Eviction | None:
-    """Return what has to go before *model* fits, or ``None`` if it never does.
+    """Return what to evict so that *model* fits, or ``None`` if it cannot fit.
 
-    Copies of least worth go first; of equal worth, the first by name. One that somebody who was
-    refused may come back for stays.
+    The least valuable copies go first; copies of the same value are ordered by name. A copy that
+    refused callers are expected to retry for is kept.
     """
-    needed_mb = survey.size_mb(model) - survey.free_mb(replica)
+    needed_mb = snapshot.size_mb(model) - snapshot.free_mb(replica)
     if needed_mb <= 0:
         return Eviction()
-    losses = worth.losses(replica)
+    losses = copy_values.losses(replica)
     evicted: list[str] = []
     for name in losses:
-        if survey.demand(name).may_be_retried:
+        if snapshot.demand(name).may_be_retried:
             continue
         evicted.append(name)
-        needed_mb -= survey.size_mb(name)
+        needed_mb -= snapshot.size_mb(name)
         if needed_mb <= 0:
-            needed = _without_surplus(evicted, -needed_mb, survey)
+            needed = _without_unneeded(evicted, -needed_mb, snapshot)
             return Eviction(needed, sum(losses[name] for name in needed))
     return None
 
 
-def _without_surplus(evicted: list[str], spare_mb: float, survey: CopySurvey) -> tuple[str, ...]:
-    """Leave out copies that need not go after a larger one went, the dearest first."""
+def _without_unneeded(
+    evicted: list[str], spare_mb: float, snapshot: PlacementSnapshot
+) -> tuple[str, ...]:
+    """Leave out copies that a larger eviction made unnecessary, the most valuable first."""
     needed = list(evicted)
     for name in reversed(evicted[:-1]):
-        if survey.size_mb(name) <= spare_mb:
-            spare_mb -= survey.size_mb(name)
+        if snapshot.size_mb(name) <= spare_mb:
+            spare_mb -= snapshot.size_mb(name)
             needed.remove(name)
     return tuple(needed)
--- a/limeshelf/placement/move_runner.py
+++ b/limeshelf/placement/move_runner.py
@@ -1,8 +1,7 @@
-"""Turns the planner's moves into orders and sees them through.
+"""Carries out the planned moves as orders to replicas.
 
-Owns nothing; marks at once what a move brings and takes away, so that the next plan
-counts it.
-Relies on the task runner, whose order sender checks the room before each load.
+Marks what a move loads and unloads as pending right away, so that the next plan takes it into
+account. The order sender checks the free memory before each load.
 """
 
 from __future__ import annotations
@@ -13,7 +12,7 @@
 from limeshelf.orders.order import OrderKind
 from limeshelf.orders.task import Loadable, OrderTask
 from limeshelf.orders.task_runner import TaskRunner
-from limeshelf.placement.adapter_retries import AdapterRetries
+from limeshelf.placement.adapter_backoff import AdapterBackoff
 from limeshelf.util.clock import MS_PER_S, boottime_s
 
 if TYPE_CHECKING:
@@ -28,16 +27,16 @@
     from limeshelf.replicas.replica import Replica
     from limeshelf.util.tasks import TaskSet
 
-#: An unload before a load takes about this long; it moves only the time that is announced to
-#: waiting calls.
-UNLOAD_S = 0.6
+#: Estimated duration of the unload before a load; only affects the time announced to waiting
+#: calls.
+UNLOAD_ESTIMATE_S = 0.6
 
 
 class MoveRunner:
     """Carries out moves, each in a task of its own.
 
-    :param on_load: called when the load of a model begins, so that waiting calls
-        learn when it is likely there.
+    :param on_load_start: called when the load of a model starts, so that waiting calls are told
+        when it is expected to be ready.
     """
 
     def __init__(
@@ -45,19 +44,19 @@
         directory: ReplicaDirectory,
         sender: OrderSender,
         tasks: TaskSet,
-        on_load: Callable[[], None],
+        on_load_start: Callable[[], None],
         lost_loads: LostLoads,
     ) -> None:
-        self._adapter_retries = AdapterRetries()
+        self._adapter_backoff = AdapterBackoff()
         self._directory = directory
         self._sender = sender
         self._lost_loads = lost_loads
-        self._runner = TaskRunner(directory, sender, self._note_load_ended)
+        self._runner = TaskRunner(directory, sender, self._record_load_result)
         self._tasks = tasks
-        self._on_load = on_load
+        self._on_load_start = on_load_start
 
-    def begin(self, move: CopyMove) -> None:
-        """Load a model at a replica, after the evicted ones are unloaded there."""
+    def start(self, move: CopyMove) -> None:
+        """Load a model on a replica after unloading the evicted copies."""
         replica = self._directory.get(move.replica_id)
         assert replica is not None
         log_change(
@@ -68,25 +67,25 @@
             reason=move.reason,
             from_store=move.from_store,
             tier=move.tier,
-            nearer=move.nearer,
+            nearer=move.replicas_with_weights,
             load_s=move.load_s,
             gain=move.gain,
             loss=move.loss,
             unserved_ms=int(move.unserved_s * MS_PER_S),
         )
-        ready_s = boottime_s() + move.load_s + (UNLOAD_S if move.evicted else 0.0)
+        ready_s = boottime_s() + move.load_s + (UNLOAD_ESTIMATE_S if move.evicted else 0.0)
         tasks = [OrderTask(OrderKind.UNLOAD, name) for name in move.evicted]
         tasks.append(OrderTask(OrderKind.LOAD, move.model, '', move.load_s))
         self._sender.pending(replica).expect_load(Loadable(move.model), ready_s)
-        self._on_load()
+        self._on_load_start()
         self._tasks.spawn(self._run(replica, tasks), 'move')
 
-    def may_try(self, key: ModelKey) -> bool:
-        """Return whether an adapter may be ordered now, by how its last moves ended."""
-        return self._adapter_retries.may_try(key)
+    def may_try_adapter(self, key: ModelKey) -> bool:
+        """Return whether the backoff after failed moves allows ordering an adapter now."""
+        return self._adapter_backoff.may_try(key)
 
-    def begin_adapter(self, move: AdapterMove) -> None:
-        """Load an adapter at a replica, after the evicted one is unloaded there."""
+    def start_adapter(self, move: AdapterMove) -> None:
+        """Load an adapter on a replica after unloading the evicted one."""
         log_change(
             'adapter_move',
             replica=move.replica.replica_id,
@@ -106,13 +105,13 @@
         self._tasks.spawn(self._run_adapter(move, tasks), 'adapter')
 
     async def _run_adapter(self, move: AdapterMove, tasks: list[OrderTask]) -> None:
-        came = False
+        succeeded = False
         try:
-            came = await self._run(move.replica, tasks)
+            succeeded = await self._run(move.replica, tasks)
         finally:
-            self._adapter_retries.note_ended(move.key, came)
+            self._adapter_backoff.record_result(move.key, succeeded)
 
-    def _note_load_ended(self, replica: Replica, task: OrderTask) -> None:
+    def _record_load_result(self, replica: Replica, task: OrderTask) -> None:
         if task.is_done(replica):
             self._lost_loads.note_came(replica.record.service, task.model, task.adapter)
         else:
--- a/limeshelf/placement/planner.py
+++ b/limeshelf/placement/planner.py
@@ -1,9 +1,9 @@
-"""Decides which model is loaded next, and where; a plan, no orders.
+"""Chooses the next model copy to load and the replica to load it on.
 
-Owns the choice among moves, and what is told of models that wait for one. Relies on the worth
-of copies (``worth.py``), the choice of what is evicted (``eviction.py``), when a load does not
-begin (``restraint.py``) and one survey of what stands where. Who calls orders the move and logs
-it (event ``move``).
+Only plans: the caller sends the orders and logs each move (event ``move``). Copies are compared
+by their value (``copy_values.py``); ``eviction.py`` selects what is unloaded, ``load_limits.py``
+says when a load must not start, and ``overdue.py`` which models go first because they have waited
+longest.
 """
 
 from __future__ import annotations
@@ -13,85 +13,93 @@
 
 import attrs
 
-from limeshelf.placement.model_worth import ModelWorth
-from limeshelf.placement.options import LoadOption, load_options, near_in_s, upcoming_loads_s
-from limeshelf.placement.restraint import (
-    has_enough_coming,
-    is_withheld,
-    may_occupy_for_long,
+from limeshelf.placement.copy_values import ONLY_IN_DATA_CENTRE_FACTOR, CopyValues
+from limeshelf.placement.load_limits import (
+    has_enough_loading,
+    may_load_from_store,
+    must_keep_idle_reserve,
 )
-from limeshelf.placement.spread import spread_option
-from limeshelf.placement.survey import CopySurvey, WeightsTier
-from limeshelf.placement.turns import bearable_loss_per_s, due_models
-from limeshelf.placement.worth import NEW_CENTRE_FACTOR, CopyWorth
+from limeshelf.placement.load_options import (
+    LoadOption,
+    load_options,
+    local_ready_in_s,
+    predicted_ready_in_s,
+)
+from limeshelf.placement.model_values import ModelValues
+from limeshelf.placement.overdue import allowed_loss_per_s, overdue_models
+from limeshelf.placement.prefetch import choose_prefetch
+from limeshelf.placement.snapshot import PlacementSnapshot, WeightsTier
 
 if TYPE_CHECKING:
     from collections.abc import Collection
 
     from limeshelf.calls.routes import EngineSpec
     from limeshelf.demand.model_demand import ModelDemand
-    from limeshelf.placement.survey import ReplicaCopies
-    from limeshelf.placement.turns import TurnBook
+    from limeshelf.placement.overdue import OverdueLoads
+    from limeshelf.placement.snapshot import ReplicaView
 
-# Gains, losses and costs are in calls a second.
+# Gains, losses and costs are in calls per second.
 
-#: A move must gain this many times what it loses.
-GAIN_PER_LOSS = 1.3
-#: Least gain of a further copy.
-LEAST_GAIN_PER_S = 0.4
-#: Cost of a load from the weight store, whose rate is limited.
+#: Minimum ratio of a move's gain to the value of the copies that it evicts.
+MIN_GAIN_LOSS_RATIO = 1.3
+#: Minimum gain of a further copy.
+MIN_GAIN_PER_S = 0.4
+#: Cost of a load from the weight store, whose load rate is limited.
 STORE_COST_PER_S = 0.3
-#: A load that takes longer here than at another idle replica costs, of what it gains, the share
-#: of this time by which it is longer: where weights lie on a disk it takes a fifth of a load
-#: from the store, and calls wait or are refused meanwhile.
+#: A load that takes longer here than on another idle replica costs a share of its gain: the extra
+#: time divided by this value. A load from disk takes a fifth of a load from the store, and calls
+#: wait or are refused until it is done.
 LOAD_HORIZON_S = 5.0
-#: Cost of each copy that is evicted.
+#: Cost of each evicted copy.
 EVICTION_COST_PER_S = 0.05
-#: Cost of each wanted adapter that has to wait while a whole model is loaded, since a replica
-#: carries out one order at a time.
+#: Cost of each requested adapter that has to wait while a whole model is loaded, since a replica
+#: executes one order at a time.
 BLOCKED_ADAPTER_COST_PER_S = 0.3
-#: What sums of gains and losses differ by when they are added up in another order.
-ROUNDING_PER_S = 1e-6
-#: Digits of gain and loss in the log line of a move.
+#: Tolerance for floating-point sums of gains and losses that are added up in different orders.
+ROUNDING_TOLERANCE_PER_S = 1e-6
+#: Decimal places of gain and loss in the log line of a move.
 LOGGED_DIGITS = 2
 
 
-class PassedOver(enum.StrEnum):
-    """Why a model that calls wait for is not loaded now; the values stand in log lines."""
+class NotLoadedReason(enum.StrEnum):
+    """Why a model that calls wait for is not loaded now; the values appear in log lines."""
 
-    #: Replicas stay idle for models that are worth more, or whose callers cannot wait.
-    WITHHELD = 'withheld'
-    #: Every idle replica holds what is worth more, or is awaited.
-    OUTBID = 'outbid'
-    #: No idle replica has the weights near, and no load from the weight store may begin.
+    #: The remaining idle replicas are reserved for models with a higher gain or with
+    #: latency-critical calls.
+    IDLE_RESERVE = 'withheld'
+    #: All that could be evicted on idle replicas is worth more, or refused callers are expected to
+    #: retry for it.
+    LOWER_VALUE = 'outbid'
+    #: No idle replica has the weights locally, and no load from the weight store may start.
     STORE_LIMITED = 'store_limited'
     NO_IDLE_REPLICA = 'no_idle_replica'
 
 
 class MoveReason(enum.StrEnum):
-    """Why a model is loaded; the values stand in the log line of the move."""
+    """Why a model is loaded; the values appear in the log line of the move."""
 
     MISSING = 'missing'
-    #: It has copies, but not enough for its calls.
+    #: It has copies, but too few for its calls.
     OVERLOADED = 'crowded'
-    #: It has waited so long that it is its turn.
+    #: It has gone unserved for so long that it is loaded regardless of its gain.
     OVERDUE = 'overdue'
-    #: Its weights lie at no replica.
-    FAR = 'far'
+    #: No replica has its weights, so they are loaded before they are requested.
+    PREFETCH = 'far'
 
 
 @attrs.frozen
 class CopyMove:
-    """Load a model at a replica after the copies there that make room are gone.
+    """Loads a model on a replica after unloading the copies that make room for it.
 
     :ivar evicted: models that are unloaded there first, in this order.
-    :ivar from_store: whether the load counts against the rate of the weight store.
-    :ivar load_s: time that the load likely takes, in seconds.
-    :ivar gain: what it is worth, in calls a second.
-    :ivar loss: what the copies that go were worth.
-    :ivar unserved_s: for how long the model has been asked for and served to nobody.
+    :ivar from_store: whether the load counts against the load rate of the weight store.
+    :ivar load_s: estimated duration of the load, in seconds.
+    :ivar gain: value of the new copy, in calls per second.
+    :ivar loss: value of the evicted copies, in calls per second.
+    :ivar unserved_s: time for which the model has been requested without any call being served.
     :ivar tier: where the load finds the weights.
-    :ivar nearer: replicas that have the weights in memory or on disk while this one has not.
+    :ivar replicas_with_weights: for a load from the store, the other replicas that have the
+        weights in memory or on disk.
     """
 
     replica_id: str
@@ -104,193 +112,223 @@
     loss: float = 0.0
     unserved_s: float = 0.0
     tier: WeightsTier = WeightsTier.STORE
-    nearer: tuple[str, ...] = ()
+    replicas_with_weights: tuple[str, ...] = ()
 
 
 @attrs.frozen
-class WaitingOutlook:
-    """What becomes of models that calls wait for, without an order yet.
+class WaitingModels:
+    """What to expect for models that calls wait for and that are not being loaded yet.
 
-    :ivar upcoming_s: seconds until a model is likely there, from the memory or disk of a replica
-        that carries out another order now; models come one after the other there.
-    :ivar passed_over: why a model is not loaded now.
+    :ivar ready_in_s: estimated seconds until a model is ready. It covers models that a busy
+        replica can load from its own memory or disk; that replica loads them one after the other.
+    :ivar not_loaded: why a model is not loaded now.
     """
 
-    upcoming_s: dict[str, float] = attrs.field(factory=dict)
-    passed_over: dict[str, PassedOver] = attrs.field(factory=dict)
+    ready_in_s: dict[str, float] = attrs.field(factory=dict)
+    not_loaded: dict[str, NotLoadedReason] = attrs.field(factory=dict)
 
 
 class CopyPlanner:
-    """Plans the copies of one engine service.
+    """Plans the model copies of one engine service.
 
-    :param engine: what a replica of the service can hold.
+    :param engine: the service's models and the capacity of each replica.
     :param demands: the demand for each model.
-    :param first_copies: copies of each model that the leader found, which show what was
-        busy before any call was seen.
-    :param starved_s: for how long a model that is asked for has had no copy.
-    :param barred: models that are loaded no more, whatever they would gain.
-    :param turns: the turns under way.
+    :param initial_copies: copies of each model when the leader first saw the replicas; an
+        indication of which models are busy before any call arrives.
+    :param starved_s: time for which each requested model has had no copy.
+    :param barred: models that must not be loaded, whatever they would gain.
+    :param overdue_loads: the running loads of overdue models.
     """
 
     def __init__(
         self,
         engine: EngineSpec,
         demands: dict[str, ModelDemand],
-        first_copies: dict[str, int],
+        initial_copies: dict[str, int],
         starved_s: dict[str, float] | None = None,
         barred: Collection[str] = (),
-        turns: TurnBook | None = None,
+        overdue_loads: OverdueLoads | None = None,
     ) -> None:
         self._engine = engine
         self._demands = demands
-        self._first_copies = first_copies
+        self._initial_copies = initial_copies
         self._starved_s = starved_s or {}
         self._barred = barred
-        self._turns = turns
-        self._models = ModelWorth(engine, demands, first_copies, self._starved_s)
+        self._overdue_loads = overdue_loads
+        self._model_values = ModelValues(engine, demands, initial_copies, self._starved_s)
 
     def next_move(
         self,
-        replicas: list[ReplicaCopies],
+        replicas: list[ReplicaView],
         store_allowed: bool = True,
         *,
-        may_spread: bool = False,
+        may_prefetch: bool = False,
     ) -> CopyMove | None:
-        """Return the move that is worth most now, if any is worth making.
+        """Return the most valuable move that is worth making now, or ``None``.
 
-        Those whose turn it is go first. Others are tried by what one more copy gains at an
-        idle replica; the first for which a move is worth making ends the search.
+        Overdue models come first. The others are tried in descending order of what one more copy
+        gains on an idle replica, until a worthwhile move is found.
 
-        :param store_allowed: whether a load from the weight store may begin now; without,
-            models come from the disks and memories of the machines alone.
-        :param may_spread: whether all replicas are known, so that what lies at none is.
+        :param store_allowed: whether a load from the weight store may start now; otherwise models
+            are loaded only from the disk and memory of the replicas' machines.
+        :param may_prefetch: whether all replicas are known, so that a model that none of them
+            reports is certain to be on none.
         """
-        survey = CopySurvey.take(self._engine, self._demands, replicas)
-        worth = CopyWorth(survey, self._first_copies, self._starved_s, self._models)
-        for model in due_models(survey, self._barred, self._turns):
-            move = _turn(model, survey, worth, store_allowed)
+        snapshot = PlacementSnapshot.capture(self._engine, self._demands, replicas)
+        copy_values = CopyValues(
+            snapshot, self._initial_copies, self._starved_s, self._model_values
+        )
+        for model in overdue_models(snapshot, self._barred, self._overdue_loads):
+            move = _overdue_move(model, snapshot, copy_values, store_allowed)
             if move is not None:
                 return move
         loadable = (name for name in self._engine.models if name not in self._barred)
-        candidates = [(worth.idle_gain(name), name) for name in loadable]
+        candidates = [(copy_values.idle_gain(name), name) for name in loadable]
         candidates.sort(reverse=True)
         for idle_gain, model in candidates:
-            if idle_gain < LEAST_GAIN_PER_S:
+            if idle_gain < MIN_GAIN_PER_S:
                 break
-            if has_enough_coming(model, survey) or not _may_gain(model, idle_gain, survey, worth):
+            if has_enough_loading(model, snapshot) or not _may_gain(
+                model, idle_gain, snapshot, copy_values
+            ):
                 continue
-            from_store = store_allowed and not is_withheld(model, idle_gain, survey, worth)
-            move = _best_move(model, survey, worth, from_store)
+            from_store = store_allowed and not must_keep_idle_reserve(
+                model, idle_gain, snapshot, copy_values
+            )
+            move = _best_move(model, snapshot, copy_values, from_store)
             if move is not None:
                 return move
-        return self._spread(survey, worth) if store_allowed and may_spread else None
+        return (
+            self._prefetch_move(snapshot, copy_values) if store_allowed and may_prefetch else None
+        )
 
-    def _spread(self, survey: CopySurvey, worth: CopyWorth) -> CopyMove | None:
-        found = spread_option(survey, worth, self._barred)
+    def _prefetch_move(
+        self, snapshot: PlacementSnapshot, copy_values: CopyValues
+    ) -> CopyMove | None:
+        found = choose_prefetch(snapshot, copy_values, self._barred)
         if found is None:
             return None
         model, option = found
-        weighed = _WeighedOption(option, worth.gain(model, option.replica), 0.0)
-        return weighed.as_move(model, MoveReason.FAR, 0.0, ())
+        scored = _ScoredOption(option, copy_values.gain(model, option.replica), 0.0)
+        return scored.as_move(model, MoveReason.PREFETCH, 0.0, ())
 
-    def outlook(self, replicas: list[ReplicaCopies], store_allowed: bool = True) -> WaitingOutlook:
-        """Return what becomes of the models that calls wait for and that have no copy."""
+    def waiting_models(
+        self, replicas: list[ReplicaView], store_allowed: bool = True
+    ) -> WaitingModels:
+        """Return what to expect for the models that calls wait for and that have no copy."""
         if not any(demand.recently_missing for demand in self._demands.values()):
-            return WaitingOutlook()
-        survey = CopySurvey.take(self._engine, self._demands, replicas)
-        worth = CopyWorth(survey, self._first_copies, self._starved_s, self._models)
+            return WaitingModels()
+        snapshot = PlacementSnapshot.capture(self._engine, self._demands, replicas)
+        copy_values = CopyValues(
+            snapshot, self._initial_copies, self._starved_s, self._model_values
+        )
         waiting = [
             name
             for name in self._engine.models
-            if survey.demand(name).recently_missing and not survey.copies(name).total
+            if snapshot.demand(name).recently_missing and not snapshot.copies(name).total
         ]
-        waiting.sort(key=lambda name: (-worth.idle_gain(name), name))
+        waiting.sort(key=lambda name: (-copy_values.idle_gain(name), name))
         loadable = [name for name in waiting if name not in self._barred]
-        upcoming_s = upcoming_loads_s(loadable, survey, worth)
-        passed_over = {
-            name: _why_not_loaded(name, survey, worth, store_allowed) for name in waiting
+        ready_in_s = predicted_ready_in_s(loadable, snapshot, copy_values)
+        not_loaded = {
+            name: _not_loaded_reason(name, snapshot, copy_values, store_allowed)
+            for name in waiting
         }
-        return WaitingOutlook(upcoming_s, passed_over)
+        return WaitingModels(ready_in_s, not_loaded)
 
 
-def _why_not_loaded(
-    model: str, survey: CopySurvey, worth: CopyWorth, store_allowed: bool
-) -> PassedOver:
-    if not survey.idle:
-        return PassedOver.NO_IDLE_REPLICA
-    if not all(replica.needs_store(model) for replica in survey.idle):
-        return PassedOver.OUTBID
-    if is_withheld(model, worth.idle_gain(model), survey, worth):
-        return PassedOver.WITHHELD
-    may_begin = store_allowed and may_occupy_for_long(model, survey, worth)
-    return PassedOver.OUTBID if may_begin else PassedOver.STORE_LIMITED
+def _not_loaded_reason(
+    model: str, snapshot: PlacementSnapshot, copy_values: CopyValues, store_allowed: bool
+) -> NotLoadedReason:
+    if not snapshot.idle:
+        return NotLoadedReason.NO_IDLE_REPLICA
+    if not all(replica.needs_store(model) for replica in snapshot.idle):
+        return NotLoadedReason.LOWER_VALUE
+    if must_keep_idle_reserve(model, copy_values.idle_gain(model), snapshot, copy_values):
+        return NotLoadedReason.IDLE_RESERVE
+    may_start = store_allowed and may_load_from_store(model, snapshot, copy_values)
+    return NotLoadedReason.LOWER_VALUE if may_start else NotLoadedReason.STORE_LIMITED
 
 
-def _may_gain(model: str, idle_gain: float, survey: CopySurvey, worth: CopyWorth) -> bool:
-    """Return whether a load may gain more than it loses at any replica; a quick look.
+def _may_gain(
+    model: str, idle_gain: float, snapshot: PlacementSnapshot, copy_values: CopyValues
+) -> bool:
+    """Return whether a load could gain more than it loses on any replica.
 
-    At no replica does a copy gain more than at an idle one in a data centre without one, and no
-    eviction loses less than the copy of least worth there.
+    A cheap check against an upper bound: a copy gains most on an idle replica in a data centre
+    without a copy, and every eviction loses at least the replica's least valuable copy.
     """
-    bearable_loss = idle_gain * NEW_CENTRE_FACTOR / GAIN_PER_LOSS + ROUNDING_PER_S
-    size_mb = survey.size_mb(model)
+    max_loss = (
+        idle_gain * ONLY_IN_DATA_CENTRE_FACTOR / MIN_GAIN_LOSS_RATIO + ROUNDING_TOLERANCE_PER_S
+    )
+    size_mb = snapshot.size_mb(model)
     return any(
-        survey.free_mb(replica) >= size_mb or worth.least_loss(replica) <= bearable_loss
-        for replica in survey.idle
+        snapshot.free_mb(replica) >= size_mb or copy_values.min_loss(replica) <= max_loss
+        for replica in snapshot.idle
     )
 
 
-def _turn(
-    model: str, survey: CopySurvey, worth: CopyWorth, store_allowed: bool
+def _overdue_move(
+    model: str, snapshot: PlacementSnapshot, copy_values: CopyValues, store_allowed: bool
 ) -> CopyMove | None:
-    """Return the move that brings a model whose turn it is, where that costs least.
+    """Return the cheapest move that loads an overdue model.
 
-    It waits for a place whose loss it may cost by now.
+    Returns ``None`` while every move costs more than the model's waiting time allows.
     """
-    unserved_s = survey.demand(model).unserved_s
-    options = load_options(model, survey, worth, store_allowed)
-    weighed = _weigh(model, options, survey, worth)
-    best = max(weighed, key=lambda one: one.net, default=None)
-    if best is None or best.net < -bearable_loss_per_s(unserved_s):
+    unserved_s = snapshot.demand(model).unserved_s
+    options = load_options(model, snapshot, copy_values, store_allowed)
+    scored = _score_options(model, options, snapshot, copy_values)
+    best = max(scored, key=lambda one: one.net, default=None)
+    if best is None or best.net < -allowed_loss_per_s(unserved_s):
         return None
-    return best.as_move(model, MoveReason.OVERDUE, unserved_s, _nearer(model, best, survey))
+    return best.as_move(
+        model, MoveReason.OVERDUE, unserved_s, _replicas_with_weights(model, best, snapshot)
+    )
 
 
 def _best_move(
-    model: str, survey: CopySurvey, worth: CopyWorth, store_allowed: bool
+    model: str, snapshot: PlacementSnapshot, copy_values: CopyValues, store_allowed: bool
 ) -> CopyMove | None:
-    """Return the move that brings a model where that is worth most after all costs."""
-    store_allowed = store_allowed and may_occupy_for_long(model, survey, worth)
-    reason = MoveReason.OVERLOADED if survey.copies(model).total else MoveReason.MISSING
-    options = load_options(model, survey, worth, store_allowed)
-    worthwhile = [one for one in _weigh(model, options, survey, worth) if one.net > 0]
+    """Return the move for a model with the highest gain after all costs, if one is worthwhile."""
+    store_allowed = store_allowed and may_load_from_store(model, snapshot, copy_values)
+    reason = MoveReason.OVERLOADED if snapshot.copies(model).total else MoveReason.MISSING
+    options = load_options(model, snapshot, copy_values, store_allowed)
+    worthwhile = [
+        one for one in _score_options(model, options, snapshot, copy_values) if one.net > 0
+    ]
     if not worthwhile:
         return None
     best = max(worthwhile, key=lambda one: one.net)
-    if best.option.from_store and best.option.ready_in_s > near_in_s(model, survey):
+    if best.option.from_store and best.option.ready_in_s > local_ready_in_s(model, snapshot):
         return None
-    unserved_s = survey.demand(model).unserved_s
-    return best.as_move(model, reason, unserved_s, _nearer(model, best, survey))
+    unserved_s = snapshot.demand(model).unserved_s
+    return best.as_move(model, reason, unserved_s, _replicas_with_weights(model, best, snapshot))
 
 
-def _nearer(model: str, chosen: _WeighedOption, survey: CopySurvey) -> tuple[str, ...]:
-    """Return the replicas that have the weights near where the chosen one has not."""
+def _replicas_with_weights(
+    model: str, chosen: _ScoredOption, snapshot: PlacementSnapshot
+) -> tuple[str, ...]:
+    """Return the replicas that have a model's weights locally if the chosen one does not."""
     if not chosen.option.from_store:
         return ()
-    replicas = (one for one in survey.replicas if not one.has(model))
+    replicas = (one for one in snapshot.replicas if not one.has_copy(model))
     return tuple(one.replica_id for one in replicas if not one.needs_store(model))
 
 
 @attrs.frozen
-class _WeighedOption:
-    """A possible move with its gain, and what is left of that after all costs."""
+class _ScoredOption:
+    """A possible move, its gain, and the gain that remains after all costs."""
 
     option: LoadOption
     gain: float
     net: float
 
     def as_move(
-        self, model: str, reason: MoveReason, unserved_s: float, nearer: tuple[str, ...]
+        self,
+        model: str,
+        reason: MoveReason,
+        unserved_s: float,
+        replicas_with_weights: tuple[str, ...],
     ) -> CopyMove:
         option = self.option
         return CopyMove(
@@ -304,32 +342,32 @@
             round(option.eviction.loss, LOGGED_DIGITS),
             unserved_s,
             option.replica.tier(model),
-            nearer,
+            replicas_with_weights,
         )
 
 
-def _weigh(
-    model: str, options: list[LoadOption], survey: CopySurvey, worth: CopyWorth
-) -> list[_WeighedOption]:
+def _score_options(
+    model: str, options: list[LoadOption], snapshot: PlacementSnapshot, copy_values: CopyValues
+) -> list[_ScoredOption]:
     shortest_s = min((option.ready_in_s for option in options), default=0.0)
-    weighed = []
+    scored = []
     for option in options:
-        gain = worth.gain(model, option.replica)
-        cost = _cost(option, survey)
+        gain = copy_values.gain(model, option.replica)
+        cost = _move_cost(option, snapshot)
         cost += gain * (option.ready_in_s - shortest_s) / LOAD_HORIZON_S
-        net = gain - GAIN_PER_LOSS * option.eviction.loss - cost
-        weighed.append(_WeighedOption(option, gain, net))
-    return weighed
+        net = gain - MIN_GAIN_LOSS_RATIO * option.eviction.loss - cost
+        scored.append(_ScoredOption(option, gain, net))
+    return scored
 
 
-def _cost(option: LoadOption, survey: CopySurvey) -> float:
-    """Return what the move itself costs, whatever is lost with the copies that go."""
+def _move_cost(option: LoadOption, snapshot: PlacementSnapshot) -> float:
+    """Return the cost of the move itself, without the value of the evicted copies."""
     evicted = set(option.eviction.models)
     cost = EVICTION_COST_PER_S * len(evicted)
     if option.from_store:
         kept = option.replica.ready - evicted
         blocked = sum(
-            survey.demand(name).adapters / max(1, survey.copies(name).ready) for name in kept
+            snapshot.demand(name).adapters / max(1, snapshot.copies(name).ready) for name in kept
         )
         cost += STORE_COST_PER_S + BLOCKED_ADAPTER_COST_PER_S * blocked
     return cost
--- a/limeshelf/placement/replica_watch.py
+++ b/limeshelf/placement/replica_monitor.py
@@ -1,8 +1,7 @@
-"""The replicas that the leader plans for: polls, claims and what they held at first.
+"""Tracks the replicas that the leader plans for: polls, claims and initial copies.
 
-Polls them, claims those that have not noted the term's fence, remembers what each
-held when it was first seen, and describes them to the planner. Owns the times of the
-polls; relies on the directory and on what is pending at each replica.
+Polls the replicas, claims those that have not acknowledged the term's fence, counts the copies
+that each held when it was first seen, and describes the replicas to the planner.
 """
 
 from __future__ import annotations
@@ -12,7 +11,7 @@
 
 from limeshelf.demand.keys import ModelKey
 from limeshelf.orders.task import Loadable
-from limeshelf.placement.survey import ReplicaCopies
+from limeshelf.placement.snapshot import ReplicaView
 from limeshelf.util.clock import boottime_s
 
 if TYPE_CHECKING:
@@ -25,14 +24,14 @@
     from limeshelf.replicas.starts import ReplicaStart
     from limeshelf.util.tasks import TaskSet
 
-#: The leader polls every replica this often.
+#: Interval at which the leader polls each replica.
 POLL_INTERVAL_S = 0.5
-#: Replicas of a service that start together are found within this time.
-SETTLED_S = 2.0
+#: Replicas of a service that start together are discovered within this time.
+STABLE_AFTER_S = 2.0
 
 
-class ReplicaWatch:
-    """Polls the replicas of a leader and describes them to the planner."""
+class ReplicaMonitor:
+    """Polls the leader's replicas and describes them to the planner."""
 
     def __init__(
         self,
@@ -46,37 +45,37 @@
         self._sender = sender
         self._tasks = tasks
         self._polled_s: dict[ReplicaStart, float] = {}
-        self._first_copies: dict[str, dict[str, int]] = {}
-        self._first_seen: set[ReplicaStart] = set()
-        self._found_s: dict[str, float] = {}
+        self._initial_copies: dict[str, dict[str, int]] = {}
+        self._counted_starts: set[ReplicaStart] = set()
+        self._last_found_s: dict[str, float] = {}
 
     async def claim_all(self, service: str, engine: EngineSpec) -> None:
-        """Make every replica of a service note the fence of the term."""
+        """Make every replica of a service acknowledge the fence of the term."""
         replicas = self._directory.of_service(service)
         claims = (self._sender.claim(replica, engine) for replica in replicas)
         await asyncio.gather(*claims)
 
-    def note_first_copies(self, service: str) -> None:
-        """Count what replicas hold when they are first seen; it shows what is busy."""
-        copies = self._first_copies.setdefault(service, {})
+    def record_initial_copies(self, service: str) -> None:
+        """Count the copies on replicas seen for the first time; they show what is busy."""
+        copies = self._initial_copies.setdefault(service, {})
         for replica in self._directory.of_service(service):
-            if replica.start in self._first_seen:
+            if replica.start in self._counted_starts:
                 continue
-            self._first_seen.add(replica.start)
-            self._found_s[service] = boottime_s()
+            self._counted_starts.add(replica.start)
+            self._last_found_s[service] = boottime_s()
             for model in replica.holdings:
                 copies[model] = copies.get(model, 0) + 1
 
-    def first_copies(self, service: str) -> dict[str, int]:
-        """Return the copies of each model that were found at the start."""
-        return self._first_copies.get(service, {})
+    def initial_copies(self, service: str) -> dict[str, int]:
+        """Return the copies of each model that replicas held when they were first seen."""
+        return self._initial_copies.get(service, {})
 
-    def is_settled(self, service: str) -> bool:
-        """Return whether no replica of a service was found lately."""
-        return boottime_s() - self._found_s.get(service, 0.0) >= SETTLED_S
+    def is_replica_set_stable(self, service: str) -> bool:
+        """Return whether no replica of a service has been discovered recently."""
+        return boottime_s() - self._last_found_s.get(service, 0.0) >= STABLE_AFTER_S
 
-    def poll_due(self, service: str, engine: EngineSpec) -> None:
-        """Start the polls whose time has come."""
+    def start_due_polls(self, service: str, engine: EngineSpec) -> None:
+        """Start the polls that are due."""
         now_s = boottime_s()
         for replica in self._directory.of_service(service):
             if now_s - self._polled_s.get(replica.start, 0.0) >= POLL_INTERVAL_S:
@@ -87,32 +86,32 @@
         if not await self._sender.poll(replica):
             return
         if not self._sender.pending(replica).is_claimed_under(self._leadership.fence):
-            # New in this term, or back in reach: what was ordered before may
-            # arrive just now (tests/orders/test_sender.py::test_replica_is_reachable_again).
+            # New in this term, or reachable again: earlier orders may only arrive now
+            # (tests/orders/test_sender.py::test_replica_back_in_reach).
             await self._sender.claim(replica, engine)
 
-    def copies(self, service: str) -> list[ReplicaCopies]:
-        """Return the replicas to plan for; the models of lost ones come up elsewhere."""
+    def replica_views(self, service: str) -> list[ReplicaView]:
+        """Return the replicas to plan for, without lost ones, whose models are then reloaded."""
         return [
-            self._copies_at(replica, pending)
+            self._view_of(replica, pending)
             for replica in self._directory.of_service(service)
             if not _is_lost(replica, pending := self._sender.pending(replica))
         ]
 
-    def _copies_at(self, replica: Replica, pending: PendingOrders) -> ReplicaCopies:
+    def _view_of(self, replica: Replica, pending: PendingOrders) -> ReplicaView:
         report = replica.report
-        return ReplicaCopies(
+        return ReplicaView(
             replica.replica_id,
             set(replica.holdings) - replica.retiring,
             pending.expected_models(),
-            is_idle=self._may_take_orders(replica, pending),
+            is_idle=self._can_accept_orders(replica, pending),
             data_centre=replica.record.data_centre,
             in_memory=report.in_memory if report else frozenset(),
             on_disk=report.on_disk if report else frozenset(),
             free_in_s=_free_in_s(pending),
         )
 
-    def _may_take_orders(self, replica: Replica, pending: PendingOrders) -> bool:
+    def _can_accept_orders(self, replica: Replica, pending: PendingOrders) -> bool:
         busy = bool(replica.report and replica.report.busy)
         return (
             pending.is_fresh
@@ -123,36 +122,41 @@
             and not replica.backpressure.is_paused
         )
 
-    def is_coming_or_held(self, key: ModelKey) -> bool:
-        """Return whether a model is at some replica or on its way to one."""
+    def is_held_or_loading(self, key: ModelKey) -> bool:
+        """Return whether any replica holds a model or is loading it."""
         model = Loadable(key.model)
         replicas = self._directory.of_service(key.service)
-        coming = any(self._sender.pending(replica).is_load_expected(model) for replica in replicas)
-        return coming or any(replica.holds(key.model) for replica in replicas)
+        is_loading = any(
+            self._sender.pending(replica).is_load_expected(model) for replica in replicas
+        )
+        return is_loading or any(replica.holds(key.model) for replica in replicas)
+
+    def loading_ready_times(self) -> dict[ModelKey, float]:
+        """Return the models being loaded, with the time at which each should be ready.
 
-    def awaited(self) -> dict[ModelKey, float]:
-        """Return the models on their way, with the boot clock's time when each is likely there."""
-        awaited: dict[ModelKey, float] = {}
+        :returns: times on the boot clock.
+        """
+        earliest_s: dict[ModelKey, float] = {}
         for replica in self._directory.all():
             for (model, adapter), ready_s in (
                 self._sender.pending(replica).expected_ready_s().items()
             ):
                 if not adapter:
                     key = ModelKey(replica.record.service, model)
-                    awaited[key] = min(ready_s, awaited.get(key, ready_s))
-        return awaited
+                    earliest_s[key] = min(ready_s, earliest_s.get(key, ready_s))
+        return earliest_s
 
 
 def _free_in_s(pending: PendingOrders) -> float:
-    """Return how long the loads of whole models under way at a replica likely take yet."""
+    """Return how long the running loads of whole models on a replica are expected to take."""
     ready_s = [at_s for item, at_s in pending.expected_ready_s().items() if not item.adapter]
     return max(0.0, max(ready_s, default=0.0) - boottime_s())
 
 
 def _is_lost(replica: Replica, pending: PendingOrders) -> bool:
-    """Return whether what stands at a replica counts as lost.
+    """Return whether a replica counts as lost, with all that it holds.
 
-    One missed poll is enough where calls cannot reach it either: each second that the only
-    copy of a busy model counts as there, its calls are refused.
+    A single missed poll is enough if calls cannot reach the replica either: while the only copy
+    of a busy model still counts as present, its calls are refused.
     """
     return pending.is_lost or (pending.missed_polls > 0 and replica.health.is_suspended())
--- a/limeshelf/placement/survey.py
+++ b/limeshelf/placement/snapshot.py
@@ -1,8 +1,7 @@
-"""Which copies stand where, counted once for a plan.
+"""The state of replicas and model copies that one planning round works on.
 
-Owns the view of replicas that planning works on, and the counts over it; each question of
-the planner then reads one count, since the planner runs several times a second over tens of
-replicas and models. Relies on the demand for each model.
+Copies and free capacity are counted once per snapshot, since the planner queries them several
+times a second over tens of replicas and models.
 """
 
 from __future__ import annotations
@@ -18,14 +17,15 @@
     from limeshelf.calls.routes import EngineSpec, ModelSpec
     from limeshelf.demand.model_demand import ModelDemand
 
-#: A load that takes longer yet keeps its replica from bringing what lies near there in time.
+#: A replica whose running load takes longer than this cannot load its local weights in time.
 LONG_LOAD_S = 2.0
-#: Share of a replica that a copy gets there at the least, however busy others keep it.
-LEAST_CAPACITY_SHARE = 0.15
+#: Minimum share of a replica that counts as available to a copy, however busy other copies keep
+#: it.
+MIN_CAPACITY_SHARE = 0.15
 
 
 class WeightsTier(enum.StrEnum):
-    """Where a load finds the weights; the values stand in log lines."""
+    """Where a load finds the weights; the values appear in log lines."""
 
     MEMORY = 'memory'
     DISK = 'disk'
@@ -33,15 +33,15 @@
 
 
 @attrs.define
-class ReplicaCopies:
-    """A replica as the planner of copies sees it.
+class ReplicaView:
+    """The planner's view of a replica.
 
     :ivar ready: models that it holds and that are not about to be unloaded.
-    :ivar loading: models on their way to it.
-    :ivar is_idle: whether it can take an order for a whole model now.
-    :ivar in_memory: models whose weights lie in the memory of the machine.
-    :ivar on_disk: models whose weights lie on its disk.
-    :ivar free_in_s: until the load under way there is likely done, in seconds.
+    :ivar loading: models that are being loaded.
+    :ivar is_idle: whether it can accept an order for a whole model now.
+    :ivar in_memory: models whose weights are in the memory of its machine.
+    :ivar on_disk: models whose weights are on the disk of its machine.
+    :ivar free_in_s: estimated seconds until the running load is done.
     """
 
     replica_id: str
@@ -53,16 +53,16 @@
     on_disk: frozenset[str] = frozenset()
     free_in_s: float = 0.0
 
-    def has(self, model: str) -> bool:
-        """Return whether a copy is there or on its way."""
+    def has_copy(self, model: str) -> bool:
+        """Return whether the replica holds a model or is loading it."""
         return model in self.ready or model in self.loading
 
-    def has_spare(self) -> bool:
-        """Return whether weights lie near here of a model that is neither ready nor coming."""
+    def has_unloaded_local_weights(self) -> bool:
+        """Return whether it has local weights of a model that it neither holds nor is loading."""
         return bool((self.in_memory | self.on_disk) - self.ready - self.loading)
 
     def tier(self, model: str) -> WeightsTier:
-        """Return where a load here finds the weights of a model."""
+        """Return where a load on this replica finds the weights of a model."""
         if model in self.in_memory:
             return WeightsTier.MEMORY
         return WeightsTier.DISK if model in self.on_disk else WeightsTier.STORE
@@ -72,7 +72,7 @@
         return self.tier(model) is WeightsTier.STORE
 
     def load_s(self, spec: ModelSpec) -> float:
-        """Return the time that a load of a model takes here, in seconds."""
+        """Return how long a load of a model takes on this replica, in seconds."""
         match self.tier(spec.name):
             case WeightsTier.MEMORY:
                 return spec.warm_load_s
@@ -81,10 +81,10 @@
             case WeightsTier.STORE:
                 return spec.load_s
 
-    def begin_move(self, model: str, evicted: tuple[str, ...], load_s: float = 0.0) -> None:
-        """Count a move that was ordered here.
+    def apply_move(self, model: str, evicted: tuple[str, ...], load_s: float = 0.0) -> None:
+        """Apply a move that was ordered on this replica.
 
-        :param load_s: time that its load likely takes, in seconds.
+        :param load_s: estimated duration of its load, in seconds.
         """
         self.is_idle = False
         self.ready -= set(evicted)
@@ -96,10 +96,10 @@
 class ModelCopies:
     """The copies of one model.
 
-    :ivar ready: copies that serve.
-    :ivar total: copies that serve or are on their way.
-    :ivar by_centre: the same as *total*, by data centre; only centres with a copy are in it.
-    :ivar capacity: replicas that others leave to all its copies, as a sum of shares.
+    :ivar ready: copies that serve calls.
+    :ivar total: copies that serve calls or are being loaded.
+    :ivar by_centre: *total* by data centre; only data centres with a copy are listed.
+    :ivar capacity: replicas available to all its copies, as a sum of shares.
     :ivar ready_capacity: the same for the ready copies alone.
     """
 
@@ -114,20 +114,20 @@
 
 
 @attrs.frozen
-class CopySurvey:
-    """What stands where at one moment; made by :meth:`take`.
-
-    :ivar engine: what a replica of the service can hold.
-    :ivar idle: the replicas that can take an order for a whole model now.
-    :ivar loading: how many replicas load a whole model.
-    :ivar adapters_mb: room kept free for adapters at each replica: the most that they may
-        take, whatever models they belong to.
+class PlacementSnapshot:
+    """The replicas and copies at one moment; created by :meth:`capture`.
+
+    :ivar engine: the service's models and the capacity of each replica.
+    :ivar idle: the replicas that can accept an order for a whole model now.
+    :ivar loading: number of replicas that are loading a whole model.
+    :ivar adapters_mb: memory reserved for adapters on each replica: the most that they can
+        occupy, whatever models they belong to.
     """
 
     engine: EngineSpec
     demands: dict[str, ModelDemand]
-    replicas: list[ReplicaCopies]
-    idle: list[ReplicaCopies]
+    replicas: list[ReplicaView]
+    idle: list[ReplicaView]
     loading: int
     adapters_mb: float
     _copies: dict[str, ModelCopies]
@@ -135,25 +135,25 @@
     _free_mb: dict[str, float] = attrs.field(factory=dict)
 
     @classmethod
-    def take(
+    def capture(
         cls,
         engine: EngineSpec,
         demands: dict[str, ModelDemand],
-        replicas: list[ReplicaCopies],
-    ) -> CopySurvey:
-        """Count the copies at *replicas*.
+        replicas: list[ReplicaView],
+    ) -> PlacementSnapshot:
+        """Count the copies on *replicas*.
 
-        :param demands: by model; a model that is not in it has none.
+        :param demands: by model; a missing model has no demand.
         """
         largest_mb = max((spec.adapter_mb for spec in engine.models.values()), default=0.0)
         adapters_mb = largest_mb * engine.adapter_places
         copies = {name: ModelCopies() for name in engine.models}
         idle = [replica for replica in replicas if replica.is_idle]
         loading = sum(1 for replica in replicas if replica.loading)
-        survey = cls(engine, demands, replicas, idle, loading, adapters_mb, copies, {})
-        survey._count_copies()
-        survey._sum_up_shares()
-        return survey
+        snapshot = cls(engine, demands, replicas, idle, loading, adapters_mb, copies, {})
+        snapshot._count_copies()
+        snapshot._sum_shares()
+        return snapshot
 
     def _count_copies(self) -> None:
         known = self.engine.models.keys()
@@ -166,7 +166,7 @@
                 centre = replica.data_centre
                 copies.by_centre[centre] = copies.by_centre.get(centre, 0) + 1
 
-    def _sum_up_shares(self) -> None:
+    def _sum_shares(self) -> None:
         for replica in self.replicas:
             shares = map(self.copy_share, replica.ready | replica.loading)
             self._busy_share[replica.replica_id] = sum(shares)
@@ -180,39 +180,43 @@
                     copies.ready_capacity += capacity
 
     def copies(self, model: str) -> ModelCopies:
-        """Return the copies of a model; none of one that the configuration lacks."""
+        """Return the copies of a model; none if the configuration does not list it."""
         return self._copies.get(model, _NO_COPIES)
 
     def demand(self, model: str) -> ModelDemand:
-        """Return the demand for a model."""
+        """Return the demand for a model; :data:`NO_DEMAND` if it has none."""
         return self.demands.get(model, NO_DEMAND)
 
     def running_calls(self, model: str) -> float:
-        """Return the calls under way at each ready copy of a model, in the mean."""
+        """Return the mean number of running calls per ready copy of a model."""
         return self.demand(model).running / max(1, self.copies(model).ready)
 
     def copy_share(self, model: str) -> float:
         """Return the share of a replica that each copy of a model keeps busy."""
         return self.demand(model).busy_replicas / max(1, self.copies(model).total)
 
-    def capacity_share(self, model: str, replica: ReplicaCopies) -> float:
-        """Return the share of a replica that others there leave for a model."""
+    def capacity_share(self, model: str, replica: ReplicaView) -> float:
+        """Return the share of a replica that its other copies leave to a model."""
         busy_share = self._busy_share[replica.replica_id]
-        if replica.has(model):
+        if replica.has_copy(model):
             busy_share -= self.copy_share(model)
-        return min(1.0, max(LEAST_CAPACITY_SHARE, 1.0 - busy_share))
+        return min(1.0, max(MIN_CAPACITY_SHARE, 1.0 - busy_share))
 
-    def long_loads(self) -> int:
-        """Return how many replicas a load keeps for long yet from what lies near there."""
-        return sum(1 for one in self.replicas if one.free_in_s > LONG_LOAD_S and one.has_spare())
+    def count_long_loads(self) -> int:
+        """Return how many replicas with unloaded local weights stay busy with a load for long."""
+        return sum(
+            1
+            for one in self.replicas
+            if one.free_in_s > LONG_LOAD_S and one.has_unloaded_local_weights()
+        )
 
     def size_mb(self, model: str) -> float:
-        """Return the size of a model's weights; 0 if the configuration lacks it."""
+        """Return the size of a model's weights; 0 if the configuration does not list it."""
         spec = self.engine.models.get(model)
         return spec.size_mb if spec else 0.0
 
-    def free_mb(self, replica: ReplicaCopies) -> float:
-        """Return the room for weights at a replica; below zero if it holds too much."""
+    def free_mb(self, replica: ReplicaView) -> float:
+        """Return the memory free for weights on a replica; negative if it holds too much."""
         known_mb = self._free_mb.get(replica.replica_id)
         if known_mb is None:
             used_mb = sum(self.size_mb(name) for name in replica.ready | replica.loading)
--- a/tests/placement/test_adapters.py
+++ b/tests/placement/test_adapters.py
@@ -1,4 +1,4 @@
-"""At which replica an adapter is loaded, and which adapter is evicted there."""
+"""Which replica an adapter is loaded on, and which adapter is evicted there."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 from limeshelf.orders.pending import CLAIM_REPORT_LAG_S, PendingOrders
 from limeshelf.orders.task import Loadable
 from limeshelf.placement.adapters import (
-    AWAITED_S,
+    ADAPTER_RETRY_WINDOW_S,
+    OVERDUE_AFTER_S,
     SECOND_PLACE_AFTER_S,
-    TURN_AFTER_S,
     AdapterPlanner,
 )
 from limeshelf.platform.replicas import read_record
@@ -29,7 +29,7 @@
     from collections.abc import Iterator
 
 ADAPTERS = frozenset({'a1', 'a2', 'a3', 'a4', 'a5', 'a6'})
-#: Three places for adapters at each replica.
+#: Three places for adapters on each replica.
 ENGINE = EngineSpec(8, 1000, 150.0, 3, 1.0, {'m1': ModelSpec('m1', 70.0, 5.0, 1.0, ADAPTERS, 1.0)})
 WANTED = ModelKey('lm', 'm1', 'a6')
 FENCE = 5
@@ -37,7 +37,7 @@
 
 @attrs.define
 class Fleet:
-    """Replicas that hold a model with some adapters, claimed and freshly polled."""
+    """Replicas that hold a model with some adapters; claimed, with a fresh report."""
 
     clock: VirtualClock
 
@@ -63,7 +63,7 @@
         )
 
     def unserved(self, adapter: str, since_s: float, ago_s: float = 0.1) -> None:
-        """Let an adapter be asked for and not served since so long ago, last *ago_s* ago."""
+        """Let an adapter have gone unserved since *since_s* ago, last requested *ago_s* ago."""
         now_s = boottime_s()
         key = ModelKey('lm', 'm1', adapter)
         self.totals[key] = KeyTotals(
@@ -73,10 +73,10 @@
 
     def due(self) -> list[str]:
         planner = AdapterPlanner('lm', ENGINE, self.directory, self.totals, FENCE)
-        return [key.adapter for key in planner.due()]
+        return [key.adapter for key in planner.unserved_adapters()]
 
     def plan(self) -> tuple[str, str | None] | None:
-        """Return the replica, and the adapter that goes there, of the next move."""
+        """Return the replica of the next move and the adapter that is evicted there."""
         planner = AdapterPlanner('lm', ENGINE, self.directory, self.totals, FENCE)
         move = planner.plan(WANTED, self.pending)
         if move is None:
@@ -91,7 +91,7 @@
         yield Fleet(clock)
 
 
-def test_least_busy_replica_with_a_free_place_takes_it(fleet: Fleet) -> None:
+def test_least_busy_replica_with_a_free_place_is_chosen(fleet: Fleet) -> None:
     fleet.add('r1', 'a1')
     fleet.add('r2', 'a1')
     busy = fleet.directory.get('r1')
@@ -100,13 +100,13 @@
     assert fleet.plan() == ('r2', None)
 
 
-def test_of_equal_replicas_the_first_takes_it(fleet: Fleet) -> None:
+def test_first_of_equal_replicas_is_chosen(fleet: Fleet) -> None:
     fleet.add('r1')
     fleet.add('r2')
     assert fleet.plan() == ('r1', None)
 
 
-def test_adapter_that_is_there_or_on_its_way_is_not_loaded_again(fleet: Fleet) -> None:
+def test_held_or_loading_adapter_is_not_loaded_again(fleet: Fleet) -> None:
     fleet.add('r1')
     fleet.pending['r1'].expect_load(Loadable('m1', 'a6'), boottime_s())
     fleet.add('r2')
@@ -133,7 +133,7 @@
     assert fleet.plan() is None
 
 
-def test_adapters_that_the_report_lists_as_loading_take_places(fleet: Fleet) -> None:
+def test_adapters_reported_as_loading_occupy_places(fleet: Fleet) -> None:
     fleet.add('r1', 'a1', loading=('a2', 'a3'))
     fleet.seen('a1', ago_s=0.1)
     assert fleet.plan() is None
@@ -146,7 +146,7 @@
     assert fleet.plan() is None
 
 
-def test_replica_that_loads_a_whole_model_takes_no_adapter(fleet: Fleet) -> None:
+def test_replica_that_loads_a_whole_model_is_not_chosen(fleet: Fleet) -> None:
     fleet.add('r1')
     fleet.pending['r1'].expect_load(Loadable('m2'), boottime_s())
     assert fleet.plan() is None
@@ -162,13 +162,13 @@
     assert fleet.plan() == ('r2', None)
 
 
-def test_replica_without_a_fresh_poll_takes_no_adapter(fleet: Fleet) -> None:
+def test_replica_without_a_fresh_poll_is_not_chosen(fleet: Fleet) -> None:
     fleet.add('r1')
     fleet.pending['r1'].record_claim(1)
     assert fleet.plan() is None
 
 
-def test_adapters_that_go_unserved_are_due_who_waited_longest_first(fleet: Fleet) -> None:
+def test_unserved_adapters_are_ordered_by_waiting_time(fleet: Fleet) -> None:
     fleet.clock.advance(60.0)
     fleet.unserved('a1', 2.0)
     fleet.unserved('a2', 5.0)
@@ -178,37 +178,37 @@
     assert fleet.due() == ['a2', 'a1']
 
 
-def test_adapter_that_waits_beside_places_in_steady_use_has_its_turn(fleet: Fleet) -> None:
-    """One of 60 calls for the ninth of nine adapters found it, however long it was asked for."""
+def test_overdue_adapter_replaces_one_in_steady_use(fleet: Fleet) -> None:
+    """One of 60 calls for the ninth of nine adapters was served, however long it was requested."""
     fleet.add('r1', 'a1', 'a2', 'a3')
     fleet.seen('a1', ago_s=0.3, running=2.0)
     fleet.seen('a2', ago_s=0.2)
     fleet.seen('a3', ago_s=0.1)
-    fleet.unserved('a6', TURN_AFTER_S - 0.1)
+    fleet.unserved('a6', OVERDUE_AFTER_S - 0.1)
     assert fleet.plan() is None
-    fleet.unserved('a6', TURN_AFTER_S)
+    fleet.unserved('a6', OVERDUE_AFTER_S)
     assert fleet.plan() == ('r1', 'a2')
 
 
-def test_one_turn_at_a_time_costs_a_replica_its_places(fleet: Fleet) -> None:
+def test_replica_loads_one_overdue_adapter_at_a_time(fleet: Fleet) -> None:
     fleet.add('r1', 'a1', 'a2', 'a3')
     fleet.seen('a1', ago_s=0.2)
     fleet.seen('a2', ago_s=0.1)
-    fleet.unserved('a3', TURN_AFTER_S + 1.0)
-    fleet.unserved('a6', TURN_AFTER_S)
+    fleet.unserved('a3', OVERDUE_AFTER_S + 1.0)
+    fleet.unserved('a6', OVERDUE_AFTER_S)
     assert fleet.plan() is None
     fleet.seen('a3', ago_s=0.0)
     assert fleet.plan() == ('r1', 'a1')
 
 
-def test_adapter_that_came_for_somebody_stays_until_he_is_back(fleet: Fleet) -> None:
+def test_awaited_adapter_is_kept_until_its_callers_retry(fleet: Fleet) -> None:
     fleet.add('r1', 'a1', 'a2', 'a3')
     fleet.seen('a1', ago_s=0.1)
     fleet.seen('a2', ago_s=0.1)
-    fleet.unserved('a3', AWAITED_S, ago_s=AWAITED_S - 0.5)
+    fleet.unserved('a3', ADAPTER_RETRY_WINDOW_S, ago_s=ADAPTER_RETRY_WINDOW_S - 0.5)
     fleet.unserved('a6', 1.0)
     assert fleet.plan() is None
-    fleet.unserved('a3', AWAITED_S + 0.5, ago_s=AWAITED_S + 0.1)
+    fleet.unserved('a3', ADAPTER_RETRY_WINDOW_S + 0.5, ago_s=ADAPTER_RETRY_WINDOW_S + 0.1)
     assert fleet.plan() == ('r1', 'a3')
 
 
@@ -231,7 +231,7 @@
     assert fleet.plan() == ('r2', None)
 
 
-def test_adapter_that_goes_unserved_beside_its_place_gets_another(fleet: Fleet) -> None:
+def test_adapter_that_goes_unserved_despite_its_place_gets_another(fleet: Fleet) -> None:
     fleet.clock.advance(60.0)
     fleet.add('r1', 'a6')
     fleet.add('r2', 'a1')
@@ -241,7 +241,7 @@
     assert fleet.plan() == ('r2', None)
 
 
-def test_adapter_that_nobody_can_serve_takes_two_places_at_the_most(fleet: Fleet) -> None:
+def test_adapter_that_cannot_be_served_occupies_at_most_two_places(fleet: Fleet) -> None:
     fleet.clock.advance(60.0)
     fleet.add('r1', 'a6')
     fleet.add('r2', 'a6')
@@ -250,16 +250,16 @@
     assert fleet.plan() is None
 
 
-def test_adapter_that_the_configuration_lacks_takes_no_place(fleet: Fleet) -> None:
+def test_adapter_missing_from_the_configuration_is_not_loaded(fleet: Fleet) -> None:
     fleet.add('r1', 'a1')
     planner = AdapterPlanner('lm', ENGINE, fleet.directory, fleet.totals, FENCE)
     assert planner.plan(ModelKey('lm', 'm1', 'no-such'), fleet.pending) is None
 
 
 def test_busy_adapter_whose_answers_begin_is_not_awaited(fleet: Fleet) -> None:
-    """Of a busy one some call always waits for its first event, and no turn would ever come."""
+    """Otherwise a busy adapter is never evicted: some call always waits for its first event."""
     fleet.add('r1', 'a1', 'a2', 'a3')
     for adapter in ('a1', 'a2', 'a3'):
         fleet.unserved(adapter, 0.3)
-    fleet.unserved('a6', TURN_AFTER_S)
+    fleet.unserved('a6', OVERDUE_AFTER_S)
     assert fleet.plan() is not None
