--- a/tests/replicas/test_penalties.py
+++ b/tests/replicas/test_penalties.py
@@ -1,4 +1,4 @@
-"""What speaks against a replica whatever its load."""
+"""Cost added to the load of a replica."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
     return Replica(ReplicaRecord('r0', 'lm', 'ip:0', 'z1', 4, False, None, (), 1), {})
 
 
-def test_replica_nearby_that_never_failed_costs_its_load(replica: Replica) -> None:
+def test_local_replica_without_failures_costs_its_load(replica: Replica) -> None:
     assert with_penalties(0.5, replica, 'z1') == 0.5
 
 
-def test_another_data_centre_costs_less_than_a_call_of_thirty(replica: Replica) -> None:
+def test_other_data_centre_costs_less_than_one_of_thirty_calls(replica: Replica) -> None:
     assert with_penalties(0.5, replica, 'z2') == pytest.approx(0.53)
 
 
