--- a/limeshelf/replicas/connections.py
+++ b/limeshelf/replicas/connections.py
@@ -1,9 +1,8 @@
-"""Connections to one replica: pooled, bounded, and strict about how an answer ends.
+"""Connection pool for one replica, with strict checks of how a response ends.
 
-Owns the open connections. Relies on the wire port for the headers of a call, on
-two private attributes of aiohttp: the factory of a connector's protocol, and its
-idle time, which the library lets nobody change later; and on its asking the
-connector in the task that sends.
+Owns the open connections. Uses two private attributes of aiohttp's connector, which it does not
+allow to be changed after creation: the protocol factory and the keep-alive timeout. Also relies
+on aiohttp calling the connector in the task that sends the request.
 """
 
 from __future__ import annotations
@@ -33,30 +32,30 @@
     from limeshelf.calls.call import Call
     from limeshelf.calls.wire import AnswerFacts, CallWire, SendFacts
 
-#: Longest time for a new connection.
+#: Timeout for opening a connection.
 CONNECT_S = 0.35
-#: Idle connections are closed after this time, unless the replica closes earlier.
-IDLE_S = 4.0
-#: How long before the replica an idle connection is closed, so that no call is sent on one that
-#: the replica is closing.
+#: Longest time that an idle connection is kept; shorter if the replica closes it earlier.
+MAX_IDLE_S = 4.0
+#: Idle connections are closed this long before the replica would close them, so that no call is
+#: sent on a connection that is being closed.
 IDLE_MARGIN_S = 1.0
-#: Shortest idle time, for a replica that states less than the margin.
-LEAST_IDLE_S = 0.1
-#: Headers that the library would add; a call goes on with the caller's alone.
+#: Shortest idle timeout, for a replica whose keep-alive time is below the margin.
+MIN_IDLE_S = 0.1
+#: Headers that aiohttp would add; only the caller's own headers are forwarded.
 SKIPPED_HEADERS = frozenset({'User-Agent', 'Accept', 'Accept-Encoding', 'Content-Type'})
 
 
 class StrictResponseHandler(ResponseHandler):
-    """Tells a reset from an end, and never reuses a connection with surplus bytes.
+    """Reports a reset as an error, and never reuses a connection with surplus bytes.
 
-    The library takes a reset as the end of a body without length, and the loop
-    reports a reset that comes together with data as an end (both in
+    aiohttp treats a reset as the end of a body without a length, and the event loop reports a
+    reset that arrives together with data as end of file (both are covered by
     tests/gateway/test_path.py::test_unsafe_call_runs_once_and_is_not_called_unrun).
-    It also hands out an idle connection on which something arrived unasked.
+    aiohttp also reuses an idle connection on which unexpected bytes have arrived.
     """
 
     def eof_received(self) -> None:
-        """Break the running body if the connection ended by a reset."""
+        """Fail the body being read if the connection was reset."""
         transport = self.transport
         raw = transport.get_extra_info('socket') if transport is not None else None
         if raw is not None and raw.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
@@ -69,45 +68,44 @@
             payload.set_exception(ClientPayloadError(f'connection lost: {cause}'))
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Break the running body if the connection was not ended in order."""
+        """Fail the body being read if the connection was not closed cleanly."""
         if exc is not None:
             self._break_body(repr(exc))
         super().connection_lost(exc)
 
     def is_connected(self) -> bool:
-        """Return whether a new exchange may start on this connection."""
+        """Return whether this connection may be reused for a new request."""
         return super().is_connected() and not self._buffer and not self._tail
 
 
 @attrs.define
 class SendProgress:
-    """How far the send of one call has come.
+    """Progress of sending one call.
 
-    :param may_send: asked once the connection is there, right before the first byte leaves: what
-        the replica asks for may have changed since it was chosen.
-    :ivar connected: a connection was handed to the call, so bytes of it may have left;
-        before that, none has.
+    :param may_send: called when the connection is ready, right before the first byte is sent,
+        because the replica may have requested backpressure since it was selected.
+    :ivar connected: the call has been assigned a connection. Until then no byte of it has been
+        sent; afterwards some may have been.
     """
 
     may_send: Callable[[], bool] = lambda: True
     connected: bool = False
 
 
-#: The send that the running task is at; the library does not pass it to the connector.
+#: Progress of the send in the current task; aiohttp does not pass it to the connector.
 _sending: ContextVar[SendProgress] = ContextVar('sending')
 
 
-class NotingConnector(SingleCloseConnector):
-    """Notes that a call got its connection, before the library writes a byte of it.
+class ProgressConnector(SingleCloseConnector):
+    """Marks a call as connected before aiohttp writes its first byte.
 
-    A call that may no longer be sent gives the connection back.
+    The connection of a call that may no longer be sent is released.
 
-    The library's own traces tell the same, but take some 40 us more of each call (the
-    commit that brought this class).
+    aiohttp's trace hooks could do the same, but add about 40 us to each call.
     """
 
     async def connect(self, *request: Any, **limits: Any) -> Connection:
-        """Return a connection for a request, new or kept.
+        """Return a new or pooled connection for a request.
 
         :raises SendWithheld: the call may no longer be sent.
         """
@@ -120,25 +118,27 @@
         return connection
 
 
-def idle_limit_s(keep_alive_s: float) -> float:
-    """Return how long an idle connection is kept.
+def idle_timeout_s(keep_alive_s: float) -> float:
+    """Return after how long an idle connection is closed.
 
-    :param keep_alive_s: how long the replica keeps one.
+    :param keep_alive_s: after how long the replica closes it.
     """
-    return min(IDLE_S, max(LEAST_IDLE_S, keep_alive_s - IDLE_MARGIN_S))
+    return min(MAX_IDLE_S, max(MIN_IDLE_S, keep_alive_s - IDLE_MARGIN_S))
 
 
 class ReplicaConnections:
-    """The client side of the connections to one replica.
+    """Sends calls to one replica over pooled connections.
 
     :param address: of the replica, as ``IP:PORT``.
-    :param limit: the most connections that this process opens to it.
+    :param limit: maximum number of connections of this process to the replica.
     """
 
     def __init__(self, address: str, limit: int, wire: CallWire) -> None:
         self.address = address
         self._wire = wire
-        self._connector = NotingConnector(keepalive_socket, limit=limit, keepalive_timeout=IDLE_S)
+        self._connector = ProgressConnector(
+            keepalive_socket, limit=limit, keepalive_timeout=MAX_IDLE_S
+        )
         make: Any = functools.partial(StrictResponseHandler, loop=asyncio.get_running_loop())
         self._connector._factory = make
         session = aiohttp.ClientSession(
@@ -153,14 +153,14 @@
     async def send(
         self, call: Call, facts: SendFacts, progress: SendProgress
     ) -> aiohttp.ClientResponse:
-        """Send *call* and return the answer as soon as its head is there.
+        """Send *call* and return the response as soon as its head has arrived.
 
-        The caller sets the time limit.
+        The timeout is set by the code that calls this.
 
-        :param progress: is kept up to date, also where the time limit ends the send.
-        :raises SendWithheld: it may no longer be sent; no byte left this process.
-        :raises aiohttp.ClientConnectorError: no byte left this process.
-        :raises aiohttp.ClientError: the replica may have received it.
+        :param progress: updated during the send, and valid also after a timeout.
+        :raises SendWithheld: the call may no longer be sent; no byte of it was sent.
+        :raises aiohttp.ClientConnectorError: no byte of the call was sent.
+        :raises aiohttp.ClientError: the replica may have received the call.
         """
         _sending.set(progress)
         return await self._session.request(
@@ -172,9 +172,9 @@
         )
 
     def note_keep_alive(self, facts: AnswerFacts) -> None:
-        """Keep idle connections for less time than the replica does."""
+        """Set the idle timeout from the keep-alive time in a response, if there is one."""
         if facts.keep_alive_s is not None:
-            self._connector._keepalive_timeout = idle_limit_s(facts.keep_alive_s)
+            self._connector._keepalive_timeout = idle_timeout_s(facts.keep_alive_s)
 
     async def close(self) -> None:
         """Close all connections."""
--- a/limeshelf/replicas/pool.py
+++ b/limeshelf/replicas/pool.py
@@ -1,8 +1,7 @@
-"""The connections of this process to all replicas, and probes of those out of reach.
+"""Connections of this process to all replicas, and probes of unreachable replicas.
 
-Owns the connections by start of the replica, opened when a call first goes there and closed
-after that start is gone. Relies on the directory for who is there, and on
-:mod:`limeshelf.replicas.health` for when a probe is due.
+Owns the connections to each start of a replica. They are opened for the first call and closed
+after the start is gone. :mod:`limeshelf.replicas.health` decides when a probe is due.
 """
 
 from __future__ import annotations
@@ -20,43 +19,43 @@
     from limeshelf.replicas.replica import Replica
     from limeshelf.replicas.starts import ReplicaStart
 
-#: Share of the connections that a replica takes which all gateways together open; it resets any
-#: beyond its number.
+#: Fraction of a replica's connection limit that all gateways together use; the replica resets
+#: connections above the limit.
 USED_SHARE = 0.9
-#: Connections that a gateway may open however many others there are.
+#: Minimum number of connections per gateway, however many gateways there are.
 LEAST_CONNECTIONS = 4
-#: Time between two rounds that close connections to replicas that are gone.
-SWEEP_S = 2.0
-#: Time between two rounds that probe replicas whose pause is over.
-PROBE_ROUND_S = 0.1
+#: Interval between checks for connections to replicas that are gone.
+SWEEP_INTERVAL_S = 2.0
+#: Pause before each round of probes.
+PROBE_INTERVAL_S = 0.1
 
 
 def connection_limit(max_connections: int, gateways: int) -> int:
-    """Return the most connections that one gateway opens to one replica.
+    """Return the maximum number of connections from one gateway to one replica.
 
-    :param max_connections: connections that the replica takes from all callers.
-    :param gateways: gateways that share them, as known; less than 1 counts as 1.
+    :param max_connections: connections that the replica accepts in total.
+    :param gateways: known number of gateways that share them; less than 1 counts as 1.
     """
     share = int(max_connections * USED_SHARE / max(1, gateways))
     return max(LEAST_CONNECTIONS, share)
 
 
 class ConnectionPool:
-    """Opens connections to a replica when a call first goes there.
+    """Creates the connections to a replica when the first call is sent to it.
 
-    :ivar gateways: how many gateways share a replica's connections, this one
-        included; kept up to date by the program. Connections that are already
-        open keep the limit with which they were made.
+    :ivar gateways: number of gateways that share a replica's connections, including this one;
+        updated by the program. The limit of a replica's connections is fixed when they are
+        created, so a change applies only to replicas that are used for the first time.
     """
 
     def __init__(self, wire: CallWire) -> None:
         self.gateways = 1
         self._wire = wire
         self._by_start: dict[ReplicaStart, ReplicaConnections] = {}
-        self._out_of_reach = asyncio.Event()
+        self._unreachable = asyncio.Event()
 
     def connections(self, replica: Replica, service: ServiceSpec) -> ReplicaConnections:
-        """Return the connections to a replica."""
+        """Return the connections to a replica, created if there are none."""
         found = self._by_start.get(replica.start)
         if found is None:
             limit = connection_limit(service.max_connections, self.gateways)
@@ -65,34 +64,35 @@
         return found
 
     async def sweep(self, directory: ReplicaDirectory) -> None:
-        """Close the connections to replicas that are gone, again and again.
+        """Close the connections to replicas that are gone, for ever.
 
-        Calls under way at a replica that counts as gone may still end well.
+        Calls in progress at a replica that is considered gone may still succeed, so its
+        connections stay open until these have ended.
         """
         while True:
-            await asyncio.sleep(SWEEP_S)
+            await asyncio.sleep(SWEEP_INTERVAL_S)
             for start in list(self._by_start):
                 replica = directory.get(start.replica_id)
                 if replica is None or replica.start != start:
-                    # Whatever ran at an earlier start broke off with it.
+                    # The replica has restarted, so the calls at its earlier start have failed.
                     await self._by_start.pop(start).close()
                 elif replica.gone and replica.own.calls == 0:
                     await self._by_start.pop(start).close()
 
     def note_out_of_reach(self) -> None:
-        """Note that a replica is out of reach, so that probes of it come due."""
-        self._out_of_reach.set()
+        """Start probing, because a replica has become unreachable."""
+        self._unreachable.set()
 
     async def probe(self, directory: ReplicaDirectory) -> None:
-        """See, while replicas are out of reach, whether they can be reached again.
+        """Probe unreachable replicas until they can be reached again, for ever.
 
-        A round lasts until each of its probes has ended.
+        A round ends when all of its probes have ended.
         """
         while True:
-            await self._out_of_reach.wait()
-            self._out_of_reach.clear()
+            await self._unreachable.wait()
+            self._unreachable.clear()
             while any(replica.health.awaits_probe for replica in directory.all()):
-                await asyncio.sleep(PROBE_ROUND_S)
+                await asyncio.sleep(PROBE_INTERVAL_S)
                 due = [replica for replica in directory.all() if replica.health.probe_due]
                 await asyncio.gather(*(_probe(replica) for replica in due))
 
@@ -103,13 +103,13 @@
 
 
 async def _probe(replica: Replica) -> None:
-    """Make a connection and close it; a real call would be lost behind a cut."""
+    """Open a connection and close it; a real call would be lost in a network partition."""
     host, _, port = replica.record.address.rpartition(':')
     try:
         async with asyncio.timeout(CONNECT_S):
             _, writer = await asyncio.open_connection(host, int(port))
     except OSError:
-        # Also a time-out. Not logged: it is so again and again while a cut lasts.
+        # Includes timeouts. Not logged, since probes fail repeatedly during a partition.
         replica.health.probed(reached=False)
         return
     writer.close()
--- a/tests/replicas/test_connections.py
+++ b/tests/replicas/test_connections.py
@@ -1,4 +1,4 @@
-"""How a connection to a replica ended, as the transport reports it."""
+"""Detection of how a connection to a replica ended, and of when a call was connected."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 
 def body_after(error: int, lost: BaseException | None) -> bytes:
-    async def play() -> bytes:
+    async def scenario() -> bytes:
         handler = StrictResponseHandler(asyncio.get_running_loop())
         handler.connection_made(Transport(error))
         handler.set_response_params(read_until_eof=True)
@@ -54,41 +54,42 @@
         handler.connection_lost(lost)
         return await payload.read()
 
-    return asyncio.run(play())
+    return asyncio.run(scenario())
 
 
-def test_end_in_order_completes_a_body_without_length() -> None:
+def test_clean_end_completes_a_body_without_length() -> None:
     assert body_after(0, None) == b'half'
 
 
-def test_reset_that_looks_like_an_end_is_none() -> None:
+def test_reset_that_is_reported_as_an_end_fails_the_body() -> None:
     with pytest.raises(ClientPayloadError):
         body_after(104, None)
 
 
-def test_reset_is_no_end() -> None:
+def test_reset_fails_the_body() -> None:
     with pytest.raises(ClientPayloadError):
         body_after(0, ConnectionResetError())
 
 
 def test_connection_with_surplus_bytes_is_not_used_again() -> None:
-    async def play() -> bool:
+    async def scenario() -> bool:
         handler = StrictResponseHandler(asyncio.get_running_loop())
         handler.connection_made(Transport(0))
         assert handler.is_connected()
         handler.data_received(b'HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n')
         return handler.is_connected()
 
-    assert not asyncio.run(play())
+    assert not asyncio.run(scenario())
 
 
-def test_progress_tells_whether_a_connection_was_handed_to_the_call() -> None:
-    """New, kept and none free; a connection that answers nothing is one all the same.
+def test_progress_shows_whether_the_call_was_assigned_a_connection() -> None:
+    """Covers new and pooled connections, and none available.
 
-    A call that may not be sent after all leaves no byte on its connection, which is kept.
+    A connection on which no response arrives counts as assigned. A call that is withheld writes
+    no byte to its connection, which returns to the pool.
     """
 
-    async def play() -> None:
+    async def scenario() -> None:
         replica = ReplicaStandIn('p-1')
         connections = ReplicaConnections(await replica.start(), 1, PlatformWire())
         facts = SendFacts(1.0, 'p-1', 0, None)
@@ -116,4 +117,4 @@
         await connections.close()
         await replica.close()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
--- a/tests/replicas/test_pool.py
+++ b/tests/replicas/test_pool.py
@@ -1,4 +1,4 @@
-"""How many connections a gateway opens, for how long, and to which replicas."""
+"""Limits of the connections of a gateway to a replica, and probes."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from limeshelf.calls.routes import ServiceSpec
 from limeshelf.platform.wire import PlatformWire
-from limeshelf.replicas.connections import IDLE_S, LEAST_IDLE_S, idle_limit_s
+from limeshelf.replicas.connections import MAX_IDLE_S, MIN_IDLE_S, idle_timeout_s
 from limeshelf.replicas.health import Failure
 from limeshelf.replicas.pool import LEAST_CONNECTIONS, ConnectionPool, connection_limit
 from limeshelf.replicas.record import ReplicaRecord
@@ -44,26 +44,26 @@
 
 
 @pytest.mark.parametrize(
-    ('keep_alive_s', 'idle_s'), [(3.0, 2.0), (60.0, IDLE_S), (1.0, LEAST_IDLE_S)]
+    ('keep_alive_s', 'idle_s'), [(3.0, 2.0), (60.0, MAX_IDLE_S), (1.0, MIN_IDLE_S)]
 )
 def test_idle_connection_is_closed_before_the_replica_closes_it(
     keep_alive_s: float, idle_s: float
 ) -> None:
-    assert idle_limit_s(keep_alive_s) == idle_s
+    assert idle_timeout_s(keep_alive_s) == idle_s
 
 
-def test_incarnation_has_connections_of_its_own() -> None:
-    async def play() -> None:
+def test_connections_to_a_replica_are_reused() -> None:
+    async def scenario() -> None:
         pool = ConnectionPool(PlatformWire())
         first = replica_at('127.0.0.1:1')
         assert pool.connections(first, SERVICE) is pool.connections(first, SERVICE)
         await pool.close()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_replica_that_takes_a_connection_again_is_no_longer_suspended() -> None:
-    async def play() -> bool:
+def test_replica_that_accepts_a_connection_again_is_no_longer_suspended() -> None:
+    async def scenario() -> bool:
         server = await asyncio.start_server(lambda _, writer: writer.close(), '127.0.0.1', 0)
         replica = replica_at(f'127.0.0.1:{server.sockets[0].getsockname()[1]}')
         replica.health.failed(Failure.NO_CONNECTION)
@@ -79,4 +79,4 @@
         server.close()
         return replica.health.is_suspended()
 
-    assert not asyncio.run(play())
+    assert not asyncio.run(scenario())
