--- a/limeshelf/replicas/directory.py
+++ b/limeshelf/replicas/directory.py
@@ -1,10 +1,10 @@
-"""All replicas: their rows, reports and what they hold, as they arrived here.
+"""Directory of all replicas, kept up to date from rows, reports and peer messages.
 
-Owns the :class:`~limeshelf.replicas.replica.Replica` of each start, and wakes
-who waits for one to change. Relies on the adapter to read rows, on
-:mod:`limeshelf.replicas.starts` for which start a statement speaks of, on
-:mod:`limeshelf.replicas.freshness` for which statement of a start counts, and on
-:mod:`limeshelf.replicas.loads` for what other gateways have under way.
+Owns the :class:`~limeshelf.replicas.replica.Replica` of each replica's current start, and wakes
+tasks that wait for a change. The platform adapter decodes rows;
+:mod:`limeshelf.replicas.starts` finds out which start a row or report describes,
+:mod:`limeshelf.replicas.freshness` rejects outdated ones, and :mod:`limeshelf.replicas.loads`
+keeps the load of other gateways.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from limeshelf.errors import InvalidDocument
 from limeshelf.metrics.event_log import log_change
 from limeshelf.replicas.freshness import (
-    heartbeat_counts,
+    is_heartbeat_used,
     is_late_heartbeat,
     is_late_report,
 )
@@ -31,16 +31,17 @@
     from collections.abc import Callable, Iterable
 
     from limeshelf.feeds.rows import Row
-    from limeshelf.replicas.loads import LoadAt
+    from limeshelf.replicas.loads import ReplicaLoad
     from limeshelf.replicas.record import ReplicaRecord, ReplicaReport
 
 
 class ReplicaDirectory:
-    """Every replica that has a row in the store, or had one.
+    """Every replica that has or had a row in the store.
 
-    :param read_record: reads a row into a record; raises :exc:`InvalidDocument`.
-    :param on_change: called with the id of a replica when what it holds has changed.
-    :param on_restart: called with how it was learned that a replica has started again.
+    :param read_record: decodes a row into a record; raises :exc:`InvalidDocument`.
+    :param on_change: called with the id of a replica that has restarted or whose report changed
+        its holdings.
+    :param on_restart: called when a restart is detected, with the source that showed it.
     """
 
     def __init__(
@@ -57,11 +58,11 @@
         self._changed = asyncio.Event()
 
     def all(self) -> list[Replica]:
-        """Return every replica that is there."""
+        """Return every replica that is not gone."""
         return [replica for replica in self._replicas.values() if not replica.gone]
 
     def of_service(self, service: str) -> list[Replica]:
-        """Return the replicas of *service* that take calls."""
+        """Return the replicas of *service* that may get new calls."""
         return [
             replica
             for replica in self._replicas.values()
@@ -69,42 +70,42 @@
         ]
 
     def get(self, replica_id: str) -> Replica | None:
-        """Return the current start of a replica, or the last one."""
+        """Return the latest start of a replica, which may be gone."""
         return self._replicas.get(replica_id)
 
     def take_row(self, row: Row) -> bool:
-        """Take a newer row of a replica; return whether it could be read.
+        """Apply a newer row of a replica; return whether it could be decoded.
 
-        One that cannot be read names no replica to use: who had it takes no new calls until a
-        readable row comes, with the next heartbeat if it lives. The last good row would go on
-        leading calls to whoever has its address now.
+        An invalid row marks its replica as gone until a valid row arrives, with the next
+        heartbeat if the replica is alive. With the last valid row, calls might be sent to another
+        replica that now uses the address.
         """
         if row.gone:
-            self._drop(row.key, 'record_dropped')
+            self._remove(row.key, 'record_dropped')
             return True
         try:
             record = self._read_record(row.key, row.value)
         except InvalidDocument as error:
             log_change('replica_row_invalid', replica=row.key, problem=str(error))
-            self._drop(row.key, 'record_unreadable')
+            self._remove(row.key, 'record_unreadable')
             return False
         self.take_record(record)
         self.notify_change()
         return True
 
     def take_record(self, record: ReplicaRecord) -> None:
-        """Add a replica, or update it unless the record came late."""
+        """Add a replica, or update it unless the record is outdated."""
         replica = self._replicas.get(record.replica_id)
         if replica is None:
             self._add(Replica(record, by_model(record.holdings)))
             return
-        order = replica.known_start.order_of(record.born_ms, boottime_s())
+        order = replica.known_start.compare(record.born_ms, boottime_s())
         if order is StartOrder.EARLIER:
             return
         if order is StartOrder.LATER:
             self._restart(replica, record, StatementWay.ROW)
         elif replica.gone:
-            # The row went and came back, as with a cut: no other start.
+            # The row was deleted and written again, as in a partition: not a new start.
             same = Replica(
                 record,
                 by_model(record.holdings),
@@ -120,14 +121,14 @@
         replica.record = record
         if record.leaving:
             self.mark_leaving(replica, 'row', record.leaves_in_s)
-        if heartbeat_counts(boottime_s() - replica.reported_s):
+        if is_heartbeat_used(boottime_s() - replica.reported_s):
             replica.holdings = by_model(record.holdings)
 
     def _restart(self, before: Replica, record: ReplicaRecord, way: StatementWay) -> Replica:
-        """Begin another start of a replica; nothing is known of it but *record*.
+        """Replace a replica by a new start, of which only *record* is known.
 
-        Its calls and loads of before are over. What was kept for it by other parts is kept by
-        its start, so that it is not taken for the new one's.
+        The calls and loads of the earlier start have ended. Other modules key their state by
+        start, so that it is not applied to the new one.
         """
         now_s = boottime_s()
         log_change(
@@ -153,8 +154,8 @@
     def _add(self, replica: Replica) -> None:
         record = replica.record
         self._supersede(record)
-        # Whatever this row says: that of a replica that leaves may lapse while the store is away,
-        # and come back as it was.
+        # The row of a leaving replica may expire while the store is unavailable, and be written
+        # again in its earlier state.
         replica.leaving = replica.backpressure.leaving = (
             record.leaving or replica.backpressure.leaving
         )
@@ -169,31 +170,31 @@
         )
 
     def _supersede(self, record: ReplicaRecord) -> None:
-        """Give an address to who stated it last; who had it takes no new calls."""
+        """Mark other replicas with the same address as leaving: the last row to arrive counts."""
         for other in self._replicas.values():
             if other.record.address == record.address and not other.gone:
                 other.leaving = True
 
-    def _drop(self, replica_id: str, cause: str) -> None:
+    def _remove(self, replica_id: str, cause: str) -> None:
         replica = self._replicas.get(replica_id)
         if replica is not None and not replica.gone:
             self.mark_gone(replica, cause)
             self.notify_change()
 
     def mark_gone(self, replica: Replica, cause: str) -> None:
-        """Note that this start of a replica is no longer there.
+        """Mark a replica as gone.
 
-        :param cause: how this was learned, for the log.
+        :param cause: what showed this, for the log.
         """
         if not replica.gone:
             replica.gone = True
             log_change('replica_gone', replica=replica.replica_id, cause=cause)
 
     def mark_leaving(self, replica: Replica, cause: str, left_s: float | None = None) -> None:
-        """Note that this start of a replica has said that it leaves.
+        """Mark a replica as leaving, because it has announced that.
 
-        :param cause: how this was learned, for the log.
-        :param left_s: until it is gone, in seconds; ``None`` where it does not say so.
+        :param cause: what showed this, for the log.
+        :param left_s: time until it is gone, in seconds; ``None`` if not stated.
         """
         replica.backpressure.leaving = True
         if not replica.leaving:
@@ -209,15 +210,15 @@
         settled: bool = False,
         asked_s: float | None = None,
     ) -> bool:
-        """Take what a replica reported, to this process or to a peer; return whether it counts.
+        """Apply a replica's report to this process or to a peer; return whether it was current.
 
         :param settled: see :func:`~limeshelf.replicas.freshness.is_late_report`.
-        :param asked_s: see :meth:`~limeshelf.replicas.starts.KnownStart.order_of`.
+        :param asked_s: see :meth:`~limeshelf.replicas.starts.KnownStart.compare`.
         """
         replica = self._replicas.get(replica_id)
         if replica is None:
             return False
-        order = replica.known_start.order_of(report.born_ms, boottime_s(), asked_s)
+        order = replica.known_start.compare(report.born_ms, boottime_s(), asked_s)
         if order is StartOrder.EARLIER:
             return False
         if order is StartOrder.LATER:
@@ -239,39 +240,42 @@
     def _restart_by_report(
         self, before: Replica, report: ReplicaReport, way: StatementWay
     ) -> Replica:
-        """Begin a start whose row has not come yet; its heartbeats count from the beginning."""
+        """Replace a replica by a new start that a report showed before its row arrived.
+
+        The heartbeats of the new start are numbered from the beginning.
+        """
         record = attrs.evolve(
             before.record, holdings=(), beat_number=0, born_ms=report.born_ms, leaving=False
         )
         was_gone = before.gone
         replica = self._restart(before, record, way)
-        # A replica without a row is used by nobody until it has one.
+        # A replica without a row stays gone until its row arrives.
         replica.gone = was_gone
         return replica
 
-    def take_peer_loads(self, peer: str, loads: Iterable[LoadAt]) -> None:
-        """Take what a peer has under way at each replica."""
-        self._peer_loads.take(peer, loads)
+    def take_peer_loads(self, peer: str, loads: Iterable[ReplicaLoad]) -> None:
+        """Replace the load of one peer at all replicas."""
+        self._peer_loads.update(peer, loads)
 
     def forget_peer(self, peer: str) -> None:
-        """Count the calls of a peer no longer; another one speaks for them."""
+        """Remove the load of a peer, which another peer now reports."""
         self._peer_loads.forget(peer)
 
-    def take_total_loads(self, loads: Iterable[LoadAt]) -> None:
-        """Take what all gateways have under way, this one among them."""
-        self._peer_loads.take_totals(loads, self._own_at)
+    def take_total_loads(self, loads: Iterable[ReplicaLoad]) -> None:
+        """Replace the load of all peers by totals, which include this gateway."""
+        self._peer_loads.update_totals(loads, self._own_load_at)
 
-    def _own_at(self, replica_id: str) -> Load:
+    def _own_load_at(self, replica_id: str) -> Load:
         replica = self._replicas.get(replica_id)
         return replica.own if replica is not None else Load()
 
     def load_of(self, replica: Replica) -> Load:
-        """Return what all gateways together have under way at a replica."""
-        others = self._peer_loads.at(replica.replica_id)
+        """Return the total load of all gateways at a replica."""
+        others = self._peer_loads.load_at(replica.replica_id)
         return Load(replica.own.calls + others.calls, replica.own.tokens + others.tokens)
 
     def notify_change(self) -> None:
-        """Wake everyone in :meth:`wait_for_change`."""
+        """Wake all tasks in :meth:`wait_for_change`."""
         self._changed.set()
         self._changed = asyncio.Event()
 
@@ -281,5 +285,5 @@
             async with boot_timeout(limit_s):
                 await self._changed.wait()
         except TimeoutError:
-            # Callers check for themselves what there is, changed or not.
+            # Callers check the state themselves, whether it changed or not.
             return
--- a/limeshelf/replicas/freshness.py
+++ b/limeshelf/replicas/freshness.py
@@ -1,9 +1,8 @@
-"""Which of two statements about a replica counts, and for how long a statement counts.
+"""Rules for outdated heartbeats and reports, and for how long reports stay valid.
 
-A replica is described by its row (heartbeats, through the store) and by its reports
-(when asked, by this process or a peer). Both arrive late and out of order. The rules
-have no state; :mod:`limeshelf.replicas.directory` and :mod:`limeshelf.replicas.loads`
-apply them.
+A replica is described by its row in the store, which each heartbeat updates, and by its reports,
+which this process or a peer requests. Both may arrive late and out of order. The rules are
+stateless; :mod:`limeshelf.replicas.directory` and :mod:`limeshelf.replicas.loads` apply them.
 """
 
 from __future__ import annotations
@@ -13,45 +12,45 @@
 if TYPE_CHECKING:
     from limeshelf.replicas.record import ReplicaRecord
 
-#: A report goes before heartbeats for this long.
+#: A report takes precedence over heartbeats for this long.
 REPORT_LIFE_S = 2.5
-#: What a peer has under way counts for this long after it said so.
-PEER_LOAD_LIFE_S = 2.0
+#: The load reported by a peer is used for this long.
+PEER_LOAD_VALID_S = 2.0
 
 
 def is_late_heartbeat(record: ReplicaRecord, newest: ReplicaRecord) -> bool:
-    """Return whether a row was written before one that has arrived, at the same start.
+    """Return whether a row is older than the newest one of the same start.
 
-    The first row that states a start may count its heartbeats from the beginning.
+    The first row with a start time may number its heartbeats from the beginning again.
     """
     states_start_first = newest.born_ms is None and record.born_ms is not None
     return not states_start_first and record.beat_number < newest.beat_number
 
 
 def is_late_report(order_number: int, known_order_number: int | None, settled: bool) -> bool:
-    """Return whether a report describes a time before the last known order.
+    """Return whether a report was made before the last known order.
 
-    :param order_number: orders that the replica had taken when it reported.
-    :param known_order_number: orders that it is known to have taken, ``None`` if
-        it was never asked.
-    :param settled: nothing was ordered there for longer than reports lag. A lower
-        number is right then: an order that was counted here did not arrive.
+    :param order_number: number of orders that the replica had accepted when it reported.
+    :param known_order_number: number of orders that it is known to have accepted; ``None``
+        before its first report.
+    :param settled: the last order is older than the delay of reports. A lower number is then
+        correct: an order that was counted here did not reach the replica.
     """
     return not settled and order_number < (known_order_number or 0)
 
 
-def heartbeat_counts(report_age_s: float) -> bool:
-    """Return whether what is held goes by a heartbeat, and not by the report before it.
+def is_heartbeat_used(report_age_s: float) -> bool:
+    """Return whether a heartbeat replaces the holdings of the last report.
 
-    A heartbeat may describe a time before a report that arrived earlier; only the
-    report has the number of orders that would show it.
+    A heartbeat may be older than a report that arrived before it. This cannot be detected,
+    because only reports contain the number of orders.
     """
     return report_age_s > REPORT_LIFE_S
 
 
-def peer_load_counts(age_s: float) -> bool:
-    """Return whether a peer's calls count as under way.
+def is_peer_load_valid(age_s: float) -> bool:
+    """Return whether the load reported by a peer is still used.
 
-    A peer that fell silent may have ended, and its calls with it.
+    A peer that no longer reports may have crashed, which ended its calls.
     """
-    return age_s <= PEER_LOAD_LIFE_S
+    return age_s <= PEER_LOAD_VALID_S
--- a/limeshelf/replicas/loads.py
+++ b/limeshelf/replicas/loads.py
@@ -1,7 +1,7 @@
-"""What other gateways have under way at the replicas.
+"""Load of other gateways at the replicas.
 
-Owns their latest statements, which the directory adds to this gateway's own calls.
-Relies on :mod:`limeshelf.replicas.freshness` for how long a statement counts.
+Owns the latest load report of each peer; the directory adds this gateway's own load.
+:mod:`limeshelf.replicas.freshness` defines how long a report is used.
 """
 
 from __future__ import annotations
@@ -10,19 +10,19 @@
 
 import attrs
 
-from limeshelf.replicas.freshness import peer_load_counts
+from limeshelf.replicas.freshness import is_peer_load_valid
 from limeshelf.replicas.replica import Load
 from limeshelf.util.clock import boottime_s
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
 
-#: Stands for all other gateways together.
-ALL_OTHERS = '*'
+#: Key for the sum of all other gateways.
+ALL_OTHER_GATEWAYS = '*'
 
 
-class LoadAt(Protocol):
-    """Calls and tokens under way at a named replica."""
+class ReplicaLoad(Protocol):
+    """Calls in progress at a replica, and their tokens."""
 
     replica_id: str
     calls: int
@@ -30,58 +30,58 @@
 
 
 @attrs.frozen
-class _Statement:
+class _PeerReport:
     arrived_s: float
     by_replica: dict[str, Load]
 
 
 @attrs.define
 class PeerLoads:
-    """The calls of other gateways, as each of them reports them or a relay sums them up."""
+    """Load of other gateways, as reported by each of them or summed by a relay."""
 
-    _by_peer: dict[str, _Statement] = attrs.field(factory=dict)
+    _by_peer: dict[str, _PeerReport] = attrs.field(factory=dict)
 
-    def take(self, peer: str, loads: Iterable[LoadAt]) -> None:
-        """Take what one peer has under way at each replica."""
+    def update(self, peer: str, loads: Iterable[ReplicaLoad]) -> None:
+        """Replace the load of one peer."""
         by_replica = {load.replica_id: Load(load.calls, load.tokens) for load in loads}
-        self._by_peer[peer] = _Statement(boottime_s(), by_replica)
+        self._by_peer[peer] = _PeerReport(boottime_s(), by_replica)
 
     def forget(self, peer: str) -> None:
-        """Forget what a peer reported."""
+        """Remove the load of a peer."""
         self._by_peer.pop(peer, None)
 
     def forget_replica(self, replica_id: str) -> None:
-        """Count nothing at a replica that has started again, until peers report anew.
+        """Remove the load at a restarted replica until peers report again.
 
-        Peers report by its id: what they still count of the earlier start breaks off within
-        a statement's life.
+        Peers report by replica id, so a report may still include calls of the earlier start.
+        These calls fail before the report expires.
         """
-        for statement in self._by_peer.values():
-            statement.by_replica.pop(replica_id, None)
+        for report in self._by_peer.values():
+            report.by_replica.pop(replica_id, None)
 
-    def take_totals(self, loads: Iterable[LoadAt], own_at: Callable[[str], Load]) -> None:
-        """Take what all gateways have under way, this one among them.
+    def update_totals(
+        self, loads: Iterable[ReplicaLoad], own_load_at: Callable[[str], Load]
+    ) -> None:
+        """Replace the load of all peers by totals, which include this gateway.
 
-        It replaces what single peers reported.
-
-        :param own_at: what this gateway has under way at a replica.
+        :param own_load_at: returns the load of this gateway at a replica.
         """
         others = {}
         for load in loads:
-            own = own_at(load.replica_id)
-            # Own calls may have begun after the totals were summed up.
+            own = own_load_at(load.replica_id)
+            # This gateway may have started calls after the totals were summed.
             others[load.replica_id] = Load(
                 max(0, load.calls - own.calls), max(0, load.tokens - own.tokens)
             )
-        self._by_peer = {ALL_OTHERS: _Statement(boottime_s(), others)}
+        self._by_peer = {ALL_OTHER_GATEWAYS: _PeerReport(boottime_s(), others)}
 
-    def at(self, replica_id: str) -> Load:
-        """Return what other gateways have under way at a replica."""
+    def load_at(self, replica_id: str) -> Load:
+        """Return the load of the other gateways at a replica."""
         total = Load()
         now_s = boottime_s()
-        for statement in self._by_peer.values():
-            load = statement.by_replica.get(replica_id)
-            if load is not None and peer_load_counts(now_s - statement.arrived_s):
+        for report in self._by_peer.values():
+            load = report.by_replica.get(replica_id)
+            if load is not None and is_peer_load_valid(now_s - report.arrived_s):
                 total.calls += load.calls
                 total.tokens += load.tokens
         return total
--- a/limeshelf/replicas/starts.py
+++ b/limeshelf/replicas/starts.py
@@ -1,9 +1,9 @@
-"""Which start of a replica a statement speaks of, where replicas start again under their id.
+"""Finds out which start of a replica a row or report describes.
 
-A replica that starts again holds nothing and counts from the beginning. Its statements may say
-when it started (:attr:`~limeshelf.replicas.record.ReplicaRecord.born_ms`); those that do not say
-so are of the known start. Owns what is known of the current start of one replica; relies on the
-clock of its callers.
+A replica may restart under the same id. It then holds no models and numbers its heartbeats and
+orders from the beginning. Rows and reports may contain the start time
+(:attr:`~limeshelf.replicas.record.ReplicaRecord.born_ms`); those without one are attributed to
+the known start. Owns the known start of one replica; the time is passed in by the callers.
 """
 
 from __future__ import annotations
@@ -12,25 +12,25 @@
 
 import attrs
 
-#: A start that states an earlier time than the known one replaces it only after its statements
-#: have come for this long, in seconds, and none of the known one: the clock of its machine has
-#: stepped back. A write to the store that got no answer is done up to 6 s later (the users'
-#: pages), so what an earlier start wrote has arrived by then.
-STEPPED_BACK_S = 8.0
+#: A start with an earlier start time replaces the known one only if its rows and reports have
+#: arrived for longer than this and none with the known start time have: then the clock of the
+#: machine was set back between the two starts. The store may apply a write without a reply up to
+#: 6 s later, so all writes of an earlier start are visible by then.
+CLOCK_STEP_BACK_S = 8.0
 
 
 class StatementWay(enum.StrEnum):
-    """How a statement of a replica came."""
+    """Where a row or report of a replica was received from."""
 
     ROW = 'row'
-    #: Its answer to this gateway.
+    #: The response of the replica to this gateway.
     REPORT = 'report'
-    #: The leader's message.
+    #: A message of the leader.
     PEER = 'peer'
 
 
 class StartOrder(enum.Enum):
-    """Which start a statement speaks of, beside the known one."""
+    """Which start a row or report describes, compared with the known one."""
 
     SAME = enum.auto()
     LATER = enum.auto()
@@ -39,12 +39,12 @@
 
 @attrs.frozen
 class ReplicaStart:
-    """One start of a replica, as this process tells its starts apart.
+    """Identifies one start of a replica within this process.
 
-    What is learned, counted or under way at a replica is kept by its start. A row that went
-    and came back begins none.
+    Used as the key for state of a replica that a restart invalidates. A row that was deleted and
+    written again is not a new start.
 
-    :param number: starts of it that this process has known before.
+    :param number: number of earlier starts that this process has seen.
     """
 
     replica_id: str
@@ -53,40 +53,41 @@
 
 @attrs.define
 class KnownStart:
-    """What is known of the current start of one replica.
+    """Start time of one replica, and when this process detected that start.
 
-    :param born_ms: when it started, in milliseconds since 1970 on the clock of its machine;
-        ``None`` while it has not said so.
-    :param learned_s: when this process learned of it, on the boot clock.
+    :param born_ms: start time in milliseconds since 1970, by the clock of its machine; ``None``
+        if not stated yet.
+    :param known_since_s: when this process detected the start, on the boot clock.
     """
 
     born_ms: int | None
-    learned_s: float
-    _doubted_born_ms: int | None = None
-    _doubted_s: float = 0.0
+    known_since_s: float
+    _candidate_born_ms: int | None = None
+    _candidate_since_s: float = 0.0
 
-    def order_of(
+    def compare(
         self, born_ms: int | None, now_s: float, asked_s: float | None = None
     ) -> StartOrder:
-        """Return which start a statement speaks of.
+        """Return which start a row or report describes.
 
-        :param born_ms: that it states, if any. The first that does makes no other start.
-        :param asked_s: when the replica itself was asked for it; ``None`` where it came
-            another way. Who answers a question of after this start was learned runs now,
-            whatever its clock shows.
+        :param born_ms: start time in the row or report. The first one received is attributed to
+            the known start.
+        :param asked_s: when this process requested the report from the replica; ``None`` for
+            other sources. A response to a request sent after the known start was detected is from
+            the start that runs now, whatever its clock shows.
         """
         if born_ms is None or self.born_ms is None or born_ms == self.born_ms:
             self.born_ms = born_ms if self.born_ms is None else self.born_ms
             if born_ms is not None:
-                self._doubted_born_ms = None
+                self._candidate_born_ms = None
             return StartOrder.SAME
-        if born_ms > self.born_ms or (asked_s is not None and asked_s > self.learned_s):
+        if born_ms > self.born_ms or (asked_s is not None and asked_s > self.known_since_s):
             return StartOrder.LATER
-        return self._order_of_lower(born_ms, now_s)
+        return self._compare_lower(born_ms, now_s)
 
-    def _order_of_lower(self, born_ms: int, now_s: float) -> StartOrder:
-        if self._doubted_born_ms != born_ms:
-            self._doubted_born_ms = born_ms
-            self._doubted_s = now_s
-        has_stepped_back = now_s - self._doubted_s > STEPPED_BACK_S
+    def _compare_lower(self, born_ms: int, now_s: float) -> StartOrder:
+        if self._candidate_born_ms != born_ms:
+            self._candidate_born_ms = born_ms
+            self._candidate_since_s = now_s
+        has_stepped_back = now_s - self._candidate_since_s > CLOCK_STEP_BACK_S
         return StartOrder.LATER if has_stepped_back else StartOrder.EARLIER
--- a/tests/replicas/test_directory.py
+++ b/tests/replicas/test_directory.py
@@ -1,4 +1,4 @@
-"""When a replica is believed to be there, to leave, and to be gone."""
+"""When the directory treats a replica as available, leaving or gone."""
 
 from __future__ import annotations
 
@@ -50,68 +50,70 @@
     return Row(replica_id, json.dumps(entry).encode(), at(beat))
 
 
-def taking_calls(directory: ReplicaDirectory) -> list[str]:
+def available(directory: ReplicaDirectory) -> list[str]:
     return [replica.replica_id for replica in directory.of_service('s')]
 
 
-def test_row_makes_a_replica_and_its_deletion_ends_it(directory: ReplicaDirectory) -> None:
+def test_row_adds_a_replica_and_its_deletion_removes_it(directory: ReplicaDirectory) -> None:
     directory.take_row(row())
-    assert taking_calls(directory) == ['r1']
+    assert available(directory) == ['r1']
     directory.take_row(Row('r1', b'', at(2), gone=True))
-    assert taking_calls(directory) == []
+    assert available(directory) == []
     assert directory.all() == []
 
 
-def test_first_row_that_states_a_start_is_obeyed_though_its_heartbeats_begin_anew(
+def test_first_row_with_a_start_time_is_applied_despite_a_lower_heartbeat_number(
     directory: ReplicaDirectory,
 ) -> None:
     directory.take_row(row(beat=40))
     directory.take_row(row(beat=1, state='draining', born=1_796_297_996_685))
-    assert taking_calls(directory) == []
+    assert available(directory) == []
 
 
-def test_leaving_is_never_taken_back(directory: ReplicaDirectory) -> None:
+def test_leaving_is_never_withdrawn(directory: ReplicaDirectory) -> None:
     directory.take_row(row(beat=1))
     directory.take_row(row(beat=2, state='draining'))
     directory.take_row(row(beat=3))
-    assert taking_calls(directory) == []
+    assert available(directory) == []
     assert [replica.replica_id for replica in directory.all()] == ['r1']
 
 
-def test_replica_that_reports_to_leave_takes_no_calls(directory: ReplicaDirectory) -> None:
+def test_replica_whose_report_announces_leaving_gets_no_calls(directory: ReplicaDirectory) -> None:
     directory.take_row(row())
     directory.take_report('r1', ReplicaReport((), False, 0, leaving=True))
-    assert taking_calls(directory) == []
+    assert available(directory) == []
 
 
-def test_address_belongs_to_the_newest_incarnation(directory: ReplicaDirectory) -> None:
+def test_address_belongs_to_the_replica_whose_row_arrived_last(
+    directory: ReplicaDirectory,
+) -> None:
     directory.take_row(row('r1'))
     directory.take_row(row('r2'))
-    assert taking_calls(directory) == ['r2']
+    assert available(directory) == ['r2']
 
 
-def test_row_of_a_replica_that_was_taken_for_gone_brings_it_back(
+def test_row_of_a_replica_marked_as_gone_adds_it_again(
     directory: ReplicaDirectory,
 ) -> None:
     directory.take_row(row())
     replica = directory.get('r1')
     assert replica is not None
     directory.mark_gone(replica, 'misdirected')
-    assert taking_calls(directory) == []
+    assert available(directory) == []
     directory.take_row(row(beat=2))
-    assert taking_calls(directory) == ['r1']
+    assert available(directory) == ['r1']
     assert directory.get('r1') is not replica
 
 
-def test_row_that_cannot_be_read_names_no_replica(directory: ReplicaDirectory) -> None:
+def test_replica_with_an_invalid_row_gets_no_calls(directory: ReplicaDirectory) -> None:
     directory.take_row(row('r1'))
     directory.take_row(Row('r2', b'no row', at(1)))
-    assert taking_calls(directory) == ['r1']
+    assert available(directory) == ['r1']
     directory.take_row(Row('r1', b'no row', at(2)))
-    assert taking_calls(directory) == []
+    assert available(directory) == []
 
 
-def test_report_goes_before_heartbeats_while_it_is_new(
+def test_report_takes_precedence_over_heartbeats_while_it_is_valid(
     directory: ReplicaDirectory, clock: VirtualClock
 ) -> None:
     directory.take_row(row(models=('m1',)))
@@ -127,7 +129,7 @@
     assert replica.holds('m1')
 
 
-def test_late_report_is_left_out(directory: ReplicaDirectory) -> None:
+def test_late_report_is_ignored(directory: ReplicaDirectory) -> None:
     directory.take_row(row())
     directory.take_report('r1', ReplicaReport((Holding('m2'),), False, 2))
     directory.take_report('r1', ReplicaReport((), False, 1))
@@ -137,11 +139,11 @@
     assert not replica.holds('m2')
 
 
-def test_change_wakes_who_waits(directory: ReplicaDirectory) -> None:
-    async def play() -> None:
+def test_change_wakes_waiting_tasks(directory: ReplicaDirectory) -> None:
+    async def scenario() -> None:
         waiting = asyncio.create_task(directory.wait_for_change(30.0))
         await asyncio.sleep(0)
         directory.take_row(row())
         await waiting
 
-    asyncio.run(play())
+    asyncio.run(scenario())
--- a/tests/replicas/test_freshness.py
+++ b/tests/replicas/test_freshness.py
@@ -1,16 +1,16 @@
-"""Which statement about a replica counts."""
+"""Which heartbeats, reports and peer loads are outdated."""
 
 from __future__ import annotations
 
 import pytest
 
 from limeshelf.replicas.freshness import (
-    PEER_LOAD_LIFE_S,
+    PEER_LOAD_VALID_S,
     REPORT_LIFE_S,
-    heartbeat_counts,
+    is_heartbeat_used,
     is_late_heartbeat,
     is_late_report,
-    peer_load_counts,
+    is_peer_load_valid,
 )
 from limeshelf.replicas.record import ReplicaRecord
 
@@ -40,11 +40,11 @@
     assert is_late_report(reported, known, settled) is late
 
 
-def test_heartbeat_counts_when_the_report_is_old() -> None:
-    assert not heartbeat_counts(REPORT_LIFE_S)
-    assert heartbeat_counts(REPORT_LIFE_S + 0.01)
+def test_heartbeat_is_used_when_the_report_has_expired() -> None:
+    assert not is_heartbeat_used(REPORT_LIFE_S)
+    assert is_heartbeat_used(REPORT_LIFE_S + 0.01)
 
 
-def test_silent_peer_has_nothing_under_way() -> None:
-    assert peer_load_counts(PEER_LOAD_LIFE_S)
-    assert not peer_load_counts(PEER_LOAD_LIFE_S + 0.01)
+def test_load_of_a_peer_expires() -> None:
+    assert is_peer_load_valid(PEER_LOAD_VALID_S)
+    assert not is_peer_load_valid(PEER_LOAD_VALID_S + 0.01)
--- a/tests/replicas/test_starts.py
+++ b/tests/replicas/test_starts.py
@@ -1,4 +1,4 @@
-"""Which start of a replica a statement speaks of, whichever way and in whatever order it comes."""
+"""Which start of a replica a row or report describes, for any source and order of arrival."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 from limeshelf.replicas.directory import ReplicaDirectory
 from limeshelf.replicas.loads import PeerLoads
 from limeshelf.replicas.replica import Replica
-from limeshelf.replicas.starts import STEPPED_BACK_S, KnownStart, StartOrder, StatementWay
+from limeshelf.replicas.starts import CLOCK_STEP_BACK_S, KnownStart, StartOrder, StatementWay
 from limeshelf.util.clock import VirtualClock, virtual_clock
 from tests.support.positions import at
 
-#: A statement arrives at most this late, in seconds.
+#: Longest delay of a row or report.
 LATEST_S = 6.0
 
 
@@ -53,7 +53,7 @@
     return replica
 
 
-def test_restart_by_row_begins_with_nothing() -> None:
+def test_restart_shown_by_a_row_clears_the_state() -> None:
     restarts: list[StatementWay] = []
     directory = ReplicaDirectory(read_record, on_restart=restarts.append)
     directory.take_row(row(1000, 9, 1, ('m1',)))
@@ -68,7 +68,7 @@
     assert restarts == [StatementWay.ROW]
 
 
-def test_restart_by_report_lets_heartbeats_count_from_the_beginning() -> None:
+def test_restart_shown_by_a_report_resets_the_heartbeat_number() -> None:
     directory = ReplicaDirectory(read_record)
     directory.take_row(row(1000, 9, 1, ('m1',)))
     assert directory.take_report('r1', report(2000, 0))
@@ -79,7 +79,7 @@
     assert known(directory).record.beat_number == 1
 
 
-def test_statement_of_an_earlier_start_changes_nothing() -> None:
+def test_row_and_report_of_an_earlier_start_are_ignored() -> None:
     directory = ReplicaDirectory(read_record)
     directory.take_row(row(2000, 1, 5))
     directory.take_row(row(1000, 40, 6, ('m1',)))
@@ -88,7 +88,7 @@
     assert known(directory).known_start.born_ms == 2000
 
 
-def test_statement_without_a_start_is_judged_by_its_counts() -> None:
+def test_row_without_a_start_time_is_ordered_by_its_heartbeat_number() -> None:
     directory = ReplicaDirectory(read_record)
     directory.take_row(row(None, 3, 1, ('m1',)))
     directory.take_row(row(None, 2, 2, ('m2',)))
@@ -99,7 +99,7 @@
     assert known(directory) is before
 
 
-def test_replica_that_begins_to_state_its_start_is_no_other() -> None:
+def test_first_start_time_of_a_replica_is_not_a_restart() -> None:
     restarts: list[StatementWay] = []
     directory = ReplicaDirectory(read_record, on_restart=restarts.append)
     directory.take_row(row(None, 3, 1, ('m1',)))
@@ -112,7 +112,7 @@
     assert known(directory) is not before
 
 
-def test_row_that_went_and_came_back_is_the_same_start() -> None:
+def test_row_that_is_deleted_and_written_again_is_the_same_start() -> None:
     directory = ReplicaDirectory(read_record)
     directory.take_row(row(1000, 3, 1))
     before = known(directory)
@@ -122,7 +122,7 @@
     assert known(directory).start == before.start
 
 
-def test_restart_that_a_report_shows_is_used_once_its_row_is_there() -> None:
+def test_restart_shown_by_a_report_gets_calls_once_its_row_arrives() -> None:
     directory = ReplicaDirectory(read_record)
     directory.take_row(row(1000, 3, 1))
     directory.take_row(Row('r1', b'', at(2), gone=True))
@@ -133,41 +133,41 @@
 
 
 @pytest.mark.parametrize('born', ['1000', 1000.5, 1.0e3, True, [], {}])
-def test_start_that_is_no_whole_number_makes_a_row_unreadable(born: Any) -> None:
+def test_row_whose_start_time_is_not_an_integer_is_invalid(born: Any) -> None:
     directory = ReplicaDirectory(read_record)
     assert not directory.take_row(row(born, 1, 1))
     assert directory.get('r1') is None
 
 
-def test_answer_to_a_question_of_after_shows_a_clock_that_stepped_back() -> None:
-    start = KnownStart(2000, learned_s=10.0)
-    assert start.order_of(1000, 11.0, asked_s=9.0) is StartOrder.EARLIER
-    assert start.order_of(1000, 11.0, asked_s=10.5) is StartOrder.LATER
+def test_response_to_a_later_request_shows_a_clock_that_was_set_back() -> None:
+    start = KnownStart(2000, known_since_s=10.0)
+    assert start.compare(1000, 11.0, asked_s=9.0) is StartOrder.EARLIER
+    assert start.compare(1000, 11.0, asked_s=10.5) is StartOrder.LATER
 
 
-def test_rows_show_a_clock_that_stepped_back_once_late_ones_have_come() -> None:
-    start = KnownStart(2000, learned_s=0.0)
-    assert start.order_of(1000, 10.0) is StartOrder.EARLIER
-    assert start.order_of(1000, 10.0 + STEPPED_BACK_S) is StartOrder.EARLIER
-    assert start.order_of(1000, 10.1 + STEPPED_BACK_S) is StartOrder.LATER
-    assert start.order_of(1000, 20.0 + STEPPED_BACK_S) is StartOrder.LATER
-    assert start.order_of(2000, 30.0) is StartOrder.SAME
-    assert start.order_of(1000, 30.1) is StartOrder.EARLIER
+def test_rows_show_a_clock_that_was_set_back_after_the_longest_delay() -> None:
+    start = KnownStart(2000, known_since_s=0.0)
+    assert start.compare(1000, 10.0) is StartOrder.EARLIER
+    assert start.compare(1000, 10.0 + CLOCK_STEP_BACK_S) is StartOrder.EARLIER
+    assert start.compare(1000, 10.1 + CLOCK_STEP_BACK_S) is StartOrder.LATER
+    assert start.compare(1000, 20.0 + CLOCK_STEP_BACK_S) is StartOrder.LATER
+    assert start.compare(2000, 30.0) is StartOrder.SAME
+    assert start.compare(1000, 30.1) is StartOrder.EARLIER
 
 
-def test_loads_of_an_earlier_start_are_forgotten() -> None:
+def test_loads_of_an_earlier_start_are_removed() -> None:
     loads = PeerLoads()
     at: Any = attrs.make_class('At', ['replica_id', 'calls', 'tokens'])
-    loads.take('g2', [at('r1', 3, 30), at('r2', 1, 10)])
+    loads.update('g2', [at('r1', 3, 30), at('r2', 1, 10)])
     loads.forget_replica('r1')
-    assert (loads.at('r1').calls, loads.at('r2').calls) == (0, 1)
+    assert (loads.load_at('r1').calls, loads.load_at('r2').calls) == (0, 1)
 
 
 @attrs.define
 class Statement:
-    """What a replica said, which may arrive late and more than once."""
+    """A row or report, which may arrive late and more than once."""
 
-    said_s: float
+    sent_s: float
     start: int
     born_ms: int
     count: int
@@ -175,14 +175,14 @@
 
 
 class Restarts(RuleBasedStateMachine):
-    """A replica that restarts again and again, and whose statements come in any order.
+    """A replica that restarts repeatedly, and whose rows and reports arrive in any order.
 
-    Its clock may step back between two starts; then its statements go on coming for long enough
-    before the next restart, as they do from a replica that lives.
+    Its clock may be set back between two starts. Its rows then arrive for long enough before the
+    next restart, as they do from a running replica.
     """
 
     @initialize()
-    def begin(self) -> None:
+    def initialise(self) -> None:
         self.entered = virtual_clock()
         self.clock: VirtualClock = self.entered.__enter__()
         self.directory = ReplicaDirectory(read_record)
@@ -191,57 +191,64 @@
         self.born_ms = 1_000_000
         self.count = 0
         self.models: tuple[str, ...] = ()
-        self.said: list[Statement] = []
+        self.sent: list[Statement] = []
         self.arrived: set[int] = set()
         self.newest = 0
-        self.speak_by_row()
+        self.send_row()
 
     def teardown(self) -> None:
         if hasattr(self, 'entered'):
             self.entered.__exit__(None, None, None)
 
-    def _say(self) -> Statement:
+    def _create(self) -> Statement:
         self.count += 1
-        said = Statement(self.clock.now_s, self.start, self.born_ms, self.count, self.models)
-        self.said.append(said)
-        return said
+        statement = Statement(self.clock.now_s, self.start, self.born_ms, self.count, self.models)
+        self.sent.append(statement)
+        return statement
 
-    def _arrive(self, said: Statement, way: StatementWay, asked_s: float | None = None) -> None:
+    def _deliver(
+        self, statement: Statement, way: StatementWay, asked_s: float | None = None
+    ) -> None:
         if way is StatementWay.ROW:
-            self.directory.take_row(row(said.born_ms, said.count, next(self.numbers), said.models))
+            self.directory.take_row(
+                row(statement.born_ms, statement.count, next(self.numbers), statement.models)
+            )
         else:
             self.directory.take_report(
-                'r1', report(said.born_ms, said.count, said.models), way, asked_s=asked_s
+                'r1',
+                report(statement.born_ms, statement.count, statement.models),
+                way,
+                asked_s=asked_s,
             )
-        self.newest = max(self.newest, said.start)
+        self.newest = max(self.newest, statement.start)
 
     @rule()
-    def speak_by_row(self) -> None:
-        self._arrive(self._say(), StatementWay.ROW)
+    def send_row(self) -> None:
+        self._deliver(self._create(), StatementWay.ROW)
 
     @rule()
-    def speak_to_a_peer(self) -> None:
-        self._arrive(self._say(), StatementWay.PEER)
+    def report_to_peer(self) -> None:
+        self._deliver(self._create(), StatementWay.PEER)
 
     @rule()
-    def answer(self) -> None:
+    def report_on_request(self) -> None:
         asked_s = self.clock.now_s
         self.clock.advance(0.01)
-        self._arrive(self._say(), StatementWay.REPORT, asked_s)
+        self._deliver(self._create(), StatementWay.REPORT, asked_s)
 
     @rule()
-    def say_what_is_lost_or_late(self) -> None:
-        self._say()
+    def send_with_loss_or_delay(self) -> None:
+        self._create()
 
     @rule(data=st.data(), way=st.sampled_from([StatementWay.ROW, StatementWay.PEER]))
-    def late_or_doubled(self, data: Any, way: StatementWay) -> None:
+    def deliver_late_or_again(self, data: Any, way: StatementWay) -> None:
         oldest_s = self.clock.now_s - LATEST_S
-        late = [said for said in self.said if said.said_s >= oldest_s]
+        late = [statement for statement in self.sent if statement.sent_s >= oldest_s]
         if late:
-            self._arrive(data.draw(st.sampled_from(late)), way)
+            self._deliver(data.draw(st.sampled_from(late)), way)
 
     @rule(seconds=st.floats(0.05, 3.0))
-    def time_passes(self, seconds: float) -> None:
+    def advance_time(self, seconds: float) -> None:
         self.clock.advance(seconds)
 
     @rule(models=st.sampled_from([('m1',), ('m1', 'm2'), ()]))
@@ -253,39 +260,43 @@
         self._restart(self.born_ms + int(lived_s * 1000))
 
     @rule(back_ms=st.integers(1, 100_000))
-    def restart_with_a_clock_that_stepped_back(self, back_ms: int) -> None:
+    def restart_with_clock_set_back(self, back_ms: int) -> None:
         self._restart(self.born_ms - back_ms)
-        for _ in range(int(STEPPED_BACK_S) + 2):
+        for _ in range(int(CLOCK_STEP_BACK_S) + 2):
             self.clock.advance(1.0)
-            self.speak_by_row()
+            self.send_row()
 
     def _restart(self, born_ms: int) -> None:
         self.start += 1
         self.born_ms, self.count, self.models = born_ms, 0, ()
 
     @invariant()
-    def no_earlier_start_goes_before_a_later_one(self) -> None:
+    def known_start_is_the_newest(self) -> None:
         if not hasattr(self, 'directory'):
             return
         replica = self.directory.get('r1')
         if replica is None:
             return
-        starts = [said.start for said in self.said if said.born_ms == replica.known_start.born_ms]
+        starts = [
+            statement.start
+            for statement in self.sent
+            if statement.born_ms == replica.known_start.born_ms
+        ]
         assert max(starts) == self.newest
 
     @invariant()
-    def nothing_of_an_earlier_start_is_held(self) -> None:
+    def holdings_are_of_the_known_start(self) -> None:
         if not hasattr(self, 'directory'):
             return
         replica = self.directory.get('r1')
         if replica is None:
             return
-        said = {
+        expected = {
             statement.models
-            for statement in self.said
+            for statement in self.sent
             if statement.born_ms == replica.known_start.born_ms
         }
-        assert tuple(sorted(replica.holdings)) in said | {()}
+        assert tuple(sorted(replica.holdings)) in expected | {()}
 
 
 TestRestarts = Restarts.TestCase
