--- a/limeshelf/replicas/notices.py
+++ b/limeshelf/replicas/notices.py
@@ -1,8 +1,9 @@
-"""Takes what replicas ask for, whoever heard it, and logs what changes.
+"""Handles rate limits, pauses and leaving announcements of replicas, and logs changes.
 
-The one place that takes notices: of the head of an answer to a call, as soon as it is there (a
-stream goes on for seconds), of other answers, and of peers. Owns nothing but what was
-logged; what holds is kept with the start of the replica (:mod:`limeshelf.replicas.backpressure`).
+All notices are handled here: those in the head of a response to a call, as soon as the head
+arrives (a stream takes seconds more), those in responses to orders and reports, and those from
+peers. Owns only the set of replicas whose unusable notices have been logged; the requests in
+force are kept per start of a replica (:mod:`limeshelf.replicas.backpressure`).
 """
 
 from __future__ import annotations
@@ -27,17 +28,17 @@
 
 
 class NoticeWay(enum.StrEnum):
-    """How a notice came."""
+    """Where a notice was received from."""
 
     CALL = 'call'
-    #: An answer to an order, or a report.
+    #: A response to an order, or a report.
     ORDER = 'order'
-    #: Another gateway's message.
+    #: A message of another gateway.
     PEER = 'peer'
 
 
 class Statement(enum.StrEnum):
-    """What a replica asks for, as the label of a counter."""
+    """What a replica requests, as the label of a counter."""
 
     RATE = 'rate'
     PAUSE = 'pause'
@@ -45,26 +46,26 @@
 
 
 @attrs.frozen
-class _Asked:
-    """What a replica asks of all gateways at a moment."""
+class _Requested:
+    """Requests of a replica to all gateways, to detect changes."""
 
     rate_per_s: float | None
     leaving: bool
 
     @classmethod
-    def by(cls, replica: Replica) -> _Asked:
+    def from_replica(cls, replica: Replica) -> _Requested:
         backpressure = replica.backpressure
         return cls(backpressure.rate_per_s, backpressure.leaving)
 
 
 @attrs.define
 class NoticeTaker:
-    """Takes notices.
+    """Applies notices to replicas.
 
-    :ivar on_change: called with a replica when what it asks for has changed, and how that was
-        learned.
-    :ivar count: called when a replica begins to ask for something, or names another rate.
-    :ivar unusable: starts of replicas that said something that cannot be read; logged once.
+    :ivar on_change: called with a replica whose rate limit or leaving state has changed, and the
+        source of the notice.
+    :ivar count: called when a replica starts to request something, or changes its rate limit.
+    :ivar unusable: starts of replicas that have sent an unusable notice, which is logged once.
     """
 
     directory: ReplicaDirectory
@@ -73,40 +74,41 @@
     unusable: set[ReplicaStart] = attrs.field(factory=set)
 
     def take_of_call(self, replica: Replica, facts: AnswerFacts, sent_s: float) -> None:
-        """Take what the head of an answer to a call says.
+        """Apply the notice in the head of a response to a call.
 
-        That it names no rate counts only where the replica ran the call.
+        A response without a rate limit ends the limit only if the replica ran the call.
 
         :param sent_s: when the call was sent, on the boot clock.
         """
-        before = _Asked.by(replica)
-        self._take(replica, facts.notice, NoticeWay.CALL)
+        before = _Requested.from_replica(replica)
+        self._apply(replica, facts.notice, NoticeWay.CALL)
         if not facts.notice.names_rate and not facts.not_run:
             replica.backpressure.note_no_rate(sent_s)
-        self._note_change(replica, before, NoticeWay.CALL)
+        self._report_change(replica, before, NoticeWay.CALL)
 
     def take_of_order(self, replica_id: str, notice: ReplicaNotice) -> None:
-        """Take what the head of an answer to an order says, or of a report.
+        """Apply the notice in the head of a response to an order, or of a report.
 
-        That it names no rate says nothing: replicas in need may name it to callers alone.
+        One without a rate limit does not end the limit: an overloaded replica may state it only
+        in responses to calls.
         """
         replica = self.directory.get(replica_id)
         if replica is not None and notice != NO_NOTICE:
-            before = _Asked.by(replica)
-            self._take(replica, notice, NoticeWay.ORDER)
-            self._note_change(replica, before, NoticeWay.ORDER)
+            before = _Requested.from_replica(replica)
+            self._apply(replica, notice, NoticeWay.ORDER)
+            self._report_change(replica, before, NoticeWay.ORDER)
 
-    def _take(self, replica: Replica, notice: ReplicaNotice, way: NoticeWay) -> None:
+    def _apply(self, replica: Replica, notice: ReplicaNotice, way: NoticeWay) -> None:
         if notice.leaving:
             self.directory.mark_leaving(replica, way)
         if notice.rate_per_s is not None:
             replica.backpressure.note_rate(notice.rate_per_s, boottime_s())
         if notice.pause_s is not None:
-            self._pause(replica, notice.pause_s, way)
+            self._apply_pause(replica, notice.pause_s, way)
         if notice.unusable:
             self._log_unusable(replica)
 
-    def _pause(self, replica: Replica, pause_s: float, way: NoticeWay) -> None:
+    def _apply_pause(self, replica: Replica, pause_s: float, way: NoticeWay) -> None:
         was_paused = replica.backpressure.is_paused
         replica.backpressure.note_pause(pause_s)
         if not was_paused and pause_s:
@@ -119,28 +121,28 @@
             )
 
     def take_leaving_of_peer(self, replica: Replica) -> None:
-        """Take that another gateway has heard that a replica leaves."""
-        before = _Asked.by(replica)
+        """Apply a leaving announcement that another gateway received."""
+        before = _Requested.from_replica(replica)
         self.directory.mark_leaving(replica, NoticeWay.PEER)
-        self._note_change(replica, before, NoticeWay.PEER)
+        self._report_change(replica, before, NoticeWay.PEER)
 
     def take_rate_of_peer(
         self, replica: Replica, rate_per_s: float | None, known_s: float
     ) -> None:
-        """Take what another gateway knows of the rate of a replica.
+        """Apply the rate limit of a replica that another gateway knows, or that there is none.
 
-        :param known_s: of a rate, when an answer named it; without one, when the latest call was
-            sent whose answer named none; on the boot clock.
+        :param known_s: with a rate limit, when the response with it arrived; without one, when
+            the latest call was sent whose response had none; on the boot clock.
         """
-        before = _Asked.by(replica)
+        before = _Requested.from_replica(replica)
         if rate_per_s is not None:
             replica.backpressure.note_rate(rate_per_s, known_s)
         else:
             replica.backpressure.note_no_rate(known_s)
-        self._note_change(replica, before, NoticeWay.PEER)
+        self._report_change(replica, before, NoticeWay.PEER)
 
-    def _note_change(self, replica: Replica, before: _Asked, way: NoticeWay) -> None:
-        now = _Asked.by(replica)
+    def _report_change(self, replica: Replica, before: _Requested, way: NoticeWay) -> None:
+        now = _Requested.from_replica(replica)
         if now.rate_per_s != before.rate_per_s:
             log_change(
                 'replica_rate',
--- a/tests/replicas/test_backpressure.py
+++ b/tests/replicas/test_backpressure.py
@@ -1,4 +1,4 @@
-"""The rate that a replica asks for holds until a later answer surely names none."""
+"""A rate limit stays in force until a response certainly sent later has none."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 from limeshelf.replicas.backpressure import Backpressure
 
 
-def test_no_rate_until_one_is_named() -> None:
+def test_no_rate_limit_before_the_first_response() -> None:
     assert Backpressure().rate_per_s is None
 
 
-def test_named_rate_holds_however_long_nothing_is_heard() -> None:
+def test_rate_limit_stays_in_force_without_further_responses() -> None:
     backpressure = Backpressure()
     backpressure.note_rate(2.3, heard_s=10.0)
     assert backpressure.rate_per_s == 2.3
 
 
-def test_answer_without_a_rate_ends_it_only_if_its_call_was_sent_later() -> None:
+def test_response_without_a_rate_ends_it_only_if_its_call_was_sent_later() -> None:
     backpressure = Backpressure()
     backpressure.note_rate(2.3, heard_s=10.0)
     backpressure.note_no_rate(sent_s=9.9)
@@ -27,7 +27,7 @@
     assert backpressure.rate_per_s is None
 
 
-def test_rate_is_named_again() -> None:
+def test_rate_limit_is_set_again_after_it_ended() -> None:
     backpressure = Backpressure()
     backpressure.note_no_rate(sent_s=10.0)
     backpressure.note_rate(0.3, heard_s=11.0)
@@ -38,16 +38,20 @@
     st.lists(st.tuples(st.sampled_from([None, 0.3, 2.3]), st.integers(0, 20)), max_size=8),
     st.randoms(),
 )
-def test_order_of_arrival_does_not_matter(said: list[tuple[float | None, int]], random) -> None:
-    said = [one for index, one in enumerate(said) if one[1] not in [at for _, at in said[:index]]]
+def test_order_of_arrival_does_not_matter(notices: list[tuple[float | None, int]], random) -> None:
+    notices = [
+        notice
+        for index, notice in enumerate(notices)
+        if notice[1] not in [at for _, at in notices[:index]]
+    ]
     results = []
     for _ in range(2):
         backpressure = Backpressure()
-        for rate_per_s, at in said:
+        for rate_per_s, at in notices:
             if rate_per_s is None:
                 backpressure.note_no_rate(at)
             else:
                 backpressure.note_rate(rate_per_s, at)
         results.append(backpressure.rate_per_s)
-        random.shuffle(said)
+        random.shuffle(notices)
     assert results[0] == results[1]
--- a/tests/replicas/test_notices.py
+++ b/tests/replicas/test_notices.py
@@ -1,4 +1,4 @@
-"""What replicas ask for is taken from every answer that is surely theirs."""
+"""How notices of replicas change their backpressure."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 @pytest.mark.parametrize('facts', [RAN, REFUSED])
-def test_rate_counts_in_any_answer_and_ends_with_one_of_a_run(facts: AnswerFacts) -> None:
+def test_rate_is_set_by_any_response_and_ended_only_if_the_call_ran(facts: AnswerFacts) -> None:
     world = World()
     with virtual_clock() as clock:
         world.answer(facts, RATE, clock.now_s)
@@ -64,7 +64,7 @@
     assert world.taker.unusable == {world.replica.start}
 
 
-def test_answers_to_orders_name_a_rate_and_end_none() -> None:
+def test_response_to_an_order_sets_a_rate_and_ends_none() -> None:
     world = World()
     world.taker.take_of_order('r-1', RATE)
     world.taker.take_of_order('r-1', NO_NOTICE)
@@ -73,7 +73,7 @@
     assert world.changes == [NoticeWay.ORDER]
 
 
-def test_that_it_leaves_is_never_taken_back_by_the_same_start() -> None:
+def test_leaving_is_never_withdrawn_for_the_same_start() -> None:
     world = World()
     world.answer(REFUSED, LEAVING, 0.0)
     world.answer(RAN, NO_NOTICE, 1.0)
@@ -85,7 +85,7 @@
     assert world.changes == [NoticeWay.CALL]
 
 
-def test_what_a_call_from_before_the_row_lapsed_hears_counts_for_the_row_that_came_back() -> None:
+def test_notice_to_a_call_sent_before_the_row_was_deleted_applies_to_the_new_row() -> None:
     world = World()
     before = world.replica
     world.directory.mark_gone(before, 'record_dropped')
@@ -97,7 +97,7 @@
     assert world.replica.backpressure.rate_per_s == 2.3
 
 
-def test_later_start_has_asked_for_nothing() -> None:
+def test_restart_clears_backpressure() -> None:
     world = World()
     world.directory.take_record(attrs.evolve(RECORD, beat_number=2, born_ms=5))
     world.answer(RAN, attrs.evolve(RATE, leaving=True), 0.0)
@@ -106,7 +106,7 @@
     assert world.replica.backpressure.rate_per_s is None
 
 
-def test_pause_is_this_gateways_alone_and_a_shorter_one_ends_none() -> None:
+def test_pause_is_not_shared_with_peers_and_not_shortened_by_a_later_one() -> None:
     world = World()
     with virtual_clock() as clock:
         world.answer(REFUSED, ReplicaNotice(pause_s=3.0), clock.now_s)
@@ -120,7 +120,7 @@
     assert world.changes == []
 
 
-def test_pause_of_a_day_is_bounded() -> None:
+def test_pause_of_a_day_is_cut_to_the_limit() -> None:
     world = World()
     with virtual_clock():
         world.taker.take_of_order('r-1', ReplicaNotice(pause_s=86400.0))
