--- a/limeshelf/replicas/holdings.py
+++ b/limeshelf/replicas/holdings.py
@@ -1,6 +1,6 @@
-"""What a replica no longer holds, as refusals and orders show before its next report.
+"""Removes models and adapters from a replica's state before its next report shows the change.
 
-Owns nothing; changes the holdings of one :class:`~limeshelf.replicas.replica.Replica`.
+Stateless; changes the holdings of a :class:`~limeshelf.replicas.replica.Replica`.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 def drop_adapter(replica: Replica, model: str, adapter: str) -> None:
-    """Note that an order has unloaded an adapter, before a report shows it."""
+    """Remove an adapter that an order has unloaded from the holdings and the last report."""
     forget_holding(replica, model, adapter)
     report = replica.report
     if report is not None:
@@ -26,12 +26,12 @@
 
 
 def forget_holding(replica: Replica, model: str, adapter: str) -> None:
-    """Note that a replica refused a call for lack of a model or an adapter.
+    """Remove a model or adapter from the holdings after a replica refused a call for lack of it.
 
-    Calls go elsewhere from now on. The report stays as it is: a refusal is no proof that the
-    replica has room for another load (tests/placement/test_service.py).
+    Further calls are sent to other replicas. The last report is not changed, because a refusal
+    does not show that the replica has room for another load (tests/placement/test_service.py).
 
-    :param adapter: empty where the model itself is not there.
+    :param adapter: empty if the model itself is missing.
     """
     adapters = replica.holdings.get(model)
     if adapters is None:
--- a/limeshelf/replicas/record.py
+++ b/limeshelf/replicas/record.py
@@ -1,7 +1,7 @@
-"""What a replica says of itself: its record in the store and its report.
+"""Contents of a replica's row in the store and of its reports.
 
-Values only; the adapter to the platform reads them, and :mod:`limeshelf.membership`
-passes reports on between gateways.
+The platform adapter decodes both, and :mod:`limeshelf.membership` forwards reports between
+gateways.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 @attrs.frozen
 class Holding:
-    """A model that is ready at a replica, with its ready adapters."""
+    """A model that is loaded and ready at a replica, with its ready adapters."""
 
     model: str
     adapters: frozenset[str] = frozenset()
@@ -19,16 +19,17 @@
 
 @attrs.frozen
 class ReplicaRecord:
-    """A replica as its row in the store describes it.
+    """Contents of a replica's row in the store.
 
-    :param replica_id: a restart may have the same or another.
-    :param address: as ``IP:PORT``; another replica, or another service, may have it later.
-    :param slots: calls that it works on at once.
-    :param leaving: it takes no new calls.
-    :param leaves_in_s: time until it is gone; ``None`` where it does not say so.
-    :param beat_number: rises with each heartbeat since its start; a lower one came late.
-    :param born_ms: when it started, in milliseconds since 1970 on the clock of its machine;
-        ``None`` where it does not say so.
+    :param replica_id: may stay the same or change at a restart.
+    :param address: as ``IP:PORT``; may later be used by another replica or another service.
+    :param slots: number of calls that the replica runs concurrently.
+    :param leaving: the replica accepts no new calls.
+    :param leaves_in_s: time until the replica is gone; ``None`` if not stated.
+    :param beat_number: number of the heartbeat since the start; a row with a lower number is
+        outdated.
+    :param born_ms: start time in milliseconds since 1970, by the clock of its machine; ``None``
+        if not stated.
     """
 
     replica_id: str
@@ -45,17 +46,17 @@
 
 @attrs.frozen
 class ReplicaReport:
-    """What a replica answers when asked; some 100 ms old on arrival.
+    """State that a replica reports on request; about 100 ms old on arrival.
 
-    :param busy: an order is under way.
-    :param order_number: orders that it has taken since its start.
-    :param loading: adapters on their way, as model and adapter.
-    :param queued: calls that wait there.
-    :param running: calls in its batch.
-    :param memory_used: tokens of accelerator memory that cannot be evicted.
-    :param in_memory: models whose weights lie in the memory of its machine.
-    :param on_disk: models whose weights lie on its disk.
-    :param leaving: it takes no new calls.
+    :param busy: the replica is carrying out an order.
+    :param order_number: number of orders accepted since the start.
+    :param loading: adapters being loaded, as pairs of model and adapter.
+    :param queued: calls in the replica's queue.
+    :param running: calls in the replica's batch.
+    :param memory_used: tokens in accelerator memory that cannot be evicted.
+    :param in_memory: models whose weights are in the main memory of the machine.
+    :param on_disk: models whose weights are on the disk of the machine.
+    :param leaving: the replica accepts no new calls.
     :param born_ms: as in :class:`ReplicaRecord`.
     """
 
--- a/limeshelf/replicas/replica.py
+++ b/limeshelf/replicas/replica.py
@@ -1,6 +1,6 @@
-"""One start of a replica, with the state that this process keeps of it.
+"""State of one start of a replica in this process.
 
-Several packages write to it, each its own fields; the class names the owner of each.
+Several packages write to it; the class documents which package owns each field.
 """
 
 from __future__ import annotations
@@ -16,10 +16,10 @@
 
 @attrs.define
 class Load:
-    """What is under way at a replica.
+    """Calls in progress at a replica.
 
-    :ivar calls: calls under way.
-    :ivar tokens: tokens of its memory that they likely fill.
+    :ivar calls: number of calls.
+    :ivar tokens: expected size of these calls in the replica's memory, in tokens.
     """
 
     calls: int = 0
@@ -28,33 +28,31 @@
 
 @attrs.define(eq=False)
 class Replica:
-    """One start of a replica; its restart begins another, also under the same id.
+    """One start of a replica; a restart creates another object, even under the same id.
 
     Written by :class:`~limeshelf.replicas.directory.ReplicaDirectory`:
 
     :ivar record: its newest row in the store.
-    :ivar report: its newest report, its own or a peer's copy; ``None`` before the first.
-    :ivar reported_s: arrival of that report here, on the steady clock.
-    :ivar holdings: model to its ready adapters.
-    :ivar leaving: it said so, or another replica has its address.
-    :ivar gone: its row was deleted, it has started again, or another replica answered at its
-        address; a later row begins a new object.
-    :ivar start: what is kept of it elsewhere is kept by this.
-    :ivar known_start: what it says of that start.
+    :ivar report: its newest report, received directly or from a peer; ``None`` before the first.
+    :ivar reported_s: when that report arrived, on the boot clock.
+    :ivar holdings: ready adapters by model.
+    :ivar leaving: it announced that it is leaving, or another replica uses its address.
+    :ivar gone: its row was deleted, it has restarted, or another replica responded at its
+        address; a later row creates a new object.
+    :ivar start: key for state that other modules keep of this start.
+    :ivar known_start: the start time that the replica states.
 
     Written by others:
 
-    :ivar order_number: orders that it has taken, ``None`` until the first report;
-        raised by :mod:`limeshelf.orders` when it takes an order.
-    :ivar retiring: models that :mod:`limeshelf.orders` is about to unload; they
-        take no new calls.
-    :ivar own: calls of this process under way there, counted by
+    :ivar order_number: number of orders that it has accepted, ``None`` until the first report;
+        increased by :mod:`limeshelf.orders` when it accepts an order.
+    :ivar retiring: models that :mod:`limeshelf.orders` is about to unload; they get no new calls.
+    :ivar own: calls of this process in progress there, counted by
         :mod:`limeshelf.gateway.pipeline`.
     :ivar health: updated with each outcome by :mod:`limeshelf.gateway.pipeline`, and
         with probes by :mod:`limeshelf.replicas.pool`.
-    :ivar backpressure: what it asks the gateways for, taken by
-        :mod:`limeshelf.replicas.notices`; that of its start, also where its row went and
-        came back.
+    :ivar backpressure: its requests to the gateways, recorded by
+        :mod:`limeshelf.replicas.notices`; kept if its row is deleted and written again.
     """
 
     record: ReplicaRecord
@@ -77,20 +75,20 @@
 
     @property
     def replica_id(self) -> str:
-        """Return its id."""
+        """Return the id in its row."""
         return self.record.replica_id
 
     @property
     def takes_calls(self) -> bool:
-        """Return whether it is there and does not leave.
+        """Return whether it may get new calls: it is neither gone nor leaving.
 
-        That its start leaves may have been heard by a call that was sent before its row lapsed and
-        came back.
+        Its backpressure is checked too: a call sent before its row was deleted and written again
+        may have received the announcement that it is leaving.
         """
         return not (self.gone or self.leaving or self.backpressure.leaving)
 
     def holds(self, model: str, adapter: str = '') -> bool:
-        """Return whether a model, or an adapter of it, is ready there."""
+        """Return whether a model, or an adapter of it, is ready and not about to be unloaded."""
         adapters = self.holdings.get(model)
         if adapters is None or model in self.retiring:
             return False
@@ -98,5 +96,5 @@
 
 
 def by_model(holdings: tuple[Holding, ...]) -> dict[str, frozenset[str]]:
-    """Return models with their ready adapters."""
+    """Return the ready adapters by model."""
     return {holding.model: holding.adapters for holding in holdings}
