--- a/limeshelf/crashes/__init__.py
+++ b/limeshelf/crashes/__init__.py
@@ -1,1 +1,4 @@
-"""Calls that were at work at replicas as these ended, and which of them are refused for it."""
+"""Quarantine of calls and loads that are suspected of crashing replicas.
+
+A crash is here any end of a replica that it has not announced, whatever the cause.
+"""
--- a/limeshelf/crashes/end_watch.py
+++ b/limeshelf/crashes/end_watch.py
@@ -1,13 +1,15 @@
-"""Finds out whether a replica that broke off a call has ended.
-
-An exchange breaks off for many reasons: a reset, a cut, a faulty answer. That the replica ended
-shows in a new connection: it is refused, or gets no answer, right after a connection to it broke.
-Where one can be made again at once, a later start of the replica, or another replica at its
-address, shows it within some seconds. A connection that just falls silent is no end: so do cuts.
-A cut with resets looks like the end of several replicas together, which is noted.
-
-Owns the calls that were broken off lately and whether each start of a replica was found to have
-ended. Relies on the directory for starts and addresses.
+"""Detects whether a replica at which a call was interrupted has crashed.
+
+A call may be interrupted by a reset, a network partition or an invalid response. A crash is
+detected by a new connection that is refused or times out right after another connection to the
+replica broke. If a connection succeeds at once, a crash still shows within seconds by a later
+start of the replica, or by another replica at its address. A connection on which nothing arrives
+any more does not show a crash, since it may be due to a partition. A partition that resets
+connections looks like a crash of several replicas at once, so such crashes are marked as
+coincident.
+
+Owns the recently interrupted calls, and whether each start of a replica is known to have crashed.
+The directory provides starts and addresses.
 """
 
 from __future__ import annotations
@@ -31,119 +33,119 @@
     from limeshelf.replicas.starts import ReplicaStart
     from limeshelf.util.tasks import TaskSet
 
-#: A start of a replica that broke off calls is watched for this long after the last, in
-#: seconds. A later start is known within some 3 s of the end by its row.
-WATCHED_S = 8.0
-#: Time between two looks at whether a later start is known.
-LOOK_S = 0.25
-#: Ends that are found within this of each other, in seconds, came together. A gateway of nine
-#: found those of one cut within 0.4 s; calls that end replicas come 0.6 a second in the play of
-#: :mod:`~limeshelf.crashes.quarantine`.
-TOGETHER_S = 0.5
-#: Connections that are tried after a break: a process that ends closes one after the other, so
-#: that its listener may still be there when the first call breaks off.
-TRIES = 2
-#: Between these, in seconds.
-TRY_AGAIN_S = 0.15
-
-
-class _Reached(enum.Enum):
-    """What came of an attempt to connect."""
+#: A start of a replica is watched for this long after its last interrupted call. The row of a
+#: later start arrives about 3 s after the crash.
+WATCH_DURATION_S = 8.0
+#: Interval between checks for later starts.
+RESTART_CHECK_INTERVAL_S = 0.25
+#: Crashes that are detected within this time of each other are coincident. With nine gateways, a
+#: gateway detected all apparent crashes of one partition within 0.4 s; calls that crash replicas
+#: arrive at 0.6 per second in the simulation of :mod:`~limeshelf.crashes.quarantine`.
+COINCIDENCE_WINDOW_S = 0.5
+#: Attempts to connect after an interruption. A process that exits closes its sockets one by one,
+#: so its listener may still accept connections when the first call is interrupted.
+CONNECT_ATTEMPTS = 2
+#: Delay between these attempts.
+CONNECT_RETRY_DELAY_S = 0.15
+
+
+class _ConnectResult(enum.Enum):
+    """Outcome of an attempt to connect."""
 
     ACCEPTED = enum.auto()
     REFUSED = enum.auto()
-    #: No answer in time.
+    #: Timed out.
     SILENT = enum.auto()
 
 
 @attrs.define
-class _Watched:
-    """A start of a replica that broke off calls, or lost a load.
-
-    :ivar broken: these calls and loads.
-    :ivar broken_s: when the latest broke off, on the boot clock.
-    :ivar broke_connection: whether a connection ended; a load that is lost may be one behind a
-        silent cut.
-    :ivar has_ended: whether the start was found to have ended.
-    :ivar ended_s: when it was found, on the boot clock.
-    :ivar is_coincident: whether another replica was found to have ended at about that time.
-    :ivar check: tries to connect; ``None`` when that is over.
+class _WatchedStart:
+    """A start of a replica at which calls or loads were interrupted.
+
+    :ivar interrupted: these calls and loads.
+    :ivar interrupted_s: time of the latest interruption, on the boot clock.
+    :ivar has_lost_connection: whether a connection broke. A lost load does not show that, since
+        the replica may be behind a partition that drops packets.
+    :ivar has_crashed: whether a crash of the start has been detected.
+    :ivar crash_detected_s: when it was detected, on the boot clock.
+    :ivar is_coincident: whether a crash of another replica was detected at about the same time.
+    :ivar check: task that tries to connect; ``None`` when it has ended.
     """
 
     replica: Replica
-    broken_s: float
-    broken: set[Fingerprint] = attrs.field(factory=set)
-    broke_connection: bool = False
-    has_ended: bool = False
-    ended_s: float = 0.0
+    interrupted_s: float
+    interrupted: set[Fingerprint] = attrs.field(factory=set)
+    has_lost_connection: bool = False
+    has_crashed: bool = False
+    crash_detected_s: float = 0.0
     is_coincident: bool = False
     check: asyncio.Task[None] | None = None
 
 
 class EndWatch:
-    """Watches replicas that broke off calls, and reports those that ended.
+    """Watches replicas at which calls were interrupted, and detects crashes.
 
-    :param suspects: learn of each call at work at a replica that ended.
-    :param tasks: where tries to connect run.
+    :param suspects: receives each call that was running at a crashed replica.
+    :param tasks: runs the attempts to connect.
     """
 
     def __init__(self, directory: ReplicaDirectory, suspects: Suspects, tasks: TaskSet) -> None:
         self._directory = directory
         self._suspects = suspects
         self._tasks = tasks
-        self._watched: dict[ReplicaStart, _Watched] = {}
+        self._watched: dict[ReplicaStart, _WatchedStart] = {}
 
     def note_broken(self, fingerprint: Fingerprint, replica: Replica) -> None:
-        """Note that the connection of a call ended before its answer was whole.
+        """Record that a call lost its connection before its response was complete.
 
-        A replica that has announced that it leaves ends by itself, whatever it runs.
+        Ignored for a replica that has announced that it is leaving, because it exits anyway.
         """
-        if not _said_it_leaves(replica):
-            self._watched_of(replica).broke_connection = True
-            self._note(fingerprint, replica)
+        if not _has_announced_leaving(replica):
+            self._watched_start_of(replica).has_lost_connection = True
+            self._record_interrupted(fingerprint, replica)
 
-    def note_lost_load(self, fingerprint: Fingerprint, replica: Replica) -> None:
-        """Note that a replica does not answer while it loads something, or has not loaded it."""
-        if not _said_it_leaves(replica):
-            self._note(fingerprint, replica)
+    def record_lost_load(self, fingerprint: Fingerprint, replica: Replica) -> None:
+        """Record that a replica does not respond during a load, or lacks what it should have."""
+        if not _has_announced_leaving(replica):
+            self._record_interrupted(fingerprint, replica)
 
-    def _watched_of(self, replica: Replica) -> _Watched:
-        return self._watched.setdefault(replica.start, _Watched(replica, boottime_s()))
+    def _watched_start_of(self, replica: Replica) -> _WatchedStart:
+        return self._watched.setdefault(replica.start, _WatchedStart(replica, boottime_s()))
 
-    def _note(self, fingerprint: Fingerprint, replica: Replica) -> None:
+    def _record_interrupted(self, fingerprint: Fingerprint, replica: Replica) -> None:
         now_s = boottime_s()
-        watched = self._watched_of(replica)
-        watched.broken_s = now_s
-        watched.broken.add(fingerprint)
-        if watched.has_ended:
-            self._suspects.note_end(fingerprint, _end_of(replica))
+        watched = self._watched_start_of(replica)
+        watched.interrupted_s = now_s
+        watched.interrupted.add(fingerprint)
+        if watched.has_crashed:
+            self._suspects.note_end(fingerprint, _crash_of(replica))
             if watched.is_coincident:
-                self._suspects.note_coincident(_end_of(replica))
+                self._suspects.mark_coincident(_crash_of(replica))
         elif watched.check is None:
-            watched.check = self._tasks.spawn(self._try_to_connect(watched), 'replica-end')
+            watched.check = self._tasks.spawn(self._check(watched), 'replica-end')
 
     def note_answered(self, replica: Replica, sent_s: float) -> None:
-        """Note that a replica answered a call.
+        """Record a response of a replica; withdraw a crash that the response disproves.
 
-        :param sent_s: when the call was sent; one that was sent before others broke off says
-            nothing of the time after.
+        :param sent_s: when the call was sent. A call sent before the latest interruption does not
+            show that the replica still runs.
         """
         watched = self._watched.get(replica.start)
-        if watched is None or sent_s <= watched.broken_s:
+        if watched is None or sent_s <= watched.interrupted_s:
             return
-        if watched.has_ended and replica.known_start.born_ms is None:
-            # This may be another start, which nothing tells from the one that ended.
+        if watched.has_crashed and replica.known_start.born_ms is None:
+            # May be a later start, which cannot be distinguished without a start time.
             return
         del self._watched[replica.start]
-        if watched.has_ended:
-            self._suspects.withdraw_end(_end_of(replica))
+        if watched.has_crashed:
+            self._suspects.withdraw_crash(_crash_of(replica))
 
     def unconfirmed_ends(self, fingerprint: Fingerprint) -> int:
-        """Return how many replicas broke a call off that are being checked now."""
+        """Return at how many replicas under check a call was interrupted."""
         return len(self._checks_of(fingerprint))
 
     async def until_checked(self, fingerprint: Fingerprint) -> None:
-        """Return when the replicas that broke a call off have been checked."""
+        """Wait until the replicas at which a call was interrupted have been checked."""
         checks = self._checks_of(fingerprint)
         if checks:
             await asyncio.wait(checks)
@@ -152,70 +154,71 @@
         return [
             watched.check
             for watched in self._watched.values()
-            if watched.check is not None and fingerprint in watched.broken
+            if watched.check is not None and fingerprint in watched.interrupted
         ]
 
-    async def _try_to_connect(self, watched: _Watched) -> None:
+    async def _check(self, watched: _WatchedStart) -> None:
         try:
-            for attempt in range(TRIES):
+            for attempt in range(CONNECT_ATTEMPTS):
                 if attempt:
-                    await asyncio.sleep(TRY_AGAIN_S)
-                reached = await _connect(watched.replica.record.address)
-                is_silent = reached is _Reached.SILENT and watched.broke_connection
-                if reached is _Reached.REFUSED or is_silent:
-                    self._confirm(watched, reached.name.lower())
+                    await asyncio.sleep(CONNECT_RETRY_DELAY_S)
+                result = await _connect(watched.replica.record.address)
+                timed_out = result is _ConnectResult.SILENT and watched.has_lost_connection
+                if result is _ConnectResult.REFUSED or timed_out:
+                    self._confirm_crash(watched, result.name.lower())
                     return
         finally:
             watched.check = None
 
-    def _confirm(self, watched: _Watched, learned_by: str) -> None:
-        if watched.has_ended:
+    def _confirm_crash(self, watched: _WatchedStart, learned_by: str) -> None:
+        if watched.has_crashed:
             return
-        watched.has_ended = True
-        watched.ended_s = boottime_s()
-        end = _end_of(watched.replica)
+        watched.has_crashed = True
+        watched.crash_detected_s = boottime_s()
+        crash = _crash_of(watched.replica)
         log_change(
             'replica_ended',
-            replica=end.replica_id,
-            born_ms=end.born_ms,
+            replica=crash.replica_id,
+            born_ms=crash.born_ms,
             learned_by=learned_by,
-            calls=len(watched.broken),
+            calls=len(watched.interrupted),
         )
-        for fingerprint in sorted(watched.broken):
-            self._suspects.note_end(fingerprint, end)
-        self._note_coincident(watched)
+        for fingerprint in sorted(watched.interrupted):
+            self._suspects.note_end(fingerprint, crash)
+        self._mark_coincident(watched)
 
-    def _note_coincident(self, watched: _Watched) -> None:
-        """Note of all ends that were found lately, if they are several, that they came together.
+    def _mark_coincident(self, watched: _WatchedStart) -> None:
+        """Mark recently detected crashes as coincident if there are several.
 
-        Gateways differ in what they find, and one that finds several is right for all.
+        Gateways may detect different crashes; the mark of one gateway applies to all of them.
         """
         found = [
             other
             for other in self._watched.values()
-            if other.has_ended and abs(other.ended_s - watched.ended_s) <= TOGETHER_S
+            if other.has_crashed
+            and abs(other.crash_detected_s - watched.crash_detected_s) <= COINCIDENCE_WINDOW_S
         ]
         if len(found) > 1:
             for other in found:
                 other.is_coincident = True
-                self._suspects.note_coincident(_end_of(other.replica))
+                self._suspects.mark_coincident(_crash_of(other.replica))
 
     async def run(self) -> None:
-        """Look, again and again, whether a later start shows that one has ended."""
+        """Detect crashes by later starts, for ever."""
         while True:
-            await asyncio.sleep(LOOK_S)
-            self._look()
+            await asyncio.sleep(RESTART_CHECK_INTERVAL_S)
+            self._check_restarts()
 
-    def _look(self) -> None:
-        oldest_s = boottime_s() - WATCHED_S
+    def _check_restarts(self) -> None:
+        oldest_s = boottime_s() - WATCH_DURATION_S
         for start, watched in list(self._watched.items()):
-            if not watched.has_ended and self._is_replaced(watched.replica):
-                self._confirm(watched, 'replaced')
-            if watched.broken_s < oldest_s and watched.check is None:
+            if not watched.has_crashed and self._is_replaced(watched.replica):
+                self._confirm_crash(watched, 'replaced')
+            if watched.interrupted_s < oldest_s and watched.check is None:
                 del self._watched[start]
 
     def _is_replaced(self, replica: Replica) -> bool:
-        """Return whether the replica has started again, or another one has its address."""
+        """Return whether the replica has restarted, or another one has its address."""
         current = self._directory.get(replica.replica_id)
         if current is None or current.start != replica.start:
             return current is not None
@@ -226,25 +229,25 @@
         )
 
 
-def _said_it_leaves(replica: Replica) -> bool:
-    # Not whether it leaves: that is also so once another replica states its address.
+def _has_announced_leaving(replica: Replica) -> bool:
+    # Not replica.leaving, which is also set once another replica uses its address.
     return replica.backpressure.leaving
 
 
-def _end_of(replica: Replica) -> ReplicaEnd:
+def _crash_of(replica: Replica) -> ReplicaEnd:
     return ReplicaEnd(replica.replica_id, replica.known_start.born_ms or 0)
 
 
-async def _connect(address: str) -> _Reached:
-    """Make a connection, and close it."""
+async def _connect(address: str) -> _ConnectResult:
+    """Open a connection, and close it."""
     host, _, port = address.rpartition(':')
     try:
         async with asyncio.timeout(CONNECT_S):
             _, writer = await asyncio.open_connection(host, int(port))
     except TimeoutError:
-        # No line here and below: whoever confirms an end by it logs that.
-        return _Reached.SILENT
+        # Neither this nor a refusal is logged here: the caller logs the crash it confirms.
+        return _ConnectResult.SILENT
     except OSError:
-        return _Reached.REFUSED
+        return _ConnectResult.REFUSED
     writer.close()
-    return _Reached.ACCEPTED
+    return _ConnectResult.ACCEPTED
--- a/limeshelf/crashes/keeper.py
+++ b/limeshelf/crashes/keeper.py
@@ -1,7 +1,7 @@
-"""Keeps calls that rest or are refused for good in the platform's store.
+"""Synchronises quarantined calls with the quarantine table in the platform's store.
 
-Owns what this gateway knows of the rows, and which suspects still have to be written. Relies on
-the store's port for writes, and on the copy of the table for the rows of others.
+Owns this gateway's view of the rows, and the suspects still to be written. Writes through the
+store's port, and receives the rows of other gateways from the copy of the table.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 from limeshelf.calls.fingerprint import Fingerprint
 from limeshelf.crashes.quarantine import is_quarantined
-from limeshelf.crashes.rows import QUARANTINE_TABLE, read_value, write_value
+from limeshelf.crashes.rows import QUARANTINE_TABLE, decode_value, encode_value
 from limeshelf.crashes.suspects import NewsSource
 from limeshelf.errors import PlatformUnavailable, PlatformUnknown
 from limeshelf.feeds.position import BEGINNING
@@ -28,14 +28,14 @@
     from limeshelf.feeds.rows import Row, RowTable
     from limeshelf.feeds.table_copy import TableCopy
 
-#: Rows that the table keeps; the one that was written longest ago goes first.
+#: Maximum number of rows in the table; the row written longest ago is deleted first.
 MAX_ROWS = 500
-#: Longest pause before a write, in seconds: of gateways that learn of a second end at the same
-#: moment, one writes and the others find its row.
-WRITE_SPREAD_S = 0.2
-#: The same for rows that the store has lost, which every gateway knows, in seconds.
-RETURN_SPREAD_S = 1.2
-#: Pause after a failed write: bound of the first, and the largest.
+#: Longest random delay before a write. If several gateways learn of a second crash at the same
+#: moment, one writes first and the others find its row.
+WRITE_JITTER_S = 0.2
+#: The same for rows that the store has lost, longer because every gateway knows them.
+REWRITE_JITTER_S = 1.2
+#: Limits of the random delay after a failed write: of the first one, and of any.
 RETRY_BASE_S = 0.2
 RETRY_LIMIT_S = 2.0
 
@@ -48,27 +48,27 @@
 
 @attrs.define
 class QuarantineKeeper:
-    """Writes the rows of suspects that this gateway witnessed, and takes in those of all."""
+    """Writes rows of suspects observed by this gateway, and merges the rows of all gateways."""
 
     store: RowTable
     suspects: Suspects
     _rows: dict[str, _KnownRow] = attrs.field(factory=dict)
-    _due: set[Fingerprint] = attrs.field(factory=set)
-    _is_due: asyncio.Event = attrs.field(factory=asyncio.Event)
-    _spread_s: float = attrs.field(factory=lambda: WRITE_SPREAD_S)
+    _unwritten: set[Fingerprint] = attrs.field(factory=set)
+    _has_unwritten: asyncio.Event = attrs.field(factory=asyncio.Event)
+    _jitter_s: float = attrs.field(factory=lambda: WRITE_JITTER_S)
 
     def __attrs_post_init__(self) -> None:
-        self.suspects.add_listener(self._note_change)
+        self.suspects.add_listener(self._on_change)
 
     def take_row(self, row: Row) -> bool:
-        """Take a row of the table; return whether it could be read.
+        """Apply a row of the table; return whether it could be decoded.
 
-        One that went, for want of room, takes back nothing that gateways still know.
+        Rows are deleted when the table is full. The deletion of a row does not clear the suspect.
         """
         if row.gone:
             self._rows.pop(row.key, None)
             return True
-        state = read_value(row.key, row.value)
+        state = decode_value(row.key, row.value)
         if state is None:
             log_change('quarantine_row_invalid', key=row.key)
             return False
@@ -76,18 +76,18 @@
         self.suspects.merge(state, NewsSource.ROW)
         return True
 
-    def _note_change(self, state: SuspectState, source: NewsSource) -> None:
+    def _on_change(self, state: SuspectState, source: NewsSource) -> None:
         fingerprint = state.fingerprint
-        rests = is_quarantined(state) and self.suspects.is_witnessed(fingerprint)
-        clears = source is NewsSource.OWN and fingerprint in self._rows
-        if rests or clears:
-            self._due.add(fingerprint)
-            self._is_due.set()
+        is_due = is_quarantined(state) and self.suspects.is_observed_locally(fingerprint)
+        is_own_update = source is NewsSource.OWN and fingerprint in self._rows
+        if is_due or is_own_update:
+            self._unwritten.add(fingerprint)
+            self._has_unwritten.set()
 
     def note_return(self, copy: TableCopy) -> None:
-        """Have rows written again that the store's later era lacks, or has as they were before."""
+        """Schedule rows to be written that are missing or outdated in the store's later era."""
         era = copy.position.era
-        self._due.update(Fingerprint(key) for key in self._rows)
+        self._unwritten.update(Fingerprint(key) for key in self._rows)
         lost = [
             key
             for key, known in self._rows.items()
@@ -97,19 +97,19 @@
             del self._rows[key]
         if lost:
             log_change('quarantine_rows_lost', rows=len(lost), era=era)
-        if self._due:
-            self._spread_s = RETURN_SPREAD_S
-            self._is_due.set()
+        if self._unwritten:
+            self._jitter_s = REWRITE_JITTER_S
+            self._has_unwritten.set()
 
     async def run(self) -> None:
-        """Write what has to be written, until it is there."""
+        """Write pending suspects, with retries, for ever."""
         failures = 0
         while True:
-            await self._is_due.wait()
-            await asyncio.sleep(random.uniform(0.0, self._spread_s))
-            self._spread_s = WRITE_SPREAD_S
+            await self._has_unwritten.wait()
+            await asyncio.sleep(random.uniform(0.0, self._jitter_s))
+            self._jitter_s = WRITE_JITTER_S
             try:
-                await self._write_due()
+                await self._write_all()
                 failures = 0
             except (PlatformUnavailable, PlatformUnknown) as error:
                 failures += 1
@@ -117,20 +117,20 @@
                     log_change('quarantine_not_written', reason=repr(error))
                 await asyncio.sleep(full_jitter_s(failures, RETRY_BASE_S, RETRY_LIMIT_S))
 
-    async def _write_due(self) -> None:
-        while self._due:
-            fingerprint = next(iter(self._due))
+    async def _write_all(self) -> None:
+        while self._unwritten:
+            fingerprint = next(iter(self._unwritten))
             await self._write(fingerprint)
-            self._due.discard(fingerprint)
-        self._is_due.clear()
+            self._unwritten.discard(fingerprint)
+        self._has_unwritten.clear()
 
     async def _write(self, fingerprint: Fingerprint) -> None:
-        while (state := self._missing_in_row(fingerprint)) is not None:
+        while (state := self._state_to_write(fingerprint)) is not None:
             known = self._rows.get(fingerprint)
             if known is None:
-                await self._make_room()
+                await self._evict_oldest_row()
             expected = known.position if known is not None else BEGINNING
-            value = write_value(state)
+            value = encode_value(state)
             try:
                 written = await self.store.write(QUARANTINE_TABLE, fingerprint, value, expected)
                 self._rows[fingerprint] = _KnownRow(state, written)
@@ -139,15 +139,15 @@
                 for row in failed.rows:
                     self.take_row(row)
 
-    def _missing_in_row(self, fingerprint: Fingerprint) -> SuspectState | None:
-        """Return what the row has to say; ``None`` if it says so already."""
+    def _state_to_write(self, fingerprint: Fingerprint) -> SuspectState | None:
+        """Return the state to write; ``None`` if the row already contains it."""
         state = self.suspects.state_of(fingerprint)
         known = self._rows.get(fingerprint)
         if state is None or (known is not None and known.state.merged(state) == known.state):
             return None
         return state
 
-    async def _make_room(self) -> None:
+    async def _evict_oldest_row(self) -> None:
         if len(self._rows) < MAX_ROWS:
             return
         oldest = min(self._rows, key=lambda key: self._rows[key].position)
@@ -155,5 +155,5 @@
         try:
             await self.store.delete(QUARANTINE_TABLE, oldest, position)
         except ConditionFailed:
-            # It was written anew meanwhile, and its newer row comes with the table.
+            # The row was written again meanwhile; its newer version arrives with the table.
             return
--- a/limeshelf/crashes/lost_loads.py
+++ b/limeshelf/crashes/lost_loads.py
@@ -1,13 +1,13 @@
-"""Which loads are ordered no more because replicas ended under them.
+"""Blocks loads that are suspected of crashing replicas.
 
-A load that ends the replica that begins it would be ordered at the next one, for as long as
-somebody asks for the model: 15 of four replicas that were back after 0.6 s ended in 12 s
+A load that crashes its replica would be ordered at the next one, for as long as the model is
+requested: four replicas that restarted within 0.6 s crashed 15 times in 12 s
 (tests/placement/test_deadly_load.py). Loads are suspects like calls
-(:mod:`limeshelf.crashes.suspects`), and are ordered no more after three ends; of ends that came
-together with others, two count as one. A load lasts for seconds, in which its replica may end for
-other reasons, so two ends are not enough. One that comes to its end clears it.
+(:mod:`limeshelf.crashes.suspects`), and are blocked after three crashes, of which two coincident
+ones count as one. Two crashes are not enough, because a load takes seconds in which its replica
+may crash for other reasons. A load that completes is cleared.
 
-Owns nothing; relies on the suspects, which all gateways share, so that the next leader knows.
+Stateless; the suspects are shared by all gateways, so the next leader knows them too.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 import attrs
 
 from limeshelf.calls.fingerprint import load_fingerprint
-from limeshelf.crashes.quarantine import LAST_ENDS
+from limeshelf.crashes.quarantine import PERMANENT_QUARANTINE_CRASHES
 
 if TYPE_CHECKING:
     from limeshelf.crashes.end_watch import EndWatch
@@ -27,21 +27,24 @@
 
 @attrs.frozen
 class LostLoads:
-    """Learns how loads ended, and says which are ordered no more."""
+    """Records the outcomes of loads, and decides which are blocked."""
 
     suspects: Suspects
     watch: EndWatch
 
     def note_came(self, service: str, model: str, adapter: str) -> None:
-        """Note that a replica holds what was loaded."""
+        """Record that a load completed."""
         self.suspects.note_finished(load_fingerprint(service, model, adapter))
 
     def note_lost(self, replica: Replica, model: str, adapter: str) -> None:
-        """Note that a replica was ordered to load something, and is silent or lacks it."""
+        """Record that a replica does not respond after a load was ordered, or lacks its model."""
         fingerprint = load_fingerprint(replica.record.service, model, adapter)
-        self.watch.note_lost_load(fingerprint, replica)
+        self.watch.record_lost_load(fingerprint, replica)
 
     def is_barred(self, service: str, model: str, adapter: str = '') -> bool:
-        """Return whether a load is ordered no more."""
+        """Return whether a load may not be ordered."""
         state = self.suspects.state_of(load_fingerprint(service, model, adapter))
-        return state is not None and state.open_count + state.lone_count >= 2 * LAST_ENDS
+        return (
+            state is not None
+            and state.open_count + state.isolated_crash_count >= 2 * PERMANENT_QUARANTINE_CRASHES
+        )
--- a/limeshelf/crashes/rows.py
+++ b/limeshelf/crashes/rows.py
@@ -1,7 +1,7 @@
-"""The row of a call that rests or is refused for good, in the platform's store.
+"""Format of the rows of quarantined calls in the platform's store.
 
-Only the store outlives an end of all gateways at once, and reaches gateways that a cut keeps from
-each other. Owns the form of the row alone.
+The store keeps them when all gateways fail at once, and passes them between gateways that a
+partition separates from each other.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 from limeshelf.crashes.suspects import ReplicaEnd, SuspectState, ToldEnd
 from limeshelf.util.decoding import UNREADABLE
 
-#: Its rows are called by the fingerprints of calls.
+#: The keys of its rows are the fingerprints of calls.
 QUARANTINE_TABLE = 'quarantine'
 
 
-class EndValue(msgspec.Struct):
-    """The end of a replica in a row; see :class:`~limeshelf.crashes.suspects.ToldEnd`."""
+class CrashValue(msgspec.Struct):
+    """One crash in a row; see :class:`~limeshelf.crashes.suspects.ToldEnd`."""
 
     replica_id: str
     born_ms: int = 0
@@ -26,31 +26,31 @@
 
 
 class SuspectValue(msgspec.Struct):
-    """What a row says of a call."""
+    """Value of the row of a call."""
 
-    ends: list[EndValue]
+    ends: list[CrashValue]
 
 
 _values = msgspec.json.Decoder(SuspectValue)
 
 
-def write_value(state: SuspectState) -> bytes:
-    """Return the value of a suspect's row."""
-    ends = [
-        EndValue(told.end.replica_id, told.end.born_ms, told.is_cleared, told.is_coincident)
-        for told in state.told_ends()
+def encode_value(state: SuspectState) -> bytes:
+    """Encode the row of a suspect."""
+    crashes = [
+        CrashValue(known.end.replica_id, known.end.born_ms, known.is_cleared, known.is_coincident)
+        for known in state.told_ends()
     ]
-    return msgspec.json.encode(SuspectValue(ends))
+    return msgspec.json.encode(SuspectValue(crashes))
 
 
-def read_value(key: str, value: bytes) -> SuspectState | None:
-    """Return what a row says; ``None`` if it is not a gateway's."""
+def decode_value(key: str, value: bytes) -> SuspectState | None:
+    """Decode the row of a suspect; ``None`` if it is invalid."""
     try:
-        said = _values.decode(value)
+        decoded = _values.decode(value)
     except UNREADABLE:
         return None
-    told = (
-        ToldEnd(ReplicaEnd(end.replica_id, end.born_ms), end.cleared, end.coincident)
-        for end in said.ends
+    crashes = (
+        ToldEnd(ReplicaEnd(row.replica_id, row.born_ms), row.cleared, row.coincident)
+        for row in decoded.ends
     )
-    return SuspectState.from_ends(Fingerprint(key), told)
+    return SuspectState.from_ends(Fingerprint(key), crashes)
--- a/limeshelf/crashes/suspects.py
+++ b/limeshelf/crashes/suspects.py
@@ -1,13 +1,13 @@
-"""Which calls were at work at replicas as these ended; what several gateways know, merged.
+"""Calls that were running at replicas when these crashed, merged over all gateways.
 
-A replica that ends takes all calls at work there with it, and one of them may be the cause. So
-each is a suspect; one that comes to the end of a run elsewhere is none any more. What is known of
-a suspect is sets that only grow: ends, those that came together with ends of other replicas, and
-those that were cleared. Merged in any sequence, late, or twice, they give the same result; a
-counter would count one end twice that two gateways saw.
+A crash interrupts all calls at the replica, and one of them may be its cause, so each of them
+becomes a suspect. A call that later completes at another replica is cleared. The state of a
+suspect is three sets that only grow: crashes, coincident crashes and cleared crashes. They can be
+merged in any order, late or repeatedly, with the same result, while a counter would count a crash
+twice that two gateways detected.
 
-Owns the suspects that this gateway knows. Relies on the clock alone; who tells other gateways is
-:mod:`limeshelf.membership.crash_exchange`.
+Owns the suspects that this gateway knows. :mod:`limeshelf.membership.crash_exchange` exchanges
+them with other gateways.
 """
 
 from __future__ import annotations
@@ -27,41 +27,41 @@
 
     Listener = Callable[['SuspectState', 'NewsSource'], None]
 
-#: Suspects that are remembered; beyond, those with the fewest ends go first, of these the oldest.
-#: Some ten crashes of replicas with 50 calls each; 0.4 MB of memory with one end each, 0.83 MB
-#: with six (tests/crashes/test_suspects.py).
+#: Maximum number of suspects. Above it, those with the fewest crashes are evicted first, and among
+#: these the oldest. Enough for about ten crashes of replicas with 50 calls each; takes 0.4 MB of
+#: memory with one crash each, and 0.83 MB with six (tests/crashes/test_suspects.py).
 MAX_SUSPECTS = 500
-#: Share of the suspects that stays when there are too many.
-KEPT_SHARE = 0.9
-#: Ends that are remembered of one suspect. It is refused after three that are not cleared.
-MAX_ENDS = 6
+#: Fraction of the maximum that is kept when suspects are evicted.
+KEPT_FRACTION = 0.9
+#: Maximum number of crashes kept per suspect. It is refused after three that are not cleared.
+MAX_CRASHES_PER_SUSPECT = 6
 
 
 @attrs.frozen
 class ReplicaEnd:
-    """The end of one start of a replica.
+    """The crash of one start of a replica.
 
-    :param born_ms: when it had started, as it stated; 0 where it did not.
+    :param born_ms: start time that the replica stated; 0 if it stated none.
     """
 
     replica_id: str
     born_ms: int = 0
 
 
-def count_ends(ends: Iterable[ReplicaEnd]) -> int:
-    """Return how many ends these are at the least.
+def count_crashes(crashes: Iterable[ReplicaEnd]) -> int:
+    """Return the minimum number of distinct crashes.
 
-    Where a gateway did not know yet when a replica had started, its end may be that of any start.
+    A crash without a start time may be the same as one of any start of the replica.
     """
-    births: dict[str, set[int]] = {}
-    for end in ends:
-        births.setdefault(end.replica_id, set()).add(end.born_ms)
-    return sum(max(1, len(known - {0})) for known in births.values())
+    start_times: dict[str, set[int]] = {}
+    for crash in crashes:
+        start_times.setdefault(crash.replica_id, set()).add(crash.born_ms)
+    return sum(max(1, len(known - {0})) for known in start_times.values())
 
 
 @attrs.frozen
 class ToldEnd:
-    """One end as it is told of a call; see :class:`SuspectState`."""
+    """One crash during a call, with its state for that call; see :class:`SuspectState`."""
 
     end: ReplicaEnd
     is_cleared: bool = False
@@ -70,59 +70,61 @@
 
 @attrs.frozen
 class SuspectState:
-    """What is known of a suspect, as gateways tell it one another.
+    """State of a suspect, as exchanged between gateways.
 
-    :param ends: of replicas at which it was at work, all of them.
-    :param cleared: ends that it is no longer suspected for.
-    :param coincident: ends that came together with those of other replicas, so that one cut, or
-        one loss of power, may explain them all.
+    :param crashes: all crashes of replicas at which it was running.
+    :param cleared: crashes that it is no longer suspected of.
+    :param coincident: crashes at the same time as those of other replicas, which a single
+        partition or power failure may explain.
     """
 
     fingerprint: Fingerprint
-    ends: frozenset[ReplicaEnd]
+    crashes: frozenset[ReplicaEnd]
     cleared: frozenset[ReplicaEnd] = frozenset()
     coincident: frozenset[ReplicaEnd] = frozenset()
 
     @classmethod
-    def from_ends(cls, fingerprint: Fingerprint, told: Iterable[ToldEnd]) -> SuspectState:
-        """Return what is told of a call end by end."""
-        told = list(told)
+    def from_ends(cls, fingerprint: Fingerprint, call_crashes: Iterable[ToldEnd]) -> SuspectState:
+        """Build the state of a call from its crashes."""
+        call_crashes = list(call_crashes)
         return cls(
             fingerprint,
-            frozenset(one.end for one in told),
-            frozenset(one.end for one in told if one.is_cleared),
-            frozenset(one.end for one in told if one.is_coincident),
+            frozenset(known.end for known in call_crashes),
+            frozenset(known.end for known in call_crashes if known.is_cleared),
+            frozenset(known.end for known in call_crashes if known.is_coincident),
         )
 
     def told_ends(self) -> list[ToldEnd]:
-        """Return the same end by end, in an order that is the same everywhere."""
-        ranked = sorted(self.ends, key=lambda end: (end.replica_id, end.born_ms))
-        return [ToldEnd(end, end in self.cleared, end in self.coincident) for end in ranked]
+        """Return the crashes with their state, in the same order on all gateways."""
+        ranked = sorted(self.crashes, key=lambda crash: (crash.replica_id, crash.born_ms))
+        return [
+            ToldEnd(crash, crash in self.cleared, crash in self.coincident) for crash in ranked
+        ]
 
     @property
     def open_count(self) -> int:
-        """Return how many ends it is suspected for."""
-        return count_ends(self.ends - self.cleared)
+        """Return the number of crashes that it is suspected of."""
+        return count_crashes(self.crashes - self.cleared)
 
     @property
-    def lone_count(self) -> int:
-        """Return how many of these came alone."""
-        return count_ends(self.ends - self.cleared - self.coincident)
+    def isolated_crash_count(self) -> int:
+        """Return how many of these are not coincident."""
+        return count_crashes(self.crashes - self.cleared - self.coincident)
 
     def merged(self, other: SuspectState) -> SuspectState:
-        """Return what both know together."""
+        """Return the union of both states."""
         return attrs.evolve(
             self,
-            ends=self.ends | other.ends,
+            crashes=self.crashes | other.crashes,
             cleared=self.cleared | other.cleared,
             coincident=self.coincident | other.coincident,
         )
 
 
 class NewsSource(enum.StrEnum):
-    """Who learned what is new of a suspect."""
+    """Where an update of a suspect was received from."""
 
-    #: This gateway, by a call of its own.
+    #: A call of this gateway.
     OWN = 'own'
     PEER = 'peer'
     #: A row of the store.
@@ -131,15 +133,15 @@
 
 @attrs.define
 class _Suspect:
-    """A suspect.
+    """A suspect with the state that is not exchanged.
 
-    :ivar changed_s: when an end was last added here, on the boot clock.
-    :ivar is_witnessed: whether this gateway saw one of the ends itself.
+    :ivar changed_s: when a crash was last added here, or the age was reset, on the boot clock.
+    :ivar is_observed_locally: whether this gateway detected one of the crashes itself.
     """
 
     state: SuspectState
     changed_s: float
-    is_witnessed: bool = False
+    is_observed_locally: bool = False
 
 
 class Suspects:
@@ -150,109 +152,111 @@
         self._listeners: list[Listener] = []
 
     def add_listener(self, listener: Listener) -> None:
-        """Call *listener* with what is known of a suspect, and whence, whenever it has grown."""
+        """Call *listener* with each changed state of a suspect, and the source of the change."""
         self._listeners.append(listener)
 
     def __len__(self) -> int:
         return len(self._by_fingerprint)
 
     def state_of(self, fingerprint: Fingerprint) -> SuspectState | None:
-        """Return what is known of a call; ``None`` for nothing."""
+        """Return the state of a suspect; ``None`` if the call is not suspected."""
         suspect = self._by_fingerprint.get(fingerprint)
         return suspect.state if suspect is not None else None
 
-    def is_witnessed(self, fingerprint: Fingerprint) -> bool:
-        """Return whether this gateway saw a replica end with the call at work there."""
+    def is_observed_locally(self, fingerprint: Fingerprint) -> bool:
+        """Return whether this gateway detected a crash of a replica that was running the call."""
         suspect = self._by_fingerprint.get(fingerprint)
-        return suspect is not None and suspect.is_witnessed
+        return suspect is not None and suspect.is_observed_locally
 
     def age_s(self, fingerprint: Fingerprint) -> float:
-        """Return how long ago, in seconds, an end of a suspect was last added here."""
+        """Return the time since a crash of a suspect was last added, or its age reset."""
         return boottime_s() - self._by_fingerprint[fingerprint].changed_s
 
-    def renew(self, fingerprint: Fingerprint) -> None:
-        """Let the age of a suspect begin anew."""
+    def reset_age(self, fingerprint: Fingerprint) -> None:
+        """Reset the age of a suspect to 0."""
         self._by_fingerprint[fingerprint].changed_s = boottime_s()
 
     def states(self) -> list[SuspectState]:
-        """Return what is known of every suspect."""
+        """Return the states of all suspects."""
         return [suspect.state for suspect in self._by_fingerprint.values()]
 
-    def note_end(self, fingerprint: Fingerprint, end: ReplicaEnd) -> None:
-        """Note that a replica ended with a call at work there."""
-        state = SuspectState(fingerprint, frozenset({end}))
-        self.merge(state, NewsSource.OWN, is_witnessed=True)
+    def note_end(self, fingerprint: Fingerprint, crash: ReplicaEnd) -> None:
+        """Record the crash of a replica that was running a call."""
+        state = SuspectState(fingerprint, frozenset({crash}))
+        self.merge(state, NewsSource.OWN, is_observed_locally=True)
 
     def note_finished(self, fingerprint: Fingerprint) -> None:
-        """Note that a run of a call came to its end, good or bad, and its replica lives."""
+        """Clear a call that ran to completion, with or without success, and crashed no replica."""
         state = self.state_of(fingerprint)
         if state is not None:
-            self.merge(attrs.evolve(state, cleared=state.ends), NewsSource.OWN)
+            self.merge(attrs.evolve(state, cleared=state.crashes), NewsSource.OWN)
 
-    def withdraw_end(self, end: ReplicaEnd) -> None:
-        """Note that a replica that was taken for ended has answered."""
+    def withdraw_crash(self, crash: ReplicaEnd) -> None:
+        """Clear a crash for all calls, because the replica has responded."""
         for state in self.states():
-            if end in state.ends:
-                cleared = state.cleared | {end}
+            if crash in state.crashes:
+                cleared = state.cleared | {crash}
                 self.merge(attrs.evolve(state, cleared=cleared), NewsSource.OWN)
 
-    def note_coincident(self, end: ReplicaEnd) -> None:
-        """Note that the end of a replica came together with that of another."""
+    def mark_coincident(self, crash: ReplicaEnd) -> None:
+        """Mark a crash as coincident with that of another replica."""
         for state in self.states():
-            if end in state.ends:
-                coincident = state.coincident | {end}
+            if crash in state.crashes:
+                coincident = state.coincident | {crash}
                 self.merge(attrs.evolve(state, coincident=coincident), NewsSource.OWN)
 
-    def merge(self, told: SuspectState, source: NewsSource, *, is_witnessed: bool = False) -> None:
-        """Take what is told of a suspect."""
-        suspect = self._by_fingerprint.get(told.fingerprint)
+    def merge(
+        self, received: SuspectState, source: NewsSource, *, is_observed_locally: bool = False
+    ) -> None:
+        """Merge a state into that of the suspect."""
+        suspect = self._by_fingerprint.get(received.fingerprint)
         if suspect is None:
-            suspect = _Suspect(SuspectState(told.fingerprint, frozenset()), boottime_s())
-        suspect.is_witnessed |= is_witnessed
+            suspect = _Suspect(SuspectState(received.fingerprint, frozenset()), boottime_s())
+        suspect.is_observed_locally |= is_observed_locally
         before = suspect.state
-        suspect.state = _bounded(before.merged(told))
+        suspect.state = _limit_crashes(before.merged(received))
         if suspect.state == before:
             return
         if suspect.state.open_count > before.open_count:
             suspect.changed_s = boottime_s()
-        self._by_fingerprint[told.fingerprint] = suspect
-        self._drop_least()
-        _log_change(before, suspect.state, source)
+        self._by_fingerprint[received.fingerprint] = suspect
+        self._evict_least_suspected()
+        _log_crash_count(before, suspect.state, source)
         for listener in self._listeners:
             listener(suspect.state, source)
 
-    def _drop_least(self) -> None:
+    def _evict_least_suspected(self) -> None:
         if len(self._by_fingerprint) <= MAX_SUSPECTS:
             return
         ranked = sorted(
             self._by_fingerprint.values(),
             key=lambda suspect: (suspect.state.open_count, suspect.changed_s),
         )
-        for suspect in ranked[: len(ranked) - int(MAX_SUSPECTS * KEPT_SHARE)]:
+        for suspect in ranked[: len(ranked) - int(MAX_SUSPECTS * KEPT_FRACTION)]:
             del self._by_fingerprint[suspect.state.fingerprint]
 
 
-def _log_change(before: SuspectState, after: SuspectState, source: NewsSource) -> None:
-    """Log a second end and any further, and that a call is no suspect any more.
+def _log_crash_count(before: SuspectState, after: SuspectState, source: NewsSource) -> None:
+    """Log changes of the number of crashes, from the second crash on.
 
-    Of a first end there is no line: each crash would write one for every call at work there.
+    A first crash is not logged, since there would be a line for every call at the replica.
     """
     if max(before.open_count, after.open_count) > 1 and before.open_count != after.open_count:
         log_change(
             'suspected',
             content=after.fingerprint,
-            ends=sorted(end.replica_id for end in after.ends - after.cleared),
-            lone=after.lone_count,
+            ends=sorted(crash.replica_id for crash in after.crashes - after.cleared),
+            lone=after.isolated_crash_count,
             learned_by=source,
         )
 
 
-def _bounded(state: SuspectState) -> SuspectState:
-    """Leave out ends beyond those that are remembered, the cleared ones first.
+def _limit_crashes(state: SuspectState) -> SuspectState:
+    """Drop crashes above the maximum, cleared ones first.
 
-    Which of them stay is the same on all gateways.
+    The choice is the same on all gateways.
     """
-    if len(state.ends) <= MAX_ENDS:
+    if len(state.crashes) <= MAX_CRASHES_PER_SUSPECT:
         return state
-    ranked = sorted(state.told_ends(), key=lambda told: told.is_cleared)
-    return SuspectState.from_ends(state.fingerprint, ranked[:MAX_ENDS])
+    ranked = sorted(state.told_ends(), key=lambda known: known.is_cleared)
+    return SuspectState.from_ends(state.fingerprint, ranked[:MAX_CRASHES_PER_SUSPECT])
--- a/tests/crashes/test_end_watch.py
+++ b/tests/crashes/test_end_watch.py
@@ -1,4 +1,4 @@
-"""Which replicas that broke off calls count as ended, and which do not."""
+"""Detection of crashed replicas after calls were interrupted."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 @attrs.define
 class World:
-    """A watch, and one replica that it knows; ``address`` is where that listens."""
+    """A crash detector with replicas; ``address`` is that of a listening socket."""
 
     directory: ReplicaDirectory
     suspects: Suspects
@@ -39,26 +39,26 @@
     address: str
 
     def add(self, replica_id: str = 'r1', **changes: Any) -> Replica:
-        """Take a row of a replica."""
+        """Add or update a replica by a row."""
         record = ReplicaRecord(replica_id, 'lm', self.address, 'z1', 4, False, None, (), 1)
         self.directory.take_record(attrs.evolve(record, **changes))
         replica = self.directory.get(replica_id)
         assert replica is not None
         return replica
 
-    def ends(self, fingerprint: Fingerprint = CALL) -> int:
-        """Return how many ends a call is suspected for."""
+    def crash_count(self, fingerprint: Fingerprint = CALL) -> int:
+        """Return the number of crashes that a call is suspected of."""
         state = self.suspects.state_of(fingerprint)
         return state.open_count if state is not None else 0
 
-    async def end(self) -> None:
-        """Close the listener, as a process does that ends."""
+    async def close_listener(self) -> None:
+        """Close the listener, as the exit of a process does."""
         self.listener.close()
         await self.listener.wait_closed()
 
 
 @contextlib.asynccontextmanager
-async def world() -> AsyncIterator[World]:
+async def create_world() -> AsyncIterator[World]:
     listener = await asyncio.start_server(lambda _, writer: writer.close(), '127.0.0.1', 0)
     host, port = listener.sockets[0].getsockname()
     directory, suspects, tasks = ReplicaDirectory(lambda *_: None), Suspects(), TaskSet()
@@ -69,174 +69,173 @@
     listener.close()
 
 
-def play(scenario: Any) -> None:
+def run_scenario(scenario: Any) -> None:
     async def run() -> None:
-        async with world() as made:
-            await scenario(made)
+        async with create_world() as world:
+            await scenario(world)
 
     asyncio.run(run())
 
 
 @pytest.fixture(autouse=True)
 def short_times(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(watch_module, 'TRY_AGAIN_S', 0.02)
-    monkeypatch.setattr(watch_module, 'LOOK_S', 0.02)
+    monkeypatch.setattr(watch_module, 'CONNECT_RETRY_DELAY_S', 0.02)
+    monkeypatch.setattr(watch_module, 'RESTART_CHECK_INTERVAL_S', 0.02)
 
 
-def test_replica_that_takes_no_connection_after_a_break_has_ended() -> None:
-    async def scenario(made: World) -> None:
-        replica = made.add(born_ms=BORN_MS)
-        await made.end()
-        made.watch.note_broken(CALL, replica)
-        made.watch.note_broken(OTHER, replica)
-        assert made.watch.unconfirmed_ends(CALL) == 1
-        await made.watch.until_checked(CALL)
-        assert (made.ends(CALL), made.ends(OTHER)) == (1, 1)
-        made.watch.note_broken(Fingerprint('cc'), replica)
-        assert made.ends(Fingerprint('cc')) == 1
+def test_replica_that_refuses_connections_after_an_interruption_has_crashed() -> None:
+    async def scenario(world: World) -> None:
+        replica = world.add(born_ms=BORN_MS)
+        await world.close_listener()
+        world.watch.note_broken(CALL, replica)
+        world.watch.note_broken(OTHER, replica)
+        assert world.watch.unconfirmed_ends(CALL) == 1
+        await world.watch.until_checked(CALL)
+        assert (world.crash_count(CALL), world.crash_count(OTHER)) == (1, 1)
+        world.watch.note_broken(Fingerprint('cc'), replica)
+        assert world.crash_count(Fingerprint('cc')) == 1
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_replica_whose_listener_goes_a_moment_after_the_break_has_ended() -> None:
-    async def scenario(made: World) -> None:
-        replica = made.add()
-        made.watch.note_broken(CALL, replica)
+def test_replica_whose_listener_closes_after_the_interruption_has_crashed() -> None:
+    async def scenario(world: World) -> None:
+        replica = world.add()
+        world.watch.note_broken(CALL, replica)
         await asyncio.sleep(0.01)
-        await made.end()
-        await made.watch.until_checked(CALL)
-        assert made.ends() == 1
+        await world.close_listener()
+        await world.watch.until_checked(CALL)
+        assert world.crash_count() == 1
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_replica_that_lives_breaks_off_many_answers_and_condemns_none() -> None:
-    """Answers of wrong bytes end 0.4 of the connections to replicas that go on living."""
+def test_interrupted_calls_at_running_replicas_are_not_suspected() -> None:
+    """Corrupted responses break 40 % of the connections to replicas that keep running."""
 
-    async def scenario(made: World) -> None:
-        port = int(made.address.rpartition(':')[2])
+    async def scenario(world: World) -> None:
+        port = int(world.address.rpartition(':')[2])
         hosts = [f'127.0.0.{number}' for number in range(2, 7)]
         listener = await asyncio.start_server(lambda _, writer: writer.close(), hosts, port)
         for host in hosts:
-            made.watch.note_broken(CALL, made.add(host, address=f'{host}:{port}'))
-        await made.watch.until_checked(CALL)
+            world.watch.note_broken(CALL, world.add(host, address=f'{host}:{port}'))
+        await world.watch.until_checked(CALL)
         await asyncio.sleep(0.1)
         listener.close()
-        assert made.ends() == 0
+        assert world.crash_count() == 0
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_replica_that_is_back_at_once_shows_its_end_by_its_start() -> None:
-    async def scenario(made: World) -> None:
-        replica = made.add(born_ms=BORN_MS)
-        made.watch.note_broken(CALL, replica)
-        await made.watch.until_checked(CALL)
-        assert made.ends() == 0
-        made.add(born_ms=BORN_MS + 900)
+def test_crash_with_a_fast_restart_is_detected_by_the_start_time() -> None:
+    async def scenario(world: World) -> None:
+        replica = world.add(born_ms=BORN_MS)
+        world.watch.note_broken(CALL, replica)
+        await world.watch.until_checked(CALL)
+        assert world.crash_count() == 0
+        world.add(born_ms=BORN_MS + 900)
         await asyncio.sleep(0.1)
-        assert made.ends() == 1
+        assert world.crash_count() == 1
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_another_replica_at_the_address_shows_the_end() -> None:
-    async def scenario(made: World) -> None:
-        made.watch.note_broken(CALL, made.add())
-        await made.watch.until_checked(CALL)
-        made.add('r2')
+def test_crash_is_detected_by_another_replica_at_the_address() -> None:
+    async def scenario(world: World) -> None:
+        world.watch.note_broken(CALL, world.add())
+        await world.watch.until_checked(CALL)
+        world.add('r2')
         await asyncio.sleep(0.1)
-        assert made.ends() == 1
+        assert world.crash_count() == 1
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_row_that_goes_while_connections_are_taken_shows_no_end() -> None:
-    """So it is in a cut between the replica and the store."""
+def test_deleted_row_of_a_reachable_replica_is_no_crash() -> None:
+    """A partition between the replica and the store deletes its row."""
 
-    async def scenario(made: World) -> None:
-        replica = made.add()
-        made.watch.note_broken(CALL, replica)
-        await made.watch.until_checked(CALL)
-        made.directory.mark_gone(replica, 'record_dropped')
+    async def scenario(world: World) -> None:
+        replica = world.add()
+        world.watch.note_broken(CALL, replica)
+        await world.watch.until_checked(CALL)
+        world.directory.mark_gone(replica, 'record_dropped')
         await asyncio.sleep(0.1)
-        assert made.ends() == 0
+        assert world.crash_count() == 0
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_replica_that_said_it_leaves_ends_by_itself() -> None:
-    async def scenario(made: World) -> None:
-        replica = made.add(leaving=True)
-        await made.end()
-        made.watch.note_broken(CALL, replica)
+def test_exit_of_a_leaving_replica_is_no_crash() -> None:
+    async def scenario(world: World) -> None:
+        replica = world.add(leaving=True)
+        await world.close_listener()
+        world.watch.note_broken(CALL, replica)
         await asyncio.sleep(0.1)
-        assert made.ends() == 0
+        assert world.crash_count() == 0
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-@pytest.mark.parametrize(('born_ms', 'ends'), [(BORN_MS, 0), (None, 1)])
-def test_answer_after_a_cut_with_resets_withdraws_the_end(born_ms: int | None, ends: int) -> None:
-    """Without a stated start, whoever answers may be a later one."""
+@pytest.mark.parametrize(('born_ms', 'crashes'), [(BORN_MS, 0), (None, 1)])
+def test_response_after_a_partition_with_resets_withdraws_the_crash(
+    born_ms: int | None, crashes: int
+) -> None:
+    """Without a start time, the response may come from a later start, so the crash stays."""
 
-    async def scenario(made: World) -> None:
-        replica = made.add(born_ms=born_ms)
-        await made.end()
-        made.watch.note_broken(CALL, replica)
-        await made.watch.until_checked(CALL)
-        made.watch.note_answered(replica, sent_s=0.0)
-        assert made.ends() == 1
-        made.watch.note_answered(replica, sent_s=boottime_s())
-        assert made.ends() == ends
+    async def scenario(world: World) -> None:
+        replica = world.add(born_ms=born_ms)
+        await world.close_listener()
+        world.watch.note_broken(CALL, replica)
+        await world.watch.until_checked(CALL)
+        world.watch.note_answered(replica, sent_s=0.0)
+        assert world.crash_count() == 1
+        world.watch.note_answered(replica, sent_s=boottime_s())
+        assert world.crash_count() == crashes
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-@pytest.mark.parametrize(('has_ended', 'ends'), [(True, 1), (False, 0)])
-def test_lost_load_counts_where_the_replica_refuses_connections_alone(
-    monkeypatch: pytest.MonkeyPatch, has_ended: bool, ends: int
+@pytest.mark.parametrize(('has_crashed', 'crashes'), [(True, 1), (False, 0)])
+def test_lost_load_is_suspected_only_if_the_replica_refuses_connections(
+    monkeypatch: pytest.MonkeyPatch, has_crashed: bool, crashes: int
 ) -> None:
-    """Behind a silent cut a load is lost, too, and its replica lives."""
+    """A partition that drops packets also loses loads, though the replica keeps running."""
 
     async def silent(*_: object) -> None:
         raise TimeoutError
 
-    async def scenario(made: World) -> None:
-        replica = made.add()
-        await made.end()
-        if not has_ended:
+    async def scenario(world: World) -> None:
+        replica = world.add()
+        await world.close_listener()
+        if not has_crashed:
             monkeypatch.setattr(asyncio, 'open_connection', silent)
-        made.watch.note_lost_load(CALL, replica)
-        await made.watch.until_checked(CALL)
-        assert made.ends() == ends
-
-    play(scenario)
-
+        world.watch.record_lost_load(CALL, replica)
+        await world.watch.until_checked(CALL)
+        assert world.crash_count() == crashes
 
-def test_ends_that_come_together_let_no_call_rest() -> None:
-    """What users saw: calls that were struck twice by a cut with resets were refused for 300 s.
+    run_scenario(scenario)
 
-    Order of events: a cut resets all connections to the replicas of a data centre; a repeatable
-    call breaks off at one of them, and 2 ms later at another; both take no connection.
 
-    Cause: each was taken for an end of its own, though one cut explains them all.
+def test_coincident_crashes_do_not_quarantine_a_call() -> None:
+    """Guards against calls refused for 300 s because one partition interrupted them twice.
 
-    Evidence: plays of crashes and cuts in series, without a call that ends replicas: two of six
-    refused one innocent call each, both struck in the first 0.3 s of the cut.
+    The partition resets all connections to the replicas of a data centre. A repeatable call is
+    interrupted at one replica, and 2 ms later at another; neither accepts connections, so each
+    looks like an isolated crash. In two of six simulations of crashes and partitions, without a
+    call that crashes replicas, one call each was refused, interrupted in the first 0.3 s.
     """
 
-    async def scenario(made: World) -> None:
-        await made.end()
+    async def scenario(world: World) -> None:
+        await world.close_listener()
         hosts = [f'127.0.0.{number}' for number in range(2, 5)]
-        port = made.address.rpartition(':')[2]
-        replicas = [made.add(host, address=f'{host}:{port}') for host in hosts]
+        port = world.address.rpartition(':')[2]
+        replicas = [world.add(host, address=f'{host}:{port}') for host in hosts]
         for replica in replicas[:2]:
-            made.watch.note_broken(CALL, replica)
-        made.watch.note_broken(OTHER, replicas[2])
-        await made.watch.until_checked(CALL)
-        await made.watch.until_checked(OTHER)
-        assert made.ends() == 2
-        assert Quarantine(made.suspects).check(CALL) is None
-
-    play(scenario)
+            world.watch.note_broken(CALL, replica)
+        world.watch.note_broken(OTHER, replicas[2])
+        await world.watch.until_checked(CALL)
+        await world.watch.until_checked(OTHER)
+        assert world.crash_count() == 2
+        assert Quarantine(world.suspects).check(CALL) is None
+
+    run_scenario(scenario)
--- a/tests/crashes/test_keeper.py
+++ b/tests/crashes/test_keeper.py
@@ -1,4 +1,4 @@
-"""Which suspects are written to the store, and what comes of rows of others."""
+"""Writing suspects to the quarantine table, and merging the rows of other gateways."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from limeshelf.calls.fingerprint import Fingerprint
 from limeshelf.crashes import keeper as keeper_module
 from limeshelf.crashes.keeper import QuarantineKeeper
-from limeshelf.crashes.rows import QUARANTINE_TABLE, read_value, write_value
+from limeshelf.crashes.rows import QUARANTINE_TABLE, decode_value, encode_value
 from limeshelf.crashes.suspects import NewsSource, ReplicaEnd, Suspects, SuspectState
 from limeshelf.errors import PlatformUnavailable, PlatformUnknown
 from limeshelf.feeds.position import BEGINNING, Position
@@ -25,9 +25,10 @@
 
 @attrs.define
 class Store:
-    """Keeps rows as the platform's store does.
+    """Fake of the platform's store.
 
-    :ivar failures: errors that the next writes raise; after :exc:`PlatformUnknown` it is done.
+    :ivar failures: errors that the next writes raise; :exc:`PlatformUnknown` after the write was
+        applied.
     """
 
     rows: dict[str, Row] = attrs.field(factory=dict)
@@ -62,18 +63,18 @@
 
 
 @pytest.fixture(autouse=True)
-def no_pauses(monkeypatch: pytest.MonkeyPatch) -> None:
-    for name in ('WRITE_SPREAD_S', 'RETURN_SPREAD_S', 'RETRY_BASE_S', 'RETRY_LIMIT_S'):
+def no_delays(monkeypatch: pytest.MonkeyPatch) -> None:
+    for name in ('WRITE_JITTER_S', 'REWRITE_JITTER_S', 'RETRY_BASE_S', 'RETRY_LIMIT_S'):
         monkeypatch.setattr(keeper_module, name, 0.0)
 
 
-def play(store: Store, *suspects: Suspects, note: Any) -> None:
-    """Run a keeper for each gateway's suspects while *note* brings news."""
+def run_keepers(store: Store, *suspects: Suspects, update: Any) -> None:
+    """Run a keeper for the suspects of each gateway, and call *update* with the keepers."""
 
     async def scenario() -> None:
         keepers = [QuarantineKeeper(store, one) for one in suspects]
         tasks = [asyncio.create_task(keeper.run()) for keeper in keepers]
-        note(*keepers)
+        update(*keepers)
         await asyncio.sleep(0.02)
         for task in tasks:
             task.cancel()
@@ -83,22 +84,22 @@
 
 def stored(store: Store) -> SuspectState | None:
     row = store.rows.get(CALL)
-    return read_value(row.key, row.value) if row is not None else None
+    return decode_value(row.key, row.value) if row is not None else None
 
 
-def test_second_end_is_written_by_who_saw_one() -> None:
-    store, saw, heard = Store(), Suspects(), Suspects()
+def test_second_crash_is_written_by_the_gateway_that_observed_one() -> None:
+    store, observer, receiver = Store(), Suspects(), Suspects()
 
-    def note(*_: QuarantineKeeper) -> None:
-        saw.note_end(CALL, R1)
+    def update(*_: QuarantineKeeper) -> None:
+        observer.note_end(CALL, R1)
         assert store.writes == 0
-        told = SuspectState(CALL, frozenset({R1, R2}))
-        saw.merge(told, NewsSource.PEER)
-        heard.merge(told, NewsSource.PEER)
+        received = SuspectState(CALL, frozenset({R1, R2}))
+        observer.merge(received, NewsSource.PEER)
+        receiver.merge(received, NewsSource.PEER)
 
-    play(store, saw, heard, note=note)
+    run_keepers(store, observer, receiver, update=update)
     state = stored(store)
-    assert state is not None and state.ends == {R1, R2}
+    assert state is not None and state.crashes == {R1, R2}
     assert store.writes == 1
 
 
@@ -110,80 +111,80 @@
         [PlatformUnknown('store'), PlatformUnavailable('store')],
     ],
 )
-def test_write_that_fails_or_is_in_doubt_is_repeated(failures: list[Exception]) -> None:
-    store, saw = Store(failures=failures), Suspects()
+def test_write_with_failed_or_unknown_outcome_is_retried(failures: list[Exception]) -> None:
+    store, observer = Store(failures=failures), Suspects()
 
-    def note(*_: QuarantineKeeper) -> None:
-        saw.note_end(CALL, R1)
-        saw.note_end(CALL, R2)
+    def update(*_: QuarantineKeeper) -> None:
+        observer.note_end(CALL, R1)
+        observer.note_end(CALL, R2)
 
-    play(store, saw, note=note)
+    run_keepers(store, observer, update=update)
     state = stored(store)
     assert state is not None and state.open_count == 2
 
 
-def test_two_that_write_at_once_lose_nothing() -> None:
+def test_concurrent_writes_of_two_gateways_are_merged() -> None:
     store, first, second = Store(), Suspects(), Suspects()
 
-    def note(*_: QuarantineKeeper) -> None:
+    def update(*_: QuarantineKeeper) -> None:
         first.note_end(CALL, R1)
         first.note_end(CALL, R2)
         second.note_end(CALL, R2)
         second.note_end(CALL, R3)
 
-    play(store, first, second, note=note)
+    run_keepers(store, first, second, update=update)
     state = stored(store)
-    assert state is not None and state.ends == {R1, R2, R3}
+    assert state is not None and state.crashes == {R1, R2, R3}
 
 
-def test_call_that_is_cleared_is_cleared_in_its_row() -> None:
-    store, saw = Store(), Suspects()
+def test_cleared_call_is_cleared_in_its_row() -> None:
+    store, observer = Store(), Suspects()
 
-    def note(keeper: QuarantineKeeper) -> None:
+    def update(keeper: QuarantineKeeper) -> None:
         state = SuspectState(CALL, frozenset({R1, R2}))
-        keeper.take_row(Row(CALL, write_value(state), at(0)))
-        saw.note_finished(CALL)
+        keeper.take_row(Row(CALL, encode_value(state), at(0)))
+        observer.note_finished(CALL)
 
-    play(store, saw, note=note)
+    run_keepers(store, observer, update=update)
     state = stored(store)
     assert state is not None and state.open_count == 0
 
 
-def test_gateway_that_starts_learns_from_the_rows_and_writes_nothing() -> None:
+def test_starting_gateway_reads_the_rows_and_writes_none() -> None:
     store, new = Store(), Suspects()
 
-    def note(keeper: QuarantineKeeper) -> None:
+    def update(keeper: QuarantineKeeper) -> None:
         state = SuspectState(CALL, frozenset({R1, R2, R3}))
-        assert keeper.take_row(Row(CALL, write_value(state), at(4)))
+        assert keeper.take_row(Row(CALL, encode_value(state), at(4)))
         assert not keeper.take_row(Row('bb', b'no such row', at(5)))
         assert keeper.take_row(Row(CALL, b'', at(6), gone=True))
 
-    play(store, new, note=note)
+    run_keepers(store, new, update=update)
     known = new.state_of(CALL)
     assert known is not None and known.open_count == 3
     assert store.writes == 0
 
 
-def test_oldest_row_gives_way(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_oldest_row_is_evicted(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(keeper_module, 'MAX_ROWS', 2)
-    store, saw = Store(), Suspects()
+    store, observer = Store(), Suspects()
 
-    def note(*_: QuarantineKeeper) -> None:
+    def update(*_: QuarantineKeeper) -> None:
         for number in range(3):
-            saw.note_end(Fingerprint(f'c{number}'), R1)
-            saw.note_end(Fingerprint(f'c{number}'), R2)
+            observer.note_end(Fingerprint(f'c{number}'), R1)
+            observer.note_end(Fingerprint(f'c{number}'), R2)
 
-    play(store, saw, note=note)
+    run_keepers(store, observer, update=update)
     assert len(store.rows) == 2
 
 
-def test_rows_that_the_store_has_lost_are_written_again_by_one() -> None:
+def test_rows_lost_by_the_store_are_written_again() -> None:
     store, first, second = Store(), Suspects(), Suspects()
 
-    def note(*keepers: QuarantineKeeper) -> None:
+    def update(*keepers: QuarantineKeeper) -> None:
         state = SuspectState(CALL, frozenset({R1, R2}))
         copy = TableCopy(QUARANTINE_TABLE, lambda row: None)
-        row = Row(CALL, write_value(state), at(60, 1))
+        row = Row(CALL, encode_value(state), at(60, 1))
         copy.take_full(Page((row,), at(60, 1)))
         for keeper in keepers:
             keeper.take_row(row)
@@ -191,22 +192,22 @@
         for keeper in keepers:
             keeper.note_return(copy)
 
-    play(store, first, second, note=note)
+    run_keepers(store, first, second, update=update)
     state = stored(store)
-    assert state is not None and state.ends == {R1, R2}
+    assert state is not None and state.crashes == {R1, R2}
 
 
-def test_row_that_the_store_has_as_it_was_before_is_written_again() -> None:
-    store, saw = Store(), Suspects()
-    store.rows[CALL] = Row(CALL, write_value(SuspectState(CALL, frozenset({R1}))), at(40, 2))
+def test_row_that_the_store_reverted_is_written_again() -> None:
+    store, observer = Store(), Suspects()
+    store.rows[CALL] = Row(CALL, encode_value(SuspectState(CALL, frozenset({R1}))), at(40, 2))
 
-    def note(keeper: QuarantineKeeper) -> None:
+    def update(keeper: QuarantineKeeper) -> None:
         copy = TableCopy(QUARANTINE_TABLE, keeper.take_row)
         state = SuspectState(CALL, frozenset({R1, R2}))
-        copy.take_full(Page((Row(CALL, write_value(state), at(60, 1)),), at(60, 1)))
+        copy.take_full(Page((Row(CALL, encode_value(state), at(60, 1)),), at(60, 1)))
         copy.take_full(Page((store.rows[CALL],), at(41, 2)))
         keeper.note_return(copy)
 
-    play(store, saw, note=note)
+    run_keepers(store, observer, update=update)
     state = stored(store)
-    assert state is not None and state.ends == {R1, R2}
+    assert state is not None and state.crashes == {R1, R2}
--- a/tests/crashes/test_lost_loads.py
+++ b/tests/crashes/test_lost_loads.py
@@ -1,4 +1,4 @@
-"""Which loads are barred after ends of replicas, and what clears them."""
+"""After which crashes loads are blocked, and what clears them."""
 
 from __future__ import annotations
 
@@ -14,30 +14,32 @@
 LOAD = load_fingerprint('lm', 'm1', 'a1')
 
 
-def lost_loads(lone: int, coincident: int) -> LostLoads:
-    """Return what is known after so many ends under the load of one adapter."""
+def lost_loads(isolated: int, coincident: int) -> LostLoads:
+    """Return the state after the given numbers of crashes during the load of one adapter."""
     suspects = Suspects()
-    for number in range(lone + coincident):
-        end = ReplicaEnd(f'r{number}')
-        suspects.note_end(LOAD, end)
-        if number >= lone:
-            suspects.note_coincident(end)
+    for number in range(isolated + coincident):
+        crash = ReplicaEnd(f'r{number}')
+        suspects.note_end(LOAD, crash)
+        if number >= isolated:
+            suspects.mark_coincident(crash)
     watch = EndWatch(ReplicaDirectory(lambda *_: None), suspects, TaskSet())
     return LostLoads(suspects, watch)
 
 
 @pytest.mark.parametrize(
-    ('lone', 'coincident', 'barred'),
+    ('isolated', 'coincident', 'blocked'),
     [(0, 0, False), (2, 0, False), (3, 0, True), (2, 1, False), (2, 2, True), (0, 5, False)],
 )
-def test_ends_after_which_a_load_is_barred(lone: int, coincident: int, barred: bool) -> None:
-    loads = lost_loads(lone, coincident)
-    assert loads.is_barred('lm', 'm1', 'a1') == barred
+def test_crashes_after_which_a_load_is_blocked(
+    isolated: int, coincident: int, blocked: bool
+) -> None:
+    loads = lost_loads(isolated, coincident)
+    assert loads.is_barred('lm', 'm1', 'a1') == blocked
     assert not loads.is_barred('lm', 'm1')
     assert not loads.is_barred('other', 'm1', 'a1')
 
 
-def test_load_that_came_is_barred_no_more() -> None:
+def test_completed_load_is_no_longer_blocked() -> None:
     loads = lost_loads(3, 0)
     loads.note_came('lm', 'm1', 'a1')
     assert not loads.is_barred('lm', 'm1', 'a1')
