--- a/benchmarks/placement_round.py
+++ b/benchmarks/placement_round.py
@@ -104,10 +104,10 @@
         disk = frozenset(self._random.sample(sorted(self.engine.models), 20))
         address = f'{name}:1'
         centre = f'z{len(self.directory.all()) % 3}'
-        self.directory.take_record(
+        self.directory.apply_record(
             ReplicaRecord(name, SERVICE, address, centre, 8, False, None, tuple(held), 1)
         )
-        self.directory.take_report(name, ReplicaReport(tuple(held), False, 1, on_disk=disk))
+        self.directory.apply_report(name, ReplicaReport(tuple(held), False, 1, on_disk=disk))
 
     def _settle(self) -> None:
         """Let demand be averaged, and reports of all replicas be fresh."""
--- a/limeshelf/membership/digest_exchange.py
+++ b/limeshelf/membership/digest_exchange.py
@@ -217,7 +217,7 @@
             del self._gateways_per_sum[previous_id]
             self._digests.remove(previous_id)
             self.totals.forget_running(previous_id)
-            self.directory.forget_peer(previous_id)
+            self.directory.remove_peer_loads(previous_id)
 
     def _apply_digest(self, digest: GatewayDigest) -> None:
         if not self._digests.add(digest):
@@ -225,7 +225,7 @@
         if digest.fence:
             self.leadership.note_fence(digest.fence)
             self.leader.record_claim(digest.address, digest.fence)
-        self.directory.take_peer_loads(digest.instance_id, digest.loads)
+        self.directory.update_peer_loads(digest.instance_id, digest.loads)
         self._add_demand(digest)
         self.speed.take_from_peer(digest.reading_ms)
         if digest.data_centre == self.members.own.data_centre:
@@ -247,4 +247,4 @@
             # Relays and the leader have the digests and sums themselves.
             return
         self._summary_gateways = summary.gateways
-        self.directory.take_total_loads(summary.loads)
+        self.directory.update_total_loads(summary.loads)
--- a/limeshelf/membership/state_exchange.py
+++ b/limeshelf/membership/state_exchange.py
@@ -13,7 +13,7 @@
 from limeshelf.membership import receivers
 from limeshelf.membership.messages import AwaitedLoad, ReplicaStates
 from limeshelf.membership.state_conversion import report_from_state, state_from_replica
-from limeshelf.replicas.starts import StatementWay
+from limeshelf.replicas.starts import StateSource
 from limeshelf.util.clock import boottime_s
 
 if TYPE_CHECKING:
@@ -113,8 +113,8 @@
         addresses = receivers.of_forwarded(self.members, envelope.data_centre)
         self.node.forward_all(addresses, envelope)
         for state in message.states:
-            self.directory.take_report(
-                state.replica_id, report_from_state(state), StatementWay.PEER
+            self.directory.apply_report(
+                state.replica_id, report_from_state(state), StateSource.PEER
             )
         now_s = boottime_s()
         self.meter.announced_s = {
--- a/limeshelf/metrics/prometheus.py
+++ b/limeshelf/metrics/prometheus.py
@@ -119,7 +119,7 @@
     def observe_restart(self, learned_by: str) -> None:
         """Count a restart of a replica under the same id.
 
-        :param learned_by: value of :class:`limeshelf.replicas.starts.StatementWay`.
+        :param learned_by: value of :class:`limeshelf.replicas.starts.StateSource`.
         """
         self._restarts.labels(learned_by).inc()
 
--- a/limeshelf/orders/sender.py
+++ b/limeshelf/orders/sender.py
@@ -97,8 +97,8 @@
             for item in pending.ordered_loads():
                 self._on_load_in_doubt(replica, item)
             return False
-        counts = self._directory.take_report(
-            replica.replica_id, report, settled=settled, asked_s=asked_s
+        counts = self._directory.apply_report(
+            replica.replica_id, report, no_recent_orders=settled, asked_s=asked_s
         )
         pending.note_report(report, counts)
         return True
--- a/limeshelf/programs/followed_tables.py
+++ b/limeshelf/programs/followed_tables.py
@@ -158,7 +158,7 @@
         config_rows.open_copy(config_rule(freshness.config_s), metrics),
         TableCopy(
             REPLICA_TABLE,
-            _counted(REPLICA_TABLE, directory.take_row, metrics),
+            _counted(REPLICA_TABLE, directory.apply_row, metrics),
             replica_rule(freshness.replica_s),
             REPLICA_RETURN,
         ),
--- a/limeshelf/replicas/directory.py
+++ b/limeshelf/replicas/directory.py
@@ -23,7 +23,7 @@
 )
 from limeshelf.replicas.loads import PeerLoads
 from limeshelf.replicas.replica import Load, Replica, by_model
-from limeshelf.replicas.starts import KnownStart, ReplicaStart, StartOrder, StatementWay
+from limeshelf.replicas.starts import KnownStart, ReplicaStart, StartOrder, StateSource
 from limeshelf.util.clock import boottime_s
 from limeshelf.util.suspension import boot_timeout
 
@@ -48,7 +48,7 @@
         self,
         read_record: Callable[[str, bytes], ReplicaRecord],
         on_change: Callable[[str], None] = lambda replica_id: None,
-        on_restart: Callable[[StatementWay], None] = lambda way: None,
+        on_restart: Callable[[StateSource], None] = lambda source: None,
     ) -> None:
         self._read_record = read_record
         self._on_change = on_change
@@ -73,7 +73,7 @@
         """Return the latest start of a replica, which may be gone."""
         return self._replicas.get(replica_id)
 
-    def take_row(self, row: Row) -> bool:
+    def apply_row(self, row: Row) -> bool:
         """Apply a newer row of a replica; return whether it could be decoded.
 
         An invalid row marks its replica as gone until a valid row arrives, with the next
@@ -89,11 +89,11 @@
             log_change('replica_row_invalid', replica=row.key, problem=str(error))
             self._remove(row.key, 'record_unreadable')
             return False
-        self.take_record(record)
+        self.apply_record(record)
         self.notify_change()
         return True
 
-    def take_record(self, record: ReplicaRecord) -> None:
+    def apply_record(self, record: ReplicaRecord) -> None:
         """Add a replica, or update it unless the record is outdated."""
         replica = self._replicas.get(record.replica_id)
         if replica is None:
@@ -103,7 +103,7 @@
         if order is StartOrder.EARLIER:
             return
         if order is StartOrder.LATER:
-            self._restart(replica, record, StatementWay.ROW)
+            self._restart(replica, record, StateSource.ROW)
         elif replica.gone:
             # The row was deleted and written again, as in a partition: not a new start.
             same = Replica(
@@ -124,7 +124,7 @@
         if is_heartbeat_used(boottime_s() - replica.reported_s):
             replica.holdings = by_model(record.holdings)
 
-    def _restart(self, before: Replica, record: ReplicaRecord, way: StatementWay) -> Replica:
+    def _restart(self, before: Replica, record: ReplicaRecord, source: StateSource) -> Replica:
         """Replace a replica by a new start, of which only *record* is known.
 
         The calls and loads of the earlier start have ended. Other modules key their state by
@@ -136,9 +136,9 @@
             replica=before.replica_id,
             born_ms=record.born_ms,
             earlier_born_ms=before.known_start.born_ms,
-            learned_by=way,
+            learned_by=source,
         )
-        self._on_restart(way)
+        self._on_restart(source)
         self.mark_gone(before, 'restarted')
         self._peer_loads.forget_replica(before.replica_id)
         replica = Replica(
@@ -202,17 +202,17 @@
             log_change('replica_leaving', replica=replica.replica_id, cause=cause, left_s=left_s)
             self.notify_change()
 
-    def take_report(
+    def apply_report(
         self,
         replica_id: str,
         report: ReplicaReport,
-        way: StatementWay = StatementWay.REPORT,
-        settled: bool = False,
+        source: StateSource = StateSource.REPORT,
+        no_recent_orders: bool = False,
         asked_s: float | None = None,
     ) -> bool:
         """Apply a replica's report to this process or to a peer; return whether it was current.
 
-        :param settled: see :func:`~limeshelf.replicas.freshness.is_late_report`.
+        :param no_recent_orders: see :func:`~limeshelf.replicas.freshness.is_late_report`.
         :param asked_s: see :meth:`~limeshelf.replicas.starts.KnownStart.compare`.
         """
         replica = self._replicas.get(replica_id)
@@ -222,8 +222,8 @@
         if order is StartOrder.EARLIER:
             return False
         if order is StartOrder.LATER:
-            replica = self._restart_by_report(replica, report, way)
-        if is_late_report(report.order_number, replica.order_number, settled):
+            replica = self._restart_by_report(replica, report, source)
+        if is_late_report(report.order_number, replica.order_number, no_recent_orders):
             return False
         replica.report = report
         replica.reported_s = boottime_s()
@@ -238,7 +238,7 @@
         return True
 
     def _restart_by_report(
-        self, before: Replica, report: ReplicaReport, way: StatementWay
+        self, before: Replica, report: ReplicaReport, source: StateSource
     ) -> Replica:
         """Replace a replica by a new start that a report showed before its row arrived.
 
@@ -248,20 +248,20 @@
             before.record, holdings=(), beat_number=0, born_ms=report.born_ms, leaving=False
         )
         was_gone = before.gone
-        replica = self._restart(before, record, way)
+        replica = self._restart(before, record, source)
         # A replica without a row stays gone until its row arrives.
         replica.gone = was_gone
         return replica
 
-    def take_peer_loads(self, peer: str, loads: Iterable[ReplicaLoad]) -> None:
+    def update_peer_loads(self, peer: str, loads: Iterable[ReplicaLoad]) -> None:
         """Replace the load of one peer at all replicas."""
         self._peer_loads.update(peer, loads)
 
-    def forget_peer(self, peer: str) -> None:
+    def remove_peer_loads(self, peer: str) -> None:
         """Remove the load of a peer, which another peer now reports."""
         self._peer_loads.forget(peer)
 
-    def take_total_loads(self, loads: Iterable[ReplicaLoad]) -> None:
+    def update_total_loads(self, loads: Iterable[ReplicaLoad]) -> None:
         """Replace the load of all peers by totals, which include this gateway."""
         self._peer_loads.update_totals(loads, self._own_load_at)
 
--- a/limeshelf/replicas/freshness.py
+++ b/limeshelf/replicas/freshness.py
@@ -13,7 +13,7 @@
     from limeshelf.replicas.record import ReplicaRecord
 
 #: A report takes precedence over heartbeats for this long.
-REPORT_LIFE_S = 2.5
+REPORT_VALID_S = 2.5
 #: The load reported by a peer is used for this long.
 PEER_LOAD_VALID_S = 2.0
 
@@ -27,16 +27,18 @@
     return not states_start_first and record.beat_number < newest.beat_number
 
 
-def is_late_report(order_number: int, known_order_number: int | None, settled: bool) -> bool:
+def is_late_report(
+    order_number: int, known_order_number: int | None, no_recent_orders: bool
+) -> bool:
     """Return whether a report was made before the last known order.
 
     :param order_number: number of orders that the replica had accepted when it reported.
     :param known_order_number: number of orders that it is known to have accepted; ``None``
         before its first report.
-    :param settled: the last order is older than the delay of reports. A lower number is then
-        correct: an order that was counted here did not reach the replica.
+    :param no_recent_orders: the last order is older than the delay of reports. A lower number is
+        then correct: an order that was counted here did not reach the replica.
     """
-    return not settled and order_number < (known_order_number or 0)
+    return not no_recent_orders and order_number < (known_order_number or 0)
 
 
 def is_heartbeat_used(report_age_s: float) -> bool:
@@ -45,7 +47,7 @@
     A heartbeat may be older than a report that arrived before it. This cannot be detected,
     because only reports contain the number of orders.
     """
-    return report_age_s > REPORT_LIFE_S
+    return report_age_s > REPORT_VALID_S
 
 
 def is_peer_load_valid(age_s: float) -> bool:
--- a/limeshelf/replicas/starts.py
+++ b/limeshelf/replicas/starts.py
@@ -19,7 +19,7 @@
 CLOCK_STEP_BACK_S = 8.0
 
 
-class StatementWay(enum.StrEnum):
+class StateSource(enum.StrEnum):
     """Where a row or report of a replica was received from."""
 
     ROW = 'row'
--- a/tests/crashes/test_end_watch.py
+++ b/tests/crashes/test_end_watch.py
@@ -41,7 +41,7 @@
     def add(self, replica_id: str = 'r1', **changes: Any) -> Replica:
         """Add or update a replica by a row."""
         record = ReplicaRecord(replica_id, 'lm', self.address, 'z1', 4, False, None, (), 1)
-        self.directory.take_record(attrs.evolve(record, **changes))
+        self.directory.apply_record(attrs.evolve(record, **changes))
         replica = self.directory.get(replica_id)
         assert replica is not None
         return replica
--- a/tests/demand/test_meter.py
+++ b/tests/demand/test_meter.py
@@ -41,7 +41,7 @@
 
     def add(self, service: str, *holdings: Holding) -> None:
         record = ReplicaRecord('r1', service, 'ip:1', 'z1', 8, False, None, holdings, 1)
-        self.directory.take_record(record)
+        self.directory.apply_record(record)
 
     @property
     def wait_s(self) -> float:
--- a/tests/dispatch/test_client.py
+++ b/tests/dispatch/test_client.py
@@ -73,7 +73,7 @@
         record = ReplicaRecord(
             f'r{number}', 'lm', f'ip:{number}', data_centre, 4, False, None, (Holding('m'),), 1
         )
-        directory.take_record(record)
+        directory.apply_record(record)
     return directory
 
 
--- a/tests/dispatch/test_dispatcher.py
+++ b/tests/dispatch/test_dispatcher.py
@@ -43,7 +43,7 @@
         self.clock = clock
         self.directory = ReplicaDirectory(read_record)
         for number in range(replicas):
-            self.directory.take_record(
+            self.directory.apply_record(
                 ReplicaRecord(
                     f'r{number}', 'lm', f'ip:{number}', 'z1', 4, False, None, (Holding('m'),), 1
                 )
@@ -215,7 +215,7 @@
     from limeshelf.membership.messages import ReplicaLoad
 
     harness = Harness(clock, 1)
-    harness.directory.take_peer_loads('g2', [ReplicaLoad('r0', 4, 400)])
+    harness.directory.update_peer_loads('g2', [ReplicaLoad('r0', 4, 400)])
     assert harness.ask('a') is VerdictKind.QUEUED
 
 
@@ -287,7 +287,7 @@
     harness = Harness(clock, 0)
     for replica, adapter in [('r0', 'a1'), ('r1', 'a1'), ('r2', 'a9')]:
         held = (Holding('m', frozenset({adapter})),)
-        harness.directory.take_record(
+        harness.directory.apply_record(
             ReplicaRecord(replica, 'lm', f'ip:{replica}', 'z1', 4, False, None, held, 1)
         )
     hot, rare = ModelKey('lm', 'm', 'a1'), ModelKey('lm', 'm', 'a9')
@@ -303,7 +303,9 @@
 ) -> None:
     harness = Harness(clock, 0)
     held = (Holding('m', frozenset({'a9'})),)
-    harness.directory.take_record(ReplicaRecord('r0', 'lm', 'ip:0', 'z1', 4, False, None, held, 1))
+    harness.directory.apply_record(
+        ReplicaRecord('r0', 'lm', 'ip:0', 'z1', 4, False, None, held, 1)
+    )
     assert harness.ask('first', 3000) is VerdictKind.GRANTED
     assert harness.ask('urgent', 3000, objective_ms=9000) is VerdictKind.QUEUED
     rare = ModelKey('lm', 'm', 'a9')
--- a/tests/dispatch/test_dispatcher_machine.py
+++ b/tests/dispatch/test_dispatcher_machine.py
@@ -63,7 +63,7 @@
             record = ReplicaRecord(
                 f'r{number}', 'lm', f'ip:{number}', 'z1', SLOTS, False, None, (Holding('m'),), 1
             )
-            self.directory.take_record(record)
+            self.directory.apply_record(record)
         config: Any = Config({'lm': ServiceSpec('lm', 50, ENGINE)})
         self.dispatcher = Dispatcher(
             self.directory,
--- a/tests/dispatch/test_owners.py
+++ b/tests/dispatch/test_owners.py
@@ -37,7 +37,7 @@
         record = ReplicaRecord(
             f'r{number}', 'lm', f'ip:{number}', data_centre, 4, False, None, (Holding('m'),), 1
         )
-        directory.take_record(record)
+        directory.apply_record(record)
     for number, running in enumerate(calls):
         replica = directory.get(f'r{number}')
         assert replica is not None
--- a/tests/dispatch/test_permits.py
+++ b/tests/dispatch/test_permits.py
@@ -46,7 +46,7 @@
 
 def gateway_at(node: Any, owner: str | None) -> tuple[PermitExchange, Replica]:
     directory = ReplicaDirectory(read_record)
-    directory.take_record(ReplicaRecord('r-1', 'app', 'ip:1', 'z1', 4, False, None, (), 1))
+    directory.apply_record(ReplicaRecord('r-1', 'app', 'ip:1', 'z1', 4, False, None, (), 1))
     replica = directory.get('r-1')
     assert replica is not None
     limiters = ReplicaRateLimiters(lambda data_centre: owner)
--- a/tests/dispatch/test_selector.py
+++ b/tests/dispatch/test_selector.py
@@ -38,7 +38,7 @@
         record = ReplicaRecord(
             f'r{number}', 'lm', f'ip:{number}', data_centre, 4, False, None, (Holding('m'),), 1
         )
-        directory.take_record(record)
+        directory.apply_record(record)
     return HolderSelector(directory, ReadingSpeed(), lambda data_centre: LOCAL, 'z1')
 
 
--- a/tests/gateway/test_selection.py
+++ b/tests/gateway/test_selection.py
@@ -35,7 +35,7 @@
     directory = ReplicaDirectory(read_record)
     for number in range(2):
         for service in (ENGINE, PLAIN):
-            directory.take_record(
+            directory.apply_record(
                 ReplicaRecord(
                     f'{"r" if service is ENGINE else "p"}{number}',
                     service.name,
--- a/tests/membership/test_digest_exchange.py
+++ b/tests/membership/test_digest_exchange.py
@@ -77,7 +77,7 @@
     for address in others:
         members.add(address, 'c1', 1.0)
     directory = ReplicaDirectory(read_record)
-    directory.take_record(ReplicaRecord('r1', 'lm', 'ip:1', 'c1', 8, False, None, (), 1))
+    directory.apply_record(ReplicaRecord('r1', 'lm', 'ip:1', 'c1', 8, False, None, (), 1))
     leadership: Any = Leadership(fence)
     parts: dict[str, Any] = {
         'instance_id': f'i-{own}',
--- a/tests/membership/test_notice_exchange.py
+++ b/tests/membership/test_notice_exchange.py
@@ -39,7 +39,7 @@
                 members.add(other, network.centres[other], 1.0)
                 members.record_message(other, network.centres[other])
         directory = ReplicaDirectory(read_record)
-        directory.take_record(
+        directory.apply_record(
             ReplicaRecord('r-1', 'app', 'ip:1', 'z0', 4, False, None, (), 1, BORN_MS)
         )
         node: Any = Node(address, network)
--- a/tests/membership/test_state_exchange.py
+++ b/tests/membership/test_state_exchange.py
@@ -49,7 +49,7 @@
 
 def exchange(leadership: Any) -> StateExchange:
     directory = ReplicaDirectory(read_record)
-    directory.take_record(ReplicaRecord('r1', 'lm', 'ip:1', 'z1', 8, False, None, (), 1))
+    directory.apply_record(ReplicaRecord('r1', 'lm', 'ip:1', 'z1', 8, False, None, (), 1))
     members = Members(Member('own', 'z1'))
     parts: dict[str, Any] = {
         'node': Node(),
@@ -84,7 +84,7 @@
     async def run_scenario() -> None:
         state_exchange = exchange(Leadership(fence=5))
         report = ReplicaReport((Holding('m1'), Holding('m2')), False, 3)
-        state_exchange.directory.take_report('r1', report)
+        state_exchange.directory.apply_report('r1', report)
         state_exchange._handle_states(states(9, 'm1'))
         assert holdings(state_exchange) == {'m1', 'm2'}
 
--- a/tests/orders/test_capacity.py
+++ b/tests/orders/test_capacity.py
@@ -33,8 +33,8 @@
     happen: Callable[[ReplicaDirectory, Replica], None] = lambda directory, replica: None,
 ) -> bool:
     directory = ReplicaDirectory(read_record)
-    directory.take_record(ReplicaRecord('r1', 'lm', 'ip:1', 'z1', 8, False, None, (), 1))
-    directory.take_report('r1', report)
+    directory.apply_record(ReplicaRecord('r1', 'lm', 'ip:1', 'z1', 8, False, None, (), 1))
+    directory.apply_report('r1', report)
     replica = directory.get('r1')
     assert isinstance(replica, Replica)
     pending = PendingOrders()
--- a/tests/orders/test_sender.py
+++ b/tests/orders/test_sender.py
@@ -91,7 +91,7 @@
             tuple(Holding(name, frozenset(a)) for name, a in self.stand_in.models.items()),
             1,
         )
-        self.directory.take_record(record)
+        self.directory.apply_record(record)
         self.replica = self.directory.get(record.replica_id)
         return self
 
--- a/tests/placement/fleet_play.py
+++ b/tests/placement/fleet_play.py
@@ -259,7 +259,7 @@
             name = f'r{number}'
             held = set(adapters[number * places : (number + 1) * places])
             replica = play.replicas[name] = AdapterReplica(name, held)
-            play.directory.take_record(
+            play.directory.apply_record(
                 ReplicaRecord(name, SERVICE, f'ip:{name}', 'z1', 16, False, None, (), 1)
             )
             replica.pending.note_claimed(FENCE)
@@ -273,7 +273,7 @@
             return
         for name, replica in self.replicas.items():
             report = replica.report()
-            self.directory.take_report(name, report)
+            self.directory.apply_report(name, report)
             replica.pending.note_report(report)
             for note in replica.unreported:
                 note()
--- a/tests/placement/test_adapters.py
+++ b/tests/placement/test_adapters.py
@@ -47,11 +47,11 @@
 
     def add(self, name: str, *adapters: str, loading: tuple[str, ...] = ()) -> None:
         record = ReplicaRecord(name, 'lm', f'ip:{name}', 'z1', 8, False, None, (), 1)
-        self.directory.take_record(record)
+        self.directory.apply_record(record)
         on_their_way = tuple(('m1', adapter) for adapter in loading)
         held = (Holding('m1', frozenset(adapters)),)
         report = ReplicaReport(held, False, 1, loading=on_their_way)
-        self.directory.take_report(name, report)
+        self.directory.apply_report(name, report)
         self.pending[name] = PendingOrders()
         self.pending[name].note_claimed(FENCE)
         self.clock.advance(1.1 * REPORT_SETTLE_S)
--- a/tests/placement/test_replica_watch.py
+++ b/tests/placement/test_replica_watch.py
@@ -48,7 +48,7 @@
     def add(self, replica_id: str, *models: str) -> None:
         holdings = tuple(Holding(model) for model in models)
         address = f'{replica_id}:1'
-        self.directory.take_record(
+        self.directory.apply_record(
             ReplicaRecord(replica_id, 'lm', address, 'z1', 8, False, None, holdings, 1)
         )
 
@@ -73,7 +73,7 @@
     pending.note_claimed(FENCE)
     clock[0] += REPORT_SETTLE_S + 0.01
     pending.note_report(report)
-    world.directory.take_report('r1', report)
+    world.directory.apply_report('r1', report)
 
 
 def test_only_a_claimed_replica_that_was_polled_since_takes_orders(clock: list[float]) -> None:
--- a/tests/placement/test_service.py
+++ b/tests/placement/test_service.py
@@ -93,7 +93,7 @@
         directory = ReplicaDirectory(read_record)
         address = await stand_in.start()
         held = (Holding('m1', frozenset(adapters)),)
-        directory.take_record(ReplicaRecord('e-1', 'lm', address, 'z1', 8, False, None, held, 1))
+        directory.apply_record(ReplicaRecord('e-1', 'lm', address, 'z1', 8, False, None, held, 1))
         leadership: Any = FixedTerm(fence)
         config: Any = Config({'lm': ServiceSpec('lm', 50, ENGINE)})
         client = ReplicaOrderClient()
@@ -203,7 +203,7 @@
     async def run() -> None:
         directory = ReplicaDirectory(read_record)
         held = (Holding('m1'),)
-        directory.take_record(ReplicaRecord('e-1', 'lm', 'lm:1', 'z1', 8, False, None, held, 1))
+        directory.apply_record(ReplicaRecord('e-1', 'lm', 'lm:1', 'z1', 8, False, None, held, 1))
         leadership: Any = FixedTerm(5)
         config: Any = Config({'lm': ServiceSpec('lm', 50, engine)})
         wire: Any = HangingWire()
--- a/tests/platform/test_foreign_rows.py
+++ b/tests/platform/test_foreign_rows.py
@@ -169,9 +169,9 @@
 
 def test_replica_whose_row_turns_unreadable_takes_no_calls_until_it_is_readable() -> None:
     directory = ReplicaDirectory(read_record)
-    directory.take_row(Row('r1', entry(), at(1)))
+    directory.apply_row(Row('r1', entry(), at(1)))
     assert [replica.replica_id for replica in directory.of_service('s')] == ['r1']
-    directory.take_row(Row('r1', b'no row', at(2)))
+    directory.apply_row(Row('r1', b'no row', at(2)))
     assert directory.of_service('s') == []
-    directory.take_row(Row('r1', entry(SeqNo=2), at(3)))
+    directory.apply_row(Row('r1', entry(SeqNo=2), at(3)))
     assert [replica.replica_id for replica in directory.of_service('s')] == ['r1']
--- a/tests/replicas/test_directory.py
+++ b/tests/replicas/test_directory.py
@@ -11,7 +11,7 @@
 from limeshelf.feeds.rows import Row
 from limeshelf.platform.replicas import read_record
 from limeshelf.replicas.directory import ReplicaDirectory
-from limeshelf.replicas.freshness import REPORT_LIFE_S
+from limeshelf.replicas.freshness import REPORT_VALID_S
 from limeshelf.replicas.record import Holding, ReplicaReport
 from limeshelf.util.clock import VirtualClock
 from tests.support.clock import fake_time
@@ -55,9 +55,9 @@
 
 
 def test_row_adds_a_replica_and_its_deletion_removes_it(directory: ReplicaDirectory) -> None:
-    directory.take_row(row())
+    directory.apply_row(row())
     assert available(directory) == ['r1']
-    directory.take_row(Row('r1', b'', at(2), gone=True))
+    directory.apply_row(Row('r1', b'', at(2), gone=True))
     assert available(directory) == []
     assert directory.all() == []
 
@@ -65,77 +65,77 @@
 def test_first_row_with_a_start_time_is_applied_despite_a_lower_heartbeat_number(
     directory: ReplicaDirectory,
 ) -> None:
-    directory.take_row(row(beat=40))
-    directory.take_row(row(beat=1, state='draining', born=1_796_297_996_685))
+    directory.apply_row(row(beat=40))
+    directory.apply_row(row(beat=1, state='draining', born=1_796_297_996_685))
     assert available(directory) == []
 
 
 def test_leaving_is_never_withdrawn(directory: ReplicaDirectory) -> None:
-    directory.take_row(row(beat=1))
-    directory.take_row(row(beat=2, state='draining'))
-    directory.take_row(row(beat=3))
+    directory.apply_row(row(beat=1))
+    directory.apply_row(row(beat=2, state='draining'))
+    directory.apply_row(row(beat=3))
     assert available(directory) == []
     assert [replica.replica_id for replica in directory.all()] == ['r1']
 
 
 def test_replica_whose_report_announces_leaving_gets_no_calls(directory: ReplicaDirectory) -> None:
-    directory.take_row(row())
-    directory.take_report('r1', ReplicaReport((), False, 0, leaving=True))
+    directory.apply_row(row())
+    directory.apply_report('r1', ReplicaReport((), False, 0, leaving=True))
     assert available(directory) == []
 
 
 def test_address_belongs_to_the_replica_whose_row_arrived_last(
     directory: ReplicaDirectory,
 ) -> None:
-    directory.take_row(row('r1'))
-    directory.take_row(row('r2'))
+    directory.apply_row(row('r1'))
+    directory.apply_row(row('r2'))
     assert available(directory) == ['r2']
 
 
 def test_row_of_a_replica_marked_as_gone_adds_it_again(
     directory: ReplicaDirectory,
 ) -> None:
-    directory.take_row(row())
+    directory.apply_row(row())
     replica = directory.get('r1')
     assert replica is not None
     directory.mark_gone(replica, 'misdirected')
     assert available(directory) == []
-    directory.take_row(row(beat=2))
+    directory.apply_row(row(beat=2))
     assert available(directory) == ['r1']
     assert directory.get('r1') is not replica
 
 
 def test_replica_with_an_invalid_row_gets_no_calls(directory: ReplicaDirectory) -> None:
-    directory.take_row(row('r1'))
-    directory.take_row(Row('r2', b'no row', at(1)))
+    directory.apply_row(row('r1'))
+    directory.apply_row(Row('r2', b'no row', at(1)))
     assert available(directory) == ['r1']
-    directory.take_row(Row('r1', b'no row', at(2)))
+    directory.apply_row(Row('r1', b'no row', at(2)))
     assert available(directory) == []
 
 
 def test_report_takes_precedence_over_heartbeats_while_it_is_valid(
     directory: ReplicaDirectory, clock: VirtualClock
 ) -> None:
-    directory.take_row(row(models=('m1',)))
-    directory.take_report('r1', ReplicaReport((Holding('m2'),), False, 1))
-    directory.take_row(row(beat=2, models=('m1',)))
+    directory.apply_row(row(models=('m1',)))
+    directory.apply_report('r1', ReplicaReport((Holding('m2'),), False, 1))
+    directory.apply_row(row(beat=2, models=('m1',)))
     replica = directory.get('r1')
     assert replica is not None
     assert replica.holds('m2') and not replica.holds('m1')
-    clock.advance(REPORT_LIFE_S + 0.1)
-    directory.take_row(row(beat=1, models=('m3',)))
+    clock.advance(REPORT_VALID_S + 0.1)
+    directory.apply_row(row(beat=1, models=('m3',)))
     assert replica.holds('m2')
-    directory.take_row(row(beat=3, models=('m1',)))
+    directory.apply_row(row(beat=3, models=('m1',)))
     assert replica.holds('m1')
 
 
 def test_late_report_is_ignored(directory: ReplicaDirectory) -> None:
-    directory.take_row(row())
-    directory.take_report('r1', ReplicaReport((Holding('m2'),), False, 2))
-    directory.take_report('r1', ReplicaReport((), False, 1))
+    directory.apply_row(row())
+    directory.apply_report('r1', ReplicaReport((Holding('m2'),), False, 2))
+    directory.apply_report('r1', ReplicaReport((), False, 1))
     replica = directory.get('r1')
     assert replica is not None and replica.holds('m2')
-    directory.take_report('r1', ReplicaReport((), False, 1), settled=True)
+    directory.apply_report('r1', ReplicaReport((), False, 1), no_recent_orders=True)
     assert not replica.holds('m2')
 
 
@@ -143,7 +143,7 @@
     async def scenario() -> None:
         waiting = asyncio.create_task(directory.wait_for_change(30.0))
         await asyncio.sleep(0)
-        directory.take_row(row())
+        directory.apply_row(row())
         await waiting
 
     asyncio.run(scenario())
--- a/tests/replicas/test_freshness.py
+++ b/tests/replicas/test_freshness.py
@@ -6,7 +6,7 @@
 
 from limeshelf.replicas.freshness import (
     PEER_LOAD_VALID_S,
-    REPORT_LIFE_S,
+    REPORT_VALID_S,
     is_heartbeat_used,
     is_late_heartbeat,
     is_late_report,
@@ -26,7 +26,7 @@
 
 
 @pytest.mark.parametrize(
-    ('reported', 'known', 'settled', 'late'),
+    ('reported', 'known', 'no_recent_orders', 'late'),
     [
         (0, None, False, False),
         (3, 3, False, False),
@@ -35,14 +35,14 @@
     ],
 )
 def test_report_from_before_the_last_order_is_late(
-    reported: int, known: int | None, settled: bool, late: bool
+    reported: int, known: int | None, no_recent_orders: bool, late: bool
 ) -> None:
-    assert is_late_report(reported, known, settled) is late
+    assert is_late_report(reported, known, no_recent_orders) is late
 
 
 def test_heartbeat_is_used_when_the_report_has_expired() -> None:
-    assert not is_heartbeat_used(REPORT_LIFE_S)
-    assert is_heartbeat_used(REPORT_LIFE_S + 0.01)
+    assert not is_heartbeat_used(REPORT_VALID_S)
+    assert is_heartbeat_used(REPORT_VALID_S + 0.01)
 
 
 def test_load_of_a_peer_expires() -> None:
--- a/tests/replicas/test_starts.py
+++ b/tests/replicas/test_starts.py
@@ -17,7 +17,7 @@
 from limeshelf.replicas.directory import ReplicaDirectory
 from limeshelf.replicas.loads import PeerLoads
 from limeshelf.replicas.replica import Replica
-from limeshelf.replicas.starts import CLOCK_STEP_BACK_S, KnownStart, StartOrder, StatementWay
+from limeshelf.replicas.starts import CLOCK_STEP_BACK_S, KnownStart, StartOrder, StateSource
 from limeshelf.util.clock import VirtualClock, virtual_clock
 from tests.support.positions import at
 
@@ -54,88 +54,88 @@
 
 
 def test_restart_shown_by_a_row_clears_the_state() -> None:
-    restarts: list[StatementWay] = []
+    restarts: list[StateSource] = []
     directory = ReplicaDirectory(read_record, on_restart=restarts.append)
-    directory.take_row(row(1000, 9, 1, ('m1',)))
-    directory.take_report('r1', report(1000, 7, ('m1',)))
+    directory.apply_row(row(1000, 9, 1, ('m1',)))
+    directory.apply_report('r1', report(1000, 7, ('m1',)))
     before = known(directory)
     before.own.calls = 2
-    directory.take_row(row(2000, 1, 2))
+    directory.apply_row(row(2000, 1, 2))
     after = known(directory)
     assert (before.gone, after.gone) == (True, False)
     assert (after.holdings, after.order_number, after.own.calls) == ({}, None, 0)
     assert after.start != before.start
-    assert restarts == [StatementWay.ROW]
+    assert restarts == [StateSource.ROW]
 
 
 def test_restart_shown_by_a_report_resets_the_heartbeat_number() -> None:
     directory = ReplicaDirectory(read_record)
-    directory.take_row(row(1000, 9, 1, ('m1',)))
-    assert directory.take_report('r1', report(2000, 0))
+    directory.apply_row(row(1000, 9, 1, ('m1',)))
+    assert directory.apply_report('r1', report(2000, 0))
     assert known(directory).holdings == {}
-    directory.take_row(row(1000, 10, 2, ('m1',)))
+    directory.apply_row(row(1000, 10, 2, ('m1',)))
     assert known(directory).holdings == {}
-    directory.take_row(row(2000, 1, 3))
+    directory.apply_row(row(2000, 1, 3))
     assert known(directory).record.beat_number == 1
 
 
 def test_row_and_report_of_an_earlier_start_are_ignored() -> None:
     directory = ReplicaDirectory(read_record)
-    directory.take_row(row(2000, 1, 5))
-    directory.take_row(row(1000, 40, 6, ('m1',)))
-    assert not directory.take_report('r1', report(1000, 9, ('m1',)), StatementWay.PEER)
+    directory.apply_row(row(2000, 1, 5))
+    directory.apply_row(row(1000, 40, 6, ('m1',)))
+    assert not directory.apply_report('r1', report(1000, 9, ('m1',)), StateSource.PEER)
     assert known(directory).holdings == {}
     assert known(directory).known_start.born_ms == 2000
 
 
 def test_row_without_a_start_time_is_ordered_by_its_heartbeat_number() -> None:
     directory = ReplicaDirectory(read_record)
-    directory.take_row(row(None, 3, 1, ('m1',)))
-    directory.take_row(row(None, 2, 2, ('m2',)))
+    directory.apply_row(row(None, 3, 1, ('m1',)))
+    directory.apply_row(row(None, 2, 2, ('m2',)))
     before = known(directory)
     assert set(before.holdings) == {'m1'}
-    directory.take_row(row(None, 4, 3, ('m2',)))
+    directory.apply_row(row(None, 4, 3, ('m2',)))
     assert set(known(directory).holdings) == {'m2'}
     assert known(directory) is before
 
 
 def test_first_start_time_of_a_replica_is_not_a_restart() -> None:
-    restarts: list[StatementWay] = []
+    restarts: list[StateSource] = []
     directory = ReplicaDirectory(read_record, on_restart=restarts.append)
-    directory.take_row(row(None, 3, 1, ('m1',)))
+    directory.apply_row(row(None, 3, 1, ('m1',)))
     before = known(directory)
-    directory.take_row(row(1000, 4, 2, ('m1',)))
-    directory.take_report('r1', report(None, 2, ('m1',)))
+    directory.apply_row(row(1000, 4, 2, ('m1',)))
+    directory.apply_report('r1', report(None, 2, ('m1',)))
     assert known(directory) is before
     assert restarts == []
-    directory.take_row(row(1500, 1, 3))
+    directory.apply_row(row(1500, 1, 3))
     assert known(directory) is not before
 
 
 def test_row_that_is_deleted_and_written_again_is_the_same_start() -> None:
     directory = ReplicaDirectory(read_record)
-    directory.take_row(row(1000, 3, 1))
+    directory.apply_row(row(1000, 3, 1))
     before = known(directory)
-    directory.take_row(Row('r1', b'', at(2), gone=True))
-    directory.take_row(row(1000, 8, 3))
+    directory.apply_row(Row('r1', b'', at(2), gone=True))
+    directory.apply_row(row(1000, 8, 3))
     assert known(directory) is not before
     assert known(directory).start == before.start
 
 
 def test_restart_shown_by_a_report_gets_calls_once_its_row_arrives() -> None:
     directory = ReplicaDirectory(read_record)
-    directory.take_row(row(1000, 3, 1))
-    directory.take_row(Row('r1', b'', at(2), gone=True))
-    directory.take_report('r1', report(2000, 0))
+    directory.apply_row(row(1000, 3, 1))
+    directory.apply_row(Row('r1', b'', at(2), gone=True))
+    directory.apply_report('r1', report(2000, 0))
     assert directory.of_service('s') == []
-    directory.take_row(row(2000, 1, 3))
+    directory.apply_row(row(2000, 1, 3))
     assert [replica.replica_id for replica in directory.of_service('s')] == ['r1']
 
 
 @pytest.mark.parametrize('born', ['1000', 1000.5, 1.0e3, True, [], {}])
 def test_row_whose_start_time_is_not_an_integer_is_invalid(born: Any) -> None:
     directory = ReplicaDirectory(read_record)
-    assert not directory.take_row(row(born, 1, 1))
+    assert not directory.apply_row(row(born, 1, 1))
     assert directory.get('r1') is None
 
 
@@ -207,45 +207,45 @@
         return statement
 
     def _deliver(
-        self, statement: Statement, way: StatementWay, asked_s: float | None = None
+        self, statement: Statement, source: StateSource, asked_s: float | None = None
     ) -> None:
-        if way is StatementWay.ROW:
-            self.directory.take_row(
+        if source is StateSource.ROW:
+            self.directory.apply_row(
                 row(statement.born_ms, statement.count, next(self.numbers), statement.models)
             )
         else:
-            self.directory.take_report(
+            self.directory.apply_report(
                 'r1',
                 report(statement.born_ms, statement.count, statement.models),
-                way,
+                source,
                 asked_s=asked_s,
             )
         self.newest = max(self.newest, statement.start)
 
     @rule()
     def send_row(self) -> None:
-        self._deliver(self._create(), StatementWay.ROW)
+        self._deliver(self._create(), StateSource.ROW)
 
     @rule()
     def report_to_peer(self) -> None:
-        self._deliver(self._create(), StatementWay.PEER)
+        self._deliver(self._create(), StateSource.PEER)
 
     @rule()
     def report_on_request(self) -> None:
         asked_s = self.clock.now_s
         self.clock.advance(0.01)
-        self._deliver(self._create(), StatementWay.REPORT, asked_s)
+        self._deliver(self._create(), StateSource.REPORT, asked_s)
 
     @rule()
     def send_with_loss_or_delay(self) -> None:
         self._create()
 
-    @rule(data=st.data(), way=st.sampled_from([StatementWay.ROW, StatementWay.PEER]))
-    def deliver_late_or_again(self, data: Any, way: StatementWay) -> None:
+    @rule(data=st.data(), source=st.sampled_from([StateSource.ROW, StateSource.PEER]))
+    def deliver_late_or_again(self, data: Any, source: StateSource) -> None:
         oldest_s = self.clock.now_s - LATEST_S
         late = [statement for statement in self.sent if statement.sent_s >= oldest_s]
         if late:
-            self._deliver(data.draw(st.sampled_from(late)), way)
+            self._deliver(data.draw(st.sampled_from(late)), source)
 
     @rule(seconds=st.floats(0.05, 3.0))
     def advance_time(self, seconds: float) -> None:
--- a/tests/routing/test_plain_selector.py
+++ b/tests/routing/test_plain_selector.py
@@ -28,7 +28,7 @@
 def directory_of(*data_centres: str) -> ReplicaDirectory:
     directory = ReplicaDirectory(read_record)
     for number, data_centre in enumerate(data_centres):
-        directory.take_record(
+        directory.apply_record(
             ReplicaRecord(f'r{number}', 'web', f'ip:{number}', data_centre, 4, False, None, (), 1)
         )
     return directory
@@ -85,7 +85,7 @@
 
 def test_reported_queue_counts_until_the_report_expires(clock: VirtualClock) -> None:
     directory = directory_of('z1', 'z1')
-    directory.take_report('r0', ReplicaReport((), False, 0, queued=3))
+    directory.apply_report('r0', ReplicaReport((), False, 0, queued=3))
     assert chosen(directory, MODELS) == {'r1'}
     clock.advance(QUEUE_REPORT_TTL_S + 0.1)
     assert chosen(directory, MODELS) == {'r0', 'r1'}
