--- a/limeshelf/dispatch/permits.py
+++ b/limeshelf/dispatch/permits.py
@@ -28,7 +28,7 @@
     from limeshelf.peers.codec import Envelope
     from limeshelf.peers.node import PeerNode
     from limeshelf.replicas.directory import ReplicaDirectory
-    from limeshelf.replicas.notices import NoticeTaker
+    from limeshelf.replicas.notices import NoticeHandler
     from limeshelf.replicas.replica import Replica
     from limeshelf.replicas.starts import ReplicaStart
 
@@ -55,7 +55,7 @@
         self,
         node: PeerNode,
         directory: ReplicaDirectory,
-        notices: NoticeTaker,
+        notices: NoticeHandler,
         limiters: ReplicaRateLimiters,
     ) -> None:
         self._node = node
@@ -111,7 +111,7 @@
             return _NO_PACER
         # The requesting gateway may know a newer rate than this process.
         heard_s = boottime_s() - query.heard_ms_ago / MS_PER_S
-        self._notices.take_rate_of_peer(replica, query.rate_per_s, heard_s)
+        self._notices.handle_peer_rate(replica, query.rate_per_s, heard_s)
         max_wait_s = query.patience_ms / MS_PER_S
         return self._limiters.try_acquire(replica, max_wait_s, boottime_s()) or _NO_PACER
 
--- a/limeshelf/gateway/attempts.py
+++ b/limeshelf/gateway/attempts.py
@@ -29,7 +29,7 @@
     from limeshelf.gateway.state import CallState
     from limeshelf.organisations.organisation import Organisation
     from limeshelf.replicas.directory import ReplicaDirectory
-    from limeshelf.replicas.notices import NoticeTaker
+    from limeshelf.replicas.notices import NoticeHandler
     from limeshelf.replicas.pool import ConnectionPool
     from limeshelf.replicas.replica import Replica
 
@@ -43,7 +43,7 @@
     pool: ConnectionPool
     in_force: ConfigInForce
     quarantine: QuarantineGuard
-    notices: NoticeTaker
+    notices: NoticeHandler
     demand: DemandMeter
 
     async def run(
@@ -82,7 +82,7 @@
             state.answer,
             state.splitter,
             lambda: self._note_first_event(state, selected),
-            lambda facts: self.notices.take_of_call(replica, facts, sent_s),
+            lambda facts: self.notices.handle_call_response(replica, facts, sent_s),
             selected.may_send,
         )
         replica.own.calls += 1
--- a/limeshelf/membership/notice_exchange.py
+++ b/limeshelf/membership/notice_exchange.py
@@ -14,7 +14,7 @@
 
 from limeshelf.membership.broadcast_queue import BroadcastQueue
 from limeshelf.membership.messages import ReplicaNoticeEntry, ReplicaNotices
-from limeshelf.replicas.notices import NoticeWay
+from limeshelf.replicas.notices import NoticeSource
 from limeshelf.util.clock import MS_PER_S, boottime_s
 
 if TYPE_CHECKING:
@@ -22,7 +22,7 @@
     from limeshelf.peers.codec import Envelope
     from limeshelf.peers.node import PeerNode
     from limeshelf.replicas.directory import ReplicaDirectory
-    from limeshelf.replicas.notices import NoticeTaker
+    from limeshelf.replicas.notices import NoticeHandler
     from limeshelf.replicas.replica import Replica
 
 #: Age in milliseconds that stands for an answer that was never received.
@@ -38,7 +38,7 @@
     node: PeerNode
     members: Members
     directory: ReplicaDirectory
-    notices: NoticeTaker
+    notices: NoticeHandler
     _broadcasts: BroadcastQueue[Replica] = attrs.field(init=False)
     _sender_centre: str = ''
 
@@ -50,8 +50,8 @@
         self.notices.on_change = self._on_change
         self.node.add_handler(ReplicaNotices, self._handle_notices)
 
-    def _on_change(self, replica: Replica, way: NoticeWay) -> None:
-        if way is NoticeWay.PEER:
+    def _on_change(self, replica: Replica, source: NoticeSource) -> None:
+        if source is NoticeSource.PEER:
             self._broadcasts.relay(replica.start, replica, self._sender_centre)
         else:
             self._broadcasts.publish(replica.start, replica)
@@ -63,9 +63,9 @@
             replica = self.directory.get(entry.replica_id)
             if replica is not None and replica.known_start.born_ms == entry.born_ms:
                 known_s = now_s - entry.known_ms_ago / MS_PER_S
-                self.notices.take_rate_of_peer(replica, entry.rate_per_s, known_s)
+                self.notices.handle_peer_rate(replica, entry.rate_per_s, known_s)
                 if entry.leaving:
-                    self.notices.take_leaving_of_peer(replica)
+                    self.notices.handle_peer_leaving(replica)
 
     async def run(self) -> None:
         """Send queued notices in batches, for ever."""
--- a/limeshelf/metrics/prometheus.py
+++ b/limeshelf/metrics/prometheus.py
@@ -126,7 +126,7 @@
     def observe_notice(self, statement: str) -> None:
         """Count that a replica began to ask for something.
 
-        :param statement: value of :class:`limeshelf.replicas.notices.Statement`.
+        :param statement: value of :class:`limeshelf.replicas.notices.NoticeKind`.
         """
         self._notices.labels(statement).inc()
 
--- a/limeshelf/programs/components.py
+++ b/limeshelf/programs/components.py
@@ -58,7 +58,7 @@
 from limeshelf.platform.wire import PlatformWire
 from limeshelf.programs.followed_tables import ConfigRows, follow_tables
 from limeshelf.replicas.directory import ReplicaDirectory
-from limeshelf.replicas.notices import NoticeTaker
+from limeshelf.replicas.notices import NoticeHandler
 from limeshelf.replicas.pool import ConnectionPool
 from limeshelf.routing.plain_selector import PlainReplicaSelector
 from limeshelf.util.clock import MS_PER_S
@@ -111,7 +111,7 @@
         self.directory = ReplicaDirectory(
             read_record, self.changes.add_replica, self.metrics.observe_restart
         )
-        self.notices = NoticeTaker(self.directory, count=self.metrics.observe_notice)
+        self.notices = NoticeHandler(self.directory, count=self.metrics.observe_notice)
         self.members = Members(Member(node.address, settings.data_centre, settings.weight))
         self.leadership = Leadership(
             self.store,
@@ -150,7 +150,7 @@
         )
 
     def _make_placement(self, settings: GatewaySettings, tasks: TaskSet) -> None:
-        self.order_client = ReplicaOrderClient(self.notices.take_of_order)
+        self.order_client = ReplicaOrderClient(self.notices.handle_order_response)
         sender = OrderSender(
             self.order_client,
             self.directory,
--- a/limeshelf/replicas/notices.py
+++ b/limeshelf/replicas/notices.py
@@ -27,7 +27,7 @@
     from limeshelf.replicas.starts import ReplicaStart
 
 
-class NoticeWay(enum.StrEnum):
+class NoticeSource(enum.StrEnum):
     """Where a notice was received from."""
 
     CALL = 'call'
@@ -37,7 +37,7 @@
     PEER = 'peer'
 
 
-class Statement(enum.StrEnum):
+class NoticeKind(enum.StrEnum):
     """What a replica requests, as the label of a counter."""
 
     RATE = 'rate'
@@ -59,7 +59,7 @@
 
 
 @attrs.define
-class NoticeTaker:
+class NoticeHandler:
     """Applies notices to replicas.
 
     :ivar on_change: called with a replica whose rate limit or leaving state has changed, and the
@@ -69,11 +69,11 @@
     """
 
     directory: ReplicaDirectory
-    on_change: Callable[[Replica, NoticeWay], None] = lambda replica, way: None
-    count: Callable[[Statement], None] = lambda statement: None
+    on_change: Callable[[Replica, NoticeSource], None] = lambda replica, source: None
+    count: Callable[[NoticeKind], None] = lambda statement: None
     unusable: set[ReplicaStart] = attrs.field(factory=set)
 
-    def take_of_call(self, replica: Replica, facts: AnswerFacts, sent_s: float) -> None:
+    def handle_call_response(self, replica: Replica, facts: AnswerFacts, sent_s: float) -> None:
         """Apply the notice in the head of a response to a call.
 
         A response without a rate limit ends the limit only if the replica ran the call.
@@ -81,12 +81,12 @@
         :param sent_s: when the call was sent, on the boot clock.
         """
         before = _Requested.from_replica(replica)
-        self._apply(replica, facts.notice, NoticeWay.CALL)
+        self._apply(replica, facts.notice, NoticeSource.CALL)
         if not facts.notice.names_rate and not facts.not_run:
             replica.backpressure.note_no_rate(sent_s)
-        self._report_change(replica, before, NoticeWay.CALL)
+        self._report_change(replica, before, NoticeSource.CALL)
 
-    def take_of_order(self, replica_id: str, notice: ReplicaNotice) -> None:
+    def handle_order_response(self, replica_id: str, notice: ReplicaNotice) -> None:
         """Apply the notice in the head of a response to an order, or of a report.
 
         One without a rate limit does not end the limit: an overloaded replica may state it only
@@ -95,40 +95,38 @@
         replica = self.directory.get(replica_id)
         if replica is not None and notice != NO_NOTICE:
             before = _Requested.from_replica(replica)
-            self._apply(replica, notice, NoticeWay.ORDER)
-            self._report_change(replica, before, NoticeWay.ORDER)
+            self._apply(replica, notice, NoticeSource.ORDER)
+            self._report_change(replica, before, NoticeSource.ORDER)
 
-    def _apply(self, replica: Replica, notice: ReplicaNotice, way: NoticeWay) -> None:
+    def _apply(self, replica: Replica, notice: ReplicaNotice, source: NoticeSource) -> None:
         if notice.leaving:
-            self.directory.mark_leaving(replica, way)
+            self.directory.mark_leaving(replica, source)
         if notice.rate_per_s is not None:
             replica.backpressure.note_rate(notice.rate_per_s, boottime_s())
         if notice.pause_s is not None:
-            self._apply_pause(replica, notice.pause_s, way)
+            self._apply_pause(replica, notice.pause_s, source)
         if notice.unusable:
             self._log_unusable(replica)
 
-    def _apply_pause(self, replica: Replica, pause_s: float, way: NoticeWay) -> None:
+    def _apply_pause(self, replica: Replica, pause_s: float, source: NoticeSource) -> None:
         was_paused = replica.backpressure.is_paused
         replica.backpressure.note_pause(pause_s)
         if not was_paused and pause_s:
-            self.count(Statement.PAUSE)
+            self.count(NoticeKind.PAUSE)
             log_change(
                 'replica_pause',
                 replica=replica.replica_id,
                 pause_ms=int(replica.backpressure.pause_left_s * MS_PER_S),
-                learned_by=way,
+                learned_by=source,
             )
 
-    def take_leaving_of_peer(self, replica: Replica) -> None:
+    def handle_peer_leaving(self, replica: Replica) -> None:
         """Apply a leaving announcement that another gateway received."""
         before = _Requested.from_replica(replica)
-        self.directory.mark_leaving(replica, NoticeWay.PEER)
-        self._report_change(replica, before, NoticeWay.PEER)
+        self.directory.mark_leaving(replica, NoticeSource.PEER)
+        self._report_change(replica, before, NoticeSource.PEER)
 
-    def take_rate_of_peer(
-        self, replica: Replica, rate_per_s: float | None, known_s: float
-    ) -> None:
+    def handle_peer_rate(self, replica: Replica, rate_per_s: float | None, known_s: float) -> None:
         """Apply the rate limit of a replica that another gateway knows, or that there is none.
 
         :param known_s: with a rate limit, when the response with it arrived; without one, when
@@ -139,9 +137,9 @@
             replica.backpressure.note_rate(rate_per_s, known_s)
         else:
             replica.backpressure.note_no_rate(known_s)
-        self._report_change(replica, before, NoticeWay.PEER)
+        self._report_change(replica, before, NoticeSource.PEER)
 
-    def _report_change(self, replica: Replica, before: _Requested, way: NoticeWay) -> None:
+    def _report_change(self, replica: Replica, before: _Requested, source: NoticeSource) -> None:
         now = _Requested.from_replica(replica)
         if now.rate_per_s != before.rate_per_s:
             log_change(
@@ -149,14 +147,14 @@
                 replica=replica.replica_id,
                 rate_per_s=now.rate_per_s,
                 earlier_per_s=before.rate_per_s,
-                learned_by=way,
+                learned_by=source,
             )
             if now.rate_per_s is not None:
-                self.count(Statement.RATE)
+                self.count(NoticeKind.RATE)
         if now.leaving and not before.leaving:
-            self.count(Statement.LEAVING)
+            self.count(NoticeKind.LEAVING)
         if now != before:
-            self.on_change(replica, way)
+            self.on_change(replica, source)
 
     def _log_unusable(self, replica: Replica) -> None:
         if replica.start not in self.unusable:
--- a/tests/dispatch/test_permits.py
+++ b/tests/dispatch/test_permits.py
@@ -15,7 +15,7 @@
 from limeshelf.peers.questions import AVOID_S
 from limeshelf.platform.replicas import read_record
 from limeshelf.replicas.directory import ReplicaDirectory
-from limeshelf.replicas.notices import NoticeTaker
+from limeshelf.replicas.notices import NoticeHandler
 from limeshelf.replicas.record import ReplicaRecord
 from limeshelf.replicas.replica import Replica
 from limeshelf.util.clock import boottime_s
@@ -50,7 +50,7 @@
     replica = directory.get('r-1')
     assert replica is not None
     limiters = ReplicaRateLimiters(lambda data_centre: owner)
-    permits = PermitExchange(node, directory, NoticeTaker(directory), limiters)
+    permits = PermitExchange(node, directory, NoticeHandler(directory), limiters)
     permits.start()
     return permits, replica
 
--- a/tests/membership/test_notice_exchange.py
+++ b/tests/membership/test_notice_exchange.py
@@ -16,7 +16,7 @@
 from limeshelf.membership.notice_exchange import BATCH_WINDOW_S, NoticeExchange
 from limeshelf.platform.replicas import read_record
 from limeshelf.replicas.directory import ReplicaDirectory
-from limeshelf.replicas.notices import NoticeTaker
+from limeshelf.replicas.notices import NoticeHandler
 from limeshelf.replicas.record import ReplicaRecord
 from limeshelf.replicas.replica import Replica
 from limeshelf.util.clock import boottime_s
@@ -43,7 +43,7 @@
             ReplicaRecord('r-1', 'app', 'ip:1', 'z0', 4, False, None, (), 1, BORN_MS)
         )
         node: Any = Node(address, network)
-        exchange = NoticeExchange(node, members, directory, NoticeTaker(directory))
+        exchange = NoticeExchange(node, members, directory, NoticeHandler(directory))
         exchange.start()
         exchanges.append(exchange)
     return network, exchanges
@@ -72,7 +72,7 @@
 def receive_answer(exchange: NoticeExchange, rate_per_s: float | None) -> None:
     notice = NO_NOTICE if rate_per_s is None else ReplicaNotice(rate_per_s, names_rate=True)
     facts = attrs.evolve(ANSWER, notice=notice)
-    exchange.notices.take_of_call(replica_of(exchange), facts, boottime_s())
+    exchange.notices.handle_call_response(replica_of(exchange), facts, boottime_s())
 
 
 @pytest.mark.parametrize('sender', [0, 8])
@@ -101,7 +101,7 @@
     sender = exchanges[8]
     run_steps(
         exchanges,
-        lambda: sender.notices.take_of_call(replica_of(sender), facts, boottime_s()),
+        lambda: sender.notices.handle_call_response(replica_of(sender), facts, boottime_s()),
     )
     assert not any(replica_of(exchange).takes_calls for exchange in exchanges)
 
--- a/tests/replicas/test_notices.py
+++ b/tests/replicas/test_notices.py
@@ -10,7 +10,7 @@
 from limeshelf.platform.replicas import read_record
 from limeshelf.replicas.backpressure import MAX_PAUSE_S
 from limeshelf.replicas.directory import ReplicaDirectory
-from limeshelf.replicas.notices import NoticeTaker, NoticeWay
+from limeshelf.replicas.notices import NoticeHandler, NoticeSource
 from limeshelf.replicas.record import ReplicaRecord
 from limeshelf.replicas.replica import Replica
 from limeshelf.util.clock import virtual_clock
@@ -27,8 +27,10 @@
     def __init__(self) -> None:
         self.directory = ReplicaDirectory(read_record)
         self.directory.apply_record(RECORD)
-        self.changes: list[NoticeWay] = []
-        self.taker = NoticeTaker(self.directory, lambda replica, way: self.changes.append(way))
+        self.changes: list[NoticeSource] = []
+        self.handler = NoticeHandler(
+            self.directory, lambda replica, source: self.changes.append(source)
+        )
 
     @property
     def replica(self) -> Replica:
@@ -38,7 +40,7 @@
 
     def answer(self, facts: AnswerFacts, notice: ReplicaNotice, sent_s: float) -> None:
         facts = attrs.evolve(facts, notice=notice)
-        self.taker.take_of_call(self.replica, facts, sent_s)
+        self.handler.handle_call_response(self.replica, facts, sent_s)
 
 
 @pytest.mark.parametrize('facts', [RAN, REFUSED])
@@ -49,7 +51,7 @@
         clock.advance(1.0)
         world.answer(facts, NO_NOTICE, clock.now_s)
         assert world.replica.backpressure.rate_per_s == (None if facts is RAN else 2.3)
-    assert world.changes == [NoticeWay.CALL] * (2 if facts is RAN else 1)
+    assert world.changes == [NoticeSource.CALL] * (2 if facts is RAN else 1)
 
 
 def test_unusable_rate_neither_sets_nor_ends_one() -> None:
@@ -61,16 +63,16 @@
         clock.advance(1.0)
         world.answer(RAN, UNUSABLE, clock.now_s)
         assert world.replica.backpressure.rate_per_s == 2.3
-    assert world.taker.unusable == {world.replica.start}
+    assert world.handler.unusable == {world.replica.start}
 
 
 def test_response_to_an_order_sets_a_rate_and_ends_none() -> None:
     world = World()
-    world.taker.take_of_order('r-1', RATE)
-    world.taker.take_of_order('r-1', NO_NOTICE)
-    world.taker.take_of_order('unknown', RATE)
+    world.handler.handle_order_response('r-1', RATE)
+    world.handler.handle_order_response('r-1', NO_NOTICE)
+    world.handler.handle_order_response('unknown', RATE)
     assert world.replica.backpressure.rate_per_s == 2.3
-    assert world.changes == [NoticeWay.ORDER]
+    assert world.changes == [NoticeSource.ORDER]
 
 
 def test_leaving_is_never_withdrawn_for_the_same_start() -> None:
@@ -82,7 +84,7 @@
     world.directory.apply_record(attrs.evolve(RECORD, beat_number=9))
     assert not world.replica.gone
     assert not world.replica.takes_calls
-    assert world.changes == [NoticeWay.CALL]
+    assert world.changes == [NoticeSource.CALL]
 
 
 def test_notice_to_a_call_sent_before_the_row_was_deleted_applies_to_the_new_row() -> None:
@@ -91,7 +93,7 @@
     world.directory.mark_gone(before, 'record_dropped')
     world.directory.apply_record(attrs.evolve(RECORD, beat_number=9))
     facts = attrs.evolve(RAN, notice=attrs.evolve(RATE, leaving=True))
-    world.taker.take_of_call(before, facts, 0.0)
+    world.handler.handle_call_response(before, facts, 0.0)
     assert world.replica is not before
     assert not world.replica.takes_calls
     assert world.replica.backpressure.rate_per_s == 2.3
@@ -123,5 +125,5 @@
 def test_pause_of_a_day_is_cut_to_the_limit() -> None:
     world = World()
     with virtual_clock():
-        world.taker.take_of_order('r-1', ReplicaNotice(pause_s=86400.0))
+        world.handler.handle_order_response('r-1', ReplicaNotice(pause_s=86400.0))
         assert world.replica.backpressure.pause_left_s == MAX_PAUSE_S
