--- a/limeshelf/demand/meter.py
+++ b/limeshelf/demand/meter.py
@@ -180,4 +180,4 @@
 
 def _pause_left_s(replicas: list[Replica]) -> float:
     """Return how much longer none of some replicas wants a call of this gateway, in seconds."""
-    return min((replica.backpressure.pause_left_s for replica in replicas), default=0.0)
+    return min((replica.backpressure.remaining_pause_s for replica in replicas), default=0.0)
--- a/limeshelf/membership/notice_exchange.py
+++ b/limeshelf/membership/notice_exchange.py
@@ -81,7 +81,7 @@
 def _notice_from_replica(replica: Replica) -> ReplicaNoticeEntry:
     backpressure = replica.backpressure
     rate_per_s = backpressure.rate_per_s
-    known_s = backpressure.ended_s if rate_per_s is None else backpressure.heard_s
+    known_s = backpressure.no_rate_sent_s if rate_per_s is None else backpressure.rate_received_s
     return ReplicaNoticeEntry(
         replica.replica_id,
         replica.known_start.born_ms,
--- a/limeshelf/replicas/backpressure.py
+++ b/limeshelf/replicas/backpressure.py
@@ -30,48 +30,48 @@
     :ivar leaving: the replica has announced that it is leaving; it never withdraws that.
     :ivar paused_until_s: no calls from this gateway until then, on the boot clock. A replica
         pauses each gateway separately. A later, shorter pause does not shorten an earlier one.
-    :ivar heard_s: when the latest response with a rate limit arrived, on the boot clock.
-    :ivar ended_s: send time of the latest call whose response had no rate limit, on the boot
-        clock.
+    :ivar rate_received_s: when the latest response with a rate limit arrived, on the boot clock.
+    :ivar no_rate_sent_s: when the latest call was sent whose response had no rate limit, on the
+        boot clock.
     """
 
     leaving: bool = False
     paused_until_s: float = -math.inf
-    heard_s: float = -math.inf
-    ended_s: float = -math.inf
-    _named_per_s: float | None = None
+    rate_received_s: float = -math.inf
+    no_rate_sent_s: float = -math.inf
+    _latest_rate_per_s: float | None = None
 
     @property
     def rate_per_s(self) -> float | None:
         """Return the limit for the calls of all gateways per second; ``None`` if unlimited."""
-        return self._named_per_s if self.heard_s >= self.ended_s else None
+        return self._latest_rate_per_s if self.rate_received_s >= self.no_rate_sent_s else None
 
     @property
     def is_paused(self) -> bool:
         """Return whether this gateway may not send calls now."""
-        return self.pause_left_s > 0
+        return self.remaining_pause_s > 0
 
     @property
-    def pause_left_s(self) -> float:
+    def remaining_pause_s(self) -> float:
         """Return the remaining time of the pause, in seconds; 0 if there is none."""
         return max(0.0, self.paused_until_s - boottime_s())
 
-    def note_pause(self, pause_s: float) -> None:
+    def record_pause(self, pause_s: float) -> None:
         """Record a pause requested of this gateway, in seconds."""
         until_s = boottime_s() + min(MAX_PAUSE_S, pause_s)
         self.paused_until_s = max(self.paused_until_s, until_s)
 
-    def note_rate(self, rate_per_s: float, heard_s: float) -> None:
+    def record_rate(self, rate_per_s: float, received_s: float) -> None:
         """Record a rate limit from a response.
 
-        :param heard_s: when the response began to arrive, on the boot clock.
+        :param received_s: when the response began to arrive, on the boot clock.
         """
-        if heard_s >= self.heard_s:
-            self._named_per_s, self.heard_s = rate_per_s, heard_s
+        if received_s >= self.rate_received_s:
+            self._latest_rate_per_s, self.rate_received_s = rate_per_s, received_s
 
-    def note_no_rate(self, sent_s: float) -> None:
+    def record_no_rate(self, sent_s: float) -> None:
         """Record a response without a rate limit.
 
         :param sent_s: when the call was sent, on the boot clock.
         """
-        self.ended_s = max(self.ended_s, sent_s)
+        self.no_rate_sent_s = max(self.no_rate_sent_s, sent_s)
--- a/limeshelf/replicas/notices.py
+++ b/limeshelf/replicas/notices.py
@@ -83,7 +83,7 @@
         before = _Requested.from_replica(replica)
         self._apply(replica, facts.notice, NoticeSource.CALL)
         if not facts.notice.names_rate and not facts.not_run:
-            replica.backpressure.note_no_rate(sent_s)
+            replica.backpressure.record_no_rate(sent_s)
         self._report_change(replica, before, NoticeSource.CALL)
 
     def handle_order_response(self, replica_id: str, notice: ReplicaNotice) -> None:
@@ -102,7 +102,7 @@
         if notice.leaving:
             self.directory.mark_leaving(replica, source)
         if notice.rate_per_s is not None:
-            replica.backpressure.note_rate(notice.rate_per_s, boottime_s())
+            replica.backpressure.record_rate(notice.rate_per_s, boottime_s())
         if notice.pause_s is not None:
             self._apply_pause(replica, notice.pause_s, source)
         if notice.unusable:
@@ -110,13 +110,13 @@
 
     def _apply_pause(self, replica: Replica, pause_s: float, source: NoticeSource) -> None:
         was_paused = replica.backpressure.is_paused
-        replica.backpressure.note_pause(pause_s)
+        replica.backpressure.record_pause(pause_s)
         if not was_paused and pause_s:
             self.count(NoticeKind.PAUSE)
             log_change(
                 'replica_pause',
                 replica=replica.replica_id,
-                pause_ms=int(replica.backpressure.pause_left_s * MS_PER_S),
+                pause_ms=int(replica.backpressure.remaining_pause_s * MS_PER_S),
                 learned_by=source,
             )
 
@@ -134,9 +134,9 @@
         """
         before = _Requested.from_replica(replica)
         if rate_per_s is not None:
-            replica.backpressure.note_rate(rate_per_s, known_s)
+            replica.backpressure.record_rate(rate_per_s, known_s)
         else:
-            replica.backpressure.note_no_rate(known_s)
+            replica.backpressure.record_no_rate(known_s)
         self._report_change(replica, before, NoticeSource.PEER)
 
     def _report_change(self, replica: Replica, before: _Requested, source: NoticeSource) -> None:
--- a/tests/orders/test_sender.py
+++ b/tests/orders/test_sender.py
@@ -378,7 +378,7 @@
     replica = ReplicaStandIn('e-1', ['m1'])
 
     async def scenario(world: World) -> None:
-        world.replica.backpressure.note_pause(60.0)
+        world.replica.backpressure.record_pause(60.0)
         assert not await world.sender.poll(world.replica)
         assert not await world.runner.run(world.replica, [OrderTask(LOAD, 'm2')])
         assert replica.orders == []
--- a/tests/replicas/test_notices.py
+++ b/tests/replicas/test_notices.py
@@ -114,7 +114,7 @@
         world.answer(REFUSED, ReplicaNotice(pause_s=3.0), clock.now_s)
         clock.advance(1.0)
         world.answer(REFUSED, ReplicaNotice(pause_s=0.5), clock.now_s)
-        assert world.replica.backpressure.pause_left_s == pytest.approx(2.0)
+        assert world.replica.backpressure.remaining_pause_s == pytest.approx(2.0)
         world.answer(RAN, NO_NOTICE, clock.now_s)
         assert world.replica.backpressure.is_paused
         clock.advance(2.1)
@@ -126,4 +126,4 @@
     world = World()
     with virtual_clock():
         world.handler.handle_order_response('r-1', ReplicaNotice(pause_s=86400.0))
-        assert world.replica.backpressure.pause_left_s == MAX_PAUSE_S
+        assert world.replica.backpressure.remaining_pause_s == MAX_PAUSE_S
