--- a/limeshelf/gateway/learning.py
+++ b/limeshelf/gateway/learning.py
@@ -136,9 +136,9 @@
 ) -> bool:
     """Note a lesson; return whether the replica is left alone for a while from now on."""
     if isinstance(lesson, Served):
-        replica.health.succeeded()
+        replica.health.record_success()
     elif isinstance(lesson, Failed):
-        return replica.health.failed(lesson.failure)
+        return replica.health.record_failure(lesson.failure)
     elif isinstance(lesson, LacksModel) and need is not None:
         forget_holding(replica, need.model, need.adapter)
     elif isinstance(lesson, Replaced):
--- a/limeshelf/replicas/health.py
+++ b/limeshelf/replicas/health.py
@@ -35,7 +35,7 @@
 #: Longest suspension. Would be 4 s if suspensions ended with a real call instead of a probe.
 MAX_SUSPENSION_S = 1.5
 #: Weight of the latest call in the moving average of failures.
-NEWEST_SHARE = 0.15
+FAILURE_RATIO_WEIGHT = 0.15
 #: Consecutive failures after which a reachable replica is suspended.
 SUSPEND_AFTER_FAILURES = 2
 
@@ -67,13 +67,13 @@
 class ReplicaHealth:
     """Failure ratio and suspension of one replica.
 
-    :ivar failing_share: exponential moving average of failures, 0 to 1.
+    :ivar failure_ratio: exponential moving average of failures, 0 to 1.
     :ivar suspended_until_s: end of the suspension, or of the time before the next probe, on the
         boot clock; 0 if there is none.
     :ivar awaits_probe: suspended until a probe can open a connection.
     """
 
-    failing_share: float = 0.0
+    failure_ratio: float = 0.0
     suspended_until_s: float = 0.0
     awaits_probe: bool = False
     _consecutive_failures: int = 0
@@ -88,24 +88,24 @@
         """Return whether a probe is due."""
         return self.awaits_probe and boottime_s() >= self.suspended_until_s
 
-    def probed(self, reached: bool) -> None:
+    def record_probe(self, reached: bool) -> None:
         """Record the outcome of a probe."""
         if reached:
             self.awaits_probe = False
         else:
             self._suspend()
 
-    def succeeded(self) -> None:
+    def record_success(self) -> None:
         """Record a successful response."""
-        self.failing_share += NEWEST_SHARE * (0.0 - self.failing_share)
+        self.failure_ratio += FAILURE_RATIO_WEIGHT * (0.0 - self.failure_ratio)
         self._consecutive_failures = 0
         self._suspension_s = 0.0
         self.suspended_until_s = 0.0
         self.awaits_probe = False
 
-    def failed(self, failure: Failure) -> bool:
+    def record_failure(self, failure: Failure) -> bool:
         """Record a failure; return whether it starts a suspension."""
-        self.failing_share += NEWEST_SHARE * (1.0 - self.failing_share)
+        self.failure_ratio += FAILURE_RATIO_WEIGHT * (1.0 - self.failure_ratio)
         if failure in ANSWERED:
             return False
         self._consecutive_failures += 1
--- a/limeshelf/replicas/penalties.py
+++ b/limeshelf/replicas/penalties.py
@@ -16,8 +16,8 @@
 #: Cost of a failure ratio of 1, as a multiple of a replica's capacity.
 FAILURE_COST = 2.0
 #: Failure ratio that adds no cost. A single failure raises the moving average to 0.15
-#: (``NEWEST_SHARE`` in :mod:`limeshelf.replicas.health`), so only a second one soon after it
-#: adds cost.
+#: (``FAILURE_RATIO_WEIGHT`` in :mod:`limeshelf.replicas.health`), so only a second one soon after
+#: it adds cost.
 TOLERATED_FAILURE_RATIO = 0.2
 
 
@@ -30,4 +30,4 @@
     cost = load_cost
     if replica.record.data_centre != data_centre:
         cost += OTHER_DATA_CENTRE_COST
-    return cost + FAILURE_COST * max(0.0, replica.health.failing_share - TOLERATED_FAILURE_RATIO)
+    return cost + FAILURE_COST * max(0.0, replica.health.failure_ratio - TOLERATED_FAILURE_RATIO)
--- a/limeshelf/replicas/pool.py
+++ b/limeshelf/replicas/pool.py
@@ -110,8 +110,8 @@
             _, writer = await asyncio.open_connection(host, int(port))
     except OSError:
         # Includes timeouts. Not logged, since probes fail repeatedly during a partition.
-        replica.health.probed(reached=False)
+        replica.health.record_probe(reached=False)
         return
     writer.close()
-    replica.health.probed(reached=True)
+    replica.health.record_probe(reached=True)
     log_change('replica_reached', replica=replica.replica_id)
--- a/tests/dispatch/test_selector.py
+++ b/tests/dispatch/test_selector.py
@@ -88,9 +88,9 @@
 def test_suspended_replica_is_selected_only_if_all_are() -> None:
     selector = selector_of('z1', 'z1')
     replica(selector, 'r1').own.calls = 3
-    replica(selector, 'r0').health.failed(Failure.NO_CONNECTION)
+    replica(selector, 'r0').health.record_failure(Failure.NO_CONNECTION)
     assert chosen(selector) == 'r1'
-    replica(selector, 'r1').health.failed(Failure.NO_CONNECTION)
+    replica(selector, 'r1').health.record_failure(Failure.NO_CONNECTION)
     assert chosen(selector) == 'r0'
 
 
--- a/tests/gateway/test_path.py
+++ b/tests/gateway/test_path.py
@@ -150,7 +150,7 @@
         with pytest.raises(aiohttp.ClientError):
             await world.generate()
         known = world.gateway.components.directory.of_service(ENGINE)
-        assert [replica.health.failing_share > 0 for replica in known].count(True) == 1
+        assert [replica.health.failure_ratio > 0 for replica in known].count(True) == 1
 
     run(scenario)
 
@@ -371,7 +371,7 @@
         assert not lines[0]['suspended']
         replica = world.gateway.components.directory.of_service(PLAIN)[0]
         assert not replica.health.is_suspended()
-        assert replica.health.failing_share == 0
+        assert replica.health.failure_ratio == 0
         for holder in holders:
             holder.cancel()
 
--- a/tests/gateway/test_restarted_replica.py
+++ b/tests/gateway/test_restarted_replica.py
@@ -70,14 +70,14 @@
         for _ in range(6):
             await world.call('/unsafe/x')
         before = known(world, struck.replica_id)
-        assert before.health.failing_share > 0
+        assert before.health.failure_ratio > 0
         for replica in world.plain:
             replica.fault = Fault.NONE
         began_s = time.monotonic()
         await restart(world, struck, BORN_MS + 1000)
         await world.until(lambda: known(world, struck.replica_id) is not before)
         after = known(world, struck.replica_id)
-        assert (after.health.failing_share, after.own.calls) == (0, 0)
+        assert (after.health.failure_ratio, after.own.calls) == (0, 0)
         runs = len(struck.runs)
         while len(struck.runs) == runs:
             await world.call('/safe/x')
--- a/tests/gateway/test_selection.py
+++ b/tests/gateway/test_selection.py
@@ -112,7 +112,7 @@
     selector = selector_of(wire)
     replica = selector.directory.get('r1')
     assert replica is not None
-    replica.health.failed(Failure.NO_CONNECTION)
+    replica.health.record_failure(Failure.NO_CONNECTION)
     state = state_of(ENGINE, NEED, excluded={'r9'})
     assert await selector.select(state) == NoCapacity(0.07)
     query = wire.sent[0][1]
--- a/tests/placement/test_adapters.py
+++ b/tests/placement/test_adapters.py
@@ -217,7 +217,7 @@
     assert fleet.plan() is None
     cut_off = fleet.directory.get('r1')
     assert cut_off is not None
-    cut_off.health.failed(Failure.NO_CONNECTION)
+    cut_off.health.record_failure(Failure.NO_CONNECTION)
     assert fleet.plan() == ('r2', None)
 
 
--- a/tests/placement/test_replica_watch.py
+++ b/tests/placement/test_replica_watch.py
@@ -136,7 +136,7 @@
     assert [copies.replica_id for copies in world.watch.copies('lm')] == ['r1', 'r2']
     replica = world.directory.get('r1')
     assert replica is not None
-    replica.health.failed(Failure.NO_CONNECTION)
+    replica.health.record_failure(Failure.NO_CONNECTION)
     assert [copies.replica_id for copies in world.watch.copies('lm')] == ['r2']
 
 
--- a/tests/replicas/test_health.py
+++ b/tests/replicas/test_health.py
@@ -7,9 +7,9 @@
 import pytest
 
 from limeshelf.replicas.health import (
+    FAILURE_RATIO_WEIGHT,
     FIRST_SUSPENSION_S,
     MAX_SUSPENSION_S,
-    NEWEST_SHARE,
     Failure,
     ReplicaHealth,
 )
@@ -28,11 +28,11 @@
     clock: VirtualClock, failure: Failure
 ) -> None:
     health = ReplicaHealth()
-    assert health.failed(failure)
+    assert health.record_failure(failure)
     assert health.is_suspended() and not health.probe_due
     clock.advance(FIRST_SUSPENSION_S)
     assert health.is_suspended() and health.probe_due
-    health.probed(reached=True)
+    health.record_probe(reached=True)
     assert not health.is_suspended()
 
 
@@ -41,9 +41,9 @@
     clock: VirtualClock, failure: Failure
 ) -> None:
     health = ReplicaHealth()
-    assert not health.failed(failure)
+    assert not health.record_failure(failure)
     assert not health.is_suspended()
-    assert health.failed(failure)
+    assert health.record_failure(failure)
     assert health.is_suspended() and not health.probe_due
     clock.advance(FIRST_SUSPENSION_S)
     assert not health.is_suspended()
@@ -52,33 +52,33 @@
 @pytest.mark.parametrize('failure', [Failure.ERROR_STATUS, Failure.REFUSED])
 def test_replica_that_responds_is_never_suspended(clock: VirtualClock, failure: Failure) -> None:
     health = ReplicaHealth()
-    assert not any(health.failed(failure) for _ in range(20))
+    assert not any(health.record_failure(failure) for _ in range(20))
     assert not health.is_suspended()
-    assert health.failing_share > 0.9
+    assert health.failure_ratio > 0.9
 
 
 def test_success_between_two_failures_resets_the_count(clock: VirtualClock) -> None:
     health = ReplicaHealth()
-    health.failed(Failure.BROKEN)
-    health.succeeded()
-    assert not health.failed(Failure.BROKEN)
+    health.record_failure(Failure.BROKEN)
+    health.record_success()
+    assert not health.record_failure(Failure.BROKEN)
 
 
 def test_success_ends_a_suspension(clock: VirtualClock) -> None:
     health = ReplicaHealth()
-    health.failed(Failure.NO_CONNECTION)
-    health.succeeded()
+    health.record_failure(Failure.NO_CONNECTION)
+    health.record_success()
     assert not health.is_suspended()
 
 
 def test_suspension_doubles_up_to_its_limit_while_probes_fail(clock: VirtualClock) -> None:
     health = ReplicaHealth()
-    health.failed(Failure.NO_CONNECTION)
+    health.record_failure(Failure.NO_CONNECTION)
     suspensions_s = []
     for _ in range(4):
         suspensions_s.append(health.suspended_until_s - clock.now_s)
         clock.advance(suspensions_s[-1])
-        health.probed(reached=False)
+        health.record_probe(reached=False)
     expected_s = [FIRST_SUSPENSION_S, 2 * FIRST_SUSPENSION_S, MAX_SUSPENSION_S, MAX_SUSPENSION_S]
     assert suspensions_s == pytest.approx(expected_s)
 
@@ -87,27 +87,27 @@
     clock: VirtualClock,
 ) -> None:
     health = ReplicaHealth()
-    health.failed(Failure.NO_CONNECTION)
+    health.record_failure(Failure.NO_CONNECTION)
     until_s = health.suspended_until_s
     clock.advance(FIRST_SUSPENSION_S / 2)
-    assert not health.failed(Failure.NO_CONNECTION)
+    assert not health.record_failure(Failure.NO_CONNECTION)
     assert health.suspended_until_s == until_s
 
 
 def test_failure_ratio_decays(clock: VirtualClock) -> None:
     health = ReplicaHealth()
-    health.failed(Failure.BROKEN)
-    assert health.failing_share == pytest.approx(NEWEST_SHARE)
-    health.succeeded()
-    assert health.failing_share == pytest.approx(NEWEST_SHARE * (1 - NEWEST_SHARE))
+    health.record_failure(Failure.BROKEN)
+    assert health.failure_ratio == pytest.approx(FAILURE_RATIO_WEIGHT)
+    health.record_success()
+    assert health.failure_ratio == pytest.approx(FAILURE_RATIO_WEIGHT * (1 - FAILURE_RATIO_WEIGHT))
 
 
 def test_replica_that_is_unreachable_for_long_is_still_probed(clock: VirtualClock) -> None:
     """Guards against an unlimited doubling, which overflows a float after 1024 probes."""
     health = ReplicaHealth()
-    health.failed(Failure.NO_CONNECTION)
+    health.record_failure(Failure.NO_CONNECTION)
     for _ in range(1100):
         clock.advance(MAX_SUSPENSION_S)
         assert health.probe_due
-        health.probed(reached=False)
+        health.record_probe(reached=False)
     assert not health.probe_due
--- a/tests/replicas/test_penalties.py
+++ b/tests/replicas/test_penalties.py
@@ -24,7 +24,7 @@
 
 
 def test_one_failure_is_tolerated_and_a_second_is_not(replica: Replica) -> None:
-    replica.health.failed(Failure.REFUSED)
+    replica.health.record_failure(Failure.REFUSED)
     assert with_penalties(0.0, replica, 'z1') == 0.0
-    replica.health.failed(Failure.REFUSED)
+    replica.health.record_failure(Failure.REFUSED)
     assert with_penalties(0.0, replica, 'z1') == pytest.approx(2.0 * (0.2775 - 0.2))
--- a/tests/replicas/test_pool.py
+++ b/tests/replicas/test_pool.py
@@ -66,7 +66,7 @@
     async def scenario() -> bool:
         server = await asyncio.start_server(lambda _, writer: writer.close(), '127.0.0.1', 0)
         replica = replica_at(f'127.0.0.1:{server.sockets[0].getsockname()[1]}')
-        replica.health.failed(Failure.NO_CONNECTION)
+        replica.health.record_failure(Failure.NO_CONNECTION)
         replica.health.suspended_until_s = 0.0
         directory: Any = Directory(replica)
         pool = ConnectionPool(PlatformWire())
