--- a/limeshelf/crashes/end_watch.py
+++ b/limeshelf/crashes/end_watch.py
@@ -22,7 +22,7 @@
 
 from limeshelf.crashes.suspects import ReplicaEnd
 from limeshelf.metrics.event_log import log_change
-from limeshelf.replicas.connections import CONNECT_S
+from limeshelf.replicas.connections import CONNECT_TIMEOUT_S
 from limeshelf.util.clock import boottime_s
 
 if TYPE_CHECKING:
@@ -242,7 +242,7 @@
     """Open a connection, and close it."""
     host, _, port = address.rpartition(':')
     try:
-        async with asyncio.timeout(CONNECT_S):
+        async with asyncio.timeout(CONNECT_TIMEOUT_S):
             _, writer = await asyncio.open_connection(host, int(port))
     except TimeoutError:
         # Neither this nor a refusal is logged here: the caller logs the crash it confirms.
--- a/limeshelf/gateway/attempts.py
+++ b/limeshelf/gateway/attempts.py
@@ -113,7 +113,7 @@
             state.excluded.add(replica.replica_id)
         suspended = apply(lesson, replica, need, self.directory)
         if replica.health.awaits_probe:
-            self.pool.note_out_of_reach()
+            self.pool.request_probes()
         load = self.directory.load_of(replica)
         config = self.in_force.config
         version = config.version if config is not None else None
--- a/limeshelf/gateway/exchange.py
+++ b/limeshelf/gateway/exchange.py
@@ -201,14 +201,14 @@
         if response.status == STATUS_OK and response.content_type == EVENT_STREAM:
             return await self._relay(response, facts, first_s)
         body = await self._read_whole(response)
-        self._connections.note_keep_alive(facts)
+        self._connections.apply_keep_alive(facts)
         response.release()
         return WholeAnswer(facts, body, first_s)
 
     async def _finish(self, response: aiohttp.ClientResponse, facts: AnswerFacts) -> None:
         """Read a refusal to its end, so that its connection can be used again."""
         await self._read_whole(response)
-        self._connections.note_keep_alive(facts)
+        self._connections.apply_keep_alive(facts)
         response.release()
 
     async def _read_whole(self, response: aiohttp.ClientResponse) -> bytes:
@@ -246,6 +246,6 @@
         if not self._answer.started:
             await self._answer.start(facts.status, facts.headers)
         await self._answer.finish()
-        self._connections.note_keep_alive(facts)
+        self._connections.apply_keep_alive(facts)
         response.release()
         return Delivered(facts.status, first_s, longest_pause_s)
--- a/limeshelf/replicas/connections.py
+++ b/limeshelf/replicas/connections.py
@@ -33,7 +33,7 @@
     from limeshelf.calls.wire import AnswerFacts, CallWire, SendFacts
 
 #: Timeout for opening a connection.
-CONNECT_S = 0.35
+CONNECT_TIMEOUT_S = 0.35
 #: Longest time that an idle connection is kept; shorter if the replica closes it earlier.
 MAX_IDLE_S = 4.0
 #: Idle connections are closed this long before the replica would close them, so that no call is
@@ -143,7 +143,7 @@
         self._connector._factory = make
         session = aiohttp.ClientSession(
             connector=self._connector,
-            timeout=aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_S),
+            timeout=aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_TIMEOUT_S),
             cookie_jar=aiohttp.DummyCookieJar(),
             auto_decompress=False,
             skip_auto_headers=SKIPPED_HEADERS,
@@ -171,7 +171,7 @@
             allow_redirects=False,
         )
 
-    def note_keep_alive(self, facts: AnswerFacts) -> None:
+    def apply_keep_alive(self, facts: AnswerFacts) -> None:
         """Set the idle timeout from the keep-alive time in a response, if there is one."""
         if facts.keep_alive_s is not None:
             self._connector._keepalive_timeout = idle_timeout_s(facts.keep_alive_s)
--- a/limeshelf/replicas/pool.py
+++ b/limeshelf/replicas/pool.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING
 
 from limeshelf.metrics.event_log import log_change
-from limeshelf.replicas.connections import CONNECT_S, ReplicaConnections
+from limeshelf.replicas.connections import CONNECT_TIMEOUT_S, ReplicaConnections
 
 if TYPE_CHECKING:
     from limeshelf.calls.routes import ServiceSpec
@@ -21,9 +21,9 @@
 
 #: Fraction of a replica's connection limit that all gateways together use; the replica resets
 #: connections above the limit.
-USED_SHARE = 0.9
+USED_CONNECTIONS_FRACTION = 0.9
 #: Minimum number of connections per gateway, however many gateways there are.
-LEAST_CONNECTIONS = 4
+MIN_CONNECTIONS = 4
 #: Interval between checks for connections to replicas that are gone.
 SWEEP_INTERVAL_S = 2.0
 #: Pause before each round of probes.
@@ -36,8 +36,8 @@
     :param max_connections: connections that the replica accepts in total.
     :param gateways: known number of gateways that share them; less than 1 counts as 1.
     """
-    share = int(max_connections * USED_SHARE / max(1, gateways))
-    return max(LEAST_CONNECTIONS, share)
+    share = int(max_connections * USED_CONNECTIONS_FRACTION / max(1, gateways))
+    return max(MIN_CONNECTIONS, share)
 
 
 class ConnectionPool:
@@ -79,7 +79,7 @@
                 elif replica.gone and replica.own.calls == 0:
                     await self._by_start.pop(start).close()
 
-    def note_out_of_reach(self) -> None:
+    def request_probes(self) -> None:
         """Start probing, because a replica has become unreachable."""
         self._unreachable.set()
 
@@ -106,7 +106,7 @@
     """Open a connection and close it; a real call would be lost in a network partition."""
     host, _, port = replica.record.address.rpartition(':')
     try:
-        async with asyncio.timeout(CONNECT_S):
+        async with asyncio.timeout(CONNECT_TIMEOUT_S):
             _, writer = await asyncio.open_connection(host, int(port))
     except OSError:
         # Includes timeouts. Not logged, since probes fail repeatedly during a partition.
--- a/tests/gateway/test_path.py
+++ b/tests/gateway/test_path.py
@@ -10,7 +10,7 @@
 import pytest
 
 from limeshelf.gateway import lines as lines_module
-from limeshelf.replicas.pool import LEAST_CONNECTIONS
+from limeshelf.replicas.pool import MIN_CONNECTIONS
 from standins.users_platform.replica import Fault
 from tests.support.gateway import ENGINE, PLAIN, GatewayWorld, configuration, route, run
 
@@ -352,13 +352,13 @@
 
     async def scenario(world: GatewayWorld) -> None:
         document = configuration(2)
-        document['Services'][1]['MaxConns'] = LEAST_CONNECTIONS
+        document['Services'][1]['MaxConns'] = MIN_CONNECTIONS
         world.configure(document)
         await world.until(lambda: world.gateway.components.pipeline.config.version == 2)
         await leave_one_plain_replica(world)
         world.plain[0].fault = Fault.SILENT
-        holders = [asyncio.create_task(world.call('/unsafe/x')) for _ in range(LEAST_CONNECTIONS)]
-        await world.until(lambda: len(world.plain[0].runs) == LEAST_CONNECTIONS)
+        holders = [asyncio.create_task(world.call('/unsafe/x')) for _ in range(MIN_CONNECTIONS)]
+        await world.until(lambda: len(world.plain[0].runs) == MIN_CONNECTIONS)
         lines: list[dict[str, Any]] = []
         monkeypatch.setattr(
             lines_module, 'log_request', lambda event, **fields: lines.append(fields)
@@ -366,7 +366,7 @@
         answer = await world.call('/unsafe/x', Limeshelf_Deadline_Ms='400')
         assert answer.status == 503
         assert float(answer.headers['Retry-After']) >= 0
-        assert len(world.plain[0].runs) == LEAST_CONNECTIONS
+        assert len(world.plain[0].runs) == MIN_CONNECTIONS
         assert (lines[0]['result'], lines[0]['detail']) == ('NotSent', 'time_over')
         assert not lines[0]['suspended']
         replica = world.gateway.components.directory.of_service(PLAIN)[0]
--- a/tests/replicas/test_pool.py
+++ b/tests/replicas/test_pool.py
@@ -11,7 +11,7 @@
 from limeshelf.platform.wire import PlatformWire
 from limeshelf.replicas.connections import MAX_IDLE_S, MIN_IDLE_S, idle_timeout_s
 from limeshelf.replicas.health import Failure
-from limeshelf.replicas.pool import LEAST_CONNECTIONS, ConnectionPool, connection_limit
+from limeshelf.replicas.pool import MIN_CONNECTIONS, ConnectionPool, connection_limit
 from limeshelf.replicas.record import ReplicaRecord
 from limeshelf.replicas.replica import Replica
 
@@ -35,7 +35,7 @@
 
 @pytest.mark.parametrize(
     ('max_connections', 'gateways', 'limit'),
-    [(100, 1, 90), (100, 9, 10), (100, 0, 90), (100, 50, LEAST_CONNECTIONS)],
+    [(100, 1, 90), (100, 9, 10), (100, 0, 90), (100, 50, MIN_CONNECTIONS)],
 )
 def test_gateways_share_the_connections_of_a_replica(
     max_connections: int, gateways: int, limit: int
@@ -71,7 +71,7 @@
         directory: Any = Directory(replica)
         pool = ConnectionPool(PlatformWire())
         probing = asyncio.create_task(pool.probe(directory))
-        pool.note_out_of_reach()
+        pool.request_probes()
         async with asyncio.timeout(10.0):
             while replica.health.awaits_probe:
                 await asyncio.sleep(0.01)
