--- a/limeshelf/gateway/attempts.py
+++ b/limeshelf/gateway/attempts.py
@@ -85,8 +85,8 @@
             lambda facts: self.notices.handle_call_response(replica, facts, sent_s),
             selected.may_send,
         )
-        replica.own.calls += 1
-        replica.own.tokens += tokens
+        replica.own_load.calls += 1
+        replica.own_load.tokens += tokens
         try:
             # Read once: where the head may take all the time left, both limits end at one
             # moment, and the outer one decides.
@@ -97,8 +97,8 @@
         except TimeoutError:
             return exchange.time_over()
         finally:
-            replica.own.calls -= 1
-            replica.own.tokens -= tokens
+            replica.own_load.calls -= 1
+            replica.own_load.tokens -= tokens
             selected.note_end()
 
     def _note_first_event(self, state: CallState, selected: Selected) -> None:
--- a/limeshelf/membership/digest_exchange.py
+++ b/limeshelf/membership/digest_exchange.py
@@ -122,12 +122,12 @@
         loads = [
             ReplicaLoad(
                 replica.replica_id,
-                replica.own.calls,
-                replica.own.tokens,
+                replica.own_load.calls,
+                replica.own_load.tokens,
                 replica.health.is_suspended(),
             )
             for replica in self.directory.all()
-            if replica.own.calls or replica.health.is_suspended()
+            if replica.own_load.calls or replica.health.is_suspended()
         ]
         own = self.members.own
         return GatewayDigest(
--- a/limeshelf/platform/replicas.py
+++ b/limeshelf/platform/replicas.py
@@ -177,7 +177,7 @@
         leaving=entry.state == DRAINING,
         leaves_in_s=None if entry.remaining_ms is None else entry.remaining_ms / _MS,
         holdings=_holdings(entry.models),
-        beat_number=entry.seq_no,
+        heartbeat_number=entry.seq_no,
         born_ms=_born_ms(entry.born),
     )
 
--- a/limeshelf/replicas/directory.py
+++ b/limeshelf/replicas/directory.py
@@ -22,7 +22,7 @@
     is_late_report,
 )
 from limeshelf.replicas.loads import PeerLoads
-from limeshelf.replicas.replica import Load, Replica, by_model
+from limeshelf.replicas.replica import Load, Replica, holdings_by_model
 from limeshelf.replicas.starts import KnownStart, ReplicaStart, StartOrder, StateSource
 from limeshelf.util.clock import boottime_s
 from limeshelf.util.suspension import boot_timeout
@@ -97,7 +97,7 @@
         """Add a replica, or update it unless the record is outdated."""
         replica = self._replicas.get(record.replica_id)
         if replica is None:
-            self._add(Replica(record, by_model(record.holdings)))
+            self._add(Replica(record, holdings_by_model(record.holdings)))
             return
         order = replica.known_start.compare(record.born_ms, boottime_s())
         if order is StartOrder.EARLIER:
@@ -108,7 +108,7 @@
             # The row was deleted and written again, as in a partition: not a new start.
             same = Replica(
                 record,
-                by_model(record.holdings),
+                holdings_by_model(record.holdings),
                 start=replica.start,
                 known_start=replica.known_start,
                 backpressure=replica.backpressure,
@@ -122,7 +122,7 @@
         if record.leaving:
             self.mark_leaving(replica, 'row', record.leaves_in_s)
         if is_heartbeat_used(boottime_s() - replica.reported_s):
-            replica.holdings = by_model(record.holdings)
+            replica.holdings = holdings_by_model(record.holdings)
 
     def _restart(self, before: Replica, record: ReplicaRecord, source: StateSource) -> Replica:
         """Replace a replica by a new start, of which only *record* is known.
@@ -143,7 +143,7 @@
         self._peer_loads.forget_replica(before.replica_id)
         replica = Replica(
             record,
-            by_model(record.holdings),
+            holdings_by_model(record.holdings),
             start=ReplicaStart(before.replica_id, before.start.number + 1),
             known_start=KnownStart(record.born_ms, now_s),
         )
@@ -230,7 +230,7 @@
         replica.order_number = report.order_number
         if report.leaving:
             self.mark_leaving(replica, cause='report')
-        holdings = by_model(report.holdings)
+        holdings = holdings_by_model(report.holdings)
         if holdings != replica.holdings:
             replica.holdings = holdings
             self.notify_change()
@@ -245,7 +245,7 @@
         The heartbeats of the new start are numbered from the beginning.
         """
         record = attrs.evolve(
-            before.record, holdings=(), beat_number=0, born_ms=report.born_ms, leaving=False
+            before.record, holdings=(), heartbeat_number=0, born_ms=report.born_ms, leaving=False
         )
         was_gone = before.gone
         replica = self._restart(before, record, source)
@@ -267,12 +267,12 @@
 
     def _own_load_at(self, replica_id: str) -> Load:
         replica = self._replicas.get(replica_id)
-        return replica.own if replica is not None else Load()
+        return replica.own_load if replica is not None else Load()
 
     def load_of(self, replica: Replica) -> Load:
         """Return the total load of all gateways at a replica."""
         others = self._peer_loads.load_at(replica.replica_id)
-        return Load(replica.own.calls + others.calls, replica.own.tokens + others.tokens)
+        return Load(replica.own_load.calls + others.calls, replica.own_load.tokens + others.tokens)
 
     def notify_change(self) -> None:
         """Wake all tasks in :meth:`wait_for_change`."""
--- a/limeshelf/replicas/freshness.py
+++ b/limeshelf/replicas/freshness.py
@@ -24,7 +24,7 @@
     The first row with a start time may number its heartbeats from the beginning again.
     """
     states_start_first = newest.born_ms is None and record.born_ms is not None
-    return not states_start_first and record.beat_number < newest.beat_number
+    return not states_start_first and record.heartbeat_number < newest.heartbeat_number
 
 
 def is_late_report(
--- a/limeshelf/replicas/pool.py
+++ b/limeshelf/replicas/pool.py
@@ -76,7 +76,7 @@
                 if replica is None or replica.start != start:
                     # The replica has restarted, so the calls at its earlier start have failed.
                     await self._by_start.pop(start).close()
-                elif replica.gone and replica.own.calls == 0:
+                elif replica.gone and replica.own_load.calls == 0:
                     await self._by_start.pop(start).close()
 
     def request_probes(self) -> None:
--- a/limeshelf/replicas/record.py
+++ b/limeshelf/replicas/record.py
@@ -26,7 +26,7 @@
     :param slots: number of calls that the replica runs concurrently.
     :param leaving: the replica accepts no new calls.
     :param leaves_in_s: time until the replica is gone; ``None`` if not stated.
-    :param beat_number: number of the heartbeat since the start; a row with a lower number is
+    :param heartbeat_number: number of the heartbeat since the start; a row with a lower number is
         outdated.
     :param born_ms: start time in milliseconds since 1970, by the clock of its machine; ``None``
         if not stated.
@@ -40,7 +40,7 @@
     leaving: bool
     leaves_in_s: float | None
     holdings: tuple[Holding, ...]
-    beat_number: int
+    heartbeat_number: int
     born_ms: int | None = None
 
 
--- a/limeshelf/replicas/replica.py
+++ b/limeshelf/replicas/replica.py
@@ -47,7 +47,7 @@
     :ivar order_number: number of orders that it has accepted, ``None`` until the first report;
         increased by :mod:`limeshelf.orders` when it accepts an order.
     :ivar retiring: models that :mod:`limeshelf.orders` is about to unload; they get no new calls.
-    :ivar own: calls of this process in progress there, counted by
+    :ivar own_load: calls of this process in progress there, counted by
         :mod:`limeshelf.gateway.pipeline`.
     :ivar health: updated with each outcome by :mod:`limeshelf.gateway.pipeline`, and
         with probes by :mod:`limeshelf.replicas.pool`.
@@ -59,7 +59,7 @@
     holdings: dict[str, frozenset[str]]
     order_number: int | None = None
     gone: bool = False
-    own: Load = attrs.field(factory=Load)
+    own_load: Load = attrs.field(factory=Load)
     health: ReplicaHealth = attrs.field(factory=ReplicaHealth)
     report: ReplicaReport | None = None
     reported_s: float = 0.0
@@ -95,6 +95,6 @@
         return not adapter or adapter in adapters
 
 
-def by_model(holdings: tuple[Holding, ...]) -> dict[str, frozenset[str]]:
+def holdings_by_model(holdings: tuple[Holding, ...]) -> dict[str, frozenset[str]]:
     """Return the ready adapters by model."""
     return {holding.model: holding.adapters for holding in holdings}
--- a/tests/dispatch/test_client.py
+++ b/tests/dispatch/test_client.py
@@ -278,7 +278,7 @@
     client._exchange.dispatcher.handle_query = lambda query, requester: queries.append(query)  # type: ignore[method-assign]
     busy = client._owners.directory.get('r1')
     assert busy is not None
-    busy.own.calls = 4
+    busy.own_load.calls = 4
     await client.request_replica(for_any(left_s=0.05))
     assert queries[0].excluded == ['r1']
 
--- a/tests/dispatch/test_owners.py
+++ b/tests/dispatch/test_owners.py
@@ -41,7 +41,7 @@
     for number, running in enumerate(calls):
         replica = directory.get(f'r{number}')
         assert replica is not None
-        replica.own.calls = running
+        replica.own_load.calls = running
     return OwnerSelector(directory, Fallback(), owner_of, 'z1')
 
 
--- a/tests/dispatch/test_selector.py
+++ b/tests/dispatch/test_selector.py
@@ -81,13 +81,13 @@
 
 def test_least_loaded_replica_goes_first() -> None:
     selector = selector_of('z1', 'z1')
-    replica(selector, 'r0').own.calls = 1
+    replica(selector, 'r0').own_load.calls = 1
     assert chosen(selector) == 'r1'
 
 
 def test_suspended_replica_is_selected_only_if_all_are() -> None:
     selector = selector_of('z1', 'z1')
-    replica(selector, 'r1').own.calls = 3
+    replica(selector, 'r1').own_load.calls = 3
     replica(selector, 'r0').health.record_failure(Failure.NO_CONNECTION)
     assert chosen(selector) == 'r1'
     replica(selector, 'r1').health.record_failure(Failure.NO_CONNECTION)
@@ -96,7 +96,7 @@
 
 def test_full_replica_is_not_selected() -> None:
     selector = selector_of('z1')
-    replica(selector, 'r0').own.calls = 4
+    replica(selector, 'r0').own_load.calls = 4
     assert chosen(selector) is None
 
 
--- a/tests/forms/test_rows.py
+++ b/tests/forms/test_rows.py
@@ -250,7 +250,7 @@
             leaving=True,
             leaves_in_s=2.5,
             holdings=(Holding('m1', frozenset({'a1', 'a2'})), Holding('m2')),
-            beat_number=12,
+            heartbeat_number=12,
         ),
     ),
     (
@@ -265,7 +265,7 @@
             leaving=False,
             leaves_in_s=None,
             holdings=(),
-            beat_number=0,
+            heartbeat_number=0,
         ),
     ),
 ]
--- a/tests/gateway/test_restarted_replica.py
+++ b/tests/gateway/test_restarted_replica.py
@@ -77,7 +77,7 @@
         await restart(world, struck, BORN_MS + 1000)
         await world.until(lambda: known(world, struck.replica_id) is not before)
         after = known(world, struck.replica_id)
-        assert (after.health.failure_ratio, after.own.calls) == (0, 0)
+        assert (after.health.failure_ratio, after.own_load.calls) == (0, 0)
         runs = len(struck.runs)
         while len(struck.runs) == runs:
             await world.call('/safe/x')
--- a/tests/membership/test_digest_exchange.py
+++ b/tests/membership/test_digest_exchange.py
@@ -113,7 +113,7 @@
         assert gateway._own_digest().loads == []
         replica = gateway.directory.get('r1')
         assert replica is not None
-        replica.own.calls, replica.own.tokens = 1, 10
+        replica.own_load.calls, replica.own_load.tokens = 1, 10
         sent = gateway._own_digest()
         assert sent.loads == [ReplicaLoad('r1', 1, 10)]
         assert (sent.fence, sent.demands) == (5, [KeyDemand(KEY, started=2)])
@@ -163,7 +163,7 @@
         receive_digest(gateway, digest('g2', 1, calls=2))
         replica = gateway.directory.get('r1')
         assert replica is not None
-        replica.own.calls, replica.own.tokens = 1, 10
+        replica.own_load.calls, replica.own_load.tokens = 1, 10
         gateway._send_summary(gateway._own_digest())
         node: Any = gateway.node
         summary = FleetSummary(2, [ReplicaLoad('r1', 3, 30)], {'c1': 'g2'})
--- a/tests/placement/test_adapters.py
+++ b/tests/placement/test_adapters.py
@@ -95,7 +95,7 @@
     fleet.add('r2', 'a1')
     busy = fleet.directory.get('r1')
     assert busy is not None
-    busy.own.calls = 4
+    busy.own_load.calls = 4
     assert fleet.plan() == ('r2', None)
 
 
--- a/tests/replicas/test_freshness.py
+++ b/tests/replicas/test_freshness.py
@@ -15,8 +15,10 @@
 from limeshelf.replicas.record import ReplicaRecord
 
 
-def record(beat_number: int, born_ms: int | None = None) -> ReplicaRecord:
-    return ReplicaRecord('r', 's', '10.0.0.1:1', 'z1', 4, False, None, (), beat_number, born_ms)
+def record(heartbeat_number: int, born_ms: int | None = None) -> ReplicaRecord:
+    return ReplicaRecord(
+        'r', 's', '10.0.0.1:1', 'z1', 4, False, None, (), heartbeat_number, born_ms
+    )
 
 
 def test_heartbeat_sent_before_the_newest_is_late() -> None:
--- a/tests/replicas/test_notices.py
+++ b/tests/replicas/test_notices.py
@@ -81,7 +81,7 @@
     world.answer(RAN, NO_NOTICE, 1.0)
     assert not world.replica.takes_calls
     world.directory.mark_gone(world.replica, 'record_dropped')
-    world.directory.apply_record(attrs.evolve(RECORD, beat_number=9))
+    world.directory.apply_record(attrs.evolve(RECORD, heartbeat_number=9))
     assert not world.replica.gone
     assert not world.replica.takes_calls
     assert world.changes == [NoticeSource.CALL]
@@ -91,7 +91,7 @@
     world = World()
     before = world.replica
     world.directory.mark_gone(before, 'record_dropped')
-    world.directory.apply_record(attrs.evolve(RECORD, beat_number=9))
+    world.directory.apply_record(attrs.evolve(RECORD, heartbeat_number=9))
     facts = attrs.evolve(RAN, notice=attrs.evolve(RATE, leaving=True))
     world.handler.handle_call_response(before, facts, 0.0)
     assert world.replica is not before
@@ -101,9 +101,9 @@
 
 def test_restart_clears_backpressure() -> None:
     world = World()
-    world.directory.apply_record(attrs.evolve(RECORD, beat_number=2, born_ms=5))
+    world.directory.apply_record(attrs.evolve(RECORD, heartbeat_number=2, born_ms=5))
     world.answer(RAN, attrs.evolve(RATE, leaving=True), 0.0)
-    world.directory.apply_record(attrs.evolve(RECORD, beat_number=1, born_ms=9))
+    world.directory.apply_record(attrs.evolve(RECORD, heartbeat_number=1, born_ms=9))
     assert world.replica.takes_calls
     assert world.replica.backpressure.rate_per_s is None
 
--- a/tests/replicas/test_starts.py
+++ b/tests/replicas/test_starts.py
@@ -59,11 +59,11 @@
     directory.apply_row(row(1000, 9, 1, ('m1',)))
     directory.apply_report('r1', report(1000, 7, ('m1',)))
     before = known(directory)
-    before.own.calls = 2
+    before.own_load.calls = 2
     directory.apply_row(row(2000, 1, 2))
     after = known(directory)
     assert (before.gone, after.gone) == (True, False)
-    assert (after.holdings, after.order_number, after.own.calls) == ({}, None, 0)
+    assert (after.holdings, after.order_number, after.own_load.calls) == ({}, None, 0)
     assert after.start != before.start
     assert restarts == [StateSource.ROW]
 
@@ -76,7 +76,7 @@
     directory.apply_row(row(1000, 10, 2, ('m1',)))
     assert known(directory).holdings == {}
     directory.apply_row(row(2000, 1, 3))
-    assert known(directory).record.beat_number == 1
+    assert known(directory).record.heartbeat_number == 1
 
 
 def test_row_and_report_of_an_earlier_start_are_ignored() -> None:
--- a/tests/routing/test_plain_selector.py
+++ b/tests/routing/test_plain_selector.py
@@ -60,20 +60,20 @@
 
 def test_least_loaded_replica_goes_first(clock: VirtualClock) -> None:
     directory = directory_of('z1', 'z1')
-    replica(directory, 'r0').own.calls = 1
+    replica(directory, 'r0').own_load.calls = 1
     assert chosen(directory) == {'r1'}
 
 
 def test_own_data_centre_is_preferred_at_equal_load(clock: VirtualClock) -> None:
     directory = directory_of('z1', 'z2')
     assert chosen(directory) == {'r0'}
-    replica(directory, 'r0').own.calls = 1
+    replica(directory, 'r0').own_load.calls = 1
     assert chosen(directory) == {'r1'}
 
 
 def test_suspended_replica_is_tried_only_when_all_are(clock: VirtualClock) -> None:
     directory = directory_of('z1', 'z1')
-    replica(directory, 'r0').own.calls = 4
+    replica(directory, 'r0').own_load.calls = 4
     replica(directory, 'r1').health.record_failure(Failure.NO_CONNECTION)
     assert chosen(directory) == {'r0'}
     assert chosen(directory, WEB, 'r0') == {'r1'}
