--- a/limeshelf/crashes/end_watch.py
+++ b/limeshelf/crashes/end_watch.py
@@ -20,7 +20,7 @@
 
 import attrs
 
-from limeshelf.crashes.suspects import ReplicaEnd
+from limeshelf.crashes.suspects import ReplicaCrash
 from limeshelf.metrics.event_log import log_change
 from limeshelf.replicas.connections import CONNECT_TIMEOUT_S
 from limeshelf.util.clock import boottime_s
@@ -82,7 +82,7 @@
     check: asyncio.Task[None] | None = None
 
 
-class EndWatch:
+class CrashDetector:
     """Watches replicas at which calls were interrupted, and detects crashes.
 
     :param suspects: receives each call that was running at a crashed replica.
@@ -95,7 +95,7 @@
         self._tasks = tasks
         self._watched: dict[ReplicaStart, _WatchedStart] = {}
 
-    def note_broken(self, fingerprint: Fingerprint, replica: Replica) -> None:
+    def record_interrupted_call(self, fingerprint: Fingerprint, replica: Replica) -> None:
         """Record that a call lost its connection before its response was complete.
 
         Ignored for a replica that has announced that it is leaving, because it exits anyway.
@@ -118,13 +118,13 @@
         watched.interrupted_s = now_s
         watched.interrupted.add(fingerprint)
         if watched.has_crashed:
-            self._suspects.note_end(fingerprint, _crash_of(replica))
+            self._suspects.record_crash(fingerprint, _crash_of(replica))
             if watched.is_coincident:
                 self._suspects.mark_coincident(_crash_of(replica))
         elif watched.check is None:
             watched.check = self._tasks.spawn(self._check(watched), 'replica-end')
 
-    def note_answered(self, replica: Replica, sent_s: float) -> None:
+    def record_response(self, replica: Replica, sent_s: float) -> None:
         """Record a response of a replica; withdraw a crash that the response disproves.
 
         :param sent_s: when the call was sent. A call sent before the latest interruption does not
@@ -140,11 +140,11 @@
         if watched.has_crashed:
             self._suspects.withdraw_crash(_crash_of(replica))
 
-    def unconfirmed_ends(self, fingerprint: Fingerprint) -> int:
+    def unconfirmed_crashes(self, fingerprint: Fingerprint) -> int:
         """Return at how many replicas under check a call was interrupted."""
         return len(self._checks_of(fingerprint))
 
-    async def until_checked(self, fingerprint: Fingerprint) -> None:
+    async def wait_until_checked(self, fingerprint: Fingerprint) -> None:
         """Wait until the replicas at which a call was interrupted have been checked."""
         checks = self._checks_of(fingerprint)
         if checks:
@@ -184,7 +184,7 @@
             calls=len(watched.interrupted),
         )
         for fingerprint in sorted(watched.interrupted):
-            self._suspects.note_end(fingerprint, crash)
+            self._suspects.record_crash(fingerprint, crash)
         self._mark_coincident(watched)
 
     def _mark_coincident(self, watched: _WatchedStart) -> None:
@@ -234,8 +234,8 @@
     return replica.backpressure.leaving
 
 
-def _crash_of(replica: Replica) -> ReplicaEnd:
-    return ReplicaEnd(replica.replica_id, replica.known_start.born_ms or 0)
+def _crash_of(replica: Replica) -> ReplicaCrash:
+    return ReplicaCrash(replica.replica_id, replica.known_start.born_ms or 0)
 
 
 async def _connect(address: str) -> _ConnectResult:
--- a/limeshelf/crashes/lost_loads.py
+++ b/limeshelf/crashes/lost_loads.py
@@ -20,7 +20,7 @@
 from limeshelf.crashes.quarantine import PERMANENT_QUARANTINE_CRASHES
 
 if TYPE_CHECKING:
-    from limeshelf.crashes.end_watch import EndWatch
+    from limeshelf.crashes.end_watch import CrashDetector
     from limeshelf.crashes.suspects import Suspects
     from limeshelf.replicas.replica import Replica
 
@@ -30,21 +30,21 @@
     """Records the outcomes of loads, and decides which are blocked."""
 
     suspects: Suspects
-    watch: EndWatch
+    detector: CrashDetector
 
     def note_came(self, service: str, model: str, adapter: str) -> None:
         """Record that a load completed."""
-        self.suspects.note_finished(load_fingerprint(service, model, adapter))
+        self.suspects.record_completion(load_fingerprint(service, model, adapter))
 
     def note_lost(self, replica: Replica, model: str, adapter: str) -> None:
         """Record that a replica does not respond after a load was ordered, or lacks its model."""
         fingerprint = load_fingerprint(replica.record.service, model, adapter)
-        self.watch.record_lost_load(fingerprint, replica)
+        self.detector.record_lost_load(fingerprint, replica)
 
     def is_barred(self, service: str, model: str, adapter: str = '') -> bool:
         """Return whether a load may not be ordered."""
         state = self.suspects.state_of(load_fingerprint(service, model, adapter))
         return (
             state is not None
-            and state.open_count + state.isolated_crash_count >= 2 * PERMANENT_QUARANTINE_CRASHES
+            and state.crash_count + state.isolated_crash_count >= 2 * PERMANENT_QUARANTINE_CRASHES
         )
--- a/limeshelf/crashes/quarantine.py
+++ b/limeshelf/crashes/quarantine.py
@@ -42,7 +42,8 @@
 def is_quarantined(state: SuspectState) -> bool:
     """Return whether a call is quarantined, for a time or permanently."""
     return (
-        state.isolated_crash_count >= REST_ENDS or state.open_count >= PERMANENT_QUARANTINE_CRASHES
+        state.isolated_crash_count >= REST_ENDS
+        or state.crash_count >= PERMANENT_QUARANTINE_CRASHES
     )
 
 
@@ -75,7 +76,7 @@
             caller.
         """
         state = self.suspects.state_of(fingerprint)
-        crashes = unconfirmed_crashes + (state.open_count if state is not None else 0)
+        crashes = unconfirmed_crashes + (state.crash_count if state is not None else 0)
         if crashes >= PERMANENT_QUARANTINE_CRASHES:
             return Quarantined(crashes, PERMANENT_RETRY_AFTER_S)
         isolated = unconfirmed_crashes + (state.isolated_crash_count if state is not None else 0)
--- a/limeshelf/crashes/rows.py
+++ b/limeshelf/crashes/rows.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from limeshelf.calls.fingerprint import Fingerprint
-from limeshelf.crashes.suspects import ReplicaEnd, SuspectState, ToldEnd
+from limeshelf.crashes.suspects import CallCrash, ReplicaCrash, SuspectState
 from limeshelf.util.decoding import UNREADABLE
 
 #: The keys of its rows are the fingerprints of calls.
@@ -17,7 +17,7 @@
 
 
 class CrashValue(msgspec.Struct):
-    """One crash in a row; see :class:`~limeshelf.crashes.suspects.ToldEnd`."""
+    """One crash in a row; see :class:`~limeshelf.crashes.suspects.CallCrash`."""
 
     replica_id: str
     born_ms: int = 0
@@ -37,8 +37,10 @@
 def encode_value(state: SuspectState) -> bytes:
     """Encode the row of a suspect."""
     crashes = [
-        CrashValue(known.end.replica_id, known.end.born_ms, known.is_cleared, known.is_coincident)
-        for known in state.told_ends()
+        CrashValue(
+            known.crash.replica_id, known.crash.born_ms, known.is_cleared, known.is_coincident
+        )
+        for known in state.call_crashes()
     ]
     return msgspec.json.encode(SuspectValue(crashes))
 
@@ -50,7 +52,7 @@
     except UNREADABLE:
         return None
     crashes = (
-        ToldEnd(ReplicaEnd(row.replica_id, row.born_ms), row.cleared, row.coincident)
+        CallCrash(ReplicaCrash(row.replica_id, row.born_ms), row.cleared, row.coincident)
         for row in decoded.ends
     )
-    return SuspectState.from_ends(Fingerprint(key), crashes)
+    return SuspectState.from_crashes(Fingerprint(key), crashes)
--- a/limeshelf/crashes/suspects.py
+++ b/limeshelf/crashes/suspects.py
@@ -38,7 +38,7 @@
 
 
 @attrs.frozen
-class ReplicaEnd:
+class ReplicaCrash:
     """The crash of one start of a replica.
 
     :param born_ms: start time that the replica stated; 0 if it stated none.
@@ -48,7 +48,7 @@
     born_ms: int = 0
 
 
-def count_crashes(crashes: Iterable[ReplicaEnd]) -> int:
+def count_crashes(crashes: Iterable[ReplicaCrash]) -> int:
     """Return the minimum number of distinct crashes.
 
     A crash without a start time may be the same as one of any start of the replica.
@@ -60,10 +60,10 @@
 
 
 @attrs.frozen
-class ToldEnd:
+class CallCrash:
     """One crash during a call, with its state for that call; see :class:`SuspectState`."""
 
-    end: ReplicaEnd
+    crash: ReplicaCrash
     is_cleared: bool = False
     is_coincident: bool = False
 
@@ -79,30 +79,32 @@
     """
 
     fingerprint: Fingerprint
-    crashes: frozenset[ReplicaEnd]
-    cleared: frozenset[ReplicaEnd] = frozenset()
-    coincident: frozenset[ReplicaEnd] = frozenset()
+    crashes: frozenset[ReplicaCrash]
+    cleared: frozenset[ReplicaCrash] = frozenset()
+    coincident: frozenset[ReplicaCrash] = frozenset()
 
     @classmethod
-    def from_ends(cls, fingerprint: Fingerprint, call_crashes: Iterable[ToldEnd]) -> SuspectState:
+    def from_crashes(
+        cls, fingerprint: Fingerprint, call_crashes: Iterable[CallCrash]
+    ) -> SuspectState:
         """Build the state of a call from its crashes."""
         call_crashes = list(call_crashes)
         return cls(
             fingerprint,
-            frozenset(known.end for known in call_crashes),
-            frozenset(known.end for known in call_crashes if known.is_cleared),
-            frozenset(known.end for known in call_crashes if known.is_coincident),
+            frozenset(known.crash for known in call_crashes),
+            frozenset(known.crash for known in call_crashes if known.is_cleared),
+            frozenset(known.crash for known in call_crashes if known.is_coincident),
         )
 
-    def told_ends(self) -> list[ToldEnd]:
+    def call_crashes(self) -> list[CallCrash]:
         """Return the crashes with their state, in the same order on all gateways."""
         ranked = sorted(self.crashes, key=lambda crash: (crash.replica_id, crash.born_ms))
         return [
-            ToldEnd(crash, crash in self.cleared, crash in self.coincident) for crash in ranked
+            CallCrash(crash, crash in self.cleared, crash in self.coincident) for crash in ranked
         ]
 
     @property
-    def open_count(self) -> int:
+    def crash_count(self) -> int:
         """Return the number of crashes that it is suspected of."""
         return count_crashes(self.crashes - self.cleared)
 
@@ -180,25 +182,25 @@
         """Return the states of all suspects."""
         return [suspect.state for suspect in self._by_fingerprint.values()]
 
-    def note_end(self, fingerprint: Fingerprint, crash: ReplicaEnd) -> None:
+    def record_crash(self, fingerprint: Fingerprint, crash: ReplicaCrash) -> None:
         """Record the crash of a replica that was running a call."""
         state = SuspectState(fingerprint, frozenset({crash}))
         self.merge(state, NewsSource.OWN, is_observed_locally=True)
 
-    def note_finished(self, fingerprint: Fingerprint) -> None:
+    def record_completion(self, fingerprint: Fingerprint) -> None:
         """Clear a call that ran to completion, with or without success, and crashed no replica."""
         state = self.state_of(fingerprint)
         if state is not None:
             self.merge(attrs.evolve(state, cleared=state.crashes), NewsSource.OWN)
 
-    def withdraw_crash(self, crash: ReplicaEnd) -> None:
+    def withdraw_crash(self, crash: ReplicaCrash) -> None:
         """Clear a crash for all calls, because the replica has responded."""
         for state in self.states():
             if crash in state.crashes:
                 cleared = state.cleared | {crash}
                 self.merge(attrs.evolve(state, cleared=cleared), NewsSource.OWN)
 
-    def mark_coincident(self, crash: ReplicaEnd) -> None:
+    def mark_coincident(self, crash: ReplicaCrash) -> None:
         """Mark a crash as coincident with that of another replica."""
         for state in self.states():
             if crash in state.crashes:
@@ -217,7 +219,7 @@
         suspect.state = _limit_crashes(before.merged(received))
         if suspect.state == before:
             return
-        if suspect.state.open_count > before.open_count:
+        if suspect.state.crash_count > before.crash_count:
             suspect.changed_s = boottime_s()
         self._by_fingerprint[received.fingerprint] = suspect
         self._evict_least_suspected()
@@ -230,7 +232,7 @@
             return
         ranked = sorted(
             self._by_fingerprint.values(),
-            key=lambda suspect: (suspect.state.open_count, suspect.changed_s),
+            key=lambda suspect: (suspect.state.crash_count, suspect.changed_s),
         )
         for suspect in ranked[: len(ranked) - int(MAX_SUSPECTS * KEPT_FRACTION)]:
             del self._by_fingerprint[suspect.state.fingerprint]
@@ -241,7 +243,7 @@
 
     A first crash is not logged, since there would be a line for every call at the replica.
     """
-    if max(before.open_count, after.open_count) > 1 and before.open_count != after.open_count:
+    if max(before.crash_count, after.crash_count) > 1 and before.crash_count != after.crash_count:
         log_change(
             'suspected',
             content=after.fingerprint,
@@ -258,5 +260,5 @@
     """
     if len(state.crashes) <= MAX_CRASHES_PER_SUSPECT:
         return state
-    ranked = sorted(state.told_ends(), key=lambda known: known.is_cleared)
-    return SuspectState.from_ends(state.fingerprint, ranked[:MAX_CRASHES_PER_SUSPECT])
+    ranked = sorted(state.call_crashes(), key=lambda known: known.is_cleared)
+    return SuspectState.from_crashes(state.fingerprint, ranked[:MAX_CRASHES_PER_SUSPECT])
--- a/limeshelf/gateway/quarantine.py
+++ b/limeshelf/gateway/quarantine.py
@@ -16,7 +16,7 @@
 
 if TYPE_CHECKING:
     from limeshelf.calls.fingerprint import Fingerprint
-    from limeshelf.crashes.end_watch import EndWatch
+    from limeshelf.crashes.end_watch import CrashDetector
     from limeshelf.crashes.quarantine import Quarantine, Quarantined
     from limeshelf.gateway.exchange import Result
     from limeshelf.gateway.state import CallState
@@ -28,7 +28,7 @@
     """Checks calls before each send, and notes what became of them."""
 
     quarantine: Quarantine
-    watch: EndWatch
+    watch: CrashDetector
 
     def check(self, fingerprint: Fingerprint) -> Refuse | None:
         """Return how a call is refused by what is known now; ``None`` if it may be sent."""
@@ -42,9 +42,9 @@
         """
         fingerprint = state.fingerprint
         broken_twice = state.runs >= REST_ENDS
-        unconfirmed = self.watch.unconfirmed_ends(fingerprint)
+        unconfirmed = self.watch.unconfirmed_crashes(fingerprint)
         if self.quarantine.check(fingerprint, unconfirmed, broken_twice=broken_twice):
-            await self.watch.until_checked(fingerprint)
+            await self.watch.wait_until_checked(fingerprint)
         quarantined = self.quarantine.check(fingerprint, broken_twice=broken_twice)
         return _refusal_of(quarantined) if quarantined is not None else None
 
@@ -61,11 +61,11 @@
         """
         lesson = call_lesson_of(result)
         if lesson is CallLesson.BROKEN_OFF:
-            self.watch.note_broken(state.fingerprint, replica)
+            self.watch.record_interrupted_call(state.fingerprint, replica)
         elif lesson is not CallLesson.NOTHING:
-            self.watch.note_answered(replica, sent_s)
+            self.watch.record_response(replica, sent_s)
         if lesson is CallLesson.FINISHED:
-            self.quarantine.suspects.note_finished(state.fingerprint)
+            self.quarantine.suspects.record_completion(state.fingerprint)
 
 
 def _refusal_of(quarantined: Quarantined) -> Refuse:
--- a/limeshelf/membership/crash_exchange.py
+++ b/limeshelf/membership/crash_exchange.py
@@ -12,7 +12,7 @@
 import attrs
 
 from limeshelf.calls.fingerprint import Fingerprint
-from limeshelf.crashes.suspects import NewsSource, ReplicaEnd, SuspectState, ToldEnd
+from limeshelf.crashes.suspects import CallCrash, NewsSource, ReplicaCrash, SuspectState
 from limeshelf.membership.broadcast_queue import BroadcastQueue
 from limeshelf.membership.messages import CrashSuspects, EndedReplica
 
@@ -72,24 +72,26 @@
 
 
 def _message_from_states(states: list[SuspectState]) -> CrashSuspects:
-    groups: dict[ToldEnd, list[bytes]] = {}
+    groups: dict[CallCrash, list[bytes]] = {}
     for state in states:
-        for call_end in state.told_ends():
-            groups.setdefault(call_end, []).append(bytes.fromhex(state.fingerprint))
-    return CrashSuspects([_ended_replica(call_end, calls) for call_end, calls in groups.items()])
+        for call_crash in state.call_crashes():
+            groups.setdefault(call_crash, []).append(bytes.fromhex(state.fingerprint))
+    return CrashSuspects(
+        [_ended_replica(call_crash, calls) for call_crash, calls in groups.items()]
+    )
 
 
-def _ended_replica(call_end: ToldEnd, calls: list[bytes]) -> EndedReplica:
-    end = call_end.end
+def _ended_replica(call_crash: CallCrash, calls: list[bytes]) -> EndedReplica:
+    crash = call_crash.crash
     return EndedReplica(
-        end.replica_id, end.born_ms, call_end.is_cleared, call_end.is_coincident, calls
+        crash.replica_id, crash.born_ms, call_crash.is_cleared, call_crash.is_coincident, calls
     )
 
 
 def _states_from_message(message: CrashSuspects) -> Iterator[SuspectState]:
     """Yield a state for each call and end in the message."""
     for group in message.ends:
-        end = ReplicaEnd(group.replica_id, group.born_ms)
-        call_end = ToldEnd(end, group.cleared, group.coincident)
+        crash = ReplicaCrash(group.replica_id, group.born_ms)
+        call_crash = CallCrash(crash, group.cleared, group.coincident)
         for call in group.calls:
-            yield SuspectState.from_ends(Fingerprint(call.hex()), [call_end])
+            yield SuspectState.from_crashes(Fingerprint(call.hex()), [call_crash])
--- a/limeshelf/programs/components.py
+++ b/limeshelf/programs/components.py
@@ -12,7 +12,7 @@
 
 from limeshelf.admission.retry_budget import RetryBudgets, RetryRule
 from limeshelf.calls.in_force import ConfigInForce
-from limeshelf.crashes.end_watch import EndWatch
+from limeshelf.crashes.end_watch import CrashDetector
 from limeshelf.crashes.keeper import QuarantineKeeper
 from limeshelf.crashes.lost_loads import LostLoads
 from limeshelf.crashes.quarantine import Quarantine
@@ -132,8 +132,8 @@
     def _make_crashes(self, tasks: TaskSet) -> None:
         """Make what remembers the calls under which replicas ended."""
         self.suspects = Suspects()
-        self.end_watch = EndWatch(self.directory, self.suspects, tasks)
-        self.lost_loads = LostLoads(self.suspects, self.end_watch)
+        self.crash_detector = CrashDetector(self.directory, self.suspects, tasks)
+        self.lost_loads = LostLoads(self.suspects, self.crash_detector)
         self.quarantine_keeper = QuarantineKeeper(self.store, self.suspects)
         self.suspension = SuspensionWatch(self._note_woke)
         self.crashes = CrashExchange(self.node, self.members, self.suspects)
@@ -235,7 +235,7 @@
         chooser = PlainReplicaSelector(self.directory, settings.data_centre)
         selector = ReplicaSelector(self.directory, chooser, self.dispatch_client, self.turns)
         self.access = AccessGuard(self.in_force, self.config_age_s, access_rule(settings))
-        quarantine = QuarantineGuard(Quarantine(self.suspects), self.end_watch)
+        quarantine = QuarantineGuard(Quarantine(self.suspects), self.crash_detector)
         attempts = AttemptRunner(
             wire,
             self.directory,
--- a/tests/crashes/test_end_watch.py
+++ b/tests/crashes/test_end_watch.py
@@ -10,8 +10,8 @@
 import pytest
 
 from limeshelf.calls.fingerprint import Fingerprint
-from limeshelf.crashes import end_watch as watch_module
-from limeshelf.crashes.end_watch import EndWatch
+from limeshelf.crashes import end_watch as detector_module
+from limeshelf.crashes.end_watch import CrashDetector
 from limeshelf.crashes.quarantine import Quarantine
 from limeshelf.crashes.suspects import Suspects
 from limeshelf.replicas.directory import ReplicaDirectory
@@ -34,7 +34,7 @@
 
     directory: ReplicaDirectory
     suspects: Suspects
-    watch: EndWatch
+    detector: CrashDetector
     listener: asyncio.Server
     address: str
 
@@ -49,7 +49,7 @@
     def crash_count(self, fingerprint: Fingerprint = CALL) -> int:
         """Return the number of crashes that a call is suspected of."""
         state = self.suspects.state_of(fingerprint)
-        return state.open_count if state is not None else 0
+        return state.crash_count if state is not None else 0
 
     async def close_listener(self) -> None:
         """Close the listener, as the exit of a process does."""
@@ -62,9 +62,9 @@
     listener = await asyncio.start_server(lambda _, writer: writer.close(), '127.0.0.1', 0)
     host, port = listener.sockets[0].getsockname()
     directory, suspects, tasks = ReplicaDirectory(lambda *_: None), Suspects(), TaskSet()
-    watch = EndWatch(directory, suspects, tasks)
-    tasks.keep(watch.run, 'watch')
-    yield World(directory, suspects, watch, listener, f'{host}:{port}')
+    detector = CrashDetector(directory, suspects, tasks)
+    tasks.keep(detector.run, 'watch')
+    yield World(directory, suspects, detector, listener, f'{host}:{port}')
     await tasks.close()
     listener.close()
 
@@ -79,20 +79,20 @@
 
 @pytest.fixture(autouse=True)
 def short_times(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(watch_module, 'CONNECT_RETRY_DELAY_S', 0.02)
-    monkeypatch.setattr(watch_module, 'RESTART_CHECK_INTERVAL_S', 0.02)
+    monkeypatch.setattr(detector_module, 'CONNECT_RETRY_DELAY_S', 0.02)
+    monkeypatch.setattr(detector_module, 'RESTART_CHECK_INTERVAL_S', 0.02)
 
 
 def test_replica_that_refuses_connections_after_an_interruption_has_crashed() -> None:
     async def scenario(world: World) -> None:
         replica = world.add(born_ms=BORN_MS)
         await world.close_listener()
-        world.watch.note_broken(CALL, replica)
-        world.watch.note_broken(OTHER, replica)
-        assert world.watch.unconfirmed_ends(CALL) == 1
-        await world.watch.until_checked(CALL)
+        world.detector.record_interrupted_call(CALL, replica)
+        world.detector.record_interrupted_call(OTHER, replica)
+        assert world.detector.unconfirmed_crashes(CALL) == 1
+        await world.detector.wait_until_checked(CALL)
         assert (world.crash_count(CALL), world.crash_count(OTHER)) == (1, 1)
-        world.watch.note_broken(Fingerprint('cc'), replica)
+        world.detector.record_interrupted_call(Fingerprint('cc'), replica)
         assert world.crash_count(Fingerprint('cc')) == 1
 
     run_scenario(scenario)
@@ -101,10 +101,10 @@
 def test_replica_whose_listener_closes_after_the_interruption_has_crashed() -> None:
     async def scenario(world: World) -> None:
         replica = world.add()
-        world.watch.note_broken(CALL, replica)
+        world.detector.record_interrupted_call(CALL, replica)
         await asyncio.sleep(0.01)
         await world.close_listener()
-        await world.watch.until_checked(CALL)
+        await world.detector.wait_until_checked(CALL)
         assert world.crash_count() == 1
 
     run_scenario(scenario)
@@ -118,8 +118,8 @@
         hosts = [f'127.0.0.{number}' for number in range(2, 7)]
         listener = await asyncio.start_server(lambda _, writer: writer.close(), hosts, port)
         for host in hosts:
-            world.watch.note_broken(CALL, world.add(host, address=f'{host}:{port}'))
-        await world.watch.until_checked(CALL)
+            world.detector.record_interrupted_call(CALL, world.add(host, address=f'{host}:{port}'))
+        await world.detector.wait_until_checked(CALL)
         await asyncio.sleep(0.1)
         listener.close()
         assert world.crash_count() == 0
@@ -130,8 +130,8 @@
 def test_crash_with_a_fast_restart_is_detected_by_the_start_time() -> None:
     async def scenario(world: World) -> None:
         replica = world.add(born_ms=BORN_MS)
-        world.watch.note_broken(CALL, replica)
-        await world.watch.until_checked(CALL)
+        world.detector.record_interrupted_call(CALL, replica)
+        await world.detector.wait_until_checked(CALL)
         assert world.crash_count() == 0
         world.add(born_ms=BORN_MS + 900)
         await asyncio.sleep(0.1)
@@ -142,8 +142,8 @@
 
 def test_crash_is_detected_by_another_replica_at_the_address() -> None:
     async def scenario(world: World) -> None:
-        world.watch.note_broken(CALL, world.add())
-        await world.watch.until_checked(CALL)
+        world.detector.record_interrupted_call(CALL, world.add())
+        await world.detector.wait_until_checked(CALL)
         world.add('r2')
         await asyncio.sleep(0.1)
         assert world.crash_count() == 1
@@ -156,8 +156,8 @@
 
     async def scenario(world: World) -> None:
         replica = world.add()
-        world.watch.note_broken(CALL, replica)
-        await world.watch.until_checked(CALL)
+        world.detector.record_interrupted_call(CALL, replica)
+        await world.detector.wait_until_checked(CALL)
         world.directory.mark_gone(replica, 'record_dropped')
         await asyncio.sleep(0.1)
         assert world.crash_count() == 0
@@ -169,7 +169,7 @@
     async def scenario(world: World) -> None:
         replica = world.add(leaving=True)
         await world.close_listener()
-        world.watch.note_broken(CALL, replica)
+        world.detector.record_interrupted_call(CALL, replica)
         await asyncio.sleep(0.1)
         assert world.crash_count() == 0
 
@@ -185,11 +185,11 @@
     async def scenario(world: World) -> None:
         replica = world.add(born_ms=born_ms)
         await world.close_listener()
-        world.watch.note_broken(CALL, replica)
-        await world.watch.until_checked(CALL)
-        world.watch.note_answered(replica, sent_s=0.0)
+        world.detector.record_interrupted_call(CALL, replica)
+        await world.detector.wait_until_checked(CALL)
+        world.detector.record_response(replica, sent_s=0.0)
         assert world.crash_count() == 1
-        world.watch.note_answered(replica, sent_s=boottime_s())
+        world.detector.record_response(replica, sent_s=boottime_s())
         assert world.crash_count() == crashes
 
     run_scenario(scenario)
@@ -209,8 +209,8 @@
         await world.close_listener()
         if not has_crashed:
             monkeypatch.setattr(asyncio, 'open_connection', silent)
-        world.watch.record_lost_load(CALL, replica)
-        await world.watch.until_checked(CALL)
+        world.detector.record_lost_load(CALL, replica)
+        await world.detector.wait_until_checked(CALL)
         assert world.crash_count() == crashes
 
     run_scenario(scenario)
@@ -231,10 +231,10 @@
         port = world.address.rpartition(':')[2]
         replicas = [world.add(host, address=f'{host}:{port}') for host in hosts]
         for replica in replicas[:2]:
-            world.watch.note_broken(CALL, replica)
-        world.watch.note_broken(OTHER, replicas[2])
-        await world.watch.until_checked(CALL)
-        await world.watch.until_checked(OTHER)
+            world.detector.record_interrupted_call(CALL, replica)
+        world.detector.record_interrupted_call(OTHER, replicas[2])
+        await world.detector.wait_until_checked(CALL)
+        await world.detector.wait_until_checked(OTHER)
         assert world.crash_count() == 2
         assert Quarantine(world.suspects).check(CALL) is None
 
--- a/tests/crashes/test_keeper.py
+++ b/tests/crashes/test_keeper.py
@@ -12,7 +12,7 @@
 from limeshelf.crashes import keeper as keeper_module
 from limeshelf.crashes.keeper import QuarantineKeeper
 from limeshelf.crashes.rows import QUARANTINE_TABLE, decode_value, encode_value
-from limeshelf.crashes.suspects import NewsSource, ReplicaEnd, Suspects, SuspectState
+from limeshelf.crashes.suspects import NewsSource, ReplicaCrash, Suspects, SuspectState
 from limeshelf.errors import PlatformUnavailable, PlatformUnknown
 from limeshelf.feeds.position import BEGINNING, Position
 from limeshelf.feeds.rows import ConditionFailed, Page, Row
@@ -20,7 +20,7 @@
 from tests.support.positions import at
 
 CALL = Fingerprint('aa')
-R1, R2, R3 = (ReplicaEnd(name) for name in ('r1', 'r2', 'r3'))
+R1, R2, R3 = (ReplicaCrash(name) for name in ('r1', 'r2', 'r3'))
 
 
 @attrs.define
@@ -91,7 +91,7 @@
     store, observer, receiver = Store(), Suspects(), Suspects()
 
     def update(*_: QuarantineKeeper) -> None:
-        observer.note_end(CALL, R1)
+        observer.record_crash(CALL, R1)
         assert store.writes == 0
         received = SuspectState(CALL, frozenset({R1, R2}))
         observer.merge(received, NewsSource.PEER)
@@ -115,22 +115,22 @@
     store, observer = Store(failures=failures), Suspects()
 
     def update(*_: QuarantineKeeper) -> None:
-        observer.note_end(CALL, R1)
-        observer.note_end(CALL, R2)
+        observer.record_crash(CALL, R1)
+        observer.record_crash(CALL, R2)
 
     run_keepers(store, observer, update=update)
     state = stored(store)
-    assert state is not None and state.open_count == 2
+    assert state is not None and state.crash_count == 2
 
 
 def test_concurrent_writes_of_two_gateways_are_merged() -> None:
     store, first, second = Store(), Suspects(), Suspects()
 
     def update(*_: QuarantineKeeper) -> None:
-        first.note_end(CALL, R1)
-        first.note_end(CALL, R2)
-        second.note_end(CALL, R2)
-        second.note_end(CALL, R3)
+        first.record_crash(CALL, R1)
+        first.record_crash(CALL, R2)
+        second.record_crash(CALL, R2)
+        second.record_crash(CALL, R3)
 
     run_keepers(store, first, second, update=update)
     state = stored(store)
@@ -143,11 +143,11 @@
     def update(keeper: QuarantineKeeper) -> None:
         state = SuspectState(CALL, frozenset({R1, R2}))
         keeper.take_row(Row(CALL, encode_value(state), at(0)))
-        observer.note_finished(CALL)
+        observer.record_completion(CALL)
 
     run_keepers(store, observer, update=update)
     state = stored(store)
-    assert state is not None and state.open_count == 0
+    assert state is not None and state.crash_count == 0
 
 
 def test_starting_gateway_reads_the_rows_and_writes_none() -> None:
@@ -161,7 +161,7 @@
 
     run_keepers(store, new, update=update)
     known = new.state_of(CALL)
-    assert known is not None and known.open_count == 3
+    assert known is not None and known.crash_count == 3
     assert store.writes == 0
 
 
@@ -171,8 +171,8 @@
 
     def update(*_: QuarantineKeeper) -> None:
         for number in range(3):
-            observer.note_end(Fingerprint(f'c{number}'), R1)
-            observer.note_end(Fingerprint(f'c{number}'), R2)
+            observer.record_crash(Fingerprint(f'c{number}'), R1)
+            observer.record_crash(Fingerprint(f'c{number}'), R2)
 
     run_keepers(store, observer, update=update)
     assert len(store.rows) == 2
--- a/tests/crashes/test_lost_loads.py
+++ b/tests/crashes/test_lost_loads.py
@@ -5,9 +5,9 @@
 import pytest
 
 from limeshelf.calls.fingerprint import load_fingerprint
-from limeshelf.crashes.end_watch import EndWatch
+from limeshelf.crashes.end_watch import CrashDetector
 from limeshelf.crashes.lost_loads import LostLoads
-from limeshelf.crashes.suspects import ReplicaEnd, Suspects
+from limeshelf.crashes.suspects import ReplicaCrash, Suspects
 from limeshelf.replicas.directory import ReplicaDirectory
 from limeshelf.util.tasks import TaskSet
 
@@ -18,12 +18,12 @@
     """Return the state after the given numbers of crashes during the load of one adapter."""
     suspects = Suspects()
     for number in range(isolated + coincident):
-        crash = ReplicaEnd(f'r{number}')
-        suspects.note_end(LOAD, crash)
+        crash = ReplicaCrash(f'r{number}')
+        suspects.record_crash(LOAD, crash)
         if number >= isolated:
             suspects.mark_coincident(crash)
-    watch = EndWatch(ReplicaDirectory(lambda *_: None), suspects, TaskSet())
-    return LostLoads(suspects, watch)
+    detector = CrashDetector(ReplicaDirectory(lambda *_: None), suspects, TaskSet())
+    return LostLoads(suspects, detector)
 
 
 @pytest.mark.parametrize(
--- a/tests/crashes/test_quarantine.py
+++ b/tests/crashes/test_quarantine.py
@@ -6,7 +6,7 @@
 
 from limeshelf.calls.fingerprint import Fingerprint
 from limeshelf.crashes.quarantine import PAUSE_S, PERMANENT_RETRY_AFTER_S, Quarantine
-from limeshelf.crashes.suspects import ReplicaEnd, Suspects
+from limeshelf.crashes.suspects import ReplicaCrash, Suspects
 from limeshelf.util.clock import virtual_clock
 
 CALL = Fingerprint('aa')
@@ -16,7 +16,7 @@
     """Return a quarantine after the given number of crashes during the call."""
     suspects = Suspects()
     for number in range(crashes):
-        suspects.note_end(CALL, ReplicaEnd(f'r{number}'))
+        suspects.record_crash(CALL, ReplicaCrash(f'r{number}'))
     return Quarantine(suspects)
 
 
@@ -58,7 +58,7 @@
         rule = quarantine(3)
         clock.advance(30 * PERMANENT_RETRY_AFTER_S)
         assert rule.check(CALL) is not None
-        rule.suspects.note_finished(CALL)
+        rule.suspects.record_completion(CALL)
         assert rule.check(CALL) is None
 
 
@@ -72,8 +72,8 @@
     """A later request that is sent again because a replica was gone was not interrupted twice."""
     rule = quarantine(2)
     for number in range(2):
-        rule.suspects.mark_coincident(ReplicaEnd(f'r{number}'))
+        rule.suspects.mark_coincident(ReplicaCrash(f'r{number}'))
     assert rule.check(CALL) is None
     assert rule.check(CALL, broken_twice=True) is not None
-    rule.suspects.note_end(CALL, ReplicaEnd('r2'))
+    rule.suspects.record_crash(CALL, ReplicaCrash('r2'))
     assert rule.check(CALL) is not None
--- a/tests/crashes/test_rows.py
+++ b/tests/crashes/test_rows.py
@@ -8,12 +8,12 @@
 
 from limeshelf.calls.fingerprint import Fingerprint
 from limeshelf.crashes.rows import decode_value, encode_value
-from limeshelf.crashes.suspects import ReplicaEnd, SuspectState, ToldEnd
+from limeshelf.crashes.suspects import CallCrash, ReplicaCrash, SuspectState
 
 
 def test_encoded_row_is_decoded() -> None:
-    crashes = frozenset({ReplicaEnd('r1', 7), ReplicaEnd('r2')})
-    state = SuspectState(Fingerprint('aa'), crashes, frozenset({ReplicaEnd('r2')}), crashes)
+    crashes = frozenset({ReplicaCrash('r1', 7), ReplicaCrash('r2')})
+    state = SuspectState(Fingerprint('aa'), crashes, frozenset({ReplicaCrash('r2')}), crashes)
     assert decode_value('aa', encode_value(state)) == state
 
 
@@ -22,7 +22,10 @@
     value = b'{"ends":[{"replica_id":"r1","born_ms":7,"cleared":true},{"replica_id":"r2"}]}'
     state = decode_value('aa', value)
     assert state is not None
-    assert state.told_ends() == [ToldEnd(ReplicaEnd('r1', 7), True), ToldEnd(ReplicaEnd('r2'))]
+    assert state.call_crashes() == [
+        CallCrash(ReplicaCrash('r1', 7), True),
+        CallCrash(ReplicaCrash('r2')),
+    ]
 
 
 @pytest.mark.parametrize('value', [b'', b'{}', b'[]', b'{"ends":[{"replica_id":5}]}', b'\xff'])
--- a/tests/crashes/test_suspects.py
+++ b/tests/crashes/test_suspects.py
@@ -15,7 +15,7 @@
     MAX_CRASHES_PER_SUSPECT,
     MAX_SUSPECTS,
     NewsSource,
-    ReplicaEnd,
+    ReplicaCrash,
     Suspects,
     SuspectState,
     count_crashes,
@@ -26,7 +26,9 @@
 #: Limit for the memory of all suspects of a gateway.
 MEMORY_BYTES = 1_000_000
 
-crashes = st.builds(ReplicaEnd, st.sampled_from(['r1', 'r2', 'r3']), st.sampled_from([0, 10, 20]))
+crashes = st.builds(
+    ReplicaCrash, st.sampled_from(['r1', 'r2', 'r3']), st.sampled_from([0, 10, 20])
+)
 
 
 @st.composite
@@ -52,7 +54,7 @@
     order.shuffle(again)
     known, same = merged(received), merged(again)
     if (
-        len(frozenset[ReplicaEnd]().union(*(state.crashes for state in received)))
+        len(frozenset[ReplicaCrash]().union(*(state.crashes for state in received)))
         <= MAX_CRASHES_PER_SUSPECT
     ):
         assert same == known
@@ -65,49 +67,49 @@
 
 
 @given(st.lists(crashes, max_size=6))
-def test_crash_that_two_gateways_observed_counts_once(observed: list[ReplicaEnd]) -> None:
+def test_crash_that_two_gateways_observed_counts_once(observed: list[ReplicaCrash]) -> None:
     for order in itertools.islice(itertools.permutations(observed), 6):
         assert count_crashes(order) == count_crashes(set(observed))
-    assert count_crashes([ReplicaEnd('r'), ReplicaEnd('r', 5)]) == 1
-    assert count_crashes([ReplicaEnd('r', 4), ReplicaEnd('r', 5)]) == 2
+    assert count_crashes([ReplicaCrash('r'), ReplicaCrash('r', 5)]) == 1
+    assert count_crashes([ReplicaCrash('r', 4), ReplicaCrash('r', 5)]) == 2
 
 
 def test_completed_run_clears_only_earlier_crashes() -> None:
     suspects = Suspects()
     for replica in ('r1', 'r2'):
-        suspects.note_end(CALL, ReplicaEnd(replica))
-    suspects.note_finished(CALL)
-    suspects.merge(SuspectState(CALL, frozenset({ReplicaEnd('r1')})), NewsSource.PEER)
+        suspects.record_crash(CALL, ReplicaCrash(replica))
+    suspects.record_completion(CALL)
+    suspects.merge(SuspectState(CALL, frozenset({ReplicaCrash('r1')})), NewsSource.PEER)
     state = suspects.state_of(CALL)
-    assert state is not None and state.open_count == 0
-    suspects.note_end(CALL, ReplicaEnd('r3'))
+    assert state is not None and state.crash_count == 0
+    suspects.record_crash(CALL, ReplicaCrash('r3'))
     state = suspects.state_of(CALL)
-    assert state is not None and state.open_count == 1
+    assert state is not None and state.crash_count == 1
 
 
 def test_completion_of_an_unsuspected_call_adds_no_suspect() -> None:
     suspects = Suspects()
-    suspects.note_finished(CALL)
+    suspects.record_completion(CALL)
     assert len(suspects) == 0
 
 
 def test_withdrawn_crash_is_cleared_for_all_calls() -> None:
     suspects = Suspects()
     for fingerprint in ('aa', 'bb'):
-        suspects.note_end(Fingerprint(fingerprint), ReplicaEnd('r1', 5))
-    suspects.withdraw_crash(ReplicaEnd('r1', 5))
-    assert [state.open_count for state in suspects.states()] == [0, 0]
+        suspects.record_crash(Fingerprint(fingerprint), ReplicaCrash('r1', 5))
+    suspects.withdraw_crash(ReplicaCrash('r1', 5))
+    assert [state.crash_count for state in suspects.states()] == [0, 0]
 
 
 def test_suspects_with_fewest_crashes_and_oldest_are_evicted_first() -> None:
     with virtual_clock() as clock:
         suspects = Suspects()
         quarantined = Fingerprint('rests')
-        suspects.note_end(quarantined, ReplicaEnd('r1'))
-        suspects.note_end(quarantined, ReplicaEnd('r2'))
+        suspects.record_crash(quarantined, ReplicaCrash('r1'))
+        suspects.record_crash(quarantined, ReplicaCrash('r2'))
         for number in range(MAX_SUSPECTS + 1):
             clock.advance(0.1)
-            suspects.note_end(Fingerprint(f'{number:016x}'), ReplicaEnd('r1'))
+            suspects.record_crash(Fingerprint(f'{number:016x}'), ReplicaCrash('r1'))
         assert len(suspects) <= MAX_SUSPECTS
         assert suspects.state_of(quarantined) is not None
         assert suspects.state_of(Fingerprint(f'{0:016x}')) is None
@@ -124,7 +126,9 @@
             fingerprint = Fingerprint(f'{number:016x}')
             for replica in range(crashes_each):
                 # Each has its own strings, as in decoded messages.
-                suspects.note_end(fingerprint, ReplicaEnd(f'i-{number:05x}{replica:05x}', 10**12))
+                suspects.record_crash(
+                    fingerprint, ReplicaCrash(f'i-{number:05x}{replica:05x}', 10**12)
+                )
         taken_bytes = tracemalloc.get_traced_memory()[0]
     finally:
         tracemalloc.stop()
--- a/tests/gateway/test_deadly_call.py
+++ b/tests/gateway/test_deadly_call.py
@@ -143,10 +143,10 @@
         assert len(world.ends) >= 2
         found = [world.components(number).suspects for number in range(len(CENTRES))]
         counts = [
-            state.open_count
+            state.crash_count
             for suspects in found
             for state in suspects.states()
-            if state.open_count > 1
+            if state.crash_count > 1
         ]
         # The marked call alone, at each gateway.
         assert len(counts) == len(CENTRES)
--- a/tests/membership/test_crash_exchange.py
+++ b/tests/membership/test_crash_exchange.py
@@ -11,7 +11,7 @@
 import pytest
 
 from limeshelf.calls.fingerprint import Fingerprint
-from limeshelf.crashes.suspects import NewsSource, ReplicaEnd, Suspects, SuspectState
+from limeshelf.crashes.suspects import NewsSource, ReplicaCrash, Suspects, SuspectState
 from limeshelf.membership import crash_exchange
 from limeshelf.membership.broadcast_queue import MAX_BATCH_WINDOWS
 from limeshelf.membership.crash_exchange import CrashExchange
@@ -27,7 +27,7 @@
 #: ends break off at all gateways.
 MAX_DELAY_S = 0.02
 BREAK_OFF_S = 0.003
-END = ReplicaEnd('i-0123456789', 1_784_591_736_000)
+END = ReplicaCrash('i-0123456789', 1_784_591_736_000)
 
 
 @pytest.fixture(autouse=True)
@@ -115,10 +115,10 @@
 
     def scenario() -> None:
         for number in (2, 4, 8):
-            exchanges[number].suspects.note_end(CALL, ReplicaEnd(f'r{number}'))
+            exchanges[number].suspects.record_crash(CALL, ReplicaCrash(f'r{number}'))
 
     run_fleet(exchanges, scenario)
-    counts = [exchange.suspects.state_of(CALL).open_count for exchange in exchanges]
+    counts = [exchange.suspects.state_of(CALL).crash_count for exchange in exchanges]
     assert counts == [3] * 9
     # Three gateways send to two relays each, and six relays send to two gateways and four relays
     # each. A gateway forwards an item only if it is new to it.
@@ -130,12 +130,12 @@
 
     def scenario() -> None:
         for exchange in exchanges:
-            state = SuspectState(CALL, frozenset({END, ReplicaEnd('r')}))
+            state = SuspectState(CALL, frozenset({END, ReplicaCrash('r')}))
             exchange.suspects.merge(state, NewsSource.ROW)
-        exchanges[5].suspects.note_finished(CALL)
+        exchanges[5].suspects.record_completion(CALL)
 
     run_fleet(exchanges, scenario)
-    assert [exchange.suspects.state_of(CALL).open_count for exchange in exchanges] == [0] * 6
+    assert [exchange.suspects.state_of(CALL).crash_count for exchange in exchanges] == [0] * 6
 
 
 def test_suspects_from_rows_of_the_store_are_not_broadcast() -> None:
@@ -164,7 +164,7 @@
             fingerprint = Fingerprint(f'{number:016x}')
             suspects = exchanges[6 * number % 300].suspects
             loop.call_later(
-                network.delays.uniform(0.0, BREAK_OFF_S), suspects.note_end, fingerprint, END
+                network.delays.uniform(0.0, BREAK_OFF_S), suspects.record_crash, fingerprint, END
             )
 
     run_fleet(exchanges, scenario)
--- a/tests/placement/test_service.py
+++ b/tests/placement/test_service.py
@@ -9,7 +9,7 @@
 import attrs
 
 from limeshelf.calls.routes import EngineSpec, ModelSpec, ServiceSpec
-from limeshelf.crashes.end_watch import EndWatch
+from limeshelf.crashes.end_watch import CrashDetector
 from limeshelf.crashes.lost_loads import LostLoads
 from limeshelf.crashes.suspects import Suspects
 from limeshelf.demand.keys import KeyDemand, ModelKey
@@ -80,7 +80,7 @@
         5.0,
         lambda model, tokens: 0.0,
         lambda: None,
-        LostLoads(Suspects(), EndWatch(directory, Suspects(), tasks)),
+        LostLoads(Suspects(), CrashDetector(directory, Suspects(), tasks)),
     )
 
 
