--- a/limeshelf/crashes/keeper.py
+++ b/limeshelf/crashes/keeper.py
@@ -47,7 +47,7 @@
 
 
 @attrs.define
-class QuarantineKeeper:
+class QuarantineSync:
     """Writes rows of suspects observed by this gateway, and merges the rows of all gateways."""
 
     store: RowTable
@@ -60,7 +60,7 @@
     def __attrs_post_init__(self) -> None:
         self.suspects.add_listener(self._on_change)
 
-    def take_row(self, row: Row) -> bool:
+    def apply_row(self, row: Row) -> bool:
         """Apply a row of the table; return whether it could be decoded.
 
         Rows are deleted when the table is full. The deletion of a row does not clear the suspect.
@@ -84,7 +84,7 @@
             self._unwritten.add(fingerprint)
             self._has_unwritten.set()
 
-    def note_return(self, copy: TableCopy) -> None:
+    def rewrite_lost_rows(self, copy: TableCopy) -> None:
         """Schedule rows to be written that are missing or outdated in the store's later era."""
         era = copy.position.era
         self._unwritten.update(Fingerprint(key) for key in self._rows)
@@ -137,7 +137,7 @@
             except ConditionFailed as failed:
                 self._rows.pop(fingerprint, None)
                 for row in failed.rows:
-                    self.take_row(row)
+                    self.apply_row(row)
 
     def _state_to_write(self, fingerprint: Fingerprint) -> SuspectState | None:
         """Return the state to write; ``None`` if the row already contains it."""
--- a/limeshelf/crashes/lost_loads.py
+++ b/limeshelf/crashes/lost_loads.py
@@ -32,16 +32,16 @@
     suspects: Suspects
     detector: CrashDetector
 
-    def note_came(self, service: str, model: str, adapter: str) -> None:
+    def record_loaded(self, service: str, model: str, adapter: str) -> None:
         """Record that a load completed."""
         self.suspects.record_completion(load_fingerprint(service, model, adapter))
 
-    def note_lost(self, replica: Replica, model: str, adapter: str) -> None:
+    def record_lost(self, replica: Replica, model: str, adapter: str) -> None:
         """Record that a replica does not respond after a load was ordered, or lacks its model."""
         fingerprint = load_fingerprint(replica.record.service, model, adapter)
         self.detector.record_lost_load(fingerprint, replica)
 
-    def is_barred(self, service: str, model: str, adapter: str = '') -> bool:
+    def is_blocked(self, service: str, model: str, adapter: str = '') -> bool:
         """Return whether a load may not be ordered."""
         state = self.suspects.state_of(load_fingerprint(service, model, adapter))
         return (
--- a/limeshelf/crashes/quarantine.py
+++ b/limeshelf/crashes/quarantine.py
@@ -5,10 +5,11 @@
 
 * One crash: the call runs normally. Most interrupted calls are not the cause: in a simulation
   with a call that crashed nine replicas, 243 other calls were interrupted.
-* Two isolated crashes: the call is refused for :data:`PAUSE_S`; afterwards each gateway sends it
-  once per such period. Coincident crashes do not count here, because a single partition that
-  resets connections looks the same. While they counted, two of about 13,500 calls were refused in
-  six simulations of repeated crashes and partitions without a call that crashes replicas.
+* Two isolated crashes: the call is refused for :data:`TEMPORARY_QUARANTINE_S`; afterwards each
+  gateway sends it once per such period. Coincident crashes do not count here, because a single
+  partition that resets connections looks the same. While they counted, two of about 13,500 calls
+  were refused in six simulations of repeated crashes and partitions without a call that crashes
+  replicas.
 * Three crashes of either kind: the call is refused permanently. The same call is still refused a
   day later, unless its suspect was evicted to limit memory.
 
@@ -29,12 +30,12 @@
 
 #: Isolated crashes from which a call is refused for a time. With three, each such call would
 #: crash one more replica, and interrupt all calls there (11 to 48 in the simulation above).
-REST_ENDS = 2
+TEMPORARY_QUARANTINE_CRASHES = 2
 #: Crashes from which a call is refused permanently: the users' limit for one request.
 PERMANENT_QUARANTINE_CRASHES = 3
 #: How long a call is refused after the second crash. Longer than any caller waits for a
 #: response, and short enough for a periodic call that was running at two crashes by chance.
-PAUSE_S = 300.0
+TEMPORARY_QUARANTINE_S = 300.0
 #: Retry time sent to the caller of a permanently refused call: one day.
 PERMANENT_RETRY_AFTER_S = 86_400.0
 
@@ -42,7 +43,7 @@
 def is_quarantined(state: SuspectState) -> bool:
     """Return whether a call is quarantined, for a time or permanently."""
     return (
-        state.isolated_crash_count >= REST_ENDS
+        state.isolated_crash_count >= TEMPORARY_QUARANTINE_CRASHES
         or state.crash_count >= PERMANENT_QUARANTINE_CRASHES
     )
 
@@ -80,15 +81,15 @@
         if crashes >= PERMANENT_QUARANTINE_CRASHES:
             return Quarantined(crashes, PERMANENT_RETRY_AFTER_S)
         isolated = unconfirmed_crashes + (state.isolated_crash_count if state is not None else 0)
-        if (crashes if broken_twice else isolated) < REST_ENDS:
+        if (crashes if broken_twice else isolated) < TEMPORARY_QUARANTINE_CRASHES:
             return None
         age_s = self.suspects.age_s(fingerprint) if state is not None else 0.0
-        if age_s < PAUSE_S:
-            return Quarantined(crashes, PAUSE_S - age_s)
+        if age_s < TEMPORARY_QUARANTINE_S:
+            return Quarantined(crashes, TEMPORARY_QUARANTINE_S - age_s)
         return None
 
-    def note_sent(self, fingerprint: Fingerprint) -> None:
+    def record_sent(self, fingerprint: Fingerprint) -> None:
         """Record that a call is sent; a call in temporary quarantine is then refused again."""
         state = self.suspects.state_of(fingerprint)
-        if state is not None and state.isolated_crash_count >= REST_ENDS:
+        if state is not None and state.isolated_crash_count >= TEMPORARY_QUARANTINE_CRASHES:
             self.suspects.reset_age(fingerprint)
--- a/limeshelf/gateway/quarantine.py
+++ b/limeshelf/gateway/quarantine.py
@@ -9,7 +9,7 @@
 
 import attrs
 
-from limeshelf.crashes.quarantine import REST_ENDS
+from limeshelf.crashes.quarantine import TEMPORARY_QUARANTINE_CRASHES
 from limeshelf.errors import NotRun, RefusalReason
 from limeshelf.gateway.learning import CallLesson, call_lesson_of
 from limeshelf.gateway.settling import STATUS_UNAVAILABLE, Refuse
@@ -28,7 +28,7 @@
     """Checks calls before each send, and notes what became of them."""
 
     quarantine: Quarantine
-    watch: CrashDetector
+    detector: CrashDetector
 
     def check(self, fingerprint: Fingerprint) -> Refuse | None:
         """Return how a call is refused by what is known now; ``None`` if it may be sent."""
@@ -41,16 +41,16 @@
         Waited for only where the call would be refused if they had.
         """
         fingerprint = state.fingerprint
-        broken_twice = state.runs >= REST_ENDS
-        unconfirmed = self.watch.unconfirmed_crashes(fingerprint)
+        broken_twice = state.runs >= TEMPORARY_QUARANTINE_CRASHES
+        unconfirmed = self.detector.unconfirmed_crashes(fingerprint)
         if self.quarantine.check(fingerprint, unconfirmed, broken_twice=broken_twice):
-            await self.watch.wait_until_checked(fingerprint)
+            await self.detector.wait_until_checked(fingerprint)
         quarantined = self.quarantine.check(fingerprint, broken_twice=broken_twice)
         return _refusal_of(quarantined) if quarantined is not None else None
 
     def note_sent(self, fingerprint: Fingerprint) -> None:
         """Note that a call is sent."""
-        self.quarantine.note_sent(fingerprint)
+        self.quarantine.record_sent(fingerprint)
 
     def note_result(
         self, state: CallState, replica: Replica, result: Result, sent_s: float
@@ -61,9 +61,9 @@
         """
         lesson = call_lesson_of(result)
         if lesson is CallLesson.BROKEN_OFF:
-            self.watch.record_interrupted_call(state.fingerprint, replica)
+            self.detector.record_interrupted_call(state.fingerprint, replica)
         elif lesson is not CallLesson.NOTHING:
-            self.watch.record_response(replica, sent_s)
+            self.detector.record_response(replica, sent_s)
         if lesson is CallLesson.FINISHED:
             self.quarantine.suspects.record_completion(state.fingerprint)
 
--- a/limeshelf/placement/move_runner.py
+++ b/limeshelf/placement/move_runner.py
@@ -114,9 +114,9 @@
 
     def _note_load_ended(self, replica: Replica, task: OrderTask) -> None:
         if task.is_done(replica):
-            self._lost_loads.note_came(replica.record.service, task.model, task.adapter)
+            self._lost_loads.record_loaded(replica.record.service, task.model, task.adapter)
         else:
-            self._lost_loads.note_lost(replica, *task.item)
+            self._lost_loads.record_lost(replica, *task.item)
 
     async def _run(self, replica: Replica, tasks: list[OrderTask]) -> bool:
         try:
--- a/limeshelf/placement/service.py
+++ b/limeshelf/placement/service.py
@@ -145,7 +145,7 @@
         copies = self._replicas.copies(service)
         starved_s = self._starvation.step(service, demands, copies)
         first_copies = self._replicas.first_copies(service)
-        barred = {name for name in engine.models if self._lost_loads.is_barred(service, name)}
+        barred = {name for name in engine.models if self._lost_loads.is_blocked(service, name)}
         planner = CopyPlanner(engine, demands, first_copies, starved_s, barred, self._turns)
         self._survey_log.note_replicas(service, copies)
         await self._begin_moves(service, engine, planner, copies)
@@ -201,7 +201,7 @@
         pending = {replica.replica_id: self._sender.pending(replica) for replica in replicas}
         planner = self._adapter_planner(service, engine)
         for key in keys:
-            barred = self._lost_loads.is_barred(service, key.model, key.adapter)
+            barred = self._lost_loads.is_blocked(service, key.model, key.adapter)
             if barred or not self._moves.may_try(key):
                 continue
             move = planner.plan(key, pending)
--- a/limeshelf/programs/components.py
+++ b/limeshelf/programs/components.py
@@ -13,7 +13,7 @@
 from limeshelf.admission.retry_budget import RetryBudgets, RetryRule
 from limeshelf.calls.in_force import ConfigInForce
 from limeshelf.crashes.end_watch import CrashDetector
-from limeshelf.crashes.keeper import QuarantineKeeper
+from limeshelf.crashes.keeper import QuarantineSync
 from limeshelf.crashes.lost_loads import LostLoads
 from limeshelf.crashes.quarantine import Quarantine
 from limeshelf.crashes.suspects import Suspects
@@ -134,7 +134,7 @@
         self.suspects = Suspects()
         self.crash_detector = CrashDetector(self.directory, self.suspects, tasks)
         self.lost_loads = LostLoads(self.suspects, self.crash_detector)
-        self.quarantine_keeper = QuarantineKeeper(self.store, self.suspects)
+        self.quarantine_sync = QuarantineSync(self.store, self.suspects)
         self.suspension = SuspensionWatch(self._note_woke)
         self.crashes = CrashExchange(self.node, self.members, self.suspects)
 
@@ -158,7 +158,7 @@
             settings.instance_id,
             self.metrics,
             self.in_force.get,
-            lambda replica, item: self.lost_loads.note_lost(replica, *item),
+            lambda replica, item: self.lost_loads.record_lost(replica, *item),
         )
         self.placement = PlacementService(
             self.directory,
@@ -223,7 +223,7 @@
             config_rows,
             self.directory,
             self.registration,
-            self.quarantine_keeper,
+            self.quarantine_sync,
             settings.freshness,
             self.metrics,
         )
--- a/limeshelf/programs/followed_tables.py
+++ b/limeshelf/programs/followed_tables.py
@@ -31,7 +31,7 @@
     from collections.abc import Callable
 
     from limeshelf.calls.in_force import ConfigInForce
-    from limeshelf.crashes.keeper import QuarantineKeeper
+    from limeshelf.crashes.keeper import QuarantineSync
     from limeshelf.feeds.rows import Row, RowTable
     from limeshelf.membership.registration import Registration
     from limeshelf.membership.row_exchange import RowExchange
@@ -149,7 +149,7 @@
     config_rows: ConfigRows,
     directory: ReplicaDirectory,
     registration: Registration,
-    keeper: QuarantineKeeper,
+    quarantine_sync: QuarantineSync,
     freshness: FreshnessSettings,
     metrics: GatewayMetrics,
 ) -> list[TableFollower]:
@@ -170,7 +170,7 @@
         ),
         TableCopy(
             QUARANTINE_TABLE,
-            _counted(QUARANTINE_TABLE, keeper.take_row, metrics),
+            _counted(QUARANTINE_TABLE, quarantine_sync.apply_row, metrics),
             QUARANTINE_RULE,
             OWN_RETURN,
         ),
@@ -181,7 +181,7 @@
         )
     (_, _, members, quarantine) = copies
     members.return_listeners.append(registration.rewrite_if_lost)
-    quarantine.return_listeners.append(keeper.note_return)
+    quarantine.return_listeners.append(quarantine_sync.rewrite_lost_rows)
     rows.copies.update({copy.table: copy for copy in copies})
     reach = StoreReach()
     return [TableFollower(copy, store, rows, reach, rows.broadcast_page) for copy in copies]
--- a/limeshelf/programs/gateway.py
+++ b/limeshelf/programs/gateway.py
@@ -86,7 +86,7 @@
         self.tasks.keep(components.crashes.run, 'crashes')
         self.tasks.keep(components.notice_exchange.run, 'notices')
         self.tasks.keep(components.crash_detector.run, 'replica-ends')
-        self.tasks.keep(components.quarantine_keeper.run, 'quarantine')
+        self.tasks.keep(components.quarantine_sync.run, 'quarantine')
         self.tasks.keep(components.registration.keep_row, 'register', components.store)
         self.tasks.keep(components.dispatch.run, 'dispatch')
         self.tasks.keep(self._lead, 'lead')
--- a/tests/crashes/test_end_watch.py
+++ b/tests/crashes/test_end_watch.py
@@ -46,7 +46,7 @@
         assert replica is not None
         return replica
 
-    def crash_count(self, fingerprint: Fingerprint = CALL) -> int:
+    def suspected_crashes(self, fingerprint: Fingerprint = CALL) -> int:
         """Return the number of crashes that a call is suspected of."""
         state = self.suspects.state_of(fingerprint)
         return state.crash_count if state is not None else 0
@@ -91,9 +91,9 @@
         world.detector.record_interrupted_call(OTHER, replica)
         assert world.detector.unconfirmed_crashes(CALL) == 1
         await world.detector.wait_until_checked(CALL)
-        assert (world.crash_count(CALL), world.crash_count(OTHER)) == (1, 1)
+        assert (world.suspected_crashes(CALL), world.suspected_crashes(OTHER)) == (1, 1)
         world.detector.record_interrupted_call(Fingerprint('cc'), replica)
-        assert world.crash_count(Fingerprint('cc')) == 1
+        assert world.suspected_crashes(Fingerprint('cc')) == 1
 
     run_scenario(scenario)
 
@@ -105,7 +105,7 @@
         await asyncio.sleep(0.01)
         await world.close_listener()
         await world.detector.wait_until_checked(CALL)
-        assert world.crash_count() == 1
+        assert world.suspected_crashes() == 1
 
     run_scenario(scenario)
 
@@ -122,7 +122,7 @@
         await world.detector.wait_until_checked(CALL)
         await asyncio.sleep(0.1)
         listener.close()
-        assert world.crash_count() == 0
+        assert world.suspected_crashes() == 0
 
     run_scenario(scenario)
 
@@ -132,10 +132,10 @@
         replica = world.add(born_ms=BORN_MS)
         world.detector.record_interrupted_call(CALL, replica)
         await world.detector.wait_until_checked(CALL)
-        assert world.crash_count() == 0
+        assert world.suspected_crashes() == 0
         world.add(born_ms=BORN_MS + 900)
         await asyncio.sleep(0.1)
-        assert world.crash_count() == 1
+        assert world.suspected_crashes() == 1
 
     run_scenario(scenario)
 
@@ -146,7 +146,7 @@
         await world.detector.wait_until_checked(CALL)
         world.add('r2')
         await asyncio.sleep(0.1)
-        assert world.crash_count() == 1
+        assert world.suspected_crashes() == 1
 
     run_scenario(scenario)
 
@@ -160,7 +160,7 @@
         await world.detector.wait_until_checked(CALL)
         world.directory.mark_gone(replica, 'record_dropped')
         await asyncio.sleep(0.1)
-        assert world.crash_count() == 0
+        assert world.suspected_crashes() == 0
 
     run_scenario(scenario)
 
@@ -171,7 +171,7 @@
         await world.close_listener()
         world.detector.record_interrupted_call(CALL, replica)
         await asyncio.sleep(0.1)
-        assert world.crash_count() == 0
+        assert world.suspected_crashes() == 0
 
     run_scenario(scenario)
 
@@ -188,9 +188,9 @@
         world.detector.record_interrupted_call(CALL, replica)
         await world.detector.wait_until_checked(CALL)
         world.detector.record_response(replica, sent_s=0.0)
-        assert world.crash_count() == 1
+        assert world.suspected_crashes() == 1
         world.detector.record_response(replica, sent_s=boottime_s())
-        assert world.crash_count() == crashes
+        assert world.suspected_crashes() == crashes
 
     run_scenario(scenario)
 
@@ -211,7 +211,7 @@
             monkeypatch.setattr(asyncio, 'open_connection', silent)
         world.detector.record_lost_load(CALL, replica)
         await world.detector.wait_until_checked(CALL)
-        assert world.crash_count() == crashes
+        assert world.suspected_crashes() == crashes
 
     run_scenario(scenario)
 
@@ -235,7 +235,7 @@
         world.detector.record_interrupted_call(OTHER, replicas[2])
         await world.detector.wait_until_checked(CALL)
         await world.detector.wait_until_checked(OTHER)
-        assert world.crash_count() == 2
+        assert world.suspected_crashes() == 2
         assert Quarantine(world.suspects).check(CALL) is None
 
     run_scenario(scenario)
--- a/tests/crashes/test_keeper.py
+++ b/tests/crashes/test_keeper.py
@@ -10,7 +10,7 @@
 
 from limeshelf.calls.fingerprint import Fingerprint
 from limeshelf.crashes import keeper as keeper_module
-from limeshelf.crashes.keeper import QuarantineKeeper
+from limeshelf.crashes.keeper import QuarantineSync
 from limeshelf.crashes.rows import QUARANTINE_TABLE, decode_value, encode_value
 from limeshelf.crashes.suspects import NewsSource, ReplicaCrash, Suspects, SuspectState
 from limeshelf.errors import PlatformUnavailable, PlatformUnknown
@@ -68,13 +68,13 @@
         monkeypatch.setattr(keeper_module, name, 0.0)
 
 
-def run_keepers(store: Store, *suspects: Suspects, update: Any) -> None:
-    """Run a keeper for the suspects of each gateway, and call *update* with the keepers."""
+def run_syncs(store: Store, *suspects: Suspects, update: Any) -> None:
+    """Run a sync task for the suspects of each gateway, and call *update* with the objects."""
 
     async def scenario() -> None:
-        keepers = [QuarantineKeeper(store, one) for one in suspects]
-        tasks = [asyncio.create_task(keeper.run()) for keeper in keepers]
-        update(*keepers)
+        syncs = [QuarantineSync(store, one) for one in suspects]
+        tasks = [asyncio.create_task(sync.run()) for sync in syncs]
+        update(*syncs)
         await asyncio.sleep(0.02)
         for task in tasks:
             task.cancel()
@@ -90,14 +90,14 @@
 def test_second_crash_is_written_by_the_gateway_that_observed_one() -> None:
     store, observer, receiver = Store(), Suspects(), Suspects()
 
-    def update(*_: QuarantineKeeper) -> None:
+    def update(*_: QuarantineSync) -> None:
         observer.record_crash(CALL, R1)
         assert store.writes == 0
         received = SuspectState(CALL, frozenset({R1, R2}))
         observer.merge(received, NewsSource.PEER)
         receiver.merge(received, NewsSource.PEER)
 
-    run_keepers(store, observer, receiver, update=update)
+    run_syncs(store, observer, receiver, update=update)
     state = stored(store)
     assert state is not None and state.crashes == {R1, R2}
     assert store.writes == 1
@@ -114,11 +114,11 @@
 def test_write_with_failed_or_unknown_outcome_is_retried(failures: list[Exception]) -> None:
     store, observer = Store(failures=failures), Suspects()
 
-    def update(*_: QuarantineKeeper) -> None:
+    def update(*_: QuarantineSync) -> None:
         observer.record_crash(CALL, R1)
         observer.record_crash(CALL, R2)
 
-    run_keepers(store, observer, update=update)
+    run_syncs(store, observer, update=update)
     state = stored(store)
     assert state is not None and state.crash_count == 2
 
@@ -126,13 +126,13 @@
 def test_concurrent_writes_of_two_gateways_are_merged() -> None:
     store, first, second = Store(), Suspects(), Suspects()
 
-    def update(*_: QuarantineKeeper) -> None:
+    def update(*_: QuarantineSync) -> None:
         first.record_crash(CALL, R1)
         first.record_crash(CALL, R2)
         second.record_crash(CALL, R2)
         second.record_crash(CALL, R3)
 
-    run_keepers(store, first, second, update=update)
+    run_syncs(store, first, second, update=update)
     state = stored(store)
     assert state is not None and state.crashes == {R1, R2, R3}
 
@@ -140,12 +140,12 @@
 def test_cleared_call_is_cleared_in_its_row() -> None:
     store, observer = Store(), Suspects()
 
-    def update(keeper: QuarantineKeeper) -> None:
+    def update(sync: QuarantineSync) -> None:
         state = SuspectState(CALL, frozenset({R1, R2}))
-        keeper.take_row(Row(CALL, encode_value(state), at(0)))
+        sync.apply_row(Row(CALL, encode_value(state), at(0)))
         observer.record_completion(CALL)
 
-    run_keepers(store, observer, update=update)
+    run_syncs(store, observer, update=update)
     state = stored(store)
     assert state is not None and state.crash_count == 0
 
@@ -153,13 +153,13 @@
 def test_starting_gateway_reads_the_rows_and_writes_none() -> None:
     store, new = Store(), Suspects()
 
-    def update(keeper: QuarantineKeeper) -> None:
+    def update(sync: QuarantineSync) -> None:
         state = SuspectState(CALL, frozenset({R1, R2, R3}))
-        assert keeper.take_row(Row(CALL, encode_value(state), at(4)))
-        assert not keeper.take_row(Row('bb', b'no such row', at(5)))
-        assert keeper.take_row(Row(CALL, b'', at(6), gone=True))
+        assert sync.apply_row(Row(CALL, encode_value(state), at(4)))
+        assert not sync.apply_row(Row('bb', b'no such row', at(5)))
+        assert sync.apply_row(Row(CALL, b'', at(6), gone=True))
 
-    run_keepers(store, new, update=update)
+    run_syncs(store, new, update=update)
     known = new.state_of(CALL)
     assert known is not None and known.crash_count == 3
     assert store.writes == 0
@@ -169,30 +169,30 @@
     monkeypatch.setattr(keeper_module, 'MAX_ROWS', 2)
     store, observer = Store(), Suspects()
 
-    def update(*_: QuarantineKeeper) -> None:
+    def update(*_: QuarantineSync) -> None:
         for number in range(3):
             observer.record_crash(Fingerprint(f'c{number}'), R1)
             observer.record_crash(Fingerprint(f'c{number}'), R2)
 
-    run_keepers(store, observer, update=update)
+    run_syncs(store, observer, update=update)
     assert len(store.rows) == 2
 
 
 def test_rows_lost_by_the_store_are_written_again() -> None:
     store, first, second = Store(), Suspects(), Suspects()
 
-    def update(*keepers: QuarantineKeeper) -> None:
+    def update(*syncs: QuarantineSync) -> None:
         state = SuspectState(CALL, frozenset({R1, R2}))
         copy = TableCopy(QUARANTINE_TABLE, lambda row: None)
         row = Row(CALL, encode_value(state), at(60, 1))
         copy.take_full(Page((row,), at(60, 1)))
-        for keeper in keepers:
-            keeper.take_row(row)
+        for sync in syncs:
+            sync.apply_row(row)
         copy.take_full(Page((), at(40, 2)))
-        for keeper in keepers:
-            keeper.note_return(copy)
+        for sync in syncs:
+            sync.rewrite_lost_rows(copy)
 
-    run_keepers(store, first, second, update=update)
+    run_syncs(store, first, second, update=update)
     state = stored(store)
     assert state is not None and state.crashes == {R1, R2}
 
@@ -201,13 +201,13 @@
     store, observer = Store(), Suspects()
     store.rows[CALL] = Row(CALL, encode_value(SuspectState(CALL, frozenset({R1}))), at(40, 2))
 
-    def update(keeper: QuarantineKeeper) -> None:
-        copy = TableCopy(QUARANTINE_TABLE, keeper.take_row)
+    def update(sync: QuarantineSync) -> None:
+        copy = TableCopy(QUARANTINE_TABLE, sync.apply_row)
         state = SuspectState(CALL, frozenset({R1, R2}))
         copy.take_full(Page((Row(CALL, encode_value(state), at(60, 1)),), at(60, 1)))
         copy.take_full(Page((store.rows[CALL],), at(41, 2)))
-        keeper.note_return(copy)
+        sync.rewrite_lost_rows(copy)
 
-    run_keepers(store, observer, update=update)
+    run_syncs(store, observer, update=update)
     state = stored(store)
     assert state is not None and state.crashes == {R1, R2}
--- a/tests/crashes/test_lost_loads.py
+++ b/tests/crashes/test_lost_loads.py
@@ -34,12 +34,12 @@
     isolated: int, coincident: int, blocked: bool
 ) -> None:
     loads = lost_loads(isolated, coincident)
-    assert loads.is_barred('lm', 'm1', 'a1') == blocked
-    assert not loads.is_barred('lm', 'm1')
-    assert not loads.is_barred('other', 'm1', 'a1')
+    assert loads.is_blocked('lm', 'm1', 'a1') == blocked
+    assert not loads.is_blocked('lm', 'm1')
+    assert not loads.is_blocked('other', 'm1', 'a1')
 
 
 def test_completed_load_is_no_longer_blocked() -> None:
     loads = lost_loads(3, 0)
-    loads.note_came('lm', 'm1', 'a1')
-    assert not loads.is_barred('lm', 'm1', 'a1')
+    loads.record_loaded('lm', 'm1', 'a1')
+    assert not loads.is_blocked('lm', 'm1', 'a1')
--- a/tests/crashes/test_quarantine.py
+++ b/tests/crashes/test_quarantine.py
@@ -5,7 +5,11 @@
 import pytest
 
 from limeshelf.calls.fingerprint import Fingerprint
-from limeshelf.crashes.quarantine import PAUSE_S, PERMANENT_RETRY_AFTER_S, Quarantine
+from limeshelf.crashes.quarantine import (
+    PERMANENT_RETRY_AFTER_S,
+    TEMPORARY_QUARANTINE_S,
+    Quarantine,
+)
 from limeshelf.crashes.suspects import ReplicaCrash, Suspects
 from limeshelf.util.clock import virtual_clock
 
@@ -26,9 +30,9 @@
         (0, 0, None),
         (1, 0, None),
         (0, 1, None),
-        (1, 1, PAUSE_S),
-        (2, 0, PAUSE_S),
-        (0, 2, PAUSE_S),
+        (1, 1, TEMPORARY_QUARANTINE_S),
+        (2, 0, TEMPORARY_QUARANTINE_S),
+        (0, 2, TEMPORARY_QUARANTINE_S),
         (3, 0, PERMANENT_RETRY_AFTER_S),
         (2, 1, PERMANENT_RETRY_AFTER_S),
     ],
@@ -46,10 +50,10 @@
         rule = quarantine(2)
         clock.advance(100.0)
         found = rule.check(CALL)
-        assert found is not None and found.retry_after_s == PAUSE_S - 100.0
-        clock.advance(PAUSE_S)
+        assert found is not None and found.retry_after_s == TEMPORARY_QUARANTINE_S - 100.0
+        clock.advance(TEMPORARY_QUARANTINE_S)
         assert rule.check(CALL) is None
-        rule.note_sent(CALL)
+        rule.record_sent(CALL)
         assert rule.check(CALL) is not None
 
 
@@ -64,7 +68,7 @@
 
 def test_send_of_an_unsuspected_call_has_no_effect() -> None:
     rule = quarantine(0)
-    rule.note_sent(CALL)
+    rule.record_sent(CALL)
     assert rule.check(CALL) is None
 
 
