--- a/limeshelf/crashes/lost_loads.py
+++ b/limeshelf/crashes/lost_loads.py
@@ -20,7 +20,7 @@
 from limeshelf.crashes.quarantine import PERMANENT_QUARANTINE_CRASHES
 
 if TYPE_CHECKING:
-    from limeshelf.crashes.end_watch import CrashDetector
+    from limeshelf.crashes.crash_detector import CrashDetector
     from limeshelf.crashes.suspects import Suspects
     from limeshelf.replicas.replica import Replica
 
--- a/limeshelf/gateway/quarantine.py
+++ b/limeshelf/gateway/quarantine.py
@@ -16,7 +16,7 @@
 
 if TYPE_CHECKING:
     from limeshelf.calls.fingerprint import Fingerprint
-    from limeshelf.crashes.end_watch import CrashDetector
+    from limeshelf.crashes.crash_detector import CrashDetector
     from limeshelf.crashes.quarantine import Quarantine, Quarantined
     from limeshelf.gateway.exchange import Result
     from limeshelf.gateway.state import CallState
--- a/limeshelf/membership/crash_exchange.py
+++ b/limeshelf/membership/crash_exchange.py
@@ -2,7 +2,7 @@
 
 Suspects are broadcast through :mod:`~limeshelf.membership.broadcast_queue`. A gateway that is cut
 off from all others learns of a call only once the call is quarantined, from its row in the store
-(:mod:`limeshelf.crashes.keeper`).
+(:mod:`limeshelf.crashes.quarantine_sync`).
 """
 
 from __future__ import annotations
--- a/limeshelf/programs/components.py
+++ b/limeshelf/programs/components.py
@@ -12,10 +12,10 @@
 
 from limeshelf.admission.retry_budget import RetryBudgets, RetryRule
 from limeshelf.calls.in_force import ConfigInForce
-from limeshelf.crashes.end_watch import CrashDetector
-from limeshelf.crashes.keeper import QuarantineSync
+from limeshelf.crashes.crash_detector import CrashDetector
 from limeshelf.crashes.lost_loads import LostLoads
 from limeshelf.crashes.quarantine import Quarantine
+from limeshelf.crashes.quarantine_sync import QuarantineSync
 from limeshelf.crashes.suspects import Suspects
 from limeshelf.demand.meter import DemandMeter
 from limeshelf.demand.unserved import UnservedKind
--- a/limeshelf/programs/followed_tables.py
+++ b/limeshelf/programs/followed_tables.py
@@ -31,7 +31,7 @@
     from collections.abc import Callable
 
     from limeshelf.calls.in_force import ConfigInForce
-    from limeshelf.crashes.keeper import QuarantineSync
+    from limeshelf.crashes.quarantine_sync import QuarantineSync
     from limeshelf.feeds.rows import Row, RowTable
     from limeshelf.membership.registration import Registration
     from limeshelf.membership.row_exchange import RowExchange
--- a/tests/crashes/test_end_watch.py
+++ b/tests/crashes/test_crash_detector.py
@@ -10,8 +10,8 @@
 import pytest
 
 from limeshelf.calls.fingerprint import Fingerprint
-from limeshelf.crashes import end_watch as detector_module
-from limeshelf.crashes.end_watch import CrashDetector
+from limeshelf.crashes import crash_detector as detector_module
+from limeshelf.crashes.crash_detector import CrashDetector
 from limeshelf.crashes.quarantine import Quarantine
 from limeshelf.crashes.suspects import Suspects
 from limeshelf.replicas.directory import ReplicaDirectory
--- a/tests/crashes/test_lost_loads.py
+++ b/tests/crashes/test_lost_loads.py
@@ -5,7 +5,7 @@
 import pytest
 
 from limeshelf.calls.fingerprint import load_fingerprint
-from limeshelf.crashes.end_watch import CrashDetector
+from limeshelf.crashes.crash_detector import CrashDetector
 from limeshelf.crashes.lost_loads import LostLoads
 from limeshelf.crashes.suspects import ReplicaCrash, Suspects
 from limeshelf.replicas.directory import ReplicaDirectory
--- a/tests/crashes/test_keeper.py
+++ b/tests/crashes/test_quarantine_sync.py
@@ -9,8 +9,8 @@
 import pytest
 
 from limeshelf.calls.fingerprint import Fingerprint
-from limeshelf.crashes import keeper as keeper_module
-from limeshelf.crashes.keeper import QuarantineSync
+from limeshelf.crashes import quarantine_sync as sync_module
+from limeshelf.crashes.quarantine_sync import QuarantineSync
 from limeshelf.crashes.rows import QUARANTINE_TABLE, decode_value, encode_value
 from limeshelf.crashes.suspects import NewsSource, ReplicaCrash, Suspects, SuspectState
 from limeshelf.errors import PlatformUnavailable, PlatformUnknown
@@ -65,7 +65,7 @@
 @pytest.fixture(autouse=True)
 def no_delays(monkeypatch: pytest.MonkeyPatch) -> None:
     for name in ('WRITE_JITTER_S', 'REWRITE_JITTER_S', 'RETRY_BASE_S', 'RETRY_LIMIT_S'):
-        monkeypatch.setattr(keeper_module, name, 0.0)
+        monkeypatch.setattr(sync_module, name, 0.0)
 
 
 def run_syncs(store: Store, *suspects: Suspects, update: Any) -> None:
@@ -166,7 +166,7 @@
 
 
 def test_oldest_row_is_evicted(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(keeper_module, 'MAX_ROWS', 2)
+    monkeypatch.setattr(sync_module, 'MAX_ROWS', 2)
     store, observer = Store(), Suspects()
 
     def update(*_: QuarantineSync) -> None:
--- a/tests/placement/test_service.py
+++ b/tests/placement/test_service.py
@@ -9,7 +9,7 @@
 import attrs
 
 from limeshelf.calls.routes import EngineSpec, ModelSpec, ServiceSpec
-from limeshelf.crashes.end_watch import CrashDetector
+from limeshelf.crashes.crash_detector import CrashDetector
 from limeshelf.crashes.lost_loads import LostLoads
 from limeshelf.crashes.suspects import Suspects
 from limeshelf.demand.keys import KeyDemand, ModelKey
