--- a/limeshelf/replicas/notices.py
+++ b/limeshelf/replicas/notices.py
@@ -70,7 +70,7 @@
 
     directory: ReplicaDirectory
     on_change: Callable[[Replica, NoticeSource], None] = lambda replica, source: None
-    count: Callable[[NoticeKind], None] = lambda statement: None
+    count: Callable[[NoticeKind], None] = lambda kind: None
     unusable: set[ReplicaStart] = attrs.field(factory=set)
 
     def handle_call_response(self, replica: Replica, facts: AnswerFacts, sent_s: float) -> None:
--- a/tests/replicas/test_starts.py
+++ b/tests/replicas/test_starts.py
@@ -164,7 +164,7 @@
 
 
 @attrs.define
-class Statement:
+class Message:
     """A row or report, which may arrive late and more than once."""
 
     sent_s: float
@@ -191,7 +191,7 @@
         self.born_ms = 1_000_000
         self.count = 0
         self.models: tuple[str, ...] = ()
-        self.sent: list[Statement] = []
+        self.sent: list[Message] = []
         self.arrived: set[int] = set()
         self.newest = 0
         self.send_row()
@@ -200,27 +200,27 @@
         if hasattr(self, 'entered'):
             self.entered.__exit__(None, None, None)
 
-    def _create(self) -> Statement:
+    def _create(self) -> Message:
         self.count += 1
-        statement = Statement(self.clock.now_s, self.start, self.born_ms, self.count, self.models)
-        self.sent.append(statement)
-        return statement
+        message = Message(self.clock.now_s, self.start, self.born_ms, self.count, self.models)
+        self.sent.append(message)
+        return message
 
     def _deliver(
-        self, statement: Statement, source: StateSource, asked_s: float | None = None
+        self, message: Message, source: StateSource, asked_s: float | None = None
     ) -> None:
         if source is StateSource.ROW:
             self.directory.apply_row(
-                row(statement.born_ms, statement.count, next(self.numbers), statement.models)
+                row(message.born_ms, message.count, next(self.numbers), message.models)
             )
         else:
             self.directory.apply_report(
                 'r1',
-                report(statement.born_ms, statement.count, statement.models),
+                report(message.born_ms, message.count, message.models),
                 source,
                 asked_s=asked_s,
             )
-        self.newest = max(self.newest, statement.start)
+        self.newest = max(self.newest, message.start)
 
     @rule()
     def send_row(self) -> None:
@@ -243,7 +243,7 @@
     @rule(data=st.data(), source=st.sampled_from([StateSource.ROW, StateSource.PEER]))
     def deliver_late_or_again(self, data: Any, source: StateSource) -> None:
         oldest_s = self.clock.now_s - LATEST_S
-        late = [statement for statement in self.sent if statement.sent_s >= oldest_s]
+        late = [message for message in self.sent if message.sent_s >= oldest_s]
         if late:
             self._deliver(data.draw(st.sampled_from(late)), source)
 
@@ -278,9 +278,9 @@
         if replica is None:
             return
         starts = [
-            statement.start
-            for statement in self.sent
-            if statement.born_ms == replica.known_start.born_ms
+            message.start
+            for message in self.sent
+            if message.born_ms == replica.known_start.born_ms
         ]
         assert max(starts) == self.newest
 
@@ -292,9 +292,9 @@
         if replica is None:
             return
         expected = {
-            statement.models
-            for statement in self.sent
-            if statement.born_ms == replica.known_start.born_ms
+            message.models
+            for message in self.sent
+            if message.born_ms == replica.known_start.born_ms
         }
         assert tuple(sorted(replica.holdings)) in expected | {()}
 
