--- /dev/null
+++ b/limeshelf/crashes/crash_detector.py
@@ -0,0 +1,253 @@
+"""Detects whether a replica at which a call was interrupted has crashed.
+
+A call may be interrupted by a reset, a network partition or an invalid response. A crash is
+detected by a new connection that is refused or times out right after another connection to the
+replica broke. If a connection succeeds at once, a crash still shows within seconds by a later
+start of the replica, or by another replica at its address. A connection on which nothing arrives
+any more does not show a crash, since it may be due to a partition. A partition that resets
+connections looks like a crash of several replicas at once, so such crashes are marked as
+coincident.
+
+Owns the recently interrupted calls, and whether each start of a replica is known to have crashed.
+The directory provides starts and addresses.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import enum
+from typing import TYPE_CHECKING
+
+import attrs
+
+from limeshelf.crashes.suspects import ReplicaCrash
+from limeshelf.metrics.event_log import log_change
+from limeshelf.replicas.connections import CONNECT_TIMEOUT_S
+from limeshelf.util.clock import boottime_s
+
+if TYPE_CHECKING:
+    from limeshelf.calls.fingerprint import Fingerprint
+    from limeshelf.crashes.suspects import Suspects
+    from limeshelf.replicas.directory import ReplicaDirectory
+    from limeshelf.replicas.replica import Replica
+    from limeshelf.replicas.starts import ReplicaStart
+    from limeshelf.util.tasks import TaskSet
+
+#: A start of a replica is watched for this long after its last interrupted call. The row of a
+#: later start arrives about 3 s after the crash.
+WATCH_DURATION_S = 8.0
+#: Interval between checks for later starts.
+RESTART_CHECK_INTERVAL_S = 0.25
+#: Crashes that are detected within this time of each other are coincident. With nine gateways, a
+#: gateway detected all apparent crashes of one partition within 0.4 s; calls that crash replicas
+#: arrive at 0.6 per second in the simulation of :mod:`~limeshelf.crashes.quarantine`.
+COINCIDENCE_WINDOW_S = 0.5
+#: Attempts to connect after an interruption. A process that exits closes its sockets one by one,
+#: so its listener may still accept connections when the first call is interrupted.
+CONNECT_ATTEMPTS = 2
+#: Delay between these attempts.
+CONNECT_RETRY_DELAY_S = 0.15
+
+
+class _ConnectResult(enum.Enum):
+    """Outcome of an attempt to connect."""
+
+    ACCEPTED = enum.auto()
+    REFUSED = enum.auto()
+    #: Timed out.
+    SILENT = enum.auto()
+
+
+@attrs.define
+class _WatchedStart:
+    """A start of a replica at which calls or loads were interrupted.
+
+    :ivar interrupted: these calls and loads.
+    :ivar interrupted_s: time of the latest interruption, on the boot clock.
+    :ivar has_lost_connection: whether a connection broke. A lost load does not show that, since
+        the replica may be behind a partition that drops packets.
+    :ivar has_crashed: whether a crash of the start has been detected.
+    :ivar crash_detected_s: when it was detected, on the boot clock.
+    :ivar is_coincident: whether a crash of another replica was detected at about the same time.
+    :ivar check: task that tries to connect; ``None`` when it has ended.
+    """
+
+    replica: Replica
+    interrupted_s: float
+    interrupted: set[Fingerprint] = attrs.field(factory=set)
+    has_lost_connection: bool = False
+    has_crashed: bool = False
+    crash_detected_s: float = 0.0
+    is_coincident: bool = False
+    check: asyncio.Task[None] | None = None
+
+
+class CrashDetector:
+    """Watches replicas at which calls were interrupted, and detects crashes.
+
+    :param suspects: receives each call that was running at a crashed replica.
+    :param tasks: runs the attempts to connect.
+    """
+
+    def __init__(self, directory: ReplicaDirectory, suspects: Suspects, tasks: TaskSet) -> None:
+        self._directory = directory
+        self._suspects = suspects
+        self._tasks = tasks
+        self._watched: dict[ReplicaStart, _WatchedStart] = {}
+
+    def record_interrupted_call(self, fingerprint: Fingerprint, replica: Replica) -> None:
+        """Record that a call lost its connection before its response was complete.
+
+        Ignored for a replica that has announced that it is leaving, because it exits anyway.
+        """
+        if not _has_announced_leaving(replica):
+            self._watched_start_of(replica).has_lost_connection = True
+            self._record_interrupted(fingerprint, replica)
+
+    def record_lost_load(self, fingerprint: Fingerprint, replica: Replica) -> None:
+        """Record that a replica does not respond during a load, or lacks what it should have."""
+        if not _has_announced_leaving(replica):
+            self._record_interrupted(fingerprint, replica)
+
+    def _watched_start_of(self, replica: Replica) -> _WatchedStart:
+        return self._watched.setdefault(replica.start, _WatchedStart(replica, boottime_s()))
+
+    def _record_interrupted(self, fingerprint: Fingerprint, replica: Replica) -> None:
+        now_s = boottime_s()
+        watched = self._watched_start_of(replica)
+        watched.interrupted_s = now_s
+        watched.interrupted.add(fingerprint)
+        if watched.has_crashed:
+            self._suspects.record_crash(fingerprint, _crash_of(replica))
+            if watched.is_coincident:
+                self._suspects.mark_coincident(_crash_of(replica))
+        elif watched.check is None:
+            watched.check = self._tasks.spawn(self._check(watched), 'replica-end')
+
+    def record_response(self, replica: Replica, sent_s: float) -> None:
+        """Record a response of a replica; withdraw a crash that the response disproves.
+
+        :param sent_s: when the call was sent. A call sent before the latest interruption does not
+            show that the replica still runs.
+        """
+        watched = self._watched.get(replica.start)
+        if watched is None or sent_s <= watched.interrupted_s:
+            return
+        if watched.has_crashed and replica.known_start.born_ms is None:
+            # May be a later start, which cannot be distinguished without a start time.
+            return
+        del self._watched[replica.start]
+        if watched.has_crashed:
+            self._suspects.withdraw_crash(_crash_of(replica))
+
+    def unconfirmed_crashes(self, fingerprint: Fingerprint) -> int:
+        """Return at how many replicas under check a call was interrupted."""
+        return len(self._checks_of(fingerprint))
+
+    async def wait_until_checked(self, fingerprint: Fingerprint) -> None:
+        """Wait until the replicas at which a call was interrupted have been checked."""
+        checks = self._checks_of(fingerprint)
+        if checks:
+            await asyncio.wait(checks)
+
+    def _checks_of(self, fingerprint: Fingerprint) -> list[asyncio.Task[None]]:
+        return [
+            watched.check
+            for watched in self._watched.values()
+            if watched.check is not None and fingerprint in watched.interrupted
+        ]
+
+    async def _check(self, watched: _WatchedStart) -> None:
+        try:
+            for attempt in range(CONNECT_ATTEMPTS):
+                if attempt:
+                    await asyncio.sleep(CONNECT_RETRY_DELAY_S)
+                result = await _connect(watched.replica.record.address)
+                timed_out = result is _ConnectResult.SILENT and watched.has_lost_connection
+                if result is _ConnectResult.REFUSED or timed_out:
+                    self._confirm_crash(watched, result.name.lower())
+                    return
+        finally:
+            watched.check = None
+
+    def _confirm_crash(self, watched: _WatchedStart, learned_by: str) -> None:
+        if watched.has_crashed:
+            return
+        watched.has_crashed = True
+        watched.crash_detected_s = boottime_s()
+        crash = _crash_of(watched.replica)
+        log_change(
+            'replica_ended',
+            replica=crash.replica_id,
+            born_ms=crash.born_ms,
+            learned_by=learned_by,
+            calls=len(watched.interrupted),
+        )
+        for fingerprint in sorted(watched.interrupted):
+            self._suspects.record_crash(fingerprint, crash)
+        self._mark_coincident(watched)
+
+    def _mark_coincident(self, watched: _WatchedStart) -> None:
+        """Mark recently detected crashes as coincident if there are several.
+
+        Gateways may detect different crashes; the mark of one gateway applies to all of them.
+        """
+        found = [
+            other
+            for other in self._watched.values()
+            if other.has_crashed
+            and abs(other.crash_detected_s - watched.crash_detected_s) <= COINCIDENCE_WINDOW_S
+        ]
+        if len(found) > 1:
+            for other in found:
+                other.is_coincident = True
+                self._suspects.mark_coincident(_crash_of(other.replica))
+
+    async def run(self) -> None:
+        """Detect crashes by later starts, for ever."""
+        while True:
+            await asyncio.sleep(RESTART_CHECK_INTERVAL_S)
+            self._check_restarts()
+
+    def _check_restarts(self) -> None:
+        oldest_s = boottime_s() - WATCH_DURATION_S
+        for start, watched in list(self._watched.items()):
+            if not watched.has_crashed and self._is_replaced(watched.replica):
+                self._confirm_crash(watched, 'replaced')
+            if watched.interrupted_s < oldest_s and watched.check is None:
+                del self._watched[start]
+
+    def _is_replaced(self, replica: Replica) -> bool:
+        """Return whether the replica has restarted, or another one has its address."""
+        current = self._directory.get(replica.replica_id)
+        if current is None or current.start != replica.start:
+            return current is not None
+        address = replica.record.address
+        return any(
+            other.record.address == address and other.start != replica.start
+            for other in self._directory.all()
+        )
+
+
+def _has_announced_leaving(replica: Replica) -> bool:
+    # Not replica.leaving, which is also set once another replica uses its address.
+    return replica.backpressure.leaving
+
+
+def _crash_of(replica: Replica) -> ReplicaCrash:
+    return ReplicaCrash(replica.replica_id, replica.known_start.born_ms or 0)
+
+
+async def _connect(address: str) -> _ConnectResult:
+    """Open a connection, and close it."""
+    host, _, port = address.rpartition(':')
+    try:
+        async with asyncio.timeout(CONNECT_TIMEOUT_S):
+            _, writer = await asyncio.open_connection(host, int(port))
+    except TimeoutError:
+        # Neither this nor a refusal is logged here: the caller logs the crash it confirms.
+        return _ConnectResult.SILENT
+    except OSError:
+        return _ConnectResult.REFUSED
+    writer.close()
+    return _ConnectResult.ACCEPTED
--- a/limeshelf/demand/meter.py
+++ b/limeshelf/demand/meter.py
@@ -182,4 +182,4 @@
 
 def _shortest_pause_left_s(replicas: list[Replica]) -> float:
     """Return the shortest remaining pause that the replicas asked this gateway for."""
-    return min((replica.backpressure.pause_left_s for replica in replicas), default=0.0)
+    return min((replica.backpressure.remaining_pause_s for replica in replicas), default=0.0)
--- a/limeshelf/gateway/attempts.py
+++ b/limeshelf/gateway/attempts.py
@@ -34,7 +34,7 @@
     from limeshelf.gateway.state import CallState
     from limeshelf.organisations.organisation import Organisation
     from limeshelf.replicas.directory import ReplicaDirectory
-    from limeshelf.replicas.notices import NoticeTaker
+    from limeshelf.replicas.notices import NoticeHandler
     from limeshelf.replicas.pool import ConnectionPool
     from limeshelf.replicas.replica import Replica
 
@@ -48,7 +48,7 @@
     pool: ConnectionPool
     in_force: ConfigInForce
     quarantine: QuarantineGuard
-    notices: NoticeTaker
+    notices: NoticeHandler
     demand: DemandMeter
 
     async def run(
@@ -87,11 +87,11 @@
             state.answer,
             state.splitter,
             lambda: self._report_first_event(state, selected),
-            lambda head: self.notices.take_of_call(replica, head, sent_s),
+            lambda head: self.notices.handle_call_response(replica, head, sent_s),
             selected.may_send,
         )
-        replica.own.calls += 1
-        replica.own.tokens += tokens
+        replica.own_load.calls += 1
+        replica.own_load.tokens += tokens
         try:
             # Read only once, so that both limits expire at the same instant where the head may
             # take all the time left; the outer one takes precedence then.
@@ -102,8 +102,8 @@
         except TimeoutError:
             return exchange.deadline_exceeded()
         finally:
-            replica.own.calls -= 1
-            replica.own.tokens -= tokens
+            replica.own_load.calls -= 1
+            replica.own_load.tokens -= tokens
             selected.report_end()
 
     def _report_first_event(self, state: CallState, selected: Selected) -> None:
@@ -118,7 +118,7 @@
             state.excluded.add(replica.replica_id)
         suspended = apply_finding(finding, replica, need, self.directory)
         if replica.health.awaits_probe:
-            self.pool.note_out_of_reach()
+            self.pool.request_probes()
         load = self.directory.load_of(replica)
         config = self.in_force.config
         version = config.version if config is not None else None
--- a/limeshelf/gateway/exchange.py
+++ b/limeshelf/gateway/exchange.py
@@ -203,14 +203,14 @@
         if response.status == STATUS_OK and response.content_type == EVENT_STREAM:
             return await self._relay_stream(response, head, time_to_head_s)
         body = await self._read_whole(response)
-        self._connections.note_keep_alive(head)
+        self._connections.apply_keep_alive(head)
         response.release()
         return WholeAnswer(head, body, time_to_head_s)
 
     async def _drain_refusal(self, response: aiohttp.ClientResponse, head: AnswerHead) -> None:
         """Read a refusal to its end, so that its connection can be reused."""
         await self._read_whole(response)
-        self._connections.note_keep_alive(head)
+        self._connections.apply_keep_alive(head)
         response.release()
 
     async def _read_whole(self, response: aiohttp.ClientResponse) -> bytes:
@@ -248,6 +248,6 @@
         if not self._answer.started:
             await self._answer.start(head.status, head.headers)
         await self._answer.finish()
-        self._connections.note_keep_alive(head)
+        self._connections.apply_keep_alive(head)
         response.release()
         return Delivered(head.status, time_to_head_s, longest_pause_s)
--- a/limeshelf/gateway/quarantine.py
+++ b/limeshelf/gateway/quarantine.py
@@ -9,14 +9,14 @@
 
 import attrs
 
-from limeshelf.crashes.quarantine import REST_ENDS
+from limeshelf.crashes.quarantine import TEMPORARY_QUARANTINE_CRASHES
 from limeshelf.errors import NotRun, RefusalReason
 from limeshelf.gateway.endings import STATUS_UNAVAILABLE, Refuse
 from limeshelf.gateway.result_rules import CallFinding, classify_for_call
 
 if TYPE_CHECKING:
     from limeshelf.calls.fingerprint import Fingerprint
-    from limeshelf.crashes.end_watch import EndWatch
+    from limeshelf.crashes.crash_detector import CrashDetector
     from limeshelf.crashes.quarantine import Quarantine, Quarantined
     from limeshelf.gateway.exchange import AttemptResult
     from limeshelf.gateway.state import CallState
@@ -28,7 +28,7 @@
     """Checks calls before each send, and records their results."""
 
     quarantine: Quarantine
-    watch: EndWatch
+    detector: CrashDetector
 
     def check(self, fingerprint: Fingerprint) -> Refuse | None:
         """Return the refusal of a call by the crashes known now; ``None`` if it may be sent."""
@@ -42,16 +42,16 @@
         ruled out.
         """
         fingerprint = state.fingerprint
-        broken_twice = state.runs >= REST_ENDS
-        unconfirmed = self.watch.unconfirmed_ends(fingerprint)
+        broken_twice = state.runs >= TEMPORARY_QUARANTINE_CRASHES
+        unconfirmed = self.detector.unconfirmed_crashes(fingerprint)
         if self.quarantine.check(fingerprint, unconfirmed, broken_twice=broken_twice):
-            await self.watch.until_checked(fingerprint)
+            await self.detector.wait_until_checked(fingerprint)
         quarantined = self.quarantine.check(fingerprint, broken_twice=broken_twice)
         return _refusal_of(quarantined) if quarantined is not None else None
 
     def record_send(self, fingerprint: Fingerprint) -> None:
         """Record that a call is sent."""
-        self.quarantine.note_sent(fingerprint)
+        self.quarantine.record_sent(fingerprint)
 
     def record_result(
         self, state: CallState, replica: Replica, result: AttemptResult, sent_s: float
@@ -62,11 +62,11 @@
         """
         finding = classify_for_call(result)
         if finding is CallFinding.DISCONNECTED:
-            self.watch.note_broken(state.fingerprint, replica)
+            self.detector.record_interrupted_call(state.fingerprint, replica)
         elif finding is not CallFinding.NONE:
-            self.watch.note_answered(replica, sent_s)
+            self.detector.record_response(replica, sent_s)
         if finding is CallFinding.FINISHED:
-            self.quarantine.suspects.note_finished(state.fingerprint)
+            self.quarantine.suspects.record_completion(state.fingerprint)
 
 
 def _refusal_of(quarantined: Quarantined) -> Refuse:
--- a/limeshelf/gateway/result_rules.py
+++ b/limeshelf/gateway/result_rules.py
@@ -136,9 +136,9 @@
 ) -> bool:
     """Apply a finding to its replica; return whether it suspended the replica."""
     if isinstance(finding, Served):
-        replica.health.succeeded()
+        replica.health.record_success()
     elif isinstance(finding, Failed):
-        return replica.health.failed(finding.failure)
+        return replica.health.record_failure(finding.failure)
     elif isinstance(finding, LacksModel) and need is not None:
         forget_holding(replica, need.model, need.adapter)
     elif isinstance(finding, Replaced):
--- a/limeshelf/metrics/prometheus.py
+++ b/limeshelf/metrics/prometheus.py
@@ -119,14 +119,14 @@
     def observe_restart(self, learned_by: str) -> None:
         """Count a restart of a replica under the same id.
 
-        :param learned_by: value of :class:`limeshelf.replicas.starts.StatementWay`.
+        :param learned_by: value of :class:`limeshelf.replicas.starts.StateSource`.
         """
         self._restarts.labels(learned_by).inc()
 
     def observe_notice(self, statement: str) -> None:
         """Count that a replica began to ask for something.
 
-        :param statement: value of :class:`limeshelf.replicas.notices.Statement`.
+        :param statement: value of :class:`limeshelf.replicas.notices.NoticeKind`.
         """
         self._notices.labels(statement).inc()
 
--- a/limeshelf/orders/sender.py
+++ b/limeshelf/orders/sender.py
@@ -99,8 +99,8 @@
             for item in pending.sent_loads():
                 self._on_load_in_doubt(replica, item)
             return False
-        is_current = self._directory.take_report(
-            replica.replica_id, report, settled=past_report_lag, asked_s=asked_s
+        is_current = self._directory.apply_report(
+            replica.replica_id, report, no_recent_orders=past_report_lag, asked_s=asked_s
         )
         pending.record_report(report, is_current)
         return True
--- a/limeshelf/placement/service.py
+++ b/limeshelf/placement/service.py
@@ -147,7 +147,7 @@
         views = self._replica_monitor.replica_views(service)
         starved_s = self._starvation.track(service, demands, views)
         initial_copies = self._replica_monitor.initial_copies(service)
-        barred = {name for name in engine.models if self._lost_loads.is_barred(service, name)}
+        barred = {name for name in engine.models if self._lost_loads.is_blocked(service, name)}
         planner = CopyPlanner(
             engine, demands, initial_copies, starved_s, barred, self._overdue_loads
         )
@@ -207,7 +207,7 @@
         pending = {replica.replica_id: self._sender.pending(replica) for replica in replicas}
         planner = self._adapter_planner(service, engine)
         for key in keys:
-            barred = self._lost_loads.is_barred(service, key.model, key.adapter)
+            barred = self._lost_loads.is_blocked(service, key.model, key.adapter)
             if barred or not self._move_runner.may_try_adapter(key):
                 continue
             move = planner.plan(key, pending)
--- a/limeshelf/programs/components.py
+++ b/limeshelf/programs/components.py
@@ -12,10 +12,10 @@
 
 from limeshelf.admission.retry_budget import RetryBudgets, RetryRule
 from limeshelf.calls.in_force import ConfigInForce
-from limeshelf.crashes.end_watch import EndWatch
-from limeshelf.crashes.keeper import QuarantineKeeper
+from limeshelf.crashes.crash_detector import CrashDetector
 from limeshelf.crashes.lost_loads import LostLoads
 from limeshelf.crashes.quarantine import Quarantine
+from limeshelf.crashes.quarantine_sync import QuarantineSync
 from limeshelf.crashes.suspects import Suspects
 from limeshelf.demand.meter import DemandMeter
 from limeshelf.demand.unserved import UnservedKind
@@ -58,7 +58,7 @@
 from limeshelf.platform.wire import PlatformWire
 from limeshelf.programs.followed_tables import ConfigRows, follow_tables
 from limeshelf.replicas.directory import ReplicaDirectory
-from limeshelf.replicas.notices import NoticeTaker
+from limeshelf.replicas.notices import NoticeHandler
 from limeshelf.replicas.pool import ConnectionPool
 from limeshelf.routing.plain_selector import PlainReplicaSelector
 from limeshelf.util.clock import MS_PER_S
@@ -111,7 +111,7 @@
         self.directory = ReplicaDirectory(
             read_record, self.changes.add_replica, self.metrics.observe_restart
         )
-        self.notices = NoticeTaker(self.directory, count=self.metrics.observe_notice)
+        self.notices = NoticeHandler(self.directory, count=self.metrics.observe_notice)
         self.members = Members(Member(node.address, settings.data_centre, settings.weight))
         self.leadership = Leadership(
             self.store,
@@ -132,9 +132,9 @@
     def _make_crashes(self, tasks: TaskSet) -> None:
         """Make what remembers the calls under which replicas ended."""
         self.suspects = Suspects()
-        self.end_watch = EndWatch(self.directory, self.suspects, tasks)
-        self.lost_loads = LostLoads(self.suspects, self.end_watch)
-        self.quarantine_keeper = QuarantineKeeper(self.store, self.suspects)
+        self.crash_detector = CrashDetector(self.directory, self.suspects, tasks)
+        self.lost_loads = LostLoads(self.suspects, self.crash_detector)
+        self.quarantine_sync = QuarantineSync(self.store, self.suspects)
         self.suspension = SuspensionWatch(self._note_woke)
         self.crashes = CrashExchange(self.node, self.members, self.suspects)
 
@@ -150,7 +150,7 @@
         )
 
     def _make_placement(self, settings: GatewaySettings, tasks: TaskSet) -> None:
-        self.order_client = ReplicaOrderClient(self.notices.take_of_order)
+        self.order_client = ReplicaOrderClient(self.notices.handle_order_response)
         sender = OrderSender(
             self.order_client,
             self.directory,
@@ -158,7 +158,7 @@
             settings.instance_id,
             self.metrics,
             self.in_force.get,
-            lambda replica, item: self.lost_loads.note_lost(replica, *item),
+            lambda replica, item: self.lost_loads.record_lost(replica, *item),
         )
         self.placement = PlacementService(
             self.directory,
@@ -223,7 +223,7 @@
             config_rows,
             self.directory,
             self.registration,
-            self.quarantine_keeper,
+            self.quarantine_sync,
             settings.freshness,
             self.metrics,
         )
@@ -235,7 +235,7 @@
         chooser = PlainReplicaSelector(self.directory, settings.data_centre)
         selector = ReplicaSelector(self.directory, chooser, self.dispatch_client, self.turns)
         self.access = AccessGuard(self.in_force, self.config_age_s, access_rule(settings))
-        quarantine = QuarantineGuard(Quarantine(self.suspects), self.end_watch)
+        quarantine = QuarantineGuard(Quarantine(self.suspects), self.crash_detector)
         attempts = AttemptRunner(
             wire,
             self.directory,
--- a/tests/dispatch/test_client.py
+++ b/tests/dispatch/test_client.py
@@ -73,7 +73,7 @@
         record = ReplicaRecord(
             f'r{number}', 'lm', f'ip:{number}', data_centre, 4, False, None, (Holding('m'),), 1
         )
-        directory.take_record(record)
+        directory.apply_record(record)
     return directory
 
 
@@ -278,7 +278,7 @@
     client._exchange.dispatcher.handle_query = lambda query, requester: queries.append(query)  # type: ignore[method-assign]
     busy = client._owners.directory.get('r1')
     assert busy is not None
-    busy.own.calls = 4
+    busy.own_load.calls = 4
     await client.request_replica(for_any(left_s=0.05))
     assert queries[0].excluded == ['r1']
 
--- a/tests/dispatch/test_selector.py
+++ b/tests/dispatch/test_selector.py
@@ -38,7 +38,7 @@
         record = ReplicaRecord(
             f'r{number}', 'lm', f'ip:{number}', data_centre, 4, False, None, (Holding('m'),), 1
         )
-        directory.take_record(record)
+        directory.apply_record(record)
     return HolderSelector(directory, PrefillSpeed(), lambda data_centre: LOCAL, 'z1')
 
 
@@ -81,22 +81,22 @@
 
 def test_least_loaded_replica_goes_first() -> None:
     selector = selector_of('z1', 'z1')
-    replica(selector, 'r0').own.calls = 1
+    replica(selector, 'r0').own_load.calls = 1
     assert chosen(selector) == 'r1'
 
 
 def test_suspended_replica_is_selected_only_if_all_are() -> None:
     selector = selector_of('z1', 'z1')
-    replica(selector, 'r1').own.calls = 3
-    replica(selector, 'r0').health.failed(Failure.NO_CONNECTION)
+    replica(selector, 'r1').own_load.calls = 3
+    replica(selector, 'r0').health.record_failure(Failure.NO_CONNECTION)
     assert chosen(selector) == 'r1'
-    replica(selector, 'r1').health.failed(Failure.NO_CONNECTION)
+    replica(selector, 'r1').health.record_failure(Failure.NO_CONNECTION)
     assert chosen(selector) == 'r0'
 
 
 def test_full_replica_is_not_selected() -> None:
     selector = selector_of('z1')
-    replica(selector, 'r0').own.calls = 4
+    replica(selector, 'r0').own_load.calls = 4
     assert chosen(selector) is None
 
 
--- a/tests/gateway/test_crashing_call.py
+++ b/tests/gateway/test_crashing_call.py
@@ -140,10 +140,10 @@
         assert len(world.ends) >= 2
         found = [world.components(number).suspects for number in range(len(CENTRES))]
         counts = [
-            state.open_count
+            state.crash_count
             for suspects in found
             for state in suspects.states()
-            if state.open_count > 1
+            if state.crash_count > 1
         ]
         # Each gateway suspects only the crashing call.
         assert len(counts) == len(CENTRES)
--- a/tests/gateway/test_selection.py
+++ b/tests/gateway/test_selection.py
@@ -35,7 +35,7 @@
     directory = ReplicaDirectory(read_record)
     for number in range(2):
         for service in (ENGINE, PLAIN):
-            directory.take_record(
+            directory.apply_record(
                 ReplicaRecord(
                     f'{"r" if service is ENGINE else "p"}{number}',
                     service.name,
@@ -112,7 +112,7 @@
     selector = selector_of(wire)
     replica = selector.directory.get('r1')
     assert replica is not None
-    replica.health.failed(Failure.NO_CONNECTION)
+    replica.health.record_failure(Failure.NO_CONNECTION)
     state = state_of(ENGINE, NEED, excluded={'r9'})
     assert await selector.select(state) == NoCapacity(0.07)
     query = wire.sent[0][1]
@@ -152,7 +152,7 @@
     for replica_id in replica_ids:
         replica = selector.directory.get(replica_id)
         assert replica is not None
-        replica.backpressure.note_rate(2.0, boottime_s())
+        replica.backpressure.record_rate(2.0, boottime_s())
 
 
 @in_loop
--- a/tests/orders/test_sender.py
+++ b/tests/orders/test_sender.py
@@ -91,7 +91,7 @@
             tuple(Holding(name, frozenset(a)) for name, a in self.stand_in.models.items()),
             1,
         )
-        self.directory.take_record(record)
+        self.directory.apply_record(record)
         self.replica = self.directory.get(record.replica_id)
         return self
 
@@ -379,7 +379,7 @@
     replica = ReplicaStandIn('e-1', ['m1'])
 
     async def scenario(system: System) -> None:
-        system.replica.backpressure.note_pause(60.0)
+        system.replica.backpressure.record_pause(60.0)
         assert not await system.sender.poll(system.replica)
         assert not await system.runner.run(system.replica, [OrderTask(LOAD, 'm2')])
         assert replica.orders == []
--- a/tests/placement/fleet_simulation.py
+++ b/tests/placement/fleet_simulation.py
@@ -266,7 +266,7 @@
             name = f'r{number}'
             held = set(adapters[number * places : (number + 1) * places])
             replica = simulation.replicas[name] = AdapterReplica(name, held)
-            simulation.directory.take_record(
+            simulation.directory.apply_record(
                 ReplicaRecord(name, SERVICE, f'ip:{name}', 'z1', 16, False, None, (), 1)
             )
             replica.pending.record_claim(FENCE)
@@ -280,7 +280,7 @@
             return
         for name, replica in self.replicas.items():
             report = replica.report()
-            self.directory.take_report(name, report)
+            self.directory.apply_report(name, report)
             replica.pending.record_report(report)
             for note in replica.after_report:
                 note()
--- a/tests/placement/test_adapters.py
+++ b/tests/placement/test_adapters.py
@@ -47,11 +47,11 @@
 
     def add(self, name: str, *adapters: str, loading: tuple[str, ...] = ()) -> None:
         record = ReplicaRecord(name, 'lm', f'ip:{name}', 'z1', 8, False, None, (), 1)
-        self.directory.take_record(record)
+        self.directory.apply_record(record)
         on_their_way = tuple(('m1', adapter) for adapter in loading)
         held = (Holding('m1', frozenset(adapters)),)
         report = ReplicaReport(held, False, 1, loading=on_their_way)
-        self.directory.take_report(name, report)
+        self.directory.apply_report(name, report)
         self.pending[name] = PendingOrders()
         self.pending[name].record_claim(FENCE)
         self.clock.advance(1.1 * CLAIM_REPORT_LAG_S)
@@ -96,7 +96,7 @@
     fleet.add('r2', 'a1')
     busy = fleet.directory.get('r1')
     assert busy is not None
-    busy.own.calls = 4
+    busy.own_load.calls = 4
     assert fleet.plan() == ('r2', None)
 
 
@@ -218,7 +218,7 @@
     assert fleet.plan() is None
     cut_off = fleet.directory.get('r1')
     assert cut_off is not None
-    cut_off.health.failed(Failure.NO_CONNECTION)
+    cut_off.health.record_failure(Failure.NO_CONNECTION)
     assert fleet.plan() == ('r2', None)
 
 
--- a/tests/placement/test_replica_monitor.py
+++ b/tests/placement/test_replica_monitor.py
@@ -48,7 +48,7 @@
     def add(self, replica_id: str, *models: str) -> None:
         holdings = tuple(Holding(model) for model in models)
         address = f'{replica_id}:1'
-        self.directory.take_record(
+        self.directory.apply_record(
             ReplicaRecord(replica_id, 'lm', address, 'z1', 8, False, None, holdings, 1)
         )
 
@@ -73,7 +73,7 @@
     pending.record_claim(FENCE)
     clock[0] += CLAIM_REPORT_LAG_S + 0.01
     pending.record_report(report)
-    world.directory.take_report('r1', report)
+    world.directory.apply_report('r1', report)
 
 
 def test_replica_accepts_orders_only_when_claimed_and_polled_since(clock: list[float]) -> None:
@@ -136,7 +136,7 @@
     assert [copies.replica_id for copies in world.monitor.replica_views('lm')] == ['r1', 'r2']
     replica = world.directory.get('r1')
     assert replica is not None
-    replica.health.failed(Failure.NO_CONNECTION)
+    replica.health.record_failure(Failure.NO_CONNECTION)
     assert [copies.replica_id for copies in world.monitor.replica_views('lm')] == ['r2']
 
 
--- a/tests/placement/test_service.py
+++ b/tests/placement/test_service.py
@@ -9,7 +9,7 @@
 import attrs
 
 from limeshelf.calls.routes import EngineSpec, ModelSpec, ServiceSpec
-from limeshelf.crashes.end_watch import EndWatch
+from limeshelf.crashes.crash_detector import CrashDetector
 from limeshelf.crashes.lost_loads import LostLoads
 from limeshelf.crashes.suspects import Suspects
 from limeshelf.demand.keys import KeyDemand, ModelKey
@@ -80,7 +80,7 @@
         5.0,
         lambda model, tokens: 0.0,
         lambda: None,
-        LostLoads(Suspects(), EndWatch(directory, Suspects(), tasks)),
+        LostLoads(Suspects(), CrashDetector(directory, Suspects(), tasks)),
     )
 
 
@@ -93,7 +93,7 @@
         directory = ReplicaDirectory(read_record)
         address = await stand_in.start()
         held = (Holding('m1', frozenset(adapters)),)
-        directory.take_record(ReplicaRecord('e-1', 'lm', address, 'z1', 8, False, None, held, 1))
+        directory.apply_record(ReplicaRecord('e-1', 'lm', address, 'z1', 8, False, None, held, 1))
         leadership: Any = FixedTerm(fence)
         config: Any = Config({'lm': ServiceSpec('lm', 50, ENGINE)})
         client = ReplicaOrderClient()
@@ -203,7 +203,7 @@
     async def run() -> None:
         directory = ReplicaDirectory(read_record)
         held = (Holding('m1'),)
-        directory.take_record(ReplicaRecord('e-1', 'lm', 'lm:1', 'z1', 8, False, None, held, 1))
+        directory.apply_record(ReplicaRecord('e-1', 'lm', 'lm:1', 'z1', 8, False, None, held, 1))
         leadership: Any = FixedTerm(5)
         config: Any = Config({'lm': ServiceSpec('lm', 50, engine)})
         wire: Any = HangingClient()
--- a/tests/replicas/test_freshness.py
+++ b/tests/replicas/test_freshness.py
@@ -1,22 +1,24 @@
-"""Which statement about a replica counts."""
+"""Which heartbeats, reports and peer loads are outdated."""
 
 from __future__ import annotations
 
 import pytest
 
 from limeshelf.replicas.freshness import (
-    PEER_LOAD_LIFE_S,
-    REPORT_LIFE_S,
-    heartbeat_counts,
+    PEER_LOAD_VALID_S,
+    REPORT_VALID_S,
+    is_heartbeat_used,
     is_late_heartbeat,
     is_late_report,
-    peer_load_counts,
+    is_peer_load_valid,
 )
 from limeshelf.replicas.record import ReplicaRecord
 
 
-def record(beat_number: int, born_ms: int | None = None) -> ReplicaRecord:
-    return ReplicaRecord('r', 's', '10.0.0.1:1', 'z1', 4, False, None, (), beat_number, born_ms)
+def record(heartbeat_number: int, born_ms: int | None = None) -> ReplicaRecord:
+    return ReplicaRecord(
+        'r', 's', '10.0.0.1:1', 'z1', 4, False, None, (), heartbeat_number, born_ms
+    )
 
 
 def test_heartbeat_sent_before_the_newest_is_late() -> None:
@@ -26,7 +28,7 @@
 
 
 @pytest.mark.parametrize(
-    ('reported', 'known', 'settled', 'late'),
+    ('reported', 'known', 'no_recent_orders', 'late'),
     [
         (0, None, False, False),
         (3, 3, False, False),
@@ -35,16 +37,16 @@
     ],
 )
 def test_report_from_before_the_last_order_is_late(
-    reported: int, known: int | None, settled: bool, late: bool
+    reported: int, known: int | None, no_recent_orders: bool, late: bool
 ) -> None:
-    assert is_late_report(reported, known, settled) is late
+    assert is_late_report(reported, known, no_recent_orders) is late
 
 
-def test_heartbeat_counts_when_the_report_is_old() -> None:
-    assert not heartbeat_counts(REPORT_LIFE_S)
-    assert heartbeat_counts(REPORT_LIFE_S + 0.01)
+def test_heartbeat_is_used_when_the_report_has_expired() -> None:
+    assert not is_heartbeat_used(REPORT_VALID_S)
+    assert is_heartbeat_used(REPORT_VALID_S + 0.01)
 
 
-def test_silent_peer_has_nothing_under_way() -> None:
-    assert peer_load_counts(PEER_LOAD_LIFE_S)
-    assert not peer_load_counts(PEER_LOAD_LIFE_S + 0.01)
+def test_load_of_a_peer_expires() -> None:
+    assert is_peer_load_valid(PEER_LOAD_VALID_S)
+    assert not is_peer_load_valid(PEER_LOAD_VALID_S + 0.01)
--- a/tests/routing/test_plain_selector.py
+++ b/tests/routing/test_plain_selector.py
@@ -28,7 +28,7 @@
 def directory_of(*data_centres: str) -> ReplicaDirectory:
     directory = ReplicaDirectory(read_record)
     for number, data_centre in enumerate(data_centres):
-        directory.take_record(
+        directory.apply_record(
             ReplicaRecord(f'r{number}', 'web', f'ip:{number}', data_centre, 4, False, None, (), 1)
         )
     return directory
@@ -60,21 +60,21 @@
 
 def test_least_loaded_replica_goes_first(clock: VirtualClock) -> None:
     directory = directory_of('z1', 'z1')
-    replica(directory, 'r0').own.calls = 1
+    replica(directory, 'r0').own_load.calls = 1
     assert chosen(directory) == {'r1'}
 
 
 def test_own_data_centre_is_preferred_at_equal_load(clock: VirtualClock) -> None:
     directory = directory_of('z1', 'z2')
     assert chosen(directory) == {'r0'}
-    replica(directory, 'r0').own.calls = 1
+    replica(directory, 'r0').own_load.calls = 1
     assert chosen(directory) == {'r1'}
 
 
 def test_suspended_replica_is_tried_only_when_all_are(clock: VirtualClock) -> None:
     directory = directory_of('z1', 'z1')
-    replica(directory, 'r0').own.calls = 4
-    replica(directory, 'r1').health.failed(Failure.NO_CONNECTION)
+    replica(directory, 'r0').own_load.calls = 4
+    replica(directory, 'r1').health.record_failure(Failure.NO_CONNECTION)
     assert chosen(directory) == {'r0'}
     assert chosen(directory, WEB, 'r0') == {'r1'}
 
@@ -85,7 +85,7 @@
 
 def test_reported_queue_counts_until_the_report_expires(clock: VirtualClock) -> None:
     directory = directory_of('z1', 'z1')
-    directory.take_report('r0', ReplicaReport((), False, 0, queued=3))
+    directory.apply_report('r0', ReplicaReport((), False, 0, queued=3))
     assert chosen(directory, MODELS) == {'r1'}
     clock.advance(QUEUE_REPORT_TTL_S + 0.1)
     assert chosen(directory, MODELS) == {'r0', 'r1'}
