--- a/limeshelf/platform/__init__.py
+++ b/limeshelf/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter to the users' platform: its names, formats and calls, and no decision."""
+"""The adapter to the users' platform: its names, formats and calls; it makes no decisions."""
--- a/limeshelf/platform/sessions.py
+++ b/limeshelf/platform/sessions.py
@@ -1,7 +1,7 @@
-"""HTTP sessions of the adapter: towards the store, and for orders to replicas.
+"""HTTP sessions of the adapter: for requests to the store and for orders to replicas.
 
-Calls go over sessions of their own (:mod:`limeshelf.replicas.connections`), one
-a replica and with limits that the replica states.
+Calls use other sessions (:mod:`limeshelf.replicas.connections`): one per replica, with the
+limits that the replica states.
 """
 
 from __future__ import annotations
@@ -19,26 +19,26 @@
 
 
 def open_session(
-    connect_s: float,
-    idle_s: float,
+    connect_timeout_s: float,
+    keepalive_s: float,
     make_socket: Callable[[Any], socket.socket],
     limit_per_host: int = 0,
 ) -> aiohttp.ClientSession:
-    """Return a session that repeats nothing by itself.
+    """Return a session that never retries a request by itself.
 
-    The caller sets the time limit of each exchange.
+    The caller sets the timeout of each request.
 
-    :param connect_s: longest time for a new connection, in seconds.
-    :param idle_s: an unused connection is closed after this time, in seconds.
-    :param make_socket: makes the socket of a new connection.
-    :param limit_per_host: connections to one address; 0 for no limit.
+    :param connect_timeout_s: timeout for opening a connection, in seconds.
+    :param keepalive_s: time after which an idle connection is closed, in seconds.
+    :param make_socket: creates the socket of a new connection.
+    :param limit_per_host: maximum number of connections to one address; 0 for no limit.
     """
     connector = SingleCloseConnector(
-        make_socket, limit=0, limit_per_host=limit_per_host, keepalive_timeout=idle_s
+        make_socket, limit=0, limit_per_host=limit_per_host, keepalive_timeout=keepalive_s
     )
     session = aiohttp.ClientSession(
         connector=connector,
-        timeout=aiohttp.ClientTimeout(total=None, sock_connect=connect_s),
+        timeout=aiohttp.ClientTimeout(total=None, sock_connect=connect_timeout_s),
         cookie_jar=aiohttp.DummyCookieJar(),
     )
     return without_silent_retry(session)
