--- a/limeshelf/platform/orders.py
+++ b/limeshelf/platform/orders.py
@@ -1,8 +1,8 @@
-"""Orders to replicas, and the reports that replicas give when asked.
+"""HTTP client for orders to replicas and for their status reports.
 
-Owns the connections that carry them, apart from those of calls, so that an
-order never waits behind a call. Relies on :mod:`limeshelf.platform.replicas` to
-read a report. Retries nothing: :mod:`limeshelf.orders.attempts` decides what follows.
+Owns its own connections, separate from those of calls, so that an order never queues
+behind a call. Relies on :mod:`limeshelf.platform.replicas` to decode reports. Retries
+nothing: :mod:`limeshelf.orders.attempts` decides how to continue after a failure.
 """
 
 from __future__ import annotations
@@ -26,24 +26,24 @@
 
     from limeshelf.calls.notice import ReplicaNotice
 
-#: Longest time for a new connection.
-CONNECT_S = 0.4
-#: Longest wait for the whole answer to an order, the connection included.
-ANSWER_S = 0.8
-#: The same for a report, which needs no slot and comes within milliseconds: a replica that is
-#: cut off is known sooner.
-REPORT_ANSWER_S = 0.5
-#: An unused connection is closed after this time.
-IDLE_S = 3.0
-#: Connections to one replica: one for an order, one for a report beside it.
+#: Timeout for opening a connection.
+CONNECT_TIMEOUT_S = 0.4
+#: Timeout of an order from connecting to the end of the response.
+ORDER_TIMEOUT_S = 0.8
+#: Timeout of a report. Reports need no slot and take only milliseconds, so a shorter timeout
+#: detects an unreachable replica sooner.
+REPORT_TIMEOUT_S = 0.5
+#: An idle connection is closed after this time.
+KEEPALIVE_S = 3.0
+#: Connections to one replica: one for an order and one for a concurrent report.
 CONNECTIONS_PER_REPLICA = 2
 
 STATUS_OK = 200
-#: What a replica's answer to an order means; any other status rejects the order.
-_OUTCOMES = {
+#: Outcome of an order by the status of the response; any other status means a rejection.
+_OUTCOME_BY_STATUS = {
     STATUS_OK: OrderOutcome.HOLDS_ALREADY,
     202: OrderOutcome.TAKEN,
-    # Another order is under way, or the replica has taken another number of orders.
+    # Another order is in progress, or the replica has accepted a different number of orders.
     409: OrderOutcome.BUSY_OR_STALE,
     412: OrderOutcome.FENCED_OFF,
     STATUS_MISDIRECTED: OrderOutcome.GONE,
@@ -51,15 +51,15 @@
 
 
 class _Order(msgspec.Struct, rename='pascal', omit_defaults=True):
-    """The body of an order; its fields are encoded in this sequence."""
+    """The body of an order; its fields are encoded in this order."""
 
     op: str
     model: str
-    #: No revision: the number of orders that the replica must have taken so far.
+    #: Not a revision: the number of orders that the replica must have accepted so far.
     expected_revision: int
-    #: Who orders: the instance that has the lease.
+    #: Instance that holds the lease and sends the order.
     holder: str
-    #: Rises with each term of the lease.
+    #: Increases with each term of the lease.
     fencing_token: int
     adapter: str = ''
 
@@ -67,8 +67,8 @@
 class ReplicaOrderClient:
     """Implements :class:`limeshelf.orders.order.OrderWire`.
 
-    :param on_notice: called with the id of a replica and what it asks for in the head of any
-        answer. Another replica may have given a misdirected one, which is not heard.
+    :param on_notice: called with the id of a replica and the notice in the headers of any
+        response, except a misdirected one, which may come from another replica.
     """
 
     def __init__(
@@ -80,10 +80,10 @@
     async def report(self, address: str, replica_id: str) -> ReplicaReport:
         """Return a replica's report.
 
-        :raises ReplicaSilent: no usable report came in time.
+        :raises ReplicaSilent: no valid report arrived before the timeout.
         """
         status, body = await self._call(
-            'GET', address, '/report', replica_id, None, REPORT_ANSWER_S
+            'GET', address, '/report', replica_id, None, REPORT_TIMEOUT_S
         )
         if status != STATUS_OK:
             raise ReplicaSilent(replica_id)
@@ -97,7 +97,8 @@
     ) -> ReplicaOrderAnswer:
         """Send an order.
 
-        :raises ReplicaSilent: no answer came in time; the order may have been taken.
+        :raises ReplicaSilent: no response arrived before the timeout; the replica may have
+            accepted the order.
         """
         body = _Order(
             op=order.kind.value,
@@ -107,8 +108,8 @@
             fencing_token=order.fence,
             adapter=order.adapter,
         )
-        status, _ = await self._call('POST', address, '/order', replica_id, body, ANSWER_S)
-        return ReplicaOrderAnswer(_OUTCOMES.get(status, OrderOutcome.REJECTED), status)
+        status, _ = await self._call('POST', address, '/order', replica_id, body, ORDER_TIMEOUT_S)
+        return ReplicaOrderAnswer(_OUTCOME_BY_STATUS.get(status, OrderOutcome.REJECTED), status)
 
     async def _call(
         self,
@@ -117,7 +118,7 @@
         path: str,
         replica_id: str,
         body: _Order | None,
-        limit_s: float,
+        timeout_s: float,
     ) -> tuple[int, bytes]:
         headers = {EXPECT_INSTANCE: replica_id}
         data = None
@@ -125,20 +126,20 @@
             data = msgspec.json.encode(body)
             headers['Content-Type'] = 'application/json'
         try:
-            async with asyncio.timeout(limit_s):
-                async with self._open().request(
+            async with asyncio.timeout(timeout_s):
+                async with self._get_session().request(
                     method, f'http://{address}{path}', data=data, headers=headers
-                ) as answer:
-                    if answer.status != STATUS_MISDIRECTED:
-                        self._on_notice(replica_id, read_notice(answer.status, answer.headers))
-                    return answer.status, await answer.read()
+                ) as response:
+                    if response.status != STATUS_MISDIRECTED:
+                        self._on_notice(replica_id, read_notice(response.status, response.headers))
+                    return response.status, await response.read()
         except (TimeoutError, aiohttp.ClientError, OSError):
             raise ReplicaSilent(replica_id) from None
 
-    def _open(self) -> aiohttp.ClientSession:
+    def _get_session(self) -> aiohttp.ClientSession:
         if self._session is None:
             self._session = open_session(
-                CONNECT_S, IDLE_S, reset_on_close_socket, CONNECTIONS_PER_REPLICA
+                CONNECT_TIMEOUT_S, KEEPALIVE_S, reset_on_close_socket, CONNECTIONS_PER_REPLICA
             )
         return self._session
 
