--- a/limeshelf/platform/organisations.py
+++ b/limeshelf/platform/organisations.py
@@ -1,7 +1,7 @@
-"""The organisations in the operator's configuration row, read into the product's.
+"""Reads the organisations in the operator's configuration row.
 
-Owns the format and its defaults, and what makes an entry invalid. The comments stand where
-the platform's name misleads.
+Owns the format, its defaults and the validation of entries. Comments explain fields whose
+platform name is misleading.
 """
 
 from __future__ import annotations
@@ -21,24 +21,24 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator, Sequence
 
-#: The unit of limits that is no call.
+#: The unit of limits that are counted in tokens; any other unit counts calls.
 UNIT_TOKENS = 'tokens'
-#: Place of the entries in the row, for messages about what is wrong there.
-ENTRIES = 'Tenants'
+#: Path of the entries in the row, for error messages.
+ENTRIES_PATH = 'Tenants'
 
 
 class OrganisationEntry(msgspec.Struct, rename='pascal'):
-    """One organisation as the row spells it."""
+    """The entry of one organisation in the row."""
 
     name: str
     keys: list[str] = []
-    #: Goes before the route's; 0 is the most urgent.
+    #: Overrides the priority of the route; 0 is the most urgent.
     priority: int | None = None
-    #: Of the two limits below: :data:`UNIT_TOKENS`, or calls.
+    #: Unit of the rate and burst limits below: :data:`UNIT_TOKENS`; anything else means calls.
     unit: str = ''
-    #: Not about caches: what a call counts that states no tokens.
+    #: Unrelated to caches: the cost in tokens of a call that states no token count.
     uncached_tokens: int = 0
-    #: Not requests alone: units a second. 0 for no limit, whatever ``burst`` says.
+    #: Units per second, not only requests. 0 for no limit, regardless of ``burst``.
     rate_per_s: float = 0.0
     burst: float = 0.0
 
@@ -46,7 +46,7 @@
 def read_organisations(entries: Sequence[OrganisationEntry]) -> Organisations:
     """Return the organisations of a configuration.
 
-    :raises InvalidDocument: with the place of each fault; never with a key.
+    :raises InvalidDocument: with the path of each fault; keys never appear in it.
     """
     problems = list(_problems(entries))
     if problems:
@@ -71,22 +71,22 @@
 def _problems(entries: Sequence[OrganisationEntry]) -> Iterator[Problem]:
     names: set[str] = set()
     holders: dict[str, str] = {}
-    for number, entry in enumerate(entries):
-        place = f'{ENTRIES}.{number}'
-        # The name goes into a header of each call.
+    for index, entry in enumerate(entries):
+        path = f'{ENTRIES_PATH}.{index}'
+        # The name is sent in a header of each call.
         if not entry.name.strip() or not (entry.name.isascii() and entry.name.isprintable()):
-            yield Problem(f'{place}.Name', 'expected printable ASCII')
+            yield Problem(f'{path}.Name', 'expected printable ASCII')
         if entry.name in names:
-            yield Problem(f'{place}.Name', 'given twice')
+            yield Problem(f'{path}.Name', 'duplicate name')
         names.add(entry.name)
-        figures = {
+        amounts = {
             'RatePerS': entry.rate_per_s,
             'Burst': entry.burst,
             'UncachedTokens': entry.uncached_tokens,
         }
-        for name, figure in figures.items():
-            if figure < 0:
-                yield Problem(f'{place}.{name}', 'expected 0 or more')
-        for key_number, key in enumerate(entry.keys):
+        for name, amount in amounts.items():
+            if amount < 0:
+                yield Problem(f'{path}.{name}', 'expected 0 or more')
+        for key_index, key in enumerate(entry.keys):
             if holders.setdefault(key, entry.name) != entry.name:
-                yield Problem(f'{place}.Keys.{key_number}', 'another organisation holds it too')
+                yield Problem(f'{path}.Keys.{key_index}', 'key of another organisation')
--- a/tests/platform/test_organisations.py
+++ b/tests/platform/test_organisations.py
@@ -1,4 +1,4 @@
-"""Organisations as the operator's configuration spells them, and what makes one invalid."""
+"""Reading organisations from the operator's configuration, and the faults of invalid entries."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
     assert holder.limit == UsageLimit(2700.0, 1800.0, in_tokens=True, plain_call_tokens=200)
 
 
-def test_limits_that_are_left_out_or_nothing_are_none() -> None:
+def test_missing_or_zero_rate_means_no_limit() -> None:
     organisations = read({'Name': 'a', 'Keys': ['x']}, {**ENTRY, 'RatePerS': 0})
     assert organisations is not None
     for key in ('x', 'k-1'):
@@ -53,13 +53,13 @@
     assert holder.limit.cost_of(5000) == 1
 
 
-def test_configuration_without_the_list_asks_for_no_keys() -> None:
+def test_configuration_without_organisations_requires_no_keys() -> None:
     value = json.dumps({'Version': 3, 'Routes': [], 'Services': []}).encode()
     assert read_config(value).organisations is None
 
 
 @pytest.mark.parametrize(
-    ('entries', 'place'),
+    ('entries', 'path'),
     [
         ([{**ENTRY, 'RatePerS': -1}], 'Tenants.0.RatePerS'),
         ([ENTRY, {**ENTRY, 'Keys': ['x']}], 'Tenants.1.Name'),
@@ -70,11 +70,9 @@
         ([{'Keys': ['k-1']}], 'Tenants[0]'),
     ],
 )
-def test_fault_is_named_by_its_place_and_without_a_key(
-    entries: list[dict[str, Any]], place: str
-) -> None:
+def test_fault_names_its_path_but_no_key(entries: list[dict[str, Any]], path: str) -> None:
     with pytest.raises(InvalidDocument) as caught:
         read(*entries)
     text = str(caught.value)
-    assert place in text
+    assert path in text
     assert 'k-1' not in text
