--- a/limeshelf/platform/configuration.py
+++ b/limeshelf/platform/configuration.py
@@ -1,7 +1,7 @@
-"""The operator's configuration row, read into the product's routes and services.
+"""Reads the operator's configuration row into routes and services.
 
-Owns the format and its defaults; fields that nothing reads are not declared.
-The comments stand where the platform's name misleads.
+Owns the format and its defaults; unused fields are not declared. Comments explain fields
+whose platform name is misleading.
 """
 
 from __future__ import annotations
@@ -27,17 +27,17 @@
 if TYPE_CHECKING:
     from limeshelf.feeds.return_rule import Newness
 
-#: Table and key of the row that holds the newest configuration, whole.
+#: Table and key of the row that holds the complete latest configuration.
 CONFIG_TABLE = 'op'
 CONFIG_KEY = 'config'
 
-_KINDS = {'safe': CallKind.SAFE, 'unsafe': CallKind.UNSAFE, 'streaming': CallKind.STREAM}
-_MS = 1000.0
+_CALL_KINDS = {'safe': CallKind.SAFE, 'unsafe': CallKind.UNSAFE, 'streaming': CallKind.STREAM}
+_MS_PER_S = 1000.0
 
 
 class _Target(msgspec.Struct, rename='pascal'):
     service: str
-    #: Share of the route's calls, in proportion to the others' weights; no weights of a model.
+    #: Relative share of the route's calls; unrelated to model weights.
     weight: float
 
 
@@ -46,66 +46,66 @@
     host: str
     path_prefix: str
     route_kind: str
-    #: How long a call may be held; the caller's own limit may be shorter.
+    #: Longest time for a call; the deadline of the caller may be shorter.
     timeout_ms: float
-    #: To the end of a plain answer, but only to the first event of a stream.
+    #: Latency objective: to the end of a plain response, but to the first event of a stream.
     latency_slo_ms: float = 1000.0
     #: 0 is the most urgent.
     priority: int = 5
-    #: The only target where ``split`` is empty.
+    #: The only target if ``split`` is empty.
     service: str = ''
     split: list[_Target] = []
-    #: Counted in replicas that ran the call or may have run it, the first one included; one
-    #: that refused it does not count.
+    #: Attempts that ran or may have run the call, including the first one; an attempt that
+    #: a replica refused does not count.
     max_attempts: int = 1
     resumable: bool = False
-    #: Longest pause between two events; one event may hold several tokens.
+    #: Longest pause between two events; one event may contain several tokens.
     itl_slo_ms: float = 300.0
-    #: Not who may see it: its calls need no key.
+    #: Not a matter of visibility: calls of a public route need no key.
     public: bool = False
 
 
 class _Model(msgspec.Struct, rename='pascal'):
     name: str
-    #: Size of this model.
+    #: Size of this model's weights.
     weights_mb: float
-    #: From the weight store; sooner from the machine's memory or disk.
+    #: Load time from the weight store; loads from the machine's memory or disk are faster.
     load_time_s: float
-    #: How many there are; they are called a1, a2 and so on.
+    #: Number of adapters; they are named a1, a2 and so on.
     adapters: int = 0
     #: Size of one adapter.
     adapter_size_mb: float = 0.0
-    #: From the memory of the replica's machine.
+    #: Load time from the memory of the replica's machine.
     warm_s: float | None = None
-    #: From the disk of the replica's machine.
+    #: Load time from the disk of the replica's machine.
     disk_load_s: float | None = None
 
 
 class _Engine(msgspec.Struct, rename='pascal'):
-    #: Calls that run in one batch of a replica.
+    #: Number of calls that a replica runs in one batch.
     slots: int
-    #: Tokens of running calls and kept prompts together, a replica.
+    #: Capacity of a replica for the tokens of running calls and cached prompts together.
     kv_capacity: int = 0
     models: list[_Model] = []
-    #: Not the size of a model: room of a replica for weights and adapters together.
+    #: Not the size of a model: capacity of a replica for weights and adapters together.
     weights_mb: float = 0.0
-    #: Adapters of all models together, a replica.
+    #: Maximum number of adapters on a replica, over all models.
     max_adapters: int = 0
-    #: Loads from the weight store by all replicas together.
+    #: Rate limit on loads from the weight store, over all replicas.
     loads_per_s: float = 1.0
-    #: Tokens in one event of a stream.
+    #: Number of tokens in one event of a stream.
     stride: int = 1
 
 
 class _Service(msgspec.Struct, rename='pascal'):
     name: str
-    #: Connections that one replica takes from all callers together.
+    #: Maximum number of connections to one replica, over all its clients.
     max_conns: int = 100
     engine: _Engine | None = None
 
 
 class _Limits(msgspec.Struct, rename='pascal'):
-    """What a caller may send, and how long it may take or rest."""
+    """Size limits and timeouts of client connections."""
 
     max_header_bytes: int = 16384
     max_body_bytes: int = 4 << 20
@@ -117,25 +117,25 @@
     version: int
     routes: list[_Route]
     services: list[_Service]
-    #: ``None`` where no key is needed.
+    #: ``None`` if calls need no key.
     tenants: list[OrganisationEntry] | None = None
     limits: _Limits = msgspec.field(default_factory=_Limits)
 
 
-class _Versioned(msgspec.Struct, rename='pascal'):
-    """What every configuration has, also one that cannot be read as a whole."""
+class _VersionOnly(msgspec.Struct, rename='pascal'):
+    """The version alone, which can be read even if the rest of a configuration is invalid."""
 
     version: int
 
 
-_configs = msgspec.json.Decoder(_Config, strict=False)
-_versioned = msgspec.json.Decoder(_Versioned, strict=False)
+_config_decoder = msgspec.json.Decoder(_Config, strict=False)
+_version_decoder = msgspec.json.Decoder(_VersionOnly, strict=False)
 
 
 def config_newness(value: bytes) -> Newness:
-    """Return how new the configuration in a row is: the operator's version."""
+    """Return the sort key of a configuration by age: the operator's version."""
     try:
-        return (_versioned.decode(value).version,)
+        return (_version_decoder.decode(value).version,)
     except UNREADABLE:
         return ()
 
@@ -143,12 +143,12 @@
 def read_config(value: bytes) -> ServingConfig:
     """Return the configuration in a row.
 
-    A route of unknown kind is read as one whose calls may run at most once.
+    A route of unknown kind is treated as unsafe: its calls may run at most once.
 
-    :raises InvalidDocument: it is no configuration, with what is wrong with it.
+    :raises InvalidDocument: the value is not a valid configuration; lists the faults.
     """
     try:
-        document = _configs.decode(value)
+        document = _config_decoder.decode(value)
     except UNREADABLE as error:
         raise InvalidDocument([Problem(CONFIG_KEY, str(error))]) from None
     limits = document.limits
@@ -159,8 +159,8 @@
         limits=ClientLimits(
             header_bytes=limits.max_header_bytes,
             body_bytes=limits.max_body_bytes,
-            header_timeout_s=limits.header_timeout_ms / _MS,
-            idle_timeout_s=limits.idle_timeout_ms / _MS,
+            header_timeout_s=limits.header_timeout_ms / _MS_PER_S,
+            idle_timeout_s=limits.idle_timeout_ms / _MS_PER_S,
         ),
         organisations=None if document.tenants is None else read_organisations(document.tenants),
     )
@@ -174,14 +174,14 @@
         name=route.name,
         host=route.host,
         path_prefix=route.path_prefix,
-        kind=_KINDS.get(route.route_kind, CallKind.UNSAFE),
+        kind=_CALL_KINDS.get(route.route_kind, CallKind.UNSAFE),
         targets=tuple(targets),
-        timeout_s=route.timeout_ms / _MS,
-        objective_s=route.latency_slo_ms / _MS,
+        timeout_s=route.timeout_ms / _MS_PER_S,
+        objective_s=route.latency_slo_ms / _MS_PER_S,
         max_attempts=max(1, route.max_attempts),
         priority=route.priority,
         resumable=route.resumable,
-        pause_s=route.itl_slo_ms / _MS,
+        pause_s=route.itl_slo_ms / _MS_PER_S,
         is_public=route.public,
     )
 
