--- a/limeshelf/platform/replicas.py
+++ b/limeshelf/platform/replicas.py
@@ -1,7 +1,7 @@
-"""Rows of replicas and their reports, read into the product's records.
+"""Reads the rows and status reports of replicas.
 
-Owns the formats. Fields that nothing reads are not declared; the decoder passes
-over them. The comments stand where the platform's name misleads.
+Owns the formats. Unused fields are not declared; the decoder skips them. Comments explain
+fields whose platform name is misleading.
 """
 
 from __future__ import annotations
@@ -18,125 +18,128 @@
 if TYPE_CHECKING:
     from limeshelf.feeds.return_rule import Newness
 
-#: Table of the store in which replicas record themselves.
+#: Table of the store in which replicas register.
 REPLICA_TABLE = 'servers'
-#: State of a replica that takes calls.
+#: State of a replica that accepts calls.
 READY = 'ready'
-#: State of a replica that takes no new calls and ends before long.
+#: State of a replica that accepts no new calls and will stop soon.
 DRAINING = 'draining'
-#: A host, or an IPv6 address in brackets, and a port.
+#: A host name or IP address, IPv6 in brackets, followed by a port.
 _ADDRESS = re.compile(r'(?:[A-Za-z0-9._-]+|\[[0-9A-Fa-f:.]+\]):([0-9]{1,5})')
 MAX_PORT = 65535
 
 
-class _Held(msgspec.Struct, rename='pascal'):
+class _LoadedModel(msgspec.Struct, rename='pascal'):
     """A model whose weights are loaded and ready."""
 
     name: str
-    #: Ready adapters: names, or objects with a name.
+    #: Ready adapters: either names or objects with a name.
     adapters: list[Any] = []
 
 
-class _Copies(msgspec.Struct, rename='pascal'):
-    """Weights that a load need not fetch from the store; not ready for calls."""
+class _LocalCopies(msgspec.Struct, rename='pascal'):
+    """Local copies of weights: not ready for calls, but loaded without the weight store."""
 
-    #: Memory of the replica's machine, not of its accelerator.
+    #: In the main memory of the replica's machine, not in its accelerator.
     in_memory: list[Any] = []
     on_disk: list[Any] = []
 
 
-class _Entry(msgspec.Struct, rename='pascal'):
-    """A replica's row; what has no default is in each that a replica writes."""
+class _ReplicaRow(msgspec.Struct, rename='pascal'):
+    """The row of a replica; replicas always write the fields without a default."""
 
     service: str
     address: str
     #: The data centre.
     zone: str
-    #: Calls that it works on at once; it queues a few more.
+    #: Number of calls that it runs concurrently; it queues a few more.
     slots: int
     state: str
-    #: Heartbeats here, but orders taken in a report (every order of a day was refused when the two
-    #: were mixed up).
+    #: Counts heartbeats, whereas the field of the same name in a report counts accepted
+    #: orders. If the two are confused, the replica refuses every order.
     seq_no: int
-    #: Time until the replica is gone, whatever it runs; stated only by
-    #: one that goes at short notice.
+    #: Time until the replica stops, regardless of running calls; set only by a replica that
+    #: stops at short notice.
     remaining_ms: float | None = None
-    models: list[_Held] = []
-    #: Unix milliseconds of its start; this name alone is written in small letters.
+    models: list[_LoadedModel] = []
+    #: Start time in Unix milliseconds; the only name in lower case.
     born: Any = msgspec.field(name='born', default=None)
 
 
 class _Report(msgspec.Struct, rename='pascal'):
-    models: list[_Held] = []
-    #: An order is under way; says nothing of calls.
+    models: list[_LoadedModel] = []
+    #: An order is in progress; independent of calls.
     is_busy: bool = False
-    #: Orders taken since its start, adapters' included; not heartbeats as in its row.
+    #: Orders accepted since its start, including those for adapters; not heartbeats as in the
+    #: row.
     seq_no: int = 0
-    #: Calls that wait there.
+    #: Number of queued calls.
     queued: int = 0
-    #: Calls in its batch.
+    #: Number of calls in the batch.
     running: int = 0
-    #: Tokens of memory that cannot be evicted; kept prompts that can are not in it.
+    #: Cache use in tokens, without cached prompts that can be evicted.
     kv_used: int = 0
-    #: Adapters on their way, as MODEL/NAME@VERSION; they count as held for room.
+    #: Adapters being loaded, as MODEL/NAME@VERSION; they already take up capacity.
     loading: list[str] = []
-    #: As in its row; empty if not stated.
+    #: As in the row; empty if not stated.
     state: str = ''
-    available: _Copies | None = None
-    #: As in its row.
+    available: _LocalCopies | None = None
+    #: As in the row.
     born: Any = msgspec.field(name='born', default=None)
 
 
-_MS = 1000.0
+_MS_PER_S = 1000.0
 
 
-class _Beat(msgspec.Struct, rename='pascal'):
-    """What tells the rows of one replica apart by their age."""
+class _RowAge(msgspec.Struct, rename='pascal'):
+    """The fields that order the rows of one replica by age."""
 
     seq_no: int
     born: Any = msgspec.field(name='born', default=None)
 
 
-_entries = msgspec.json.Decoder(_Entry)
-_beats = msgspec.json.Decoder(_Beat)
-_reports = msgspec.json.Decoder(_Report)
+_row_decoder = msgspec.json.Decoder(_ReplicaRow)
+_row_age_decoder = msgspec.json.Decoder(_RowAge)
+_report_decoder = msgspec.json.Decoder(_Report)
 
 
-def _name(item: Any) -> str:
-    """Return the name in NAME@VERSION, or in an object with such a name.
+def _item_name(item: Any) -> str:
+    """Return the name in NAME@VERSION or in an object with such a name.
 
-    :raises InvalidDocument: there is no name in it.
+    :raises InvalidDocument: the item has no name.
     """
     text = item.get('Name') if isinstance(item, dict) else item
     if not isinstance(text, str):
-        raise InvalidDocument([Problem('Name', 'is no text')])
+        raise InvalidDocument([Problem('Name', 'is not a string')])
     return text.partition('@')[0]
 
 
 def _born_ms(born: Any) -> int | None:
-    """Return when a replica started, if it says so.
+    """Return the start time of a replica; ``None`` if it states none.
 
-    :raises InvalidDocument: it is no whole number.
+    :raises InvalidDocument: the start time is not a whole number.
     """
     if born is None:
         return None
     if type(born) is not int:
-        raise InvalidDocument([Problem('born', 'is no whole number')])
+        raise InvalidDocument([Problem('born', 'is not a whole number')])
     return born
 
 
-def _check(replica_id: str, entry: _Entry) -> None:
-    """Raise what makes an entry unusable although its fields have their types.
+def _check_row(replica_id: str, row: _ReplicaRow) -> None:
+    """Check the values of a row whose fields have the right types.
 
-    Others may write rows, too. What is taken as it comes, an address without a port or a state
-    that nobody knows, gets calls that nobody answers.
+    Programs other than replicas may write rows too. Without these checks, calls would be sent
+    to an address without a port or to a replica in an unknown state and never be answered.
+
+    :raises InvalidDocument: with one problem for each invalid field.
     """
-    address = _ADDRESS.fullmatch(entry.address)
+    address = _ADDRESS.fullmatch(row.address)
     checks = {
-        'Service': bool(entry.service),
+        'Service': bool(row.service),
         'Address': address is not None and 0 < int(address[1]) <= MAX_PORT,
-        'Slots': entry.slots >= 1,
-        'State': entry.state in (READY, DRAINING),
+        'Slots': row.slots >= 1,
+        'State': row.state in (READY, DRAINING),
     }
     problems = [
         Problem(f'{replica_id}.{name}', 'unusable') for name, ok in checks.items() if not ok
@@ -145,15 +148,15 @@
         raise InvalidDocument(problems)
 
 
-def _holdings(models: list[_Held]) -> tuple[Holding, ...]:
+def _holdings(models: list[_LoadedModel]) -> tuple[Holding, ...]:
     return tuple(
-        Holding(held.name, frozenset(_name(adapter) for adapter in held.adapters))
+        Holding(held.name, frozenset(_item_name(adapter) for adapter in held.adapters))
         for held in models
     )
 
 
-def _loading(text: str) -> tuple[str, str]:
-    """Return model and adapter of MODEL/NAME@VERSION."""
+def _split_loading(text: str) -> tuple[str, str]:
+    """Return the model and the adapter in MODEL/NAME@VERSION."""
     model, _, adapter = text.partition('@')[0].partition('/')
     return model, adapter
 
@@ -161,56 +164,56 @@
 def read_record(replica_id: str, value: bytes) -> ReplicaRecord:
     """Return the record in a replica's row.
 
-    :raises InvalidDocument: it is no record, with what is wrong with it.
+    :raises InvalidDocument: the value is not a valid record; lists the faults.
     """
     try:
-        entry = _entries.decode(value)
+        row = _row_decoder.decode(value)
     except UNREADABLE as error:
         raise InvalidDocument([Problem(replica_id, str(error))]) from None
-    _check(replica_id, entry)
+    _check_row(replica_id, row)
     return ReplicaRecord(
         replica_id=replica_id,
-        service=entry.service,
-        address=entry.address,
-        data_centre=entry.zone,
-        slots=entry.slots,
-        leaving=entry.state == DRAINING,
-        leaves_in_s=None if entry.remaining_ms is None else entry.remaining_ms / _MS,
-        holdings=_holdings(entry.models),
-        beat_number=entry.seq_no,
-        born_ms=_born_ms(entry.born),
+        service=row.service,
+        address=row.address,
+        data_centre=row.zone,
+        slots=row.slots,
+        leaving=row.state == DRAINING,
+        leaves_in_s=None if row.remaining_ms is None else row.remaining_ms / _MS_PER_S,
+        holdings=_holdings(row.models),
+        beat_number=row.seq_no,
+        born_ms=_born_ms(row.born),
     )
 
 
 def record_newness(value: bytes) -> Newness:
-    """Return how new a replica's row is: by its start, then by its heartbeats."""
+    """Return the sort key of a replica's row by age: its start, then its heartbeat count."""
     try:
-        beat = _beats.decode(value)
-        return (_born_ms(beat.born) or 0, beat.seq_no)
+        age = _row_age_decoder.decode(value)
+        return (_born_ms(age.born) or 0, age.seq_no)
     except (*UNREADABLE, InvalidDocument):
         return ()
 
 
 def read_report(value: bytes) -> ReplicaReport:
-    """Return the report in the body of a replica's answer.
+    """Return the report in the body of a replica's response.
 
-    :raises InvalidDocument: it is no report, with what is wrong with it.
+    :raises InvalidDocument: the body is not a valid report; lists the faults.
     """
     try:
-        report = _reports.decode(value)
+        report = _report_decoder.decode(value)
     except UNREADABLE as error:
         raise InvalidDocument([Problem('report', str(error))]) from None
-    copies = report.available or _Copies()
+    copies = report.available or _LocalCopies()
     return ReplicaReport(
         holdings=_holdings(report.models),
         busy=report.is_busy,
         order_number=report.seq_no,
-        loading=tuple(_loading(text) for text in report.loading),
+        loading=tuple(_split_loading(text) for text in report.loading),
         queued=report.queued,
         running=report.running,
         memory_used=report.kv_used,
-        in_memory=frozenset(_name(item) for item in copies.in_memory),
-        on_disk=frozenset(_name(item) for item in copies.on_disk),
+        in_memory=frozenset(_item_name(item) for item in copies.in_memory),
+        on_disk=frozenset(_item_name(item) for item in copies.on_disk),
         leaving=report.state == DRAINING,
         born_ms=_born_ms(report.born),
     )
