--- a/limeshelf/platform/headers.py
+++ b/limeshelf/platform/headers.py
@@ -1,7 +1,6 @@
-"""The platform's headers: their names, what each means, and how its text is read.
+"""Names, meaning and parsing of the platform's HTTP headers.
 
-Owns the names alone; :mod:`limeshelf.platform.wire` builds calls and answers from
-them. Relies on the types of calls.
+Owns only the names; :mod:`limeshelf.platform.wire` converts whole requests and responses.
 """
 
 from __future__ import annotations
@@ -19,77 +18,80 @@
 
     from limeshelf.organisations.organisation import KeyDigest
 
-#: One attempt of a caller; the caller's own retry has another id. A replica
-#: sends it back, which shows what its answer belongs to.
+#: Identifies one attempt of a caller; a retry by the caller has a different id. A replica
+#: echoes it, which shows to which call its response belongs.
 CALL_ID = 'Limeshelf-Attempt-Id'
-#: A duration, not a moment: as received, how long the caller waits; as sent to a
-#: replica, how long that may still work.
+#: A duration, not a point in time. In a request from a caller: how long the caller waits;
+#: in a request to a replica: the remaining time.
 DEADLINE = 'Limeshelf-Deadline-Ms'
-#: All parts of the prompt in order, not only its beginning; each with its tokens.
-PARTS = 'Limeshelf-Prompt-Prefix'
-#: The model, and behind a slash one of its adapters.
+#: All parts of the prompt in order, not only its prefix, each with its token count.
+PROMPT_PARTS = 'Limeshelf-Prompt-Prefix'
+#: The model, optionally followed by a slash and one of its adapters.
 MODEL = 'Limeshelf-Model'
-#: Two counts: tokens of the prompt, and the most that may be generated.
-TOKENS = 'Limeshelf-Token-Count'
-#: The caller's guess at the generated tokens, which is often far off.
+#: Two counts: the tokens of the prompt and the maximum number of generated tokens.
+TOKEN_COUNTS = 'Limeshelf-Token-Count'
+#: The caller's estimate of the number of generated tokens, often inaccurate.
 LENGTH_HINT = 'Limeshelf-Length-Hint'
-#: The last event of the stream that the receiver of the answer already has.
+#: Id of the last event of the stream that the client has received.
 LAST_EVENT = 'Last-Event-Id'
-#: Not an instance in our sense: the replica that is meant, by an id that outlives its starts.
+#: Not an instance in the sense of this project: the id of the intended replica, which stays
+#: the same when the replica restarts.
 EXPECT_INSTANCE = 'Limeshelf-Expect-Instance'
-#: Urgency within a replica's batch; see :data:`MOST_URGENT`. Routes have their own rank.
+#: Priority within a replica's batch; see :data:`MOST_URGENT`. Separate from the priority of
+#: routes.
 PRIORITY = 'Limeshelf-Request-Priority'
-#: Version of the model's weights; a replica with another one does not run the call.
+#: Version of the model weights; a replica with a different version does not run the call.
 EXPECT_VERSION = 'Limeshelf-Expect-Version'
-#: How long a replica keeps the prompt's cache after the answer; not sent by us.
+#: How long a replica keeps the prompt cache after the response; never sent by the gateway.
 KEEP_CACHE = 'Limeshelf-Pin-Ms'
-#: A slot and memory that were reserved at the replica before; not sent by us.
+#: An existing reservation of a slot and memory at the replica; never sent by the gateway.
 RESERVATION = 'Limeshelf-Hold'
-#: The replica that gets a running copy of the call's cache; not sent by us.
+#: The replica to which the call's cache is replicated; never sent by the gateway.
 CACHE_BACKUP = 'Limeshelf-Kv-Backup'
-#: The replica that hands over what it has cached of the prompt; not sent by us.
+#: The replica from which the cached prompt is fetched; never sent by the gateway.
 CACHE_SOURCE = 'Kv-Fetch'
-#: A moved copy of the cache, from which the call goes on; not sent by us.
+#: A migrated copy of the cache from which the call continues; never sent by the gateway.
 CACHE_COPY = 'Kv-From'
-#: The replica's signature of its answer.
+#: The replica's signature of its response.
 STAMP = 'Limeshelf-Server-Stamp'
-#: Set by a replica that did not run the call; without it the call may have run,
-#: whatever the status.
+#: Set by a replica that did not run the call; without it the call may have run, regardless of
+#: the status.
 NOT_EXECUTED = 'Limeshelf-Not-Executed'
-#: Seconds, with fractions.
+#: In seconds, possibly fractional.
 RETRY_AFTER = 'Retry-After'
-#: Calls a second, a decimal number, that a replica takes from all gateways together; it is in
-#: each of its answers for as long as that holds.
+#: Rate limit of a replica over all gateways, in calls per second as a decimal number; sent in
+#: each response while the limit applies.
 RATE_LIMIT = 'Server-Limit'
-#: In each answer of a replica that leaves, with the value :data:`YES`.
+#: Sent with the value :data:`LEAVING_VALUE` in each response of a replica that is leaving.
 LEAVING = 'Server-Leaving'
-YES = '1'
-#: The caller's key, behind :data:`KEY_SCHEME`. It ends here: no replica sees it.
+LEAVING_VALUE = '1'
+#: The caller's key after :data:`KEY_SCHEME`; never forwarded to a replica.
 AUTHORIZATION = 'Authorization'
-#: Who holds the key, as a replica is told; a caller's own is thrown away.
+#: The organisation that holds the key, set by the gateway; dropped from requests of callers.
 ORGANISATION = 'Limeshelf-Tenant'
-#: Which kind of key a call without a known one lacks (RFC 9110, section 11.6.1).
+#: Authentication scheme, sent with the refusal of a call without a valid key (RFC 9110,
+#: section 11.6.1).
 CHALLENGE = 'WWW-Authenticate'
 
-#: Stands before the key; in any case (RFC 9110, section 11.1).
+#: Authentication scheme before the key; case-insensitive (RFC 9110, section 11.1).
 KEY_SCHEME = 'Token'
 
-#: The replica is another one than was meant, or does not hold what the call needs; it did not
+#: The receiver is not the intended replica, or does not hold what the call needs; it did not
 #: run the call.
 STATUS_MISDIRECTED = 421
 
-#: Statuses with which a replica turns a call away for now.
-TURNED_AWAY = (429, 503)
+#: Statuses with which a replica temporarily rejects a call.
+REJECTION_STATUSES = (429, 503)
 
 #: Lower numbers are more urgent.
 MOST_URGENT = 0
 LEAST_URGENT = 9
 
-#: Characters of a malformed value that its error shows.
-SHOWN_CHARS = 40
+#: Number of characters of a malformed value that an error message shows.
+MAX_SHOWN_CHARS = 40
 
-#: Concern one connection only (RFC 9110, section 7.6.1), or are set anew.
-HOP_HEADERS = frozenset(
+#: Hop-by-hop headers (RFC 9110, section 7.6.1) and headers that are regenerated.
+HOP_BY_HOP_HEADERS = frozenset(
     {
         'connection',
         'content-length',
@@ -106,10 +108,10 @@
 )
 
 
-#: What only the system may set. A caller's own never reach a replica: one that names a
-#: reservation or a cache copy which does not exist is refused there. With them taken out,
-#: 0.12 of the calls were refused instead of 0.18 (means of six days of one deployment, one
-#: play each).
+#: Headers that only the gateway may set; those of callers are never forwarded, since replicas
+#: refuse a call that names a reservation or cache copy that does not exist. Dropping them
+#: reduced the refused share of calls from 0.18 to 0.12 (means over six days of one deployment,
+#: one run each).
 SET_BY_SYSTEM = frozenset(
     name.lower()
     for name in (
@@ -127,27 +129,33 @@
         ORGANISATION,
     )
 )
-#: What says which call this is and what it needs. A replica gets it as the caller sent it,
-#: also where a ``Connection`` header names it.
-SET_BY_CALLER = frozenset(name.lower() for name in (CALL_ID, MODEL, TOKENS, PARTS, LENGTH_HINT))
+#: Headers that identify a call and state what it needs. They are forwarded unchanged, even if
+#: a ``Connection`` header names them.
+SET_BY_CALLER = frozenset(
+    name.lower() for name in (CALL_ID, MODEL, TOKEN_COUNTS, PROMPT_PARTS, LENGTH_HINT)
+)
 
 
-def passes_on(name: str, bound: frozenset[str]) -> bool:
-    """Return whether a caller's header travels on to a replica.
+def is_forwarded(name: str, connection_options: frozenset[str]) -> bool:
+    """Return whether a header of a caller is forwarded to a replica.
 
-    :param bound: headers that the caller bound to its connection, in lower case.
+    :param connection_options: connection options of the caller's request, in lower case.
     """
     name = name.lower()
     if name in SET_BY_CALLER:
         return True
-    return name not in HOP_HEADERS and name not in SET_BY_SYSTEM and name not in bound
+    return (
+        name not in HOP_BY_HOP_HEADERS
+        and name not in SET_BY_SYSTEM
+        and name not in connection_options
+    )
 
 
-def read_key(texts: Sequence[str]) -> KeyDigest | None:
-    """Return what stands for the key in the headers that carry keys.
+def read_key_digest(texts: Sequence[str]) -> KeyDigest | None:
+    """Return the digest of the key in the authorization headers.
 
-    ``None`` where there is none, more than one, another scheme, or no single word: such a call
-    is treated as one without a key.
+    ``None`` if there is no such header or more than one, the scheme differs, or the key is not
+    a single word: the call is then treated as one without a key.
     """
     if len(texts) != 1:
         return None
@@ -161,19 +169,19 @@
 def read_count(text: str, name: str) -> int:
     """Return the whole number in header *name*.
 
-    :raises InvalidRequest: it is no whole number, or below zero.
+    :raises InvalidRequest: the text is not a whole number, or is negative.
     """
     try:
         value = int(text)
     except ValueError:
-        raise InvalidRequest(name, f'not a whole number: {text[:SHOWN_CHARS]!r}') from None
+        raise InvalidRequest(name, f'not a whole number: {text[:MAX_SHOWN_CHARS]!r}') from None
     if value < 0:
         raise InvalidRequest(name, 'below zero')
     return value
 
 
 def read_model_need(headers: Mapping[str, str]) -> ModelNeed | None:
-    """Return what a call asks of a model, ``None`` for a call to a plain service.
+    """Return the model requirements of a call; ``None`` for a call to a plain service.
 
     :raises InvalidRequest: a header is malformed.
     """
@@ -181,29 +189,29 @@
     if name is None:
         return None
     model, _, adapter = name.partition('/')
-    prompt, _, output = headers.get(TOKENS, '0,0').partition(',')
-    output_tokens = read_count(output or '0', TOKENS)
+    prompt, _, output = headers.get(TOKEN_COUNTS, '0,0').partition(',')
+    output_tokens = read_count(output or '0', TOKEN_COUNTS)
     hint = headers.get(LENGTH_HINT)
     likely = read_count(hint, LENGTH_HINT) if hint else output_tokens
     return ModelNeed(
         model=model,
         adapter=adapter,
-        prompt_tokens=read_count(prompt or '0', TOKENS),
+        prompt_tokens=read_count(prompt or '0', TOKEN_COUNTS),
         output_tokens=output_tokens,
         likely_tokens=min(likely, output_tokens) or likely,
-        parts=_read_parts(headers.get(PARTS, '')),
+        parts=_read_parts(headers.get(PROMPT_PARTS, '')),
     )
 
 
 def read_stated_tokens(headers: Mapping[str, str]) -> int | None:
-    """Return the tokens of prompt and answer together; ``None`` if the caller states none.
+    """Return the tokens of prompt and response together; ``None`` if the caller states none.
 
     :raises InvalidRequest: the header is malformed.
     """
-    text = headers.get(TOKENS)
+    text = headers.get(TOKEN_COUNTS)
     if text is None:
         return None
-    return sum(read_count(part or '0', TOKENS) for part in text.split(',')[:2])
+    return sum(read_count(part or '0', TOKEN_COUNTS) for part in text.split(',')[:2])
 
 
 def _read_parts(text: str) -> tuple[PromptPart, ...]:
@@ -211,18 +219,18 @@
     for item in text.split(','):
         part_id, _, tokens = item.strip().partition(':')
         if part_id:
-            parts.append(PromptPart(part_id, read_count(tokens or '0', PARTS)))
+            parts.append(PromptPart(part_id, read_count(tokens or '0', PROMPT_PARTS)))
     return tuple(parts)
 
 
 def read_notice(status: int, fields: Mapping[str, str]) -> ReplicaNotice:
-    """Return what a replica asks for in the head of an answer.
+    """Return the rate limit, pause and leaving notice in the headers of a response.
 
-    :param fields: case-insensitive multi-dictionary of the answer's headers.
+    :param fields: case-insensitive multi-dictionary of the response headers.
     """
     rate = fields.get(RATE_LIMIT)
-    leaving = fields.get(LEAVING, '').strip() == YES
-    pause = fields.get(RETRY_AFTER) if status in TURNED_AWAY else None
+    leaving = fields.get(LEAVING, '').strip() == LEAVING_VALUE
+    pause = fields.get(RETRY_AFTER) if status in REJECTION_STATUSES else None
     if rate is None and pause is None and not leaving:
         return NO_NOTICE
     rate_per_s = _read_rate(rate) if rate is not None else None
@@ -241,7 +249,7 @@
 
 
 def _read_rate(text: str) -> float | None:
-    """Return calls a second; ``None`` where the text names no number that can be kept to."""
+    """Return a rate in calls per second; ``None`` if it is not a finite number of 0 or more."""
     try:
         rate_per_s = float(text)
     except ValueError:
@@ -250,7 +258,7 @@
 
 
 def read_seconds(text: str | None) -> float | None:
-    """Return a time in seconds; ``None`` if there is none, or another notation."""
+    """Return a time in seconds; ``None`` if it is missing or in another notation."""
     try:
         return max(0.0, float(text)) if text else None
     except ValueError:
@@ -258,7 +266,7 @@
 
 
 def read_keep_alive_s(text: str | None) -> float | None:
-    """Return how long the sender of a ``Keep-Alive`` header keeps an idle connection."""
+    """Return the idle timeout that a ``Keep-Alive`` header states."""
     for item in (text or '').split(','):
         name, _, value = item.strip().partition('=')
         if name.lower() == 'timeout':
@@ -266,7 +274,7 @@
     return None
 
 
-def named_by_connection(texts: Iterable[str]) -> frozenset[str]:
-    """Return the headers that ``Connection`` headers bind to the connection, in lower case."""
+def read_connection_options(texts: Iterable[str]) -> frozenset[str]:
+    """Return the header names among the connection options, in lower case."""
     names = frozenset(name.strip().lower() for text in texts for name in text.split(','))
     return names - {'close', 'keep-alive'}
--- a/limeshelf/platform/wire.py
+++ b/limeshelf/platform/wire.py
@@ -1,8 +1,7 @@
-"""Calls and answers as the platform writes them, behind the product's port.
+"""Converts requests and responses between the platform's format and the product's types.
 
-Owns nothing and decides nothing: it turns a request into a
-:class:`~limeshelf.calls.call.Call`, and the head of a replica's answer into
-:class:`~limeshelf.calls.wire.AnswerFacts`. Relies on the header names.
+Stateless: converts a request into a :class:`~limeshelf.calls.call.Call` and the status and
+headers of a replica's response into :class:`~limeshelf.calls.wire.AnswerFacts`.
 """
 
 from __future__ import annotations
@@ -30,15 +29,17 @@
 
         :param target: path and query exactly as received.
         :param fields: case-insensitive multi-dictionary of the request's headers.
-        :param arrived_s: on the steady clock.
+        :param arrived_s: arrival time on the monotonic clock.
         :raises InvalidRequest: a header is missing or malformed.
         """
         call_id = fields.get(headers.CALL_ID)
         if not call_id:
             raise InvalidRequest(headers.CALL_ID, 'missing')
-        bound = headers.named_by_connection(fields.getall('Connection', []))
-        passed = tuple(
-            (name, value) for name, value in fields.items() if headers.passes_on(name, bound)
+        connection_options = headers.read_connection_options(fields.getall('Connection', []))
+        forwarded = tuple(
+            (name, value)
+            for name, value in fields.items()
+            if headers.is_forwarded(name, connection_options)
         )
         deadline = fields.get(headers.DEADLINE)
         return Call(
@@ -46,18 +47,18 @@
             method=method,
             host=fields.get('Host', '').partition(':')[0],
             target=target,
-            headers=passed,
+            headers=forwarded,
             body=body,
             arrived_s=arrived_s,
             budget_s=headers.read_count(deadline, headers.DEADLINE) / 1000 if deadline else None,
             model_need=headers.read_model_need(fields),
             last_event_id=fields.get(headers.LAST_EVENT),
-            key=headers.read_key(fields.getall(headers.AUTHORIZATION, [])),
+            key=headers.read_key_digest(fields.getall(headers.AUTHORIZATION, [])),
             stated_tokens=headers.read_stated_tokens(fields),
         )
 
     def send_headers(self, call: Call, facts: SendFacts) -> list[tuple[str, str]]:
-        """Return the headers with which a call goes to a replica."""
+        """Return the headers of a call to a replica."""
         sent = list(call.headers)
         sent.append((headers.DEADLINE, str(max(1, int(facts.left_s * 1000)))))
         sent.append((headers.EXPECT_INSTANCE, facts.replica_id))
@@ -71,9 +72,9 @@
         return sent
 
     def read_answer(self, status: int, fields: Mapping[str, str]) -> AnswerFacts:
-        """Return what the head of a replica's answer says.
+        """Return the contents of the status and headers of a replica's response.
 
-        :param fields: case-insensitive multi-dictionary of the answer's headers.
+        :param fields: case-insensitive multi-dictionary of the response headers.
         """
         misdirected = status == headers.STATUS_MISDIRECTED
         return AnswerFacts(
@@ -87,7 +88,7 @@
             headers=tuple(
                 (name, value)
                 for name, value in fields.items()
-                if name.lower() not in headers.HOP_HEADERS
+                if name.lower() not in headers.HOP_BY_HOP_HEADERS
             ),
             keep_alive_s=headers.read_keep_alive_s(fields.get('Keep-Alive')),
             notice=headers.read_notice(status, fields),
@@ -96,10 +97,10 @@
     def refusal_headers(
         self, call_id: str | None, retry_after_s: float | None, *, asks_for_key: bool = False
     ) -> list[tuple[str, str]]:
-        """Return the headers of an answer of our own.
+        """Return the headers of a refusal by the gateway itself.
 
-        :param retry_after_s: when to come back, in seconds; ``None`` says nothing.
-        :param asks_for_key: whether the call lacks a key that is known.
+        :param retry_after_s: delay before a retry, in seconds; ``None`` sends no header.
+        :param asks_for_key: whether the call was refused for lack of a valid key.
         """
         sent = [(headers.CALL_ID, call_id)] if call_id else []
         if retry_after_s is not None:
--- a/tests/platform/test_headers.py
+++ b/tests/platform/test_headers.py
@@ -1,7 +1,7 @@
-"""What a caller sends reaches a replica only where it is the caller's to say.
+"""Headers of callers are forwarded to replicas unless only the gateway may set them.
 
-The properties are checked over all headers that the adapter names, in any case, several
-times, and listed in ``Connection``.
+The properties are checked for all headers that the adapter names, in upper and lower case,
+repeated, and listed in ``Connection``.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from limeshelf.platform import headers
 from limeshelf.platform.wire import PlatformWire
 
-#: Headers that only the system may set, spelt out so that the adapter's list is held to them.
+#: Headers that only the gateway may set, listed separately to check the adapter's list.
 SYSTEM_NAMES = (
     'Limeshelf-Deadline-Ms',
     'Limeshelf-Expect-Instance',
@@ -38,7 +38,7 @@
 )
 OWN_NAMES = ('X-Own', 'Accept', 'Limeshelf-Unheard-Of')
 FACTS = SendFacts(left_s=1.0, replica_id='i-1', priority=2, last_event_id=None)
-#: What the system adds to a plain call.
+#: Headers that the gateway adds to a call without a model.
 ADDED = {'limeshelf-deadline-ms', 'limeshelf-expect-instance'}
 
 SPELLINGS = st.sampled_from([str, str.lower, str.upper, str.title])
@@ -53,41 +53,41 @@
 )
 
 
-def sent_for(fields: list[tuple[str, str]]) -> list[tuple[str, str]]:
+def forwarded_headers(fields: list[tuple[str, str]]) -> list[tuple[str, str]]:
     wire = PlatformWire()
     call = wire.read_call('GET', '/', CIMultiDict(fields), b'', 0.0)
     return wire.send_headers(call, FACTS)
 
 
 @given(fields=FIELDS, connections=CONNECTIONS)
-def test_no_header_of_the_system_reaches_a_replica_as_a_caller_sent_it(
+def test_system_headers_of_a_caller_are_not_forwarded(
     fields: list[tuple[str, str]], connections: list[str]
 ) -> None:
     head = [('Limeshelf-Attempt-Id', 'c-1')]
-    bound = [('Connection', text) for text in connections]
-    sent = sent_for([*head, *fields, *bound])
+    connection_headers = [('Connection', text) for text in connections]
+    sent = forwarded_headers([*head, *fields, *connection_headers])
     system = [name.lower() for name, _ in sent if name.lower() in headers.SET_BY_SYSTEM]
     assert sorted(system) == sorted(ADDED)
-    passed = [(name, value) for name, value in sent if name in OWN_NAMES]
-    assert passed == [(name, value) for name, value in fields if name in OWN_NAMES]
+    forwarded = [(name, value) for name, value in sent if name in OWN_NAMES]
+    assert forwarded == [(name, value) for name, value in fields if name in OWN_NAMES]
 
 
 @given(connections=CONNECTIONS)
-def test_what_a_call_needs_reaches_the_replica_whatever_connection_names(
+def test_call_headers_are_forwarded_even_if_connection_names_them(
     connections: list[str],
 ) -> None:
-    need = [
+    required = [
         ('Limeshelf-Attempt-Id', 'c-1'),
         ('Limeshelf-Model', 'm1/a2'),
         ('Limeshelf-Token-Count', '500,80'),
         ('Limeshelf-Prompt-Prefix', 'aa:40,bb:60'),
         ('Limeshelf-Length-Hint', '64'),
     ]
-    sent = sent_for([*need, *(('Connection', text) for text in connections)])
-    assert [item for item in sent if item in need] == need
+    sent = forwarded_headers([*required, *(('Connection', text) for text in connections)])
+    assert [item for item in sent if item in required] == required
 
 
-def test_each_header_bound_to_the_connection_stays_behind() -> None:
+def test_headers_named_by_connection_are_not_forwarded() -> None:
     fields = [
         ('Limeshelf-Attempt-Id', 'c-1'),
         ('X-One', '1'),
@@ -96,7 +96,7 @@
         ('Connection', 'keep-alive, x-one'),
         ('connection', 'X-Two'),
     ]
-    names = {name for name, _ in sent_for(fields)}
+    names = {name for name, _ in forwarded_headers(fields)}
     assert names >= {'Limeshelf-Attempt-Id', 'X-Three'}
     assert names.isdisjoint({'X-One', 'X-Two', 'Connection', 'connection'})
 
