--- a/limeshelf/platform/store_era.py
+++ b/limeshelf/platform/store_era.py
@@ -1,7 +1,9 @@
-"""The era of the platform's store, as the head of each of its answers states it.
+"""The era of the platform's store, which a header of each response states.
 
-Owns the latest era that this process knows from the store itself. An answer without a usable
-one is taken as of that era: earlier deployments state none, and lose nothing.
+The era is a generation number that rises whenever the store is restored from an older copy.
+Owns the latest era that the store has reported to this process. A response without a valid
+era is assigned to that era: deployments whose
+store sends no era work without restrictions.
 """
 
 from __future__ import annotations
@@ -13,48 +15,49 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-#: Header of all answers of the store; rises by one each time it comes back from an older copy.
+#: Header of all responses of the store; its value rises by one whenever the store is restored
+#: from an older copy.
 ERA_HEADER = 'Store-Era'
-#: Digits of a usable era at the most; eras are the upper part of fences.
-MAX_DIGITS = 6
+#: Maximum number of digits of a valid era; fencing tokens carry the era in their upper part.
+MAX_ERA_DIGITS = 6
 
 
 def read_era(header: str | None) -> int | None:
-    """Return the era in a header; ``None`` without one, and where it is no count."""
+    """Return the era in a header; ``None`` if it is missing or not a valid count."""
     if header is None or not header.isascii() or not header.isdigit():
         return None
-    return int(header) if len(header) <= MAX_DIGITS else None
+    return int(header) if len(header) <= MAX_ERA_DIGITS else None
 
 
 class StoreEra:
-    """The latest era that answers have stated.
+    """Tracks the latest era that responses of the store have reported.
 
-    :param on_later: called with the era when an answer is the first of a later one.
+    :param on_advance: called with the era whenever a response reports a later one.
     """
 
-    def __init__(self, on_later: Callable[[int], None]) -> None:
-        self._on_later = on_later
+    def __init__(self, on_advance: Callable[[int], None]) -> None:
+        self._on_advance = on_advance
         self._latest: int | None = None
-        self._unusable: str | None = None
+        self._last_unusable: str | None = None
 
-    def note(self, header: str | None) -> int:
-        """Return the era of an answer with this header."""
+    def observe(self, header: str | None) -> int:
+        """Return the era of a response with this header, and record it if it is the latest."""
         era = read_era(header)
         if era is None:
-            self._note_unusable(header)
+            self._log_unusable(header)
             era = self._latest or 0
         if self._latest is None or era > self._latest:
             if header is not None:
                 log_change('store_era', era=era, era_before=self._latest)
             self._latest = era
-            self._on_later(era)
+            self._on_advance(era)
         return era
 
-    def is_over(self, era: int) -> bool:
-        """Return whether the store is known to be in a later era than *era*."""
+    def is_superseded(self, era: int) -> bool:
+        """Return whether the store has reported a later era than *era*."""
         return self._latest is not None and self._latest > era
 
-    def _note_unusable(self, header: str | None) -> None:
-        if header is not None and header != self._unusable:
-            log_change('store_era_unusable', header=header[:MAX_DIGITS])
-        self._unusable = header
+    def _log_unusable(self, header: str | None) -> None:
+        if header is not None and header != self._last_unusable:
+            log_change('store_era_unusable', header=header[:MAX_ERA_DIGITS])
+        self._last_unusable = header
--- a/tests/platform/test_foreign_rows.py
+++ b/tests/platform/test_foreign_rows.py
@@ -1,4 +1,4 @@
-"""Rows that another writer put into the store: they name nothing to use, and all others hold."""
+"""Rows written by other programs: invalid ones are rejected without affecting the others."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 from limeshelf.peers.framing import MalformedMessage
 from limeshelf.platform.configuration import read_config
 from limeshelf.platform.replicas import read_record, read_report
-from limeshelf.platform.store_forms import read_rows
+from limeshelf.platform.store_messages import read_rows
 from limeshelf.replicas.directory import ReplicaDirectory
 from tests.support.gateway import configuration
 from tests.support.positions import at
 
-GOOD_ENTRY: dict[str, Any] = {
+VALID_ROW: dict[str, Any] = {
     'Service': 's',
     'Address': '10.0.0.1:8080',
     'Zone': 'z1',
@@ -33,7 +33,7 @@
     'SeqNo': 1,
     'Models': [{'Name': 'm1', 'Version': 1, 'Adapters': ['a1', {'Name': 'a2@1'}]}],
 }
-GOOD_REPORT: dict[str, Any] = {
+VALID_REPORT: dict[str, Any] = {
     'Stage': 'colocated',
     'Models': [{'Name': 'm1', 'Version': 1, 'Adapters': ['a1']}],
     'IsBusy': False,
@@ -44,7 +44,7 @@
     'KvTotal': 90000,
     'ServedModels': 0,
 }
-#: ``Infinity`` is no JSON.
+#: ``Infinity`` is not valid JSON.
 FINITE = st.floats(allow_nan=False, allow_infinity=False)
 ANY_JSON = st.recursive(
     st.none() | st.booleans() | st.integers() | FINITE | st.text(),
@@ -54,25 +54,25 @@
 REQUIRED = ('Service', 'Address', 'Zone', 'Slots', 'State', 'SeqNo')
 
 
-def text(value: bytes) -> str:
+def to_base64(value: bytes) -> str:
     return base64.b64encode(value).decode()
 
 
-def entry(**changes: Any) -> bytes:
-    return json.dumps({**GOOD_ENTRY, **changes}).encode()
+def row_value(**changes: Any) -> bytes:
+    return json.dumps({**VALID_ROW, **changes}).encode()
 
 
-def answer(*rows: Any) -> bytes:
+def response_body(*rows: Any) -> bytes:
     return json.dumps({'Rows': list(rows), 'ver': 9}).encode()
 
 
 @given(bad=ANY_JSON | st.builds(lambda value: {'Key': 'bad', 'ver': 8, 'Value': value}, ANY_JSON))
-def test_bad_row_leaves_the_others_of_its_answer(bad: Any) -> None:
-    good = {'Key': 'r1', 'ver': 7, 'Value': text(entry())}
-    other = {'Key': 'r2', 'ver': 9, 'Value': text(entry(Address='10.0.0.2:8080'))}
-    rows = read_rows(answer(good, bad, other), 'servers')
-    assert Row('r1', entry(), at(7)) in rows
-    assert Row('r2', entry(Address='10.0.0.2:8080'), at(9)) in rows
+def test_malformed_row_does_not_affect_others_of_its_response(bad: Any) -> None:
+    good = {'Key': 'r1', 'ver': 7, 'Value': to_base64(row_value())}
+    other = {'Key': 'r2', 'ver': 9, 'Value': to_base64(row_value(Address='10.0.0.2:8080'))}
+    rows = read_rows(response_body(good, bad, other), 'servers')
+    assert Row('r1', row_value(), at(7)) in rows
+    assert Row('r2', row_value(Address='10.0.0.2:8080'), at(9)) in rows
 
 
 @given(
@@ -81,7 +81,7 @@
         lambda value: json.dumps(value).encode()
     )
 )
-def test_any_bytes_are_a_record_or_an_invalid_document(value: bytes) -> None:
+def test_any_bytes_decode_or_raise_invalid_document(value: bytes) -> None:
     for read in (lambda: read_record('r1', value), lambda: read_report(value)):
         try:
             read()
@@ -90,12 +90,12 @@
 
 
 @given(
-    name=st.sampled_from([*GOOD_ENTRY, 'RemainingMs', 'born']),
+    name=st.sampled_from([*VALID_ROW, 'RemainingMs', 'born']),
     value=ANY_JSON,
 )
-def test_changed_field_makes_no_other_error(name: str, value: Any) -> None:
+def test_changed_field_of_a_row_raises_no_other_error(name: str, value: Any) -> None:
     try:
-        record = read_record('r1', entry(**{name: value}))
+        record = read_record('r1', row_value(**{name: value}))
     except InvalidDocument:
         return
     assert record.slots >= 1
@@ -103,10 +103,10 @@
     assert record.address.rpartition(':')[2].isdigit()
 
 
-@given(name=st.sampled_from([*GOOD_REPORT, 'Available', 'Loading', 'State']), value=ANY_JSON)
-def test_changed_field_of_a_report_makes_no_other_error(name: str, value: Any) -> None:
+@given(name=st.sampled_from([*VALID_REPORT, 'Available', 'Loading', 'State']), value=ANY_JSON)
+def test_changed_field_of_a_report_raises_no_other_error(name: str, value: Any) -> None:
     try:
-        read_report(json.dumps({**GOOD_REPORT, name: value}).encode())
+        read_report(json.dumps({**VALID_REPORT, name: value}).encode())
     except InvalidDocument:
         return
 
@@ -114,7 +114,7 @@
 @given(
     name=st.sampled_from(['Version', 'Routes', 'Services', 'Limits', 'Tenants']), value=ANY_JSON
 )
-def test_changed_field_of_a_configuration_makes_no_other_error(name: str, value: Any) -> None:
+def test_changed_field_of_a_configuration_raises_no_other_error(name: str, value: Any) -> None:
     try:
         read_config(json.dumps({**configuration(1), name: value}).encode())
     except InvalidDocument:
@@ -122,7 +122,7 @@
 
 
 @given(value=st.binary())
-def test_bytes_of_a_peer_are_a_message_or_malformed(value: bytes) -> None:
+def test_any_bytes_from_a_peer_decode_or_raise_malformed_message(value: bytes) -> None:
     try:
         decode(value)
     except MalformedMessage:
@@ -130,8 +130,8 @@
 
 
 @pytest.mark.parametrize('name', REQUIRED)
-def test_entry_that_lacks_a_field_names_no_replica(name: str) -> None:
-    value = {key: field for key, field in GOOD_ENTRY.items() if key != name}
+def test_row_without_a_required_field_is_rejected(name: str) -> None:
+    value = {key: field for key, field in VALID_ROW.items() if key != name}
     with pytest.raises(InvalidDocument):
         read_record('r1', json.dumps(value).encode())
 
@@ -157,21 +157,21 @@
         {'Models': [{'Adapters': []}]},
     ],
 )
-def test_entry_of_another_writer_names_no_replica(changes: dict[str, Any]) -> None:
+def test_row_with_an_invalid_value_is_rejected(changes: dict[str, Any]) -> None:
     with pytest.raises(InvalidDocument):
-        read_record('r1', entry(**changes))
+        read_record('r1', row_value(**changes))
 
 
 @pytest.mark.parametrize('state', ['ready', 'draining'])
-def test_named_states_are_read(state: str) -> None:
-    assert read_record('r1', entry(State=state)).leaving is (state == 'draining')
+def test_known_states_are_read(state: str) -> None:
+    assert read_record('r1', row_value(State=state)).leaving is (state == 'draining')
 
 
 def test_replica_whose_row_turns_unreadable_takes_no_calls_until_it_is_readable() -> None:
     directory = ReplicaDirectory(read_record)
-    directory.take_row(Row('r1', entry(), at(1)))
+    directory.take_row(Row('r1', row_value(), at(1)))
     assert [replica.replica_id for replica in directory.of_service('s')] == ['r1']
     directory.take_row(Row('r1', b'no row', at(2)))
     assert directory.of_service('s') == []
-    directory.take_row(Row('r1', entry(SeqNo=2), at(3)))
+    directory.take_row(Row('r1', row_value(SeqNo=2), at(3)))
     assert [replica.replica_id for replica in directory.of_service('s')] == ['r1']
--- a/tests/platform/test_store_era.py
+++ b/tests/platform/test_store_era.py
@@ -1,4 +1,4 @@
-"""The era of the store in the heads of its answers."""
+"""The era of the store in the headers of its responses."""
 
 from __future__ import annotations
 
@@ -25,21 +25,21 @@
     assert read_era(header) == era
 
 
-def test_later_era_is_told_once_and_an_earlier_one_leads_nowhere() -> None:
-    told: list[int] = []
-    era = StoreEra(told.append)
-    assert [era.note(header) for header in ('1', '1', '4', '2', None, 'two')] == [1, 1, 4, 2, 4, 4]
-    assert told == [1, 4]
-    assert era.is_over(3)
-    assert not era.is_over(4)
-
-
-def test_store_that_states_no_era_is_in_the_first_one() -> None:
-    told: list[int] = []
-    era = StoreEra(told.append)
-    assert era.note(None) == 0
-    assert not era.is_over(0)
-    # One that states its era only once it has come back has come back.
-    assert era.note('1') == 1
-    assert told == [0, 1]
-    assert era.is_over(0)
+def test_later_era_is_reported_once_and_an_earlier_one_is_ignored() -> None:
+    reported: list[int] = []
+    era = StoreEra(reported.append)
+    assert [era.observe(text) for text in ('1', '1', '4', '2', None, 'two')] == [1, 1, 4, 2, 4, 4]
+    assert reported == [1, 4]
+    assert era.is_superseded(3)
+    assert not era.is_superseded(4)
+
+
+def test_store_without_an_era_header_is_in_era_0() -> None:
+    reported: list[int] = []
+    era = StoreEra(reported.append)
+    assert era.observe(None) == 0
+    assert not era.is_superseded(0)
+    # A store that reports its first era only after a restore has advanced from era 0.
+    assert era.observe('1') == 1
+    assert reported == [0, 1]
+    assert era.is_superseded(0)
