--- a/tests/platform/test_names.py
+++ b/tests/platform/test_names.py
@@ -1,4 +1,4 @@
-"""Nothing outside the adapter knows the platform's names."""
+"""The names of the platform are used only in the adapter."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 )
 
 
-def test_platform_names_stand_in_the_adapter_only() -> None:
+def test_platform_names_are_used_only_in_the_adapter() -> None:
     found = [
         f'{path.relative_to(PACKAGE)}:{number}: {line.strip()}'
         for path in sorted(PACKAGE.rglob('*.py'))
