--- a/limeshelf/programs/__init__.py
+++ b/limeshelf/programs/__init__.py
@@ -1,1 +1,1 @@
-"""Console scripts, one job each."""
+"""Console scripts and the wiring of their components."""
--- a/limeshelf/programs/components.py
+++ b/limeshelf/programs/components.py
@@ -1,8 +1,7 @@
-"""The components of a gateway and which relies on which; nothing here decides or waits.
+"""Creates the components of a gateway and connects them; contains no other logic.
 
-Each is made after those it needs, in the order of the imports: configuration,
-replicas, membership, dispatch, placement, then the path of a call on top.
-Owns nothing beyond the components themselves.
+Each component is created after those it depends on: configuration, replicas, membership,
+dispatch and placement first, the call path last. Owns nothing but the components.
 """
 
 from __future__ import annotations
@@ -71,18 +70,18 @@
 
 
 def retry_rule(settings: GatewaySettings) -> RetryRule:
-    """Return what all gateways together may send again, by the settings."""
+    """Return the limit on retries of all gateways together from the settings."""
     retries = settings.retries
     return RetryRule(retries.ratio, retries.slack, retries.window_s)
 
 
 def access_rule(settings: GatewaySettings) -> AccessRule:
-    """Return how soon keys that were taken away must be out of use, by the settings."""
+    """Return the time limit for the revocation of keys from the settings."""
     return AccessRule(settings.organisations.revoked_within_s)
 
 
 def limit_rule(settings: GatewaySettings) -> LimitRule:
-    """Return what is tolerated of the limits of organisations, by the settings."""
+    """Return the tolerance for exceeding the limits of organisations from the settings."""
     organisations = settings.organisations
     return LimitRule(
         organisations.limit_window_s,
@@ -93,10 +92,10 @@
 
 
 class GatewayComponents:
-    """Everything that one gateway consists of, wired.
+    """All components of one gateway, connected to each other.
 
-    :param node: listens already, since its address names this gateway.
-    :param tasks: where placement starts its moves, and checks of replicas run.
+    :param node: must already be listening, since its address identifies this gateway.
+    :param tasks: runs the moves of the placement and the checks of replicas.
     """
 
     def __init__(self, settings: GatewaySettings, node: PeerNode, tasks: TaskSet) -> None:
@@ -122,15 +121,15 @@
         )
         self.leader = LeaderView(self.members, self.leadership)
         self.dispatchers = Dispatchers(self.members)
-        self._make_crashes(tasks)
+        self._make_crash_tracking(tasks)
         self._make_dispatch(settings)
         self._make_placement(settings, tasks)
         self._make_exchanges(settings)
-        self._make_path(settings)
+        self._make_call_path(settings)
         self.add_seeds(settings)
 
-    def _make_crashes(self, tasks: TaskSet) -> None:
-        """Make what remembers the calls under which replicas ended."""
+    def _make_crash_tracking(self, tasks: TaskSet) -> None:
+        """Create the components that track the calls during which replicas crashed."""
         self.suspects = Suspects()
         self.end_watch = EndWatch(self.directory, self.suspects, tasks)
         self.lost_loads = LostLoads(self.suspects, self.end_watch)
@@ -172,9 +171,9 @@
             self.lost_loads,
         )
         for kind in UnservedKind:
-            self._watch_unserved(kind)
+            self._export_unserved_metrics(kind)
 
-    def _watch_unserved(self, kind: UnservedKind) -> None:
+    def _export_unserved_metrics(self, kind: UnservedKind) -> None:
         self.metrics.watch_unserved(
             kind,
             lambda: self.placement.unserved(kind).longest_s,
@@ -182,7 +181,7 @@
         )
 
     def _make_exchanges(self, settings: GatewaySettings) -> None:
-        """Make what gateways send one another, and what follows the store with them."""
+        """Create the exchanges between gateways and the followers of the store's tables."""
         instance_id = settings.instance_id
         self.notice_exchange = NoticeExchange(
             self.node, self.members, self.directory, self.notices
@@ -228,7 +227,7 @@
             self.metrics,
         )
 
-    def _make_path(self, settings: GatewaySettings) -> None:
+    def _make_call_path(self, settings: GatewaySettings) -> None:
         wire = PlatformWire()
         self.budgets = RetryBudgets(retry_rule(settings))
         self.pool = ConnectionPool(wire)
@@ -260,29 +259,29 @@
         self.edge = Edge(self.pipeline, wire, self.metrics)
 
     def _note_woke(self, slept_s: float) -> None:
-        """Note that this machine was suspended."""
+        """Log and count a suspension of this machine, and notify the members."""
         log_change('woke', slept_ms=int(slept_s * MS_PER_S))
         self.metrics.observe_suspension()
         self.members.note_slept(slept_s)
 
     def config_age_s(self) -> float:
-        """Return for how long, at the most, the configuration may not have been the newest.
+        """Return an upper bound on the time for which the configuration may be outdated.
 
-        In seconds; infinite once a later one came that cannot be read.
+        In seconds; infinite if a later configuration was received that cannot be read.
         """
         if self.in_force.is_superseded:
             return math.inf
         return self.store_clock.greatest_age_s(self.rows.copies[CONFIG_TABLE].confirmed_ms)
 
     def add_seeds(self, settings: GatewaySettings) -> None:
-        """Add the gateways that the settings name, so that a start without the store works."""
+        """Add the gateways listed in the settings, so that a start without the store works."""
         for seed in settings.seeds:
             host = seed.rpartition(':')[0]
             if host != settings.ip:
                 self.members.add(f'{host}:{settings.peer_port}')
 
-    def take_messages(self) -> None:
-        """Take the peers' messages from now on."""
+    def register_handlers(self) -> None:
+        """Register the handlers of messages from other gateways."""
         self.registration.start()
         self.digests.start()
         self.limits.start()
--- a/limeshelf/programs/gateway.py
+++ b/limeshelf/programs/gateway.py
@@ -1,7 +1,7 @@
-"""``limeshelf-gateway``: takes calls, and places models while it holds the lease.
+"""``limeshelf-gateway``: forwards calls to replicas, and places models while it holds the lease.
 
-Owns the process: settings, background tasks, readiness and the planned stop. Relies on
-:mod:`limeshelf.programs.components`, which wires what the gateway consists of.
+Owns the process: settings, background tasks, readiness and graceful shutdown. Relies on
+:mod:`limeshelf.programs.components`, which creates and connects the components.
 """
 
 from __future__ import annotations
@@ -32,28 +32,29 @@
 
 EXIT_OK = 0
 EXIT_BAD_SETTINGS = 2
-#: From failed readiness to refused calls at a planned stop, in which the balancer notices.
-NOTICE_S = 2.9
-#: Share of the grace after which running calls are given up, so that the process ends by itself
+#: Time between failing readiness and refusing calls during a graceful shutdown, in which the
+#: load balancer detects the change.
+BALANCER_NOTICE_S = 2.9
+#: Share of the grace period after which running calls are abandoned, so that the process exits
 #: before it is killed.
-LAST_SHARE = 0.93
-#: Pause between two checks, during a stop, of whether calls still run.
+DRAIN_GRACE_SHARE = 0.93
+#: Interval between checks for running calls during a shutdown.
 DRAIN_CHECK_S = 0.05
-#: Pause between two steps of renewing or contending for the lease.
-LEAD_STEP_S = 0.3
-#: The same while the store does not answer.
-LEAD_RETRY_S = 1.0
-#: A starting process checks at least this often for a configuration and replicas.
+#: Interval between steps of renewing or contending for the lease.
+LEASE_STEP_S = 0.3
+#: The same interval while the store does not respond.
+LEASE_RETRY_S = 1.0
+#: Longest interval between checks of a starting process for a configuration and replicas.
 READY_CHECK_S = 0.1
-#: Threads for what would block the loop.
-THREADS = 2
+#: Number of threads for operations that would block the event loop.
+THREAD_POOL_SIZE = 2
 
 
 class Gateway(Service):
     """One gateway process.
 
-    :ivar settings_path: where the settings were read; ``None`` where nobody changes them.
-    :ivar components: there once the process has started.
+    :ivar settings_path: settings file to watch for changes; ``None`` to watch none.
+    :ivar components: set once the process has started.
     """
 
     settings: GatewaySettings
@@ -62,13 +63,13 @@
     components: GatewayComponents
 
     async def start(self) -> None:
-        """Listen at once; ready only when a configuration and a replica are there."""
+        """Start to listen; readiness follows once a configuration and a replica are known."""
         settings = self.settings
         self.tasks = TaskSet()
         node = PeerNode(settings.ip, settings.peer_port, settings.data_centre)
         await node.start()
         self.components = GatewayComponents(settings, node, self.tasks)
-        self.components.take_messages()
+        self.components.register_handlers()
         await self.components.edge.start(settings.calls_address, settings.readiness_address)
         self.metrics_server = MetricsServer(self.components.metrics)
         await self.metrics_server.start(settings.ip, settings.figures_port)
@@ -89,16 +90,16 @@
         self.tasks.keep(components.quarantine_keeper.run, 'quarantine')
         self.tasks.keep(components.registration.keep_row, 'register', components.store)
         self.tasks.keep(components.dispatch.run, 'dispatch')
-        self.tasks.keep(self._lead, 'lead')
+        self.tasks.keep(self._run_leadership, 'lead')
         self.tasks.keep(components.placement.run, 'placement')
         self.tasks.keep(components.pool.sweep, 'sweep', components.directory)
         self.tasks.keep(components.pool.probe, 'probe', components.directory)
         self.tasks.keep(self._become_ready, 'ready')
         if self.settings_path is not None:
-            self.watch = SettingsWatch(self.settings_path, self.settings, self._take_settings)
+            self.watch = SettingsWatch(self.settings_path, self.settings, self._apply_settings)
             self.tasks.keep(self.watch.run, 'settings')
 
-    def _take_settings(self, settings: GatewaySettings) -> None:
+    def _apply_settings(self, settings: GatewaySettings) -> None:
         self.settings = settings
         self.components.budgets.change_rule(retry_rule(settings))
         self.components.access.rule = access_rule(settings)
@@ -107,7 +108,7 @@
         self.components.add_seeds(settings)
 
     def reload(self) -> None:
-        """Read the settings again, as a signal asks for."""
+        """Reload the settings; called on a signal."""
         if self.watch is not None:
             self.watch.check_now()
 
@@ -117,17 +118,17 @@
             await directory.wait_for_change(READY_CHECK_S)
         self.components.edge.enter(GatewayPhase.SERVING)
 
-    async def _lead(self) -> None:
+    async def _run_leadership(self) -> None:
         components = self.components
         while True:
             is_lost = components.leadership.store_is_lost
-            await asyncio.sleep(jittered_s(LEAD_RETRY_S if is_lost else LEAD_STEP_S))
-            self._note_gateways()
+            await asyncio.sleep(jittered_s(LEASE_RETRY_S if is_lost else LEASE_STEP_S))
+            self._update_gateway_count()
             if components.leadership.term is None and not components.leader.may_contend():
                 continue
             await components.leadership.step()
 
-    def _note_gateways(self) -> None:
+    def _update_gateway_count(self) -> None:
         gateways = self.components.digests.gateway_count
         if gateways != self.components.budgets.gateways:
             log_change('gateways_counted', gateways=gateways)
@@ -135,16 +136,16 @@
         self.components.pool.gateways = gateways or 1
 
     async def drain(self) -> int:
-        """Stop as planned; return the exit code."""
+        """Shut down gracefully; return the exit code."""
         edge = self.components.edge
-        began_s = boottime_s()
+        drain_started_s = boottime_s()
         edge.enter(GatewayPhase.NOTICE)
         await self.components.leadership.release()
         self.components.registration.announce_leaving()
-        await asyncio.sleep(NOTICE_S)
+        await asyncio.sleep(BALANCER_NOTICE_S)
         edge.enter(GatewayPhase.DRAINING)
         self.components.pipeline.refuse_waiting()
-        end_s = began_s + self.settings.grace_s * LAST_SHARE
+        end_s = drain_started_s + self.settings.grace_s * DRAIN_GRACE_SHARE
         while edge.running and boottime_s() < end_s:
             edge.end_idle_connections()
             await asyncio.sleep(DRAIN_CHECK_S)
@@ -160,14 +161,14 @@
 
 def _run_gateway(settings: GatewaySettings, path: Path) -> int:
     event_log.open(settings.instance_id)
-    # What exists at the start is not walked again by each full collection.
+    # Excludes the objects that exist at startup from later full garbage collections.
     gc.collect()
     gc.freeze()
     service = Gateway(settings=settings, settings_path=path)
     with entrypoint(
         service,
         log_config=False,
-        pool_size=THREADS,
+        pool_size=THREAD_POOL_SIZE,
         catch_signals=(),
         loop_factory=uvloop.new_event_loop,
     ) as loop:
@@ -177,8 +178,8 @@
 async def _until_stopped(service: Gateway) -> int:
     stopping = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stopping.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stopping.set)
     loop.add_signal_handler(signal.SIGHUP, service.reload)
     await stopping.wait()
     return await service.drain()
@@ -199,7 +200,7 @@
 
 def main() -> None:
     """Run the console script."""
-    # Before the first loop: uvloop makes io_uring calls otherwise.
+    # Must be set before the first event loop is created: otherwise uvloop uses io_uring.
     os.environ['UV_USE_IO_URING'] = '0'
     typer.run(run)
 
