--- a/limeshelf/programs/followed_tables.py
+++ b/limeshelf/programs/followed_tables.py
@@ -1,7 +1,7 @@
-"""Which tables of the store a gateway follows, how closely, and what becomes of their rows.
+"""Configures which store tables a gateway follows, how often, and where their rows go.
 
-Owns nothing; relies on :mod:`limeshelf.platform` for names and spelling of the rows, and
-on :mod:`limeshelf.feeds` for following.
+Stateless; relies on :mod:`limeshelf.platform` for the names and formats of rows, and on
+:mod:`limeshelf.feeds` for the following itself.
 """
 
 from __future__ import annotations
@@ -39,39 +39,42 @@
     from limeshelf.replicas.directory import ReplicaDirectory
     from limeshelf.settings.gateway import FreshnessSettings
 
-#: Shares of the time within which a change must be known everywhere (2 s or 4 s on the users'
-#: deployments). Every copy counts as old after STALE_SHARE of it: the next gateway then asks
-#: the store, which leaves the rest of the time for that call and the way of its answer. Rows of
-#: replicas change all the time, so after changes the store is asked again only after a pause,
-#: in which others come together; pause and wait together stay below the age.
+#: Shares of the time within which a change must reach every gateway (2 s or 4 s in users'
+#: deployments). A table copy is stale after STALE_SHARE of it: the next gateway then queries
+#: the store, and the rest of the time remains for the request and for passing on its response.
+#: Rows of replicas change all the time, so after a change the next request is delayed by
+#: REPLICA_PACE_SHARE to batch further changes; this delay and the long poll
+#: (REPLICA_WAIT_SHARE) together are shorter than the time after which a copy is stale.
 STALE_SHARE = 0.7
 REPLICA_WAIT_SHARE = 0.4
 REPLICA_PACE_SHARE = 0.22
 CONFIG_WAIT_SHARE = 0.5
-#: Gateways come and go seldom, and those that are silent are found out by silence. After a
-#: change the rows rest for a second: where all gateways start at once, each of their rows
-#: would bring another answer.
+#: Gateways rarely start or stop, and failed ones are detected by missing messages. After a
+#: change the next request is delayed by 1 s: if all gateways start at once, each of their rows
+#: would otherwise cause a separate response.
 MEMBER_RULE = FollowRule(wait_s=8.0, pace_s=1.0, stale_s=12.0, first_delay_s=0.7)
-#: Calls that rest change seldom, and peers tell of them at once; the rows are for gateways that
-#: start, or that a cut keeps from all others. So they are read at once at a start: with a pause
-#: as for the members, a call that all gateways had known ended a replica of the new ones in 4
-#: of 8 runs beside load, without it in none of 6 (tests/gateway/test_deadly_call.py).
+#: The quarantined calls rarely change, and peers announce changes at once; the rows serve
+#: gateways that start or are partitioned from all others. A starting gateway therefore reads
+#: them at once: with an initial delay as for the members, a call that all earlier gateways knew
+#: to crash replicas crashed one through a new gateway in 4 of 8 runs under load, without the
+#: delay in none of 6 (tests/gateway/test_deadly_call.py).
 QUARANTINE_RULE = FollowRule(wait_s=8.0, stale_s=12.0)
-#: The operator has confirmed the newest configuration to somebody; it is in force, and passed on
-#: to gateways that start, until the store has one that is as new.
+#: After the store is restored from an older copy, the latest configuration stays in force and is
+#: passed on to starting gateways until the store has one at least as new, because the operator
+#: has already confirmed it.
 CONFIG_RETURN = ReturnRule(config_newness)
-#: Replicas write their rows with each heartbeat. Those that live and reach the store are in it
-#: again within this time, in seconds; until then calls go on to them.
+#: Replicas write their rows with each heartbeat. After a restore, the row of each live replica
+#: that reaches the store is back within this time, in seconds; until then it still gets calls.
 REPLICA_RETURN = ReturnRule(record_newness, kept_s=2.5)
-#: Gateways write their rows again by themselves, and those that are silent are found out by
-#: silence; so are calls that rest, by who witnessed them.
+#: After a restore, gateways write their own rows again, and failed gateways are detected by
+#: missing messages. Rows of quarantined calls are written again by the gateways that know them.
 OWN_RETURN = ReturnRule(kept_s=10.0)
 
 
 def replica_rule(known_within_s: float) -> FollowRule:
     """Return how the table of replicas is followed.
 
-    :param known_within_s: within which a change must be known everywhere.
+    :param known_within_s: time within which a change must reach every gateway, in seconds.
     """
     return FollowRule(
         wait_s=REPLICA_WAIT_SHARE * known_within_s,
@@ -90,9 +93,9 @@
 
 @attrs.define
 class ConfigRows:
-    """Takes rows of the table that holds the operator's configuration.
+    """Applies rows of the table that holds the operator's configuration.
 
-    :ivar copy: the copy of the table that the rows come from; ``None`` before it is opened.
+    :ivar copy: the local copy of the table; ``None`` before :meth:`open_copy`.
     """
 
     in_force: ConfigInForce
@@ -100,15 +103,15 @@
     copy: TableCopy | None = None
 
     def open_copy(self, rule: FollowRule, metrics: GatewayMetrics) -> TableCopy:
-        """Return the copy of the table, to be followed by *rule*."""
-        listener = _counted(CONFIG_TABLE, self.take_row, metrics)
+        """Create and return the local copy of the table, to be followed by *rule*."""
+        listener = _counted(CONFIG_TABLE, self.apply_row, metrics)
         self.copy = TableCopy(CONFIG_TABLE, listener, rule, CONFIG_RETURN)
         return self.copy
 
-    def take_row(self, row: Row) -> bool:
-        """Put the row's configuration in force if it is newer; waiting calls go on.
+    def apply_row(self, row: Row) -> bool:
+        """Put the row's configuration in force if it is newer, and wake waiting calls.
 
-        :return: whether the row could be read.
+        :returns: whether the row could be read.
         """
         if row.key != CONFIG_KEY or row.gone:
             return True
@@ -132,15 +135,15 @@
 
 
 def _counted(
-    table: str, take_row: Callable[[Row], bool], metrics: GatewayMetrics
+    table: str, apply_row: Callable[[Row], bool], metrics: GatewayMetrics
 ) -> Callable[[Row], None]:
-    """Return a listener that passes rows on and counts those that could not be read."""
+    """Return a listener that forwards rows and counts those that could not be read."""
 
-    def take(row: Row) -> None:
-        if not take_row(row):
+    def listen(row: Row) -> None:
+        if not apply_row(row):
             metrics.observe_unreadable_row(table)
 
-    return take
+    return listen
 
 
 def follow_tables(
@@ -153,7 +156,7 @@
     freshness: FreshnessSettings,
     metrics: GatewayMetrics,
 ) -> list[TableFollower]:
-    """Return the followers of all tables; their copies are shared through *rows*."""
+    """Return the followers of all tables; gateways share their copies through *rows*."""
     copies = (
         config_rows.open_copy(config_rule(freshness.config_s), metrics),
         TableCopy(
