--- a/limeshelf/programs/settings_watch.py
+++ b/limeshelf/programs/settings_watch.py
@@ -1,7 +1,7 @@
-"""Reads a gateway's settings again when their file changes.
+"""Reloads a gateway's settings when their file changes.
 
-Owns the settings last read. Relies on :mod:`limeshelf.settings.gateway` for whether a
-changed file is right.
+Owns the settings last read. Relies on :mod:`limeshelf.settings.gateway` to validate a changed
+file.
 """
 
 from __future__ import annotations
@@ -20,14 +20,14 @@
     from collections.abc import Callable
     from pathlib import Path
 
-#: The file is checked this often; a signal brings the next check forward.
+#: Interval between checks of the file; a signal triggers an immediate check.
 CHECK_INTERVAL_S = 1.0
-#: Fields that a running process takes over; the others need a start.
-TAKEN_OVER = frozenset({'store_address', 'seeds', 'retries', 'grace_s', 'weight'})
+#: Fields that are applied to a running process; the others need a restart.
+RELOADABLE_FIELDS = frozenset({'store_address', 'seeds', 'retries', 'grace_s', 'weight'})
 
 
 class SettingsWatch:
-    """Follows a settings file; what is in force stays if the new one is faulty.
+    """Watches a settings file; if a changed file is invalid, the current settings stay.
 
     :param on_change: called with the new settings.
     """
@@ -39,27 +39,27 @@
         self._settings = settings
         self._on_change = on_change
         self._content = self._read()
-        self._asked = asyncio.Event()
+        self._check_requested = asyncio.Event()
 
     def check_now(self) -> None:
-        """Check the file without delay, as a signal asks for."""
-        self._asked.set()
+        """Request an immediate check of the file; called on a signal."""
+        self._check_requested.set()
 
     async def run(self) -> None:
-        """Check the file again and again, until cancelled."""
+        """Check the file periodically until cancelled."""
         while True:
             try:
                 async with asyncio.timeout(jittered_s(CHECK_INTERVAL_S)):
-                    await self._asked.wait()
+                    await self._check_requested.wait()
             except TimeoutError:
-                # The usual case: no signal came, and the file is due for a check.
+                # No signal arrived within the interval: the usual case.
                 pass
             else:
-                self._asked.clear()
+                self._check_requested.clear()
             self.check()
 
     def check(self) -> None:
-        """Take the settings over if the file has changed and is right."""
+        """Apply the settings if the file has changed and is valid."""
         content = self._read()
         if content == self._content:
             return
@@ -67,15 +67,15 @@
         try:
             settings = load_gateway_settings(self._path)
         except InvalidDocument as error:
-            problems = [f'{one.path}: {one.message}' for one in error.problems]
+            problems = [f'{problem.path}: {problem.message}' for problem in error.problems]
             log_change('reload_refused', problems=problems)
             return
         changed = _changed_fields(self._settings, settings)
         self._settings = settings
         log_change(
             'reload',
-            changed=sorted(changed & TAKEN_OVER),
-            needs_start=sorted(changed - TAKEN_OVER),
+            changed=sorted(changed & RELOADABLE_FIELDS),
+            needs_start=sorted(changed - RELOADABLE_FIELDS),
         )
         self._on_change(settings)
 
@@ -83,7 +83,8 @@
         try:
             return self._path.read_bytes()
         except OSError:
-            # Missing, for example while it is replaced: a change, so that the check logs it.
+            # The file may be missing while it is replaced. This counts as a change, so that
+            # check() logs it.
             return b''
 
 
--- a/tests/programs/test_settings_watch.py
+++ b/tests/programs/test_settings_watch.py
@@ -1,4 +1,4 @@
-"""Settings that change under a running gateway."""
+"""Changes of the settings file while a gateway runs."""
 
 from __future__ import annotations
 
@@ -25,32 +25,32 @@
 }
 
 
-def watch(folder: Path) -> tuple[Path, SettingsWatch, list[GatewaySettings]]:
+def make_watch(folder: Path) -> tuple[Path, SettingsWatch, list[GatewaySettings]]:
     path = folder / 'settings.json'
     path.write_text(json.dumps(DOCUMENT))
-    taken: list[GatewaySettings] = []
-    return path, SettingsWatch(path, load_gateway_settings(path), taken.append), taken
+    applied: list[GatewaySettings] = []
+    return path, SettingsWatch(path, load_gateway_settings(path), applied.append), applied
 
 
-def test_changed_file_is_taken_over(tmp_path: Path) -> None:
-    path, one, taken = watch(tmp_path)
-    one.check()
-    assert taken == []
+def test_changed_file_is_applied(tmp_path: Path) -> None:
+    path, settings_watch, applied = make_watch(tmp_path)
+    settings_watch.check()
+    assert applied == []
     path.write_text(json.dumps({**DOCUMENT, 'seeds': ['10.0.0.9:1']}))
-    one.check()
-    assert [settings.seeds for settings in taken] == [['10.0.0.9:1']]
-    one.check()
-    assert len(taken) == 1
+    settings_watch.check()
+    assert [settings.seeds for settings in applied] == [['10.0.0.9:1']]
+    settings_watch.check()
+    assert len(applied) == 1
 
 
-def test_faulty_file_changes_nothing(tmp_path: Path) -> None:
-    path, one, taken = watch(tmp_path)
-    for faulty in ('{', json.dumps({**DOCUMENT, 'grace_s': 'long'})):
-        path.write_text(faulty)
-        one.check()
+def test_invalid_file_changes_nothing(tmp_path: Path) -> None:
+    path, settings_watch, applied = make_watch(tmp_path)
+    for invalid in ('{', json.dumps({**DOCUMENT, 'grace_s': 'long'})):
+        path.write_text(invalid)
+        settings_watch.check()
     path.unlink()
-    one.check()
-    assert taken == []
+    settings_watch.check()
+    assert applied == []
     path.write_text(json.dumps(DOCUMENT))
-    one.check()
-    assert len(taken) == 1
+    settings_watch.check()
+    assert len(applied) == 1
