--- a/limeshelf/settings/__init__.py
+++ b/limeshelf/settings/__init__.py
@@ -1,7 +1,7 @@
-"""Settings of the processes: JSON files checked into attrs classes.
+"""Settings of the processes: JSON files converted to attrs classes and validated.
 
-* ``gateway``: the settings of ``limeshelf-gateway``, and their checks.
-* ``model``, ``load``, ``reference``, ``tls``: those of the own wire's programs, their
-  checks, the reference page that is written from them, and their certificates.
-* ``structure``: turns JSON into either, and lists every fault at once.
+* ``gateway``: the settings of ``limeshelf-gateway`` and their validation.
+* ``model``, ``load``, ``reference``, ``tls``: the settings of the standalone programs, their
+  validation, the reference page generated from them, and their certificates.
+* ``structure``: converts JSON to these classes and reports all faults at once.
 """
--- a/limeshelf/settings/gateway.py
+++ b/limeshelf/settings/gateway.py
@@ -1,9 +1,9 @@
-"""Settings of a gateway process, checked before anything starts.
+"""Settings of a gateway process, validated before anything starts.
 
-Owns their classes and ranges; relies on :mod:`limeshelf.settings.structure` for types.
+Owns their classes and value ranges; relies on :mod:`limeshelf.settings.structure` for types.
 
-The deploy file's template (``deploy/settings.json.in``) has a value for each; names
-and types are recorded in tests/forms/test_settings.py.
+The deployment template (``deploy/settings.json.in``) has a value for each; their names and
+types are recorded in tests/forms/test_settings.py.
 """
 
 from __future__ import annotations
@@ -20,21 +20,22 @@
     from pathlib import Path
 
 
-#: Changes cannot be known sooner: the store is asked some times within that.
-LEAST_FRESHNESS_MS = 500.0
-#: Leases of this length or less are a fault of the file.
-LEAST_LEASE_S = 1.0
-#: Share of the platform's limit that a lease lasts at the most, so that a successor's first
-#: order comes within the limit.
+#: Lower bound of the freshness settings: the store is queried several times within that time,
+#: so shorter times cannot be met.
+MIN_FRESHNESS_MS = 500.0
+#: Leases of this length or less are rejected.
+MIN_LEASE_S = 1.0
+#: Upper bound of the lease time as a share of the platform's limit, so that a successor's first
+#: order is sent within the limit.
 LEASE_LIMIT_SHARE = 0.8
 
 
 @attrs.frozen
 class RetrySettings:
-    """What all gateways together may send again at one service.
+    """Limits on the retries of all gateways together to one service.
 
-    :param ratio: retries for each call, 0 to 1.
-    :param slack: number of retries beyond that in a window of *window_s*.
+    :param ratio: retries per call, 0 to 1.
+    :param slack: number of additional retries in a window of *window_s*.
     :param window_s: length of the window, in seconds.
     """
 
@@ -45,15 +46,15 @@
 
 @attrs.frozen
 class PlacementSettings:
-    """Bounds of the leader's work.
+    """Limits on the leader and its placement.
 
-    :param lease_s: life of the lease without renewal, in seconds.
+    :param lease_s: duration of the lease without renewal, in seconds.
     :param window_s: window in which loads from the weight store are counted, in
         seconds.
     :param replicas_check_fences: whether replicas refuse an order with a lower fence than
-        one they have seen; where they do not, a holder orders only while its lease lasts.
-    :param lease_limit_ms: time within which the platform wants one holder followed by the
-        next, in milliseconds; 0 for no limit.
+        one they have seen; if not, a holder sends orders only while its lease is valid.
+    :param lease_limit_ms: time within which the platform requires the next lease holder to follow
+        the previous one, in milliseconds; 0 for no limit.
     """
 
     lease_s: float
@@ -63,7 +64,7 @@
 
     @property
     def effective_lease_s(self) -> float:
-        """Return the life of the lease, which the platform's limit may shorten."""
+        """Return the duration of the lease, which the platform's limit may shorten."""
         if not self.lease_limit_ms:
             return self.lease_s
         return min(self.lease_s, LEASE_LIMIT_SHARE * self.lease_limit_ms / MS_PER_S)
@@ -71,10 +72,10 @@
 
 @attrs.frozen
 class FreshnessSettings:
-    """How soon every gateway has to know what changed in the store.
+    """Time within which a change in the store must reach every gateway.
 
-    :param config_ms: of a configuration, in milliseconds.
-    :param replica_ms: of a replica that leaves, in milliseconds.
+    :param config_ms: time for a change of the configuration, in milliseconds.
+    :param replica_ms: time for the departure of a replica, in milliseconds.
     """
 
     config_ms: float = 2000.0
@@ -82,25 +83,26 @@
 
     @property
     def config_s(self) -> float:
-        """Return the time for a configuration, in seconds."""
+        """Return the time for a change of the configuration, in seconds."""
         return self.config_ms / MS_PER_S
 
     @property
     def replica_s(self) -> float:
-        """Return the time for a replica that leaves, in seconds."""
+        """Return the time for the departure of a replica, in seconds."""
         return self.replica_ms / MS_PER_S
 
 
 @attrs.frozen
 class OrganisationSettings:
-    """What is promised of the keys and limits of organisations.
-
-    :param strict_revocation: whether a key that was taken away must be out of use everywhere,
-        also at gateways that are cut off.
-    :param revoke_ms: within which it must, in milliseconds.
-    :param limit_window_s: any window in which usage stays within a limit, in seconds.
-    :param limit_overrun: share by which a limit may be exceeded there, 0 or more.
-    :param limit_slack: units beyond that.
+    """Guarantees for the keys and usage limits of organisations.
+
+    :param strict_revocation: whether every gateway, even a partitioned one, must refuse a
+        revoked key in time.
+    :param revoke_ms: time after which a revoked key must be refused, in milliseconds.
+    :param limit_window_s: length of any window in which usage must stay within its limit, in
+        seconds.
+    :param limit_overrun: share by which usage may exceed a limit in a window, 0 or more.
+    :param limit_slack: number of units by which usage may exceed it in addition.
     """
 
     strict_revocation: bool = False
@@ -111,33 +113,32 @@
 
     @property
     def revoked_within_s(self) -> float | None:
-        """Return the time within which a key must be out of use; ``None`` for no bound."""
+        """Return the time within which a revoked key must be refused; ``None`` for no bound."""
         return self.revoke_ms / MS_PER_S if self.strict_revocation else None
 
 
 @attrs.frozen
 class GatewaySettings:
-    """Everything that a gateway process reads at its start.
-
-    :param instance_id: name of this instance, unique everywhere.
-    :param ip: its IP number; peers and scrapers of metrics connect there.
-    :param data_centre: where it stands; replicas there are preferred.
-    :param calls_address: where callers connect, as ``IP:PORT``.
-    :param readiness_address: where the balancer asks for readiness, as ``IP:PORT``.
-    :param store_address: of the platform's store, as ``IP:PORT``.
-    :param peer_ports: first and last port for traffic between gateways, alike on
-        all instances; the first is used.
-    :param seeds: peer addresses of other gateways, as ``IP:PORT``; may be stale.
-    :param grace_s: time between the signal to stop and the end by force, in seconds.
+    """All settings of a gateway process.
+
+    :param instance_id: globally unique name of this instance.
+    :param ip: IP address of this instance for peers and metrics scrapers.
+    :param data_centre: data centre of this instance, whose replicas are preferred.
+    :param calls_address: address for callers, as ``IP:PORT``.
+    :param readiness_address: address for readiness checks by the load balancer, as ``IP:PORT``.
+    :param store_address: address of the platform's store, as ``IP:PORT``.
+    :param peer_ports: first and last port for traffic between gateways, the same on all
+        instances; only the first is used.
+    :param seeds: peer addresses of other gateways, as ``IP:PORT``; may be outdated.
+    :param grace_s: time between the stop signal and the forced kill, in seconds.
     :param figures_port: port at which metrics are served.
-    :param retries: what may be sent again.
-    :param placement: bounds of the leader.
-    :param freshness: how soon changes have to be known.
-    :param organisations: what is promised of their keys and limits.
-    :param data_centres: all in which gateways stand; empty where there is no other than
-        this one.
-    :param weight: how much traffic the instance can carry, in proportion to the
-        others (the deploy file gives its link's Mbit/s); the heaviest are relays.
+    :param retries: limits on retries.
+    :param placement: limits on the leader and its placement.
+    :param freshness: time within which changes must reach every gateway.
+    :param organisations: guarantees for keys and usage limits.
+    :param data_centres: all data centres with gateways; empty if there is only this one.
+    :param weight: relative traffic capacity of the instance (the deployment file sets the
+        Mbit/s of its link); the instances with the highest weight are relays.
     """
 
     instance_id: str
@@ -159,12 +160,12 @@
 
     @property
     def peer_port(self) -> int:
-        """Return the port that this gateway listens on for peers."""
+        """Return the port on which this gateway listens for peers."""
         return self.peer_ports[0]
 
 
 def load_gateway_settings(path: Path) -> GatewaySettings:
-    """Read and check a settings file.
+    """Read and validate a settings file.
 
     :raises InvalidDocument: with one problem for each fault.
     """
@@ -186,11 +187,11 @@
     if settings.grace_s <= 0:
         problems.append(Problem('grace_s', 'expected more than 0 seconds'))
     for name in ('config_ms', 'replica_ms'):
-        if getattr(settings.freshness, name) < LEAST_FRESHNESS_MS:
-            text = f'expected {LEAST_FRESHNESS_MS:.0f} milliseconds or more'
+        if getattr(settings.freshness, name) < MIN_FRESHNESS_MS:
+            text = f'expected {MIN_FRESHNESS_MS:.0f} milliseconds or more'
             problems.append(Problem(f'freshness.{name}', text))
     problems += _organisation_problems(settings.organisations)
-    if settings.placement.effective_lease_s <= LEAST_LEASE_S:
+    if settings.placement.effective_lease_s <= MIN_LEASE_S:
         problems.append(Problem('placement.lease_s', 'expected more than 1 second'))
     return problems
 
--- a/tests/settings/test_gateway.py
+++ b/tests/settings/test_gateway.py
@@ -1,4 +1,4 @@
-"""Settings files of a gateway: faults that types alone do not show."""
+"""Validation of a gateway's settings file beyond the types of its fields."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 import pytest
 
 from limeshelf.errors import InvalidDocument
-from limeshelf.settings.gateway import LEAST_LEASE_S, load_gateway_settings
+from limeshelf.settings.gateway import MIN_LEASE_S, load_gateway_settings
 
-GOOD: dict[str, Any] = {
+MINIMAL: dict[str, Any] = {
     'instance_id': 'g-1',
     'ip': '10.0.0.1',
     'data_centre': 'z1',
@@ -37,27 +37,27 @@
     return []
 
 
-def test_least_file_is_good(tmp_path: Path) -> None:
-    assert problems(tmp_path, json.dumps(GOOD)) == []
+def test_minimal_file_is_valid(tmp_path: Path) -> None:
+    assert problems(tmp_path, json.dumps(MINIMAL)) == []
 
 
 @pytest.mark.parametrize(
-    ('name', 'value', 'place'),
+    ('name', 'value', 'path'),
     [
         ('calls_address', 'here', 'calls_address'),
         ('store_address', '10.0.0.9:', 'store_address'),
         ('peer_ports', [], 'peer_ports'),
         ('grace_s', 0.0, 'grace_s'),
-        ('placement', {'lease_s': LEAST_LEASE_S, 'window_s': 5.0}, 'placement.lease_s'),
+        ('placement', {'lease_s': MIN_LEASE_S, 'window_s': 5.0}, 'placement.lease_s'),
         ('retries', {'ratio': 0.2, 'slack': 50.0}, 'retries.window_s'),
         ('speed', 3, 'speed'),
     ],
 )
-def test_fault_is_named(tmp_path: Path, name: str, value: Any, place: str) -> None:
-    assert problems(tmp_path, json.dumps({**GOOD, name: value})) == [place]
+def test_fault_is_reported_with_its_path(tmp_path: Path, name: str, value: Any, path: str) -> None:
+    assert problems(tmp_path, json.dumps({**MINIMAL, name: value})) == [path]
 
 
-def test_no_json_and_no_file(tmp_path: Path) -> None:
+def test_invalid_json_or_missing_file_is_rejected(tmp_path: Path) -> None:
     assert problems(tmp_path, '{') == ['.']
     with pytest.raises(InvalidDocument):
         load_gateway_settings(tmp_path / 'nothing.json')
