--- a/limeshelf/settings/load.py
+++ b/limeshelf/settings/load.py
@@ -1,7 +1,7 @@
-"""Reads and checks a settings file of the own wire's programs.
+"""Reads and validates a settings file of the standalone programs.
 
-Beyond types it checks ranges by the suffix of a name, addresses, and that files can
-be read. Owns no state.
+Checks not only types, but also value ranges by the suffix of the field name, addresses, and
+that files are readable. Stateless.
 """
 
 from __future__ import annotations
@@ -23,9 +23,9 @@
 
 
 def load_settings(path: Path) -> Settings:
-    """Return the checked settings of the file at *path*.
+    """Return the validated settings of the file at *path*.
 
-    :raises InvalidDocument: listing every fault of the file.
+    :raises InvalidDocument: lists every fault of the file.
     """
     settings = structure_file(path, Settings)
     problems = check_settings(settings)
@@ -35,7 +35,7 @@
 
 
 def check_settings(settings: Settings) -> list[Problem]:
-    """Return the faults that types alone do not show, each with its place."""
+    """Return the faults that type checks do not detect, each with its path."""
     problems = _range_problems(settings, '')
     problems += _host_problems(settings)
     problems += _file_problems(settings)
@@ -50,23 +50,23 @@
     problems: list[Problem] = []
     for field in attrs.fields(type(value)):
         item = getattr(value, field.name)
-        place = f'{path}.{field.name}' if path else field.name
+        field_path = f'{path}.{field.name}' if path else field.name
         if attrs.has(type(item)):
-            problems += _range_problems(item, place)
+            problems += _range_problems(item, field_path)
         elif isinstance(item, str) and not item:
-            problems.append(Problem(place, 'must not be empty'))
+            problems.append(Problem(field_path, 'must not be empty'))
         elif isinstance(item, int | float) and not isinstance(item, bool):
-            problems += _number_problems(field.name, item, place)
+            problems += _number_problems(field.name, item, field_path)
     return problems
 
 
-def _number_problems(name: str, value: float, place: str) -> list[Problem]:
+def _number_problems(name: str, value: float, field_path: str) -> list[Problem]:
     if name.endswith('_port'):
-        inside = 0 <= value <= MAX_PORT
-        return [] if inside else [Problem(place, f'must be a port number, 0 to {MAX_PORT}')]
+        in_range = 0 <= value <= MAX_PORT
+        return [] if in_range else [Problem(field_path, f'must be a port number, 0 to {MAX_PORT}')]
     if name.endswith('_ratio'):
-        return [] if 0 <= value <= 1 else [Problem(place, 'must be between 0 and 1')]
-    return [] if value > 0 else [Problem(place, 'must be above 0')]
+        return [] if 0 <= value <= 1 else [Problem(field_path, 'must be between 0 and 1')]
+    return [] if value > 0 else [Problem(field_path, 'must be above 0')]
 
 
 def _host_problems(settings: Settings) -> list[Problem]:
--- a/limeshelf/settings/model.py
+++ b/limeshelf/settings/model.py
@@ -1,7 +1,7 @@
-"""The settings that the own wire's programs read at their start.
+"""Settings of the standalone programs, read at startup.
 
-Each carries its unit in its name and its purpose in ``doc``, from which the
-reference page is written.
+The name of each setting states its unit; its ``doc`` metadata states its purpose and is the
+source of the reference page.
 """
 
 from __future__ import annotations
@@ -105,7 +105,7 @@
 
 @attrs.frozen
 class PlatformSettings:
-    """Where the platform's services are, and how hard they may be used."""
+    """Addresses of the platform's services, and limits on their use."""
 
     table_url: str = attrs.field(metadata=_doc('Base URL of the table service.'))
     objects_url: str = attrs.field(metadata=_doc('Base URL of the object store.'))
@@ -124,7 +124,7 @@
 
 @attrs.frozen
 class PeerSettings:
-    """How the processes of limeshelf reach each other."""
+    """Communication between the processes of limeshelf."""
 
     seeds: list[str] = attrs.field(
         factory=list,
@@ -141,7 +141,7 @@
 
 @attrs.frozen
 class MetricsSettings:
-    """Where statsd metrics go."""
+    """Destination of statsd metrics."""
 
     statsd_host: str | None = attrs.field(
         default=None, metadata=_doc('IP number of the statsd receiver; none sends nothing.')
@@ -154,7 +154,7 @@
 
 @attrs.frozen
 class LogSettings:
-    """How log lines are written."""
+    """Format and extent of the log."""
 
     json_lines: bool = attrs.field(
         default=False, metadata=_doc('Write each line as a JSON object.')
--- a/limeshelf/settings/reference.py
+++ b/limeshelf/settings/reference.py
@@ -1,4 +1,4 @@
-"""Writes the reference page of the own wire's settings from their classes."""
+"""Generates the reference page of the standalone programs' settings from their classes."""
 
 from __future__ import annotations
 
@@ -22,21 +22,21 @@
     return HEADER + '\n'.join(_class_lines(Settings, '')) + '\n'
 
 
-def _class_lines(kind: type[Any], path: str) -> list[str]:
+def _class_lines(cls: type[Any], path: str) -> list[str]:
     lines: list[str] = []
-    hints = typing.get_type_hints(kind)
-    for field in attrs.fields(kind):
-        place = f'{path}.{field.name}' if path else field.name
-        lines += _field_lines(field, hints[field.name], place)
+    hints = typing.get_type_hints(cls)
+    for field in attrs.fields(cls):
+        field_path = f'{path}.{field.name}' if path else field.name
+        lines += _field_lines(field, hints[field.name], field_path)
         inner = _inner_class(hints[field.name])
         if inner is not None:
-            lines += _class_lines(inner, place)
+            lines += _class_lines(inner, field_path)
     return lines
 
 
-def _field_lines(field: attrs.Attribute[Any], hint: Any, place: str) -> list[str]:
+def _field_lines(field: attrs.Attribute[Any], hint: Any, field_path: str) -> list[str]:
     text = field.metadata.get('doc', '')
-    return [f'``{place}`` ({_type_name(hint)}, {_default(field)})', f'    {text}', '']
+    return [f'``{field_path}`` ({_type_name(hint)}, {_default(field)})', f'    {text}', '']
 
 
 def _inner_class(hint: Any) -> type[Any] | None:
--- a/tests/settings/test_load.py
+++ b/tests/settings/test_load.py
@@ -1,4 +1,4 @@
-"""Settings files: all faults at once, each with its place and unit."""
+"""Validation of settings files: all faults at once, each with its path and unit."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 URLS = {
     f'{name}_url': 'http://127.0.0.1:1' for name in ('table', 'objects', 'weights', 'instances')
 }
-GOOD = {'instance_id': 'i', 'data_centre': 'x', 'platform': URLS}
+MINIMAL = {'instance_id': 'i', 'data_centre': 'x', 'platform': URLS}
 
 
 def problems(tmp_path: Path, document: object) -> dict[str, str]:
@@ -29,11 +29,11 @@
     return {}
 
 
-def test_least_file_is_good(tmp_path: Path) -> None:
-    assert problems(tmp_path, GOOD) == {}
+def test_minimal_file_is_valid(tmp_path: Path) -> None:
+    assert problems(tmp_path, MINIMAL) == {}
 
 
-def test_every_fault_is_listed_with_place_and_unit(tmp_path: Path) -> None:
+def test_every_fault_is_reported_with_path_and_unit(tmp_path: Path) -> None:
     found = problems(
         tmp_path,
         {
@@ -60,25 +60,25 @@
         ('metrics', 'statsd_host', 'localhost'),
     ],
 )
-def test_values_out_of_range_are_named(tmp_path: Path, section, field, value) -> None:
-    assert f'{section}.{field}' in problems(tmp_path, {**GOOD, section: {field: value}})
+def test_values_out_of_range_are_reported(tmp_path: Path, section, field, value) -> None:
+    assert f'{section}.{field}' in problems(tmp_path, {**MINIMAL, section: {field: value}})
 
 
 def test_host_name_and_missing_token_are_faults(tmp_path: Path) -> None:
-    assert 'listen_host' in problems(tmp_path, {**GOOD, 'listen_host': 'here'})
-    assert 'admin.token_file' in problems(tmp_path, {**GOOD, 'listen_host': '10.0.0.1'})
+    assert 'listen_host' in problems(tmp_path, {**MINIMAL, 'listen_host': 'here'})
+    assert 'admin.token_file' in problems(tmp_path, {**MINIMAL, 'listen_host': '10.0.0.1'})
 
 
-def test_no_json_and_no_file(tmp_path: Path) -> None:
+def test_invalid_json_or_missing_file_is_rejected(tmp_path: Path) -> None:
     assert '.' in problems(tmp_path, '{')
     with pytest.raises(InvalidDocument):
         load_settings(tmp_path / 'nothing.json')
 
 
 def test_enums_stay_enums() -> None:
-    """A hook for the class str also took the enums, which are strings too."""
-    plain = {'name': 'm', 'version': '1', 'weights_bytes': 1, 'priority_class': 'high'}
-    assert structure(plain, Deployment).priority_class is PriorityClass.HIGH
+    """The hook for ``str`` must not handle string enums, which are subclasses of ``str``."""
+    document = {'name': 'm', 'version': '1', 'weights_bytes': 1, 'priority_class': 'high'}
+    assert structure(document, Deployment).priority_class is PriorityClass.HIGH
 
 
 def test_reference_page_is_up_to_date() -> None:
