--- a/limeshelf/settings/structure.py
+++ b/limeshelf/settings/structure.py
@@ -1,7 +1,7 @@
-"""Turns JSON documents into attrs classes and lists every fault at once.
+"""Converts JSON documents to attrs classes and reports all faults at once.
 
-Stricter than the library: no value is converted to another type, and unknown keys
-are faults. Owns no state.
+Stricter than the library: values are never converted to another type, and unknown keys are
+faults. Stateless.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 T = TypeVar('T')
 
-#: Unit suffixes of field names and what they mean, for error messages.
+#: Meaning of the unit suffixes of field names, for error messages.
 UNITS = {
     '_s': 'seconds',
     '_ms': 'milliseconds',
@@ -65,18 +65,17 @@
     converter.register_structure_hook(float, _strict_float)
     converter.register_structure_hook(str, _strict_str)
     converter.register_structure_hook(bool, _strict_bool)
-    # Enums of strings are strings too; without a hook of their own the one for
-    # str would take them and leave them plain
-    # (tests/settings/test_load.py::test_enums_stay_enums).
-    converter.register_structure_hook(enum.StrEnum, lambda value, kind: kind(value))
+    # String enums are subclasses of str; without a separate hook, the hook for str would
+    # leave them as plain strings (tests/settings/test_load.py::test_enums_stay_enums).
+    converter.register_structure_hook(enum.StrEnum, lambda value, cls: cls(value))
     return converter
 
 
 _converter = _make_converter()
 
 
-def structure_file(path: Path, kind: type[T]) -> T:
-    """Build a *kind* from the JSON file at *path*.
+def structure_file(path: Path, cls: type[T]) -> T:
+    """Build a *cls* from the JSON file at *path*.
 
     :raises InvalidDocument: with one :class:`Problem` for each fault.
     """
@@ -86,19 +85,19 @@
         raise InvalidDocument([Problem('.', f'cannot be read: {error.strerror}')]) from None
     except msgspec.DecodeError as error:
         raise InvalidDocument([Problem('.', f'is not JSON: {error}')]) from None
-    return structure(document, kind)
+    return structure(document, cls)
 
 
-def structure(document: Any, kind: type[T]) -> T:
-    """Build a *kind* from parsed JSON.
+def structure(document: Any, cls: type[T]) -> T:
+    """Build a *cls* from parsed JSON.
 
-    Any error of the library is turned into problems; one that names none is a
-    fault of ours and is raised as it is.
+    Errors of the library are converted to problems; an error without any is a defect of this
+    program and is raised unchanged.
 
     :raises InvalidDocument: with one :class:`Problem` for each fault.
     """
     try:
-        return _converter.structure(document, kind)
+        return _converter.structure(document, cls)
     except Exception as error:
         problems = _problems(error, '')
         if not problems:
@@ -124,24 +123,24 @@
 
 
 def _class_problems(error: ClassValidationError, path: str) -> list[Problem]:
-    found: list[Problem] = []
-    noted, unnoted = error.group_exceptions()
-    for inner, note in noted:
+    problems: list[Problem] = []
+    with_note, without_note = error.group_exceptions()
+    for inner, note in with_note:
         child = path if isinstance(inner, KeyError) else _join(path, note.name)
-        found.extend(_problems(inner, child))
-    for bare in unnoted:
-        found.extend(_problems(bare, path))
-    return found
+        problems.extend(_problems(inner, child))
+    for other in without_note:
+        problems.extend(_problems(other, path))
+    return problems
 
 
 def _item_problems(error: IterableValidationError, path: str) -> list[Problem]:
-    found: list[Problem] = []
-    noted, unnoted = error.group_exceptions()
-    for inner, note in noted:
-        found.extend(_problems(inner, f'{path}[{note.index}]'))
-    for bare in unnoted:
-        found.extend(_problems(bare, path))
-    return found
+    problems: list[Problem] = []
+    with_note, without_note = error.group_exceptions()
+    for inner, note in with_note:
+        problems.extend(_problems(inner, f'{path}[{note.index}]'))
+    for other in without_note:
+        problems.extend(_problems(other, path))
+    return problems
 
 
 def _join(path: str, name: str) -> str:
