--- a/limeshelf/settings/tls.py
+++ b/limeshelf/settings/tls.py
@@ -1,7 +1,7 @@
 """TLS contexts from certificate files, reloaded when the files change.
 
-Serves the listeners of the own wire's programs. Relies on the settings for the
-paths and for how often they are checked.
+Used by the listeners of the standalone programs. The settings state the paths and the
+interval between checks.
 """
 
 from __future__ import annotations
@@ -22,8 +22,8 @@
 def open_context(settings: TlsSettings, path: str) -> ssl.SSLContext:
     """Return a server context.
 
-    :param path: place of the settings in their file, for the error.
-    :raises InvalidDocument: when certificate and key are no pair.
+    :param path: path of the settings in their file, for error messages.
+    :raises InvalidDocument: if the files cannot be read or the key does not match.
     """
     context = ssl.create_default_context(ssl.Purpose.CLIENT_AUTH)
     try:
@@ -35,32 +35,32 @@
 
 
 async def follow_files(context: ssl.SSLContext, settings: TlsSettings) -> None:
-    """Load the files into *context* again whenever they change.
+    """Reload the files into *context* whenever they change, until cancelled.
 
-    New connections get the new certificate; running ones are left alone. Files
-    that do not fit together are logged and the old certificate stays.
+    New connections use the new certificate; existing ones are unaffected. If the files do not
+    match or cannot be read, an error is logged and the old certificate stays in use.
     """
-    seen = _stamp(settings)
+    loaded_times = _modification_times(settings)
     while True:
         await asyncio.sleep(settings.reload_check_s)
-        stamp = _stamp(settings)
-        if stamp == seen:
+        times = _modification_times(settings)
+        if times == loaded_times:
             continue
         try:
             context.load_cert_chain(settings.certificate_file, settings.key_file)
         except (ssl.SSLError, OSError) as error:
             logging.error('tls=reload_failed error=%r', error)
             continue
-        seen = stamp
+        loaded_times = times
         logging.info('tls=reloaded')
 
 
-def _stamp(settings: TlsSettings) -> tuple[float, ...]:
+def _modification_times(settings: TlsSettings) -> tuple[float, ...]:
     try:
         return tuple(
             os.stat(name).st_mtime for name in (settings.certificate_file, settings.key_file)
         )
     except OSError:
-        # A file is missing, for example while it is replaced. That counts as a
-        # change; the load that follows fails and is logged.
+        # A file may be missing while it is replaced. This counts as a change; the reload then
+        # fails and is logged.
         return ()
