--- a/limeshelf/platform/store_era.py
+++ b/limeshelf/platform/store_era.py
@@ -2,8 +2,7 @@
 
 The era is a generation number that rises whenever the store is restored from an older copy.
 Owns the latest era that the store has reported to this process. A response without a valid
-era is assigned to that era: deployments whose
-store sends no era work without restrictions.
+era is assigned to that era: deployments whose store sends no era work without restrictions.
 """
 
 from __future__ import annotations
@@ -32,7 +31,7 @@
 class StoreEra:
     """Tracks the latest era that responses of the store have reported.
 
-    :param on_advance: called with the era whenever a response reports a later one.
+    :param on_advance: called with the era of the first response, and with each later one.
     """
 
     def __init__(self, on_advance: Callable[[int], None]) -> None:
--- a/limeshelf/settings/structure.py
+++ b/limeshelf/settings/structure.py
@@ -75,7 +75,7 @@
 
 
 def structure_file(path: Path, cls: type[T]) -> T:
-    """Build a *cls* from the JSON file at *path*.
+    """Return an instance of *cls* built from the JSON file at *path*.
 
     :raises InvalidDocument: with one :class:`Problem` for each fault.
     """
@@ -89,7 +89,7 @@
 
 
 def structure(document: Any, cls: type[T]) -> T:
-    """Build a *cls* from parsed JSON.
+    """Return an instance of *cls* built from parsed JSON.
 
     Errors of the library are converted to problems; an error without any is a defect of this
     program and is raised unchanged.
