--- a/limeshelf/settings/tls.py
+++ b/limeshelf/settings/tls.py
@@ -19,7 +19,7 @@
     from limeshelf.settings.model import TlsSettings
 
 
-def open_context(settings: TlsSettings, path: str) -> ssl.SSLContext:
+def create_server_context(settings: TlsSettings, path: str) -> ssl.SSLContext:
     """Return a server context.
 
     :param path: path of the settings in their file, for error messages.
@@ -34,7 +34,7 @@
     return context
 
 
-async def follow_files(context: ssl.SSLContext, settings: TlsSettings) -> None:
+async def reload_on_change(context: ssl.SSLContext, settings: TlsSettings) -> None:
     """Reload the files into *context* whenever they change, until cancelled.
 
     New connections use the new certificate; existing ones are unaffected. If the files do not
--- a/limeshelf/standalone/admin/server.py
+++ b/limeshelf/standalone/admin/server.py
@@ -16,7 +16,7 @@
 
 from limeshelf.admin import admin_pb2_grpc
 from limeshelf.errors import InvalidDocument, Problem
-from limeshelf.settings.tls import open_context
+from limeshelf.settings.tls import create_server_context
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
@@ -79,7 +79,7 @@
         """Return credentials that read the files again when they change."""
         tls = self._settings.tls
         assert tls is not None
-        open_context(tls, 'admin.tls')
+        create_server_context(tls, 'admin.tls')
         first = _read_pair(tls.certificate_file, tls.key_file)
         seen = [first]
 
--- a/limeshelf/standalone/programs/entry.py
+++ b/limeshelf/standalone/programs/entry.py
@@ -15,7 +15,7 @@
 from absl import logging
 
 from limeshelf.peers.codec import Envelope
-from limeshelf.settings.tls import follow_files, open_context
+from limeshelf.settings.tls import create_server_context, reload_on_change
 from limeshelf.standalone.claims.keeper import ClaimKeeper
 from limeshelf.standalone.entry.context import EntryContext
 from limeshelf.standalone.entry.demand import DemandCounter
@@ -52,12 +52,12 @@
         self.shared = self._make_context()
         self.server = EntryServer(self.shared)
         tls = settings.entry.tls
-        tls_context = open_context(tls, 'entry.tls') if tls else None
+        tls_context = create_server_context(tls, 'entry.tls') if tls else None
         http_port = await self.server.start(
             settings.listen_host, settings.entry.http_port, tls_context
         )
         if tls is not None and tls_context is not None:
-            self.process.tasks.keep(follow_files, 'tls', tls_context, tls)
+            self.process.tasks.keep(reload_on_change, 'tls', tls_context, tls)
         self.watch = UpstreamWatch(
             self.process.processes,
             self.process.upstreams,
