--- a/limeshelf/programs/components.py
+++ b/limeshelf/programs/components.py
@@ -134,7 +134,7 @@
         self.end_watch = EndWatch(self.directory, self.suspects, tasks)
         self.lost_loads = LostLoads(self.suspects, self.end_watch)
         self.quarantine_keeper = QuarantineKeeper(self.store, self.suspects)
-        self.suspension = SuspensionWatch(self._note_woke)
+        self.suspension = SuspensionWatch(self._handle_resume)
         self.crashes = CrashExchange(self.node, self.members, self.suspects)
 
     def _make_dispatch(self, settings: GatewaySettings) -> None:
@@ -258,7 +258,7 @@
         )
         self.edge = Edge(self.pipeline, wire, self.metrics)
 
-    def _note_woke(self, slept_s: float) -> None:
+    def _handle_resume(self, slept_s: float) -> None:
         """Log and count a suspension of this machine, and notify the members."""
         log_change('woke', slept_ms=int(slept_s * MS_PER_S))
         self.metrics.observe_suspension()
--- a/limeshelf/programs/followed_tables.py
+++ b/limeshelf/programs/followed_tables.py
@@ -104,7 +104,7 @@
 
     def open_copy(self, rule: FollowRule, metrics: GatewayMetrics) -> TableCopy:
         """Create and return the local copy of the table, to be followed by *rule*."""
-        listener = _counted(CONFIG_TABLE, self.apply_row, metrics)
+        listener = _counting_listener(CONFIG_TABLE, self.apply_row, metrics)
         self.copy = TableCopy(CONFIG_TABLE, listener, rule, CONFIG_RETURN)
         return self.copy
 
@@ -134,7 +134,7 @@
         return True
 
 
-def _counted(
+def _counting_listener(
     table: str, apply_row: Callable[[Row], bool], metrics: GatewayMetrics
 ) -> Callable[[Row], None]:
     """Return a listener that forwards rows and counts those that could not be read."""
@@ -161,19 +161,19 @@
         config_rows.open_copy(config_rule(freshness.config_s), metrics),
         TableCopy(
             REPLICA_TABLE,
-            _counted(REPLICA_TABLE, directory.take_row, metrics),
+            _counting_listener(REPLICA_TABLE, directory.take_row, metrics),
             replica_rule(freshness.replica_s),
             REPLICA_RETURN,
         ),
         TableCopy(
             MEMBER_TABLE,
-            _counted(MEMBER_TABLE, registration.take_row, metrics),
+            _counting_listener(MEMBER_TABLE, registration.take_row, metrics),
             MEMBER_RULE,
             OWN_RETURN,
         ),
         TableCopy(
             QUARANTINE_TABLE,
-            _counted(QUARANTINE_TABLE, keeper.take_row, metrics),
+            _counting_listener(QUARANTINE_TABLE, keeper.take_row, metrics),
             QUARANTINE_RULE,
             OWN_RETURN,
         ),
