--- a/limeshelf/placement/adapters.py
+++ b/limeshelf/placement/adapters.py
@@ -74,7 +74,7 @@
 
 @attrs.frozen
 class _Option:
-    """A possible move; the one with the lowest cost is chosen.
+    """A possible move; the one with the lowest cost is used.
 
     :ivar cost: whether the replica is suspended, then its cost in calls per slot.
     """
@@ -244,7 +244,7 @@
     """Return the number of adapters being loaded, by the replica's report or by orders to it.
 
     The report also lists loads that this process has given up on but that still complete
-    (tests/orders/test_capacity.py::test_adapter_on_its_way_takes_a_place).
+    (tests/orders/test_capacity.py::test_loading_adapter_takes_a_place).
     """
     reported = set(replica.report.loading) if replica.report else set()
     return sum(1 for _, adapter in reported | set(pending.expected_ready_s()) if adapter)
--- a/limeshelf/placement/replica_monitor.py
+++ b/limeshelf/placement/replica_monitor.py
@@ -87,7 +87,7 @@
             return
         if not self._sender.pending(replica).is_claimed_under(self._leadership.fence):
             # New in this term, or reachable again: earlier orders may only arrive now
-            # (tests/orders/test_sender.py::test_replica_back_in_reach).
+            # (tests/orders/test_sender.py::test_replica_is_reachable_again).
             await self._sender.claim(replica, engine)
 
     def replica_views(self, service: str) -> list[ReplicaView]:
--- a/limeshelf/replicas/connections.py
+++ b/limeshelf/replicas/connections.py
@@ -50,7 +50,7 @@
 
     aiohttp treats a reset as the end of a body without a length, and the event loop reports a
     reset that arrives together with data as end of file (both are covered by
-    tests/gateway/test_path.py::test_unsafe_call_runs_once_and_is_not_called_unrun).
+    tests/gateway/test_path.py::test_unsafe_call_runs_once_and_is_not_reported_as_not_run).
     aiohttp also reuses an idle connection on which unexpected bytes have arrived.
     """
 
