--- a/limeshelf/feeds/__init__.py
+++ b/limeshelf/feeds/__init__.py
@@ -1,1 +1,1 @@
-"""Rows of the store: the port to its tables, copies of them, and what follows the store."""
+"""Copies of the store's tables: the store's interface, and how the copies are kept up to date."""
--- a/limeshelf/feeds/continuity.py
+++ b/limeshelf/feeds/continuity.py
@@ -1,9 +1,9 @@
-"""Decides whether an update from a peer continues the copy of a table.
+"""Decides whether an update from a peer extends the copy of a table without a gap.
 
-An update holds the changes after one position of the store up to another. Updates may be
-lost, late, or come from a peer that is behind: only one that leaves no gap confirms that
-the copy is complete up to its end. Decides only; applied by
-:class:`limeshelf.feeds.table_copy.TableCopy`.
+An update contains the changes from one store position to another. Updates may be lost, delayed,
+or sent by a peer whose copy is older. Only an update that leaves no gap confirms that the copy
+is complete up to the update's end. :class:`limeshelf.feeds.table_copy.TableCopy` applies the
+decisions.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 
 
 class Continuity(enum.Enum):
-    """How an update continues the copy.
+    """How an update relates to the copy.
 
-    ``CONTINUES``: it leaves no gap, and its end is as new as the copy.
-    ``BEHIND``: the peer has less; the update confirms nothing.
-    ``GAP``: changes before the update are missing and have to be asked for.
+    ``CONTINUES``: it leaves no gap, and it ends at the position of the copy or later.
+    ``BEHIND``: it ends before the position of the copy, and confirms nothing.
+    ``GAP``: changes between the copy and the update are missing and must be requested.
     """
 
     CONTINUES = 'continues'
@@ -29,12 +29,14 @@
 
 
 def continuity_of(after: Position, upto: Position, known: Position) -> Continuity:
-    """Decide how the changes after one position up to another continue a copy.
+    """Return how an update with the changes between two positions relates to a copy.
 
+    :param after: position at which the update begins.
+    :param upto: position at which it ends.
     :param known: position up to which the copy is complete.
     """
     if after > known:
-        # A newer row must not hide that an earlier one is missing
+        # Having a newer row does not mean that no earlier one is missing
         # (tests/membership/test_row_exchange.py::test_lost_update_is_asked_for).
         return Continuity.GAP
     return Continuity.CONTINUES if upto >= known else Continuity.BEHIND
--- a/limeshelf/feeds/follow_rule.py
+++ b/limeshelf/feeds/follow_rule.py
@@ -1,4 +1,4 @@
-"""How closely a table of the store is followed."""
+"""How often a table of the store is polled, and when its copy is stale."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 
 @attrs.frozen
 class FollowRule:
-    """How a table is followed.
+    """Timing for following one table.
 
-    The values in force stand in :mod:`limeshelf.programs.followed_tables`; the defaults are
-    for a table that no peer shares.
+    :mod:`limeshelf.programs.followed_tables` sets the values in use; the defaults are for a
+    table whose rows are not exchanged with peers.
 
-    :ivar wait_s: how long the store holds a call for changes, in seconds.
-    :ivar pace_s: pause after changes, in seconds, so that one call brings several.
-    :ivar stale_s: a copy that was not confirmed for longer, in seconds, is too old to go
-        by, and the store is asked.
-    :ivar first_delay_s: longest pause before the first call, in seconds. Where all processes
-        start together, the rows of the others are not there yet; peers may bring the table
-        meanwhile.
+    :ivar wait_s: how long the store may hold a call for changes (long polling), in seconds.
+    :ivar pace_s: delay after an answer with changes, in seconds, so that the next answer
+        contains several changes.
+    :ivar stale_s: age of the last confirmation beyond which the copy is stale and the store is
+        polled, in seconds.
+    :ivar first_delay_s: longest delay before the first call, in seconds. If all processes start
+        together, their rows are not in the table yet, and peers may send the table meanwhile.
     """
 
     wait_s: float = 8.0
