--- a/limeshelf/feeds/position.py
+++ b/limeshelf/feeds/position.py
@@ -1,9 +1,9 @@
-"""Positions in the store's history: which of two things that it said is the later one.
+"""Positions in the store's history, which order its answers.
 
-The store counts its transactions, and may come back from a copy that is some seconds old. What
-it had acknowledged since is lost then, and it gives the same counts out again. An era ends with
-each such return, so a count says nothing without its era. Relies on nobody; the adapter makes
-positions from the store's answers.
+The store numbers its transactions. It may be restored from a copy that is some seconds old; the
+transactions acknowledged since then are lost, and the same numbers are assigned again. Each
+restore begins a new era, so transaction numbers are comparable only within one era. The
+adapter to the store creates positions from its answers.
 """
 
 from __future__ import annotations
@@ -13,15 +13,15 @@
 
 @attrs.frozen(order=True)
 class Position:
-    """A moment in the store's history; later ones are greater.
+    """A point in the store's history; later points compare greater.
 
-    :param era: rises each time the store comes back from an older copy; 0 where it states none.
-    :param version: transactions of the whole store in that era, up to this one.
+    :param era: incremented by each restore from an older copy; 0 if the store states no era.
+    :param version: number of the latest transaction of the whole store in that era.
     """
 
     era: int = 0
     version: int = 0
 
 
-#: Before everything; as a condition of a write, that there is no row.
+#: Before all other positions; as the condition of a write, that the row does not exist.
 BEGINNING = Position()
--- a/limeshelf/feeds/return_rule.py
+++ b/limeshelf/feeds/return_rule.py
@@ -1,9 +1,9 @@
-"""What becomes of a table's rows when the store comes back from an older copy.
+"""Decides which rows of a table are valid after the store was restored from an older copy.
 
-In the copy stand rows that were replaced or deleted since, and what was written since is not in
-it. Those who wrote it write it again, but nobody says how soon. Decides only; applied by
-:class:`limeshelf.feeds.table_copy.TableCopy`, the rules of all tables stand in
-:mod:`limeshelf.programs.followed_tables`.
+The restored store contains rows that had been replaced or deleted since the copy was made, and
+lacks rows that were written since then. Their writers write them again, after an unknown time.
+:class:`limeshelf.feeds.table_copy.TableCopy` applies the decisions;
+:mod:`limeshelf.programs.followed_tables` holds the rules of all tables.
 """
 
 from __future__ import annotations
@@ -18,24 +18,24 @@
 
     from limeshelf.feeds.rows import Row
 
-#: How new a row is by what its writer put into it; empty where that cannot be read.
+#: Version that the writer stored in a row's value; empty if it cannot be decoded.
 Newness: TypeAlias = tuple[int, ...]
 
 
 @attrs.frozen
 class ReturnRule:
-    """Which of two rows of different eras holds, and how long a row of the earlier one does.
+    """Which of two rows of different eras is valid, and how long rows of earlier eras are kept.
 
-    :ivar newness_of: from a row's value; rises each time its writer writes it. ``None`` where the
-        rows do not say.
-    :ivar kept_s: for how long a row is kept that does not stand in the later era, in seconds.
+    :ivar newness_of: returns the writer's version from a row's value, which increases with each
+        write; ``None`` if the rows of the table contain no such version.
+    :ivar kept_s: how long a row that is missing from the later era is kept, in seconds.
     """
 
     newness_of: Callable[[bytes], Newness] | None = None
     kept_s: float = math.inf
 
     def replaces(self, row: Row, known: Row) -> bool:
-        """Return whether *row* holds in place of *known*, which is of another era."""
+        """Return whether *row* replaces *known*, which is of another era."""
         is_later = row.position > known.position
         if self.newness_of is None:
             return is_later
@@ -43,9 +43,9 @@
             return True
         if known.gone and not is_later:
             return False
-        newness = self.newness_of(row.value)
-        known_newness = self.newness_of(known.value)
-        if newness != known_newness:
-            return newness > known_newness
-        # The same writing: it stands again in the later era, or was deleted in the earlier one.
+        version = self.newness_of(row.value)
+        known_version = self.newness_of(known.value)
+        if version != known_version:
+            return version > known_version
+        # The same write: still or again present in the later era, or deleted in the earlier one.
         return row.gone or (is_later and not known.gone)
