--- a/limeshelf/feeds/rows.py
+++ b/limeshelf/feeds/rows.py
@@ -1,7 +1,6 @@
-"""The port to a table of rows with versions, conditions and a feed of changes.
+"""The interface to the store: tables of versioned rows, conditional writes, a feed of changes.
 
-Owns nothing: it says what this product needs of the store; the adapter to the users'
-platform does it.
+The adapter to the users' platform implements it.
 """
 
 from __future__ import annotations
@@ -19,9 +18,9 @@
 class Row:
     """One row as of its last change.
 
-    :param value: of a row that was deleted, the last one before, as far as that is known.
-    :param position: of that change.
-    :param gone: whether the row was deleted then.
+    :param value: for a deleted row, the last value before the deletion, if it is known.
+    :param position: store position of the last change.
+    :param gone: whether that change deleted the row.
     """
 
     key: str
@@ -35,10 +34,10 @@
     """Rows of a table, or its changes, as of one position of the store.
 
     :param now_ms: the store's steady clock when it answered.
-    :param answered_s: the same moment, on this machine's boot clock; no part of what the page
-        says, so pages are equal without it.
-    :param as_of_ms: the store's clock at the first of its answers, where it took several: since
-        then no row may be missing.
+    :param answered_s: estimate of the same moment on this machine's boot clock. Not part of the
+        content, so it is excluded from comparison.
+    :param as_of_ms: the store's clock at its first answer, if reading took several. The page
+        may lack rows that were written after that.
     """
 
     rows: tuple[Row, ...]
@@ -50,7 +49,7 @@
 
 @dataclass(eq=False)
 class HistoryGone(LimeshelfError):
-    """The store does not have the changes after the asked version; read the whole."""
+    """The store no longer has the changes after the given position; read the whole table."""
 
     table: str
 
@@ -59,28 +58,29 @@
 class ConditionFailed(LimeshelfError):
     """A row did not have the expected position; nothing was written.
 
-    :param rows: the rows of the condition as they are.
+    :param rows: the current rows that the condition refers to.
     """
 
     rows: tuple[Row, ...] = field(default_factory=tuple)
 
 
 class RowTable(Protocol):
-    """The calls of the platform's table that the product needs.
+    """The store operations that this product needs.
 
-    Every call raises :exc:`limeshelf.errors.PlatformUnavailable` where it had
-    no effect and :exc:`limeshelf.errors.PlatformUnknown` where that is open.
+    Every operation raises :exc:`limeshelf.errors.PlatformUnavailable` if it had no effect, and
+    :exc:`limeshelf.errors.PlatformUnknown` if it may have had one.
     """
 
     async def read(self, table: str) -> Page:
-        """Return all rows of *table* as of one moment."""
+        """Return all rows of *table* as of one position."""
 
     async def changes(self, table: str, after: Position, wait_s: float) -> Page:
-        """Return what changed after a position, as soon as something has.
+        """Return the changes after a position, as soon as there are any.
 
-        A page of a later era does not continue from there.
+        If the page is of a later era, it does not contain all changes after that position.
 
-        :raises HistoryGone: the store does not have that history.
+        :param wait_s: how long the store may hold the call while there are none, in seconds.
+        :raises HistoryGone: the store no longer has those changes.
         """
 
     async def write(
@@ -89,9 +89,10 @@
         """Write a row and return the store's position.
 
         :param expected: position that the row must have, :data:`BEGINNING
-            <limeshelf.feeds.position.BEGINNING>` for no row; ``None`` writes whatever there is.
+            <limeshelf.feeds.position.BEGINNING>` if it must not exist; ``None`` writes
+            unconditionally.
         :raises ConditionFailed: the row has another position.
         """
 
     async def delete(self, table: str, key: str, expected: Position | None) -> None:
-        """Delete a row; arguments and errors as for :meth:`write`."""
+        """Delete a row; parameters and errors as for :meth:`write`."""
