--- a/limeshelf/feeds/store_clock.py
+++ b/limeshelf/feeds/store_clock.py
@@ -1,7 +1,7 @@
-"""The store's clock as seen from this machine: when it answered, how old a confirmation is.
+"""Estimates the offset between the store's clock and this machine's boot clock.
 
-Owns what calls to the store, and answers of gateways that know its clock, have shown of the
-difference between the two clocks. Relies on both being steady and running alike.
+Owns the bounds of the offset, which follow from calls to the store and from answers of gateways
+that know the store's clock. Assumes that both clocks are steady and run at the same rate.
 """
 
 from __future__ import annotations
@@ -15,49 +15,51 @@
 
 @attrs.define
 class StoreClock:
-    """Learns how the store's clock stands to this machine's.
-
-    Two figures, for two uses. How stale a copy is (:meth:`answered_s`) is estimated: the store
-    holds a call for changes back for up to a second, and taken as of the moment at
-    which it was asked, an answer is that much too old: with copies that count as old after
-    1.2 s, gateways that go by another one's answers asked the store themselves all the time
-    (1,822 to 1,958 calls of 20 gateways in three plays of one day). How old a confirmation is
-    at the most (:meth:`greatest_age_s`) is bounded: it rests on what was asked before the store
-    answered, so no message that waits in a buffer and no process that stands still makes a
-    confirmation younger than it is.
-
-    :ivar least_local_s: time on this machine's clock at least when the store's shows 0;
-        unknown, and infinitely long ago, until the first exchange.
-    :ivar era: of the store, in which its clock is learned; ``None`` until one is known.
-    :ivar returned_s: when this process last learned of a later one, on the boot clock.
+    """Bounds of the offset of the boot clock from the store's clock (boot time minus store time).
+
+    The two bounds have different uses:
+
+    * :meth:`answered_s` estimates when the store answered, which gives the staleness of a copy.
+      The store holds a call for changes for up to a second. If an answer counted as given when
+      the call was sent, it would seem that much too old: with copies that become stale after
+      1.2 s, gateways that rely on another one's answers polled the store themselves all the time
+      (1,822 to 1,958 calls from 20 gateways in each of three runs).
+    * :meth:`greatest_age_s` returns an upper bound of the age of a confirmation. It relies only
+      on calls that were sent before the store answered, so neither a message delayed in a buffer
+      nor a suspended process makes a confirmation seem newer than it is.
+
+    :ivar least_local_s: lower bound of the offset, in seconds; minus infinity until the first
+        exchange.
+    :ivar era: store era to which the bounds belong; ``None`` until one is known.
+    :ivar returned_s: when this process last observed a change to a later era, on the boot clock.
     """
 
     least_local_s: float = -math.inf
     era: int | None = None
     returned_s: float = -math.inf
-    _least_difference_s: float = math.inf
+    _max_offset_s: float = math.inf
 
     def answered_s(self, asked_s: float, arrived_s: float, store_s: float) -> float:
-        """Return when the store gave an answer, as estimated; on this machine's clock.
+        """Return an estimate of when the store answered, on the boot clock.
 
-        :param asked_s: when the call left, on this machine's clock.
-        :param arrived_s: when its answer was there.
-        :param store_s: the time that the answer states, on the store's clock.
+        :param asked_s: when the call was sent, on the boot clock.
+        :param arrived_s: when its answer arrived, on the boot clock.
+        :param store_s: time stated in the answer, on the store's clock.
         """
         self.note_answer(asked_s, store_s)
-        self._least_difference_s = min(self._least_difference_s, arrived_s - store_s)
-        return min(arrived_s, max(asked_s, store_s + self._least_difference_s))
+        self._max_offset_s = min(self._max_offset_s, arrived_s - store_s)
+        return min(arrived_s, max(asked_s, store_s + self._max_offset_s))
 
     def note_answer(self, asked_s: float, store_s: float) -> None:
-        """Note that the store's clock had not passed a time when something was asked.
+        """Update the lower bound of the offset from a call and its answer.
 
-        :param asked_s: on this machine's clock; the answer was given later.
-        :param store_s: what the store's clock showed at the most when it was given.
+        :param asked_s: when the call was sent, on the boot clock; the answer was given later.
+        :param store_s: upper bound of the store's clock when it answered.
         """
         self.least_local_s = max(self.least_local_s, asked_s - store_s)
 
     def enter(self, era: int) -> None:
-        """Go over to a later era of the store, whose clock may have begun anew."""
+        """Switch to *era* if it is later; the store's clock may start anew with it."""
         if self.era is None:
             self.era = era
         if era <= self.era:
@@ -68,25 +70,28 @@
         self.forget_ways()
 
     def forget_ways(self) -> None:
-        """Estimate the way of an answer anew, since the store has another address."""
-        self._least_difference_s = math.inf
+        """Reset the upper bound of the offset, which depends on the latency of answers.
+
+        Called when the address of the store changes.
+        """
+        self._max_offset_s = math.inf
 
     @property
     def is_known(self) -> bool:
-        """Return whether anything has shown how the store's clock stands."""
+        """Return whether the offset has a lower bound."""
         return math.isfinite(self.least_local_s)
 
     def greatest_age_s(self, store_ms: int) -> float:
-        """Return how long ago, at the most, the store's clock showed a time, in seconds.
+        """Return an upper bound of the age of a time on the store's clock, in seconds.
 
-        Infinite while nothing has shown how it stands, and for a time of 0.
+        Infinite while the offset is unknown, and for a time of 0.
         """
         if not store_ms:
             return math.inf
         return boottime_s() - (store_ms / MS_PER_S + self.least_local_s)
 
     def latest_ms(self) -> int:
-        """Return what the store's clock shows now at the most; 0 while that is unknown."""
+        """Return an upper bound of the store's current clock; 0 while the offset is unknown."""
         if not self.is_known:
             return 0
         return math.ceil((boottime_s() - self.least_local_s) * MS_PER_S)
