--- a/limeshelf/feeds/store_reach.py
+++ b/limeshelf/feeds/store_reach.py
@@ -1,7 +1,8 @@
-"""When a process asks the store again that was out of reach.
+"""Delays calls to the store after failed ones.
 
-Owns the failures in a row of one process, over all tables that it follows. Relies on its
-callers to raise what the store's port raises.
+Owns the number of consecutive failed calls of this process, over all tables that it follows.
+A call failed if it raised :exc:`~limeshelf.errors.PlatformUnavailable` or
+:exc:`~limeshelf.errors.PlatformUnknown`.
 """
 
 from __future__ import annotations
@@ -18,69 +19,68 @@
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator, Callable, Iterator
 
-#: Pause after a failed call: bound after the first failure, and the largest.
+#: Base and limit of the exponential back-off after failed calls.
 RETRY_BASE_S = 0.15
 RETRY_LIMIT_S = 1.0
-#: How long the pause is judged anew after this time.
-PAUSE_STEP_S = 0.25
+#: Interval at which the remaining pause is computed again, because its spread may change.
+PAUSE_CHECK_INTERVAL_S = 0.25
 
 
 class StoreReach:
-    """Whether the store is in reach of this process, for all tables that it follows.
+    """Back-off of calls to the store, shared by all tables that this process follows.
 
-    While it is not, one table at a time tries it: with three tables, each on its own, 20
-    gateways made some 60 calls a second to a store that was away. A try is to be a call that
-    the store answers at once: one that it held back for 8 s kept all other tables from
-    asking, and configurations were in force up to 8 s late
+    While the latest call has failed, only one table at a time calls the store, as a probe: with
+    three tables that retried independently, 20 gateways sent about 60 calls per second to an
+    unavailable store. The store must answer a probe at once: a probe that it held for 8 s
+    blocked all other tables, and configurations came into force up to 8 s late
     (tests/feeds/test_late_configuration.py).
     """
 
     def __init__(self) -> None:
         self._failures = 0
-        self._failed_s = 0.0
-        self._trying = asyncio.Lock()
+        self._last_failure_s = 0.0
+        self._probe_lock = asyncio.Lock()
 
     @contextlib.asynccontextmanager
     async def attempt(self, spread_s: Callable[[], float]) -> AsyncIterator[bool]:
-        """Wait for this process's turn to ask the store; note what became of the call.
+        """Wait until this process may call the store, and record whether the call fails.
 
-        Yields whether the call is a try, which the store is not to hold back.
+        Yields whether the call is a probe, which the store must not hold.
 
-        :param spread_s: returns the longest further pause after a failure, in seconds; asked
-            again while it lasts, since a gateway may lose its peers meanwhile.
+        :param spread_s: returns the longest additional pause after a failure, in seconds; called
+            repeatedly during the pause, since a gateway may become isolated meanwhile.
         """
         if self._failures:
-            async with self._trying:
-                # A call that succeeded meanwhile has freed all tables.
+            async with self._probe_lock:
+                # If another table's probe succeeded meanwhile, no pause is needed.
                 if self._failures:
                     await self._pause(spread_s)
-                    with self._noting():
+                    with self._recording_result():
                         yield True
                     return
-        with self._noting():
+        with self._recording_result():
             yield False
 
     @contextlib.contextmanager
-    def _noting(self) -> Iterator[None]:
+    def _recording_result(self) -> Iterator[None]:
         try:
             yield
         except (PlatformUnavailable, PlatformUnknown):
             self._failures += 1
-            self._failed_s = boottime_s()
+            self._last_failure_s = boottime_s()
             raise
         self._failures = 0
 
     async def _pause(self, spread_s: Callable[[], float]) -> None:
-        """Wait until the pause after the last failure is over.
+        """Wait until the pause that began with the last failure is over.
 
-        A process that had no reason to ask since owes none: counted from its next call, the
-        pause of a failure of long ago made gateways that were cut off from their peers up to
-        9 s late.
+        The pause does not begin with the next call: then a failure long ago delayed gateways that
+        had become isolated from their peers by up to 9 s.
         """
-        end_s = self._failed_s + equal_jitter_s(self._failures, RETRY_BASE_S, RETRY_LIMIT_S)
-        share = random.random()
+        end_s = self._last_failure_s + equal_jitter_s(self._failures, RETRY_BASE_S, RETRY_LIMIT_S)
+        spread_ratio = random.random()
         while True:
-            left_s = end_s + share * spread_s() - boottime_s()
+            left_s = end_s + spread_ratio * spread_s() - boottime_s()
             if left_s <= 0.0:
                 return
-            await asyncio.sleep(min(left_s, PAUSE_STEP_S))
+            await asyncio.sleep(min(left_s, PAUSE_CHECK_INTERVAL_S))
--- a/tests/feeds/test_store_reach.py
+++ b/tests/feeds/test_store_reach.py
@@ -132,7 +132,7 @@
         await asyncio.sleep(0.02)
         assert not task.done()
         spread_s = 0.0
-        async with asyncio.timeout(3 * store_reach.PAUSE_STEP_S):
+        async with asyncio.timeout(3 * store_reach.PAUSE_CHECK_INTERVAL_S):
             await task
 
     asyncio.run(play())
