--- a/tests/feeds/test_late_configuration.py
+++ b/tests/feeds/test_late_configuration.py
@@ -1,20 +1,18 @@
-"""Configurations that were in force late, on gateways that reached the store all the time.
+"""Configurations must not come into force late because the store holds a call for another table.
 
-What users saw: two gateways of one data centre went on serving by configurations that had been
-replaced 4 to 8 s before; a route was refused as unknown, another led to its old service.
+Failure: two gateways of one data centre served by configurations that had been replaced 4 to 8 s
+before; one route was refused as unknown, another led to its old service.
 
-Order of events: a cut takes a data centre off the store and off all others, or the store is away
-for everybody. Gateways that are due to ask the store fail, for all tables that they follow. Then
-the store is back. A gateway that comes to ask it first for the table of members is held back for
-8 s, since nothing changes there, and keeps all other tables from asking meanwhile.
+How it comes about: gateways that are due to poll the store fail for all tables that they follow,
+because a partition isolates their data centre or the store is unavailable. After a failure only
+one table at a time calls the store, as a probe. If the probe was a call for changes of the
+members table, the store, once available again, held it for 8 s, since nothing changed there, and
+the other tables were blocked until then. The store must therefore answer a probe at once.
 
-Cause: while the last call to the store failed, one table at a time tries the store, and a call
-that the store holds back counted as such a try until it was answered.
-
-Evidence: of three plays of a cut of 7 s during changes of the configuration, two broke the rule.
-Their lines show ``store_reached`` for the members 8.3 and 8.5 s after the cut had ended, and for
-the configuration 19 and 21 ms after that; in the third the configuration came first, 0.9 s after
-the cut.
+Seen in two of three runs with a partition of 7 s during changes of the configuration: the event
+log has ``store_reached`` for the members 8.3 and 8.5 s after the partition ended, and for the
+configuration 19 and 21 ms after that. In the third run the configuration was polled first, 0.9 s
+after the partition.
 """
 
 from __future__ import annotations
@@ -35,19 +33,19 @@
 from limeshelf.util.clock import boottime_s
 from tests.support.positions import at
 
-#: How long the store holds back a call for the members, and for the configuration.
+#: How long the store may hold a call for changes of the members, and of the configuration.
 MEMBERS_WAIT_S = 3.0
 CONFIG_WAIT_S = 0.2
 
 
 @attrs.define
 class Store:
-    """A store that can be away; it answers a call for changes when there are some, or at its end.
+    """A store that can be unavailable, and holds calls for changes until there are some.
 
-    :ivar failed: tables that were asked for in vain.
+    :ivar failed: tables for which a call failed.
     """
 
-    away: bool = True
+    is_unavailable: bool = True
     version: int = 1
     rows: dict[str, Row] = attrs.field(factory=dict)
     failed: list[str] = attrs.field(factory=list)
@@ -60,11 +58,11 @@
         self._changed = asyncio.Event()
 
     async def read(self, table: str) -> Page:
-        await self._reach(table)
+        await self._connect(table)
         return self._page(table, BEGINNING)
 
     async def changes(self, table: str, after: Position, wait_s: float) -> Page:
-        await self._reach(table)
+        await self._connect(table)
         end_s = boottime_s() + wait_s
         while not self._page(table, after).rows and (left_s := end_s - boottime_s()) > 0:
             try:
@@ -74,9 +72,9 @@
                 break
         return self._page(table, after)
 
-    async def _reach(self, table: str) -> None:
+    async def _connect(self, table: str) -> None:
         await asyncio.sleep(0.002)
-        if self.away:
+        if self.is_unavailable:
             self.failed.append(table)
             raise PlatformUnknown('store')
 
@@ -86,8 +84,8 @@
         return Page(rows, at(self.version), 0, boottime_s())
 
 
-class CutOff:
-    """Stands for a gateway that hears no peers from a moment on, and asks the store itself."""
+class IsolatedGateway:
+    """Polling decisions of a gateway that becomes isolated, and polls the store from then on."""
 
     def __init__(self) -> None:
         self.due = asyncio.Event()
@@ -102,28 +100,28 @@
         return 0.0
 
 
-def copy_known_by_peers(table: str, rule: FollowRule) -> TableCopy:
+def copy_updated_by_peer(table: str, rule: FollowRule) -> TableCopy:
     copy = TableCopy(table, lambda row: None, rule)
     copy.take_update([], at(0), at(1), 0.0)
     return copy
 
 
 async def until(condition: Any, limit_s: float) -> float:
-    """Return how long it took until a condition held, or the limit."""
+    """Wait until a condition holds, or for the limit; return how long it took."""
     began_s = boottime_s()
     while not condition() and boottime_s() - began_s < limit_s:
         await asyncio.sleep(0.01)
     return boottime_s() - began_s
 
 
-def test_table_that_is_held_back_keeps_no_other_from_asking(monkeypatch: Any) -> None:
+def test_held_call_for_one_table_does_not_block_another(monkeypatch: Any) -> None:
     monkeypatch.setattr(store_reach, 'equal_jitter_s', lambda attempt, base_s, limit_s: 0.01)
 
-    async def play() -> float:
-        store, polling, reach = Store(), CutOff(), StoreReach()
-        members = copy_known_by_peers('members', FollowRule(wait_s=MEMBERS_WAIT_S))
-        config = copy_known_by_peers('op', FollowRule(wait_s=CONFIG_WAIT_S))
-        # The members are first in the queue for the store.
+    async def scenario() -> float:
+        store, polling, reach = Store(), IsolatedGateway(), StoreReach()
+        members = copy_updated_by_peer('members', FollowRule(wait_s=MEMBERS_WAIT_S))
+        config = copy_updated_by_peer('op', FollowRule(wait_s=CONFIG_WAIT_S))
+        # The members table calls the store first.
         followers = [
             TableFollower(copy, store, polling, reach)  # type: ignore[arg-type]
             for copy in (members, config)
@@ -131,15 +129,16 @@
         polling.due.set()
         tasks = [asyncio.create_task(follower.run()) for follower in followers]
         await until(lambda: {'members', 'op'} <= set(store.failed), 1.0)
-        # Peers bring what changed, as they do to a gateway that is due; only the store is away.
+        # Peers still send updates, as they do to a gateway that is due; only the store is
+        # unavailable.
         for copy in (members, config):
             copy.take_update([], at(0), at(1), 0.0)
-        store.away = False
+        store.is_unavailable = False
         store.put('op')
         took_s = await until(lambda: config.rows(), MEMBERS_WAIT_S + 1.0)
         for task in tasks:
             task.cancel()
         return took_s
 
-    took_s = asyncio.run(play())
+    took_s = asyncio.run(scenario())
     assert took_s < 0.5
