--- a/tests/feeds/test_returned_store.py
+++ b/tests/feeds/test_returned_store.py
@@ -1,7 +1,7 @@
-"""A store that may come back from an older copy at any step, and gateways that follow it.
+"""Gateways that follow a store which may be restored from an older copy at any step.
 
-What a gateway knows never goes back, and what is written after a return is known at last, whatever
-was lost, and whatever answers and messages of peers come late.
+A gateway must never replace a row by an older one, and must eventually receive all rows written
+after a restore, whatever messages are lost, and however late answers and updates arrive.
 """
 
 from __future__ import annotations
@@ -22,18 +22,18 @@
 
 GATEWAYS = 3
 KEYS = ('a', 'b')
-#: Questions in which a gateway that reaches the store is to know all that it has: one may find
-#: that history is gone, one reads the table whole, one is for changes since.
-QUESTIONS = 3
+#: Calls after which a gateway that reaches the store must have all its rows: one may find that the
+#: history is gone, one reads the whole table, and one requests the changes since then.
+CALLS_TO_CATCH_UP = 3
 
 
-def newness(value: bytes) -> tuple[int, ...]:
+def writer_version(value: bytes) -> tuple[int, ...]:
     return (int(value),)
 
 
 @attrs.define
 class Store:
-    """Two rows whose writers count their writings, and the copies to come back from."""
+    """Two rows whose writers number their writes, and the copies to restore from."""
 
     position: Position = attrs.field(factory=lambda: Position(1, 0))
     rows: dict[str, Row] = attrs.field(factory=dict)
@@ -44,18 +44,18 @@
         self.position = Position(self.position.era, self.position.version + 1)
         self.rows[key] = Row(key, b'%d' % count, self.position)
 
-    def come_back(self, age: int) -> None:
+    def restore(self, age: int) -> None:
         if not self.copies:
             return
-        place = max(0, len(self.copies) - 1 - age)
-        position, rows = self.copies[place]
+        index = max(0, len(self.copies) - 1 - age)
+        position, rows = self.copies[index]
         era = self.position.era + 1
         self.rows = {
             key: attrs.evolve(row, position=Position(era, row.position.version))
             for key, row in rows.items()
         }
         self.position = Position(era, position.version)
-        del self.copies[place:]
+        del self.copies[index:]
 
     def read(self) -> Page:
         return Page(tuple(self.rows.values()), self.position)
@@ -68,28 +68,28 @@
 
 
 class Gateway:
-    """A copy of the table, and what is in force by its rows."""
+    """A copy of the table, and the newest write of each row that it has applied."""
 
     def __init__(self) -> None:
-        self.in_force: dict[str, int] = {}
-        rule = ReturnRule(newness)
-        self.copy = TableCopy('t', self._take, FollowRule(), rule)
+        self.applied: dict[str, int] = {}
+        rule = ReturnRule(writer_version)
+        self.copy = TableCopy('t', self._apply_row, FollowRule(), rule)
 
-    def _take(self, row: Row) -> None:
+    def _apply_row(self, row: Row) -> None:
         count = int(row.value)
-        assert count >= self.in_force.get(row.key, 0)
-        self.in_force[row.key] = count
+        assert count >= self.applied.get(row.key, 0)
+        self.applied[row.key] = count
 
 
-class Returns(RuleBasedStateMachine):
-    """Three gateways, of which any may ask the store or a peer at any time."""
+class Restores(RuleBasedStateMachine):
+    """Three gateways, any of which may call the store or query a peer at any time."""
 
     def __init__(self) -> None:
         super().__init__()
         self.store = Store()
         self.gateways = [Gateway() for _ in range(GATEWAYS)]
         self.written = dict.fromkeys(KEYS, 0)
-        self.on_the_way: list[Any] = []
+        self.in_transit: list[Any] = []
 
     @rule(key=st.sampled_from(KEYS))
     def write(self, key: str) -> None:
@@ -102,45 +102,45 @@
             self.store.put(key, self.written[key])
 
     @rule(age=st.integers(0, 6))
-    def come_back(self, age: int) -> None:
-        self.store.come_back(age)
+    def restore_store(self, age: int) -> None:
+        self.store.restore(age)
 
     @rule(number=st.integers(0, GATEWAYS - 1))
-    def ask_store(self, number: int) -> None:
-        self.on_the_way.append(self._answer_to(number))
+    def call_store(self, number: int) -> None:
+        self.in_transit.append(self._store_answer(number))
 
     @rule(sender=st.integers(0, GATEWAYS - 1), receiver=st.integers(0, GATEWAYS - 1))
-    def ask_peer(self, sender: int, receiver: int) -> None:
+    def query_peer(self, sender: int, receiver: int) -> None:
         copy = self.gateways[sender].copy
         self._send(sender, receiver, min(copy.position, self.gateways[receiver].copy.position))
 
     @rule(sender=st.integers(0, GATEWAYS - 1), receiver=st.integers(0, GATEWAYS - 1))
-    def ask_peer_for_all(self, sender: int, receiver: int) -> None:
+    def query_peer_for_all_rows(self, sender: int, receiver: int) -> None:
         self._send(sender, receiver, BEGINNING)
 
-    @rule(place=st.integers(0, 8))
-    def arrive(self, place: int) -> None:
-        if self.on_the_way:
-            self.on_the_way.pop(place % len(self.on_the_way))()
+    @rule(index=st.integers(0, 8))
+    def deliver(self, index: int) -> None:
+        if self.in_transit:
+            self.in_transit.pop(index % len(self.in_transit))()
 
     @rule(number=st.integers(0, GATEWAYS - 1))
-    def start_again(self, number: int) -> None:
-        """The process ends; a new one knows nothing, and messages to the old one are lost."""
+    def restart(self, number: int) -> None:
+        """Replace the gateway by a new one without rows; messages to the old one are lost."""
         self.gateways[number] = Gateway()
 
     @rule(number=st.integers(0, GATEWAYS - 1))
     def catch_up(self, number: int) -> None:
-        """Who reaches the store knows all that it has, and nothing older."""
-        for _ in range(QUESTIONS):
-            self._answer_to(number)()
+        """Let a gateway call the store; then it has all rows of the store, or newer ones."""
+        for _ in range(CALLS_TO_CATCH_UP):
+            self._store_answer(number)()
         gateway = self.gateways[number]
         for key, row in self.store.rows.items():
-            assert gateway.in_force[key] >= int(row.value)
+            assert gateway.applied[key] >= int(row.value)
         assert gateway.copy.position == self.store.position
 
     @rule()
-    def all_is_written_again(self) -> None:
-        """Then all know the newest of all, by one that asks the store and tells the others."""
+    def rewrite_all_rows(self) -> None:
+        """Write all rows again; then one gateway polls, and all have the newest rows."""
         for key in KEYS:
             if self.written[key]:
                 self.store.put(key, self.written[key])
@@ -148,16 +148,16 @@
         for receiver in range(1, GATEWAYS):
             after = self.gateways[receiver].copy.position
             self._send(0, receiver, min(after, self.gateways[0].copy.position))
-            self.on_the_way.pop()()
+            self.in_transit.pop()()
         newest = {key: count for key, count in self.written.items() if count}
-        assert all(gateway.in_force == newest for gateway in self.gateways)
+        assert all(gateway.applied == newest for gateway in self.gateways)
 
     @invariant()
-    def nobody_knows_what_was_never_written(self) -> None:
+    def no_gateway_has_unwritten_rows(self) -> None:
         for gateway in self.gateways:
-            assert all(count <= self.written[key] for key, count in gateway.in_force.items())
+            assert all(count <= self.written[key] for key, count in gateway.applied.items())
 
-    def _answer_to(self, number: int) -> Any:
+    def _store_answer(self, number: int) -> Any:
         copy = self.gateways[number].copy
         if copy.needs_full_read:
             page = self.store.read()
@@ -166,27 +166,27 @@
             page = self.store.changes(copy.position)
         except HistoryGone:
 
-            def take_gone() -> None:
+            def handle_history_gone() -> None:
                 copy.needs_full_read = True
 
-            return take_gone
+            return handle_history_gone
         return lambda: copy.take_changes(page)
 
     def _send(self, sender: int, receiver: int, after: Position) -> None:
         copy = self.gateways[sender].copy
         rows, upto = copy.rows_after(after), copy.position
-        receiving = self.gateways[receiver].copy
+        receiving_copy = self.gateways[receiver].copy
 
-        def take() -> None:
-            if receiving.take_update(rows, after, upto, 0.0) is Continuity.CONTINUES:
-                assert receiving.position == upto
+        def apply() -> None:
+            if receiving_copy.take_update(rows, after, upto, 0.0) is Continuity.CONTINUES:
+                assert receiving_copy.position == upto
 
-        self.on_the_way.append(take)
+        self.in_transit.append(apply)
 
 
-def test_nothing_known_goes_back_and_all_that_is_written_is_known() -> None:
+def test_rows_never_regress_and_all_writes_arrive() -> None:
     run_state_machine_as_test(
-        Returns,
+        Restores,
         settings=settings(
             max_examples=300, stateful_step_count=40, deadline=None, derandomize=True
         ),
