--- a/tests/feeds/test_store_reach.py
+++ b/tests/feeds/test_store_reach.py
@@ -1,4 +1,4 @@
-"""How often a process asks a store that is away, with several tables to follow."""
+"""How often a process that follows several tables calls an unavailable store."""
 
 from __future__ import annotations
 
@@ -15,60 +15,60 @@
 from limeshelf.util.clock import virtual_clock
 
 
-class Away:
-    """A store that is away until told otherwise; counts its calls."""
+class UnavailableStore:
+    """A store that is initially unavailable; counts its calls."""
 
     def __init__(self) -> None:
         self.calls = 0
-        self.away = True
+        self.is_unavailable = True
 
-    async def ask(self, reach: StoreReach) -> None:
+    async def call(self, reach: StoreReach) -> None:
         async with reach.attempt(lambda: 0.0):
             self.calls += 1
             await asyncio.sleep(0)
-            if self.away:
+            if self.is_unavailable:
                 raise PlatformUnavailable('store')
 
     async def follow(self, reach: StoreReach) -> None:
         while True:
             try:
-                await self.ask(reach)
+                await self.call(reach)
             except PlatformUnavailable:
                 continue
             return
 
 
-def test_tables_of_a_process_share_one_attempt(monkeypatch: Any) -> None:
-    """Before: each of three tables asked by itself, three times as often."""
+def test_tables_share_one_probe(monkeypatch: Any) -> None:
+    """If each of three tables retried independently, there would be three times as many calls."""
     monkeypatch.setattr(store_reach, 'equal_jitter_s', lambda attempt, base_s, limit_s: 0.05)
 
-    async def play() -> None:
-        store, reach = Away(), StoreReach()
+    async def scenario() -> None:
+        store, reach = UnavailableStore(), StoreReach()
         tasks = [asyncio.create_task(store.follow(reach)) for _ in range(3)]
         await asyncio.sleep(0.5)
-        # Three at the start, then one each 0.05 s.
+        # Three initial calls, then one every 0.05 s.
         assert 5 <= store.calls <= 14
-        store.away = False
+        store.is_unavailable = False
         async with asyncio.timeout(1.0):
             await asyncio.gather(*tasks)
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_failure_is_passed_on() -> None:
-    async def play() -> None:
+def test_failure_is_raised_to_the_caller() -> None:
+    async def scenario() -> None:
         with pytest.raises(PlatformUnavailable):
-            await Away().ask(StoreReach())
+            await UnavailableStore().call(StoreReach())
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_store_that_stays_away_is_asked_twice_a_second_at_most(monkeypatch: Any) -> None:
-    """Before: with pauses from zero on, three gateways sent 35 to 49 calls in 4 s."""
+def test_unavailable_store_gets_two_calls_per_second_at_most(monkeypatch: Any) -> None:
+    """With random pauses that start at zero, three gateways sent 35 to 49 calls in 4 s."""
     monkeypatch.setattr(random, 'uniform', lambda low, high: low)
 
-    async def play() -> None:
-        store, reach = Away(), StoreReach()
+    async def scenario() -> None:
+        store, reach = UnavailableStore(), StoreReach()
         tasks = [asyncio.create_task(store.follow(reach)) for _ in range(3)]
         await asyncio.sleep(1.0)
         calls = store.calls
@@ -77,62 +77,62 @@
         for task in tasks:
             task.cancel()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_failure_of_long_ago_owes_no_pause(monkeypatch: Any) -> None:
+def test_old_failure_causes_no_pause(monkeypatch: Any) -> None:
     monkeypatch.setattr(store_reach, 'equal_jitter_s', lambda attempt, base_s, limit_s: 5.0)
 
-    async def play() -> None:
-        store, reach = Away(), StoreReach()
+    async def scenario() -> None:
+        store, reach = UnavailableStore(), StoreReach()
         with virtual_clock() as clock:
             with pytest.raises(PlatformUnavailable):
-                await store.ask(reach)
-            store.away = False
+                await store.call(reach)
+            store.is_unavailable = False
             clock.advance(5.1)
             async with asyncio.timeout(0.5):
-                await store.ask(reach)
+                await store.call(reach)
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_call_is_a_try_only_while_the_store_is_out_of_reach(monkeypatch: Any) -> None:
+def test_call_is_a_probe_only_after_a_failure(monkeypatch: Any) -> None:
     monkeypatch.setattr(store_reach, 'equal_jitter_s', lambda attempt, base_s, limit_s: 0.0)
 
-    async def play() -> None:
+    async def scenario() -> None:
         reach = StoreReach()
-        tries: list[bool] = []
+        probes: list[bool] = []
         for failing in (True, True, False, False):
             with contextlib.suppress(PlatformUnavailable):
-                async with reach.attempt(lambda: 0.0) as is_try:
-                    tries.append(is_try)
+                async with reach.attempt(lambda: 0.0) as is_probe:
+                    probes.append(is_probe)
                     if failing:
                         raise PlatformUnavailable('store')
-        assert tries == [False, True, True, False]
+        assert probes == [False, True, True, False]
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_pause_ends_when_its_reason_does(monkeypatch: Any) -> None:
-    """A gateway that relays would have told, and that loses them, waits no longer for them."""
+def test_pause_ends_when_its_spread_becomes_zero(monkeypatch: Any) -> None:
+    """A gateway that waits for updates from relays polls at once if it becomes isolated."""
     monkeypatch.setattr(store_reach, 'equal_jitter_s', lambda attempt, base_s, limit_s: 0.0)
     monkeypatch.setattr(store_reach.random, 'random', lambda: 1.0)
     spread_s = 30.0
 
-    async def ask(reach: StoreReach) -> None:
+    async def call(reach: StoreReach) -> None:
         async with reach.attempt(lambda: spread_s):
             pass
 
-    async def play() -> None:
+    async def scenario() -> None:
         nonlocal spread_s
         reach = StoreReach()
         with pytest.raises(PlatformUnavailable):
-            await Away().ask(reach)
-        task = asyncio.create_task(ask(reach))
+            await UnavailableStore().call(reach)
+        task = asyncio.create_task(call(reach))
         await asyncio.sleep(0.02)
         assert not task.done()
         spread_s = 0.0
         async with asyncio.timeout(3 * store_reach.PAUSE_CHECK_INTERVAL_S):
             await task
 
-    asyncio.run(play())
+    asyncio.run(scenario())
