--- a/tests/feeds/test_continuity.py
+++ b/tests/feeds/test_continuity.py
@@ -1,4 +1,4 @@
-"""Which updates of a table continue what is known."""
+"""Which updates extend the copy of a table without a gap."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 @pytest.mark.parametrize(
-    ('after', 'upto', 'found'),
+    ('after', 'upto', 'expected'),
     [
         (5, 9, Continuity.CONTINUES),
         (5, 5, Continuity.CONTINUES),
@@ -19,14 +19,14 @@
         (6, 9, Continuity.GAP),
     ],
 )
-def test_update_continues_a_copy_without_gaps_only(
-    after: int, upto: int, found: Continuity
+def test_update_continues_copy_only_without_gap(
+    after: int, upto: int, expected: Continuity
 ) -> None:
-    assert continuity_of(at(after), at(upto), known=at(5)) is found
+    assert continuity_of(at(after), at(upto), known=at(5)) is expected
 
 
 @pytest.mark.parametrize(
-    ('after', 'upto', 'found'),
+    ('after', 'upto', 'expected'),
     [
         (at(5, 1), at(2, 2), Continuity.CONTINUES),
         (at(3, 1), at(2, 2), Continuity.CONTINUES),
@@ -34,7 +34,7 @@
         (at(9, 0), at(90, 0), Continuity.BEHIND),
     ],
 )
-def test_version_of_another_era_is_never_compared_by_itself(
-    after: Position, upto: Position, found: Continuity
+def test_versions_of_different_eras_are_not_compared(
+    after: Position, upto: Position, expected: Continuity
 ) -> None:
-    assert continuity_of(after, upto, known=at(5, 1)) is found
+    assert continuity_of(after, upto, known=at(5, 1)) is expected
--- a/tests/feeds/test_follower.py
+++ b/tests/feeds/test_follower.py
@@ -1,4 +1,4 @@
-"""Following a table: newest wins, nothing goes back, whatever the store does."""
+"""Following a table: a copy keeps the newest rows, whatever faults the store has."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from tests.support.positions import at
 
 
-def text(value: str) -> str:
+def encoded(value: str) -> str:
     return base64.b64encode(value.encode()).decode()
 
 
@@ -37,31 +37,31 @@
     asyncio.run(run())
 
 
-def test_feed_brings_changes_and_deletions() -> None:
+def test_follower_applies_changes_and_deletions() -> None:
     async def scenario(store: StoreStandIn, client: StoreClient) -> None:
-        store.put('t', 'a', text('1'))
-        taken: list[Row] = []
-        copy = TableCopy('t', taken.append)
+        store.put('t', 'a', encoded('1'))
+        applied: list[Row] = []
+        copy = TableCopy('t', applied.append)
         task = asyncio.create_task(TableFollower(copy, client).run())
-        await _until(lambda: len(taken) == 1)
-        store.put('t', 'a', text('2'))
+        await _until(lambda: len(applied) == 1)
+        store.put('t', 'a', encoded('2'))
         store.drop('t', 'a')
-        await _until(lambda: taken[-1].gone)
+        await _until(lambda: applied[-1].gone)
         assert copy.rows() == []
         task.cancel()
 
     with_store(scenario)
 
 
-def test_dropped_history_is_read_whole() -> None:
+def test_full_read_follows_dropped_history() -> None:
     async def scenario(store: StoreStandIn, client: StoreClient) -> None:
-        store.put('t', 'a', text('1'))
+        store.put('t', 'a', encoded('1'))
         copy = TableCopy('t', lambda row: None)
         follower = TableFollower(copy, client)
         task = asyncio.create_task(follower.run())
         await _until(lambda: follower.reached)
         store.faults.status = 503
-        store.put('t', 'b', text('2'))
+        store.put('t', 'b', encoded('2'))
         store.drop('t', 'a')
         store.forget_history()
         store.faults.status = 0
@@ -89,9 +89,9 @@
     with_store(scenario)
 
 
-def test_history_gone_has_a_type() -> None:
+def test_dropped_history_raises_history_gone() -> None:
     async def scenario(store: StoreStandIn, client: StoreClient) -> None:
-        store.put('t', 'a', text('1'))
+        store.put('t', 'a', encoded('1'))
         store.forget_history()
         with pytest.raises(HistoryGone):
             await client.changes('t', BEGINNING, 0.1)
@@ -99,7 +99,7 @@
     with_store(scenario)
 
 
-def test_silent_store_gives_an_unknown_outcome_in_bounded_time() -> None:
+def test_unresponsive_store_times_out_with_unknown_outcome() -> None:
     async def scenario(store: StoreStandIn, client: StoreClient) -> None:
         store.faults.silent = True
         async with asyncio.timeout(5):
@@ -120,24 +120,24 @@
 
 @settings(max_examples=200, derandomize=True, deadline=None)
 @given(pages=st.lists(st.tuples(st.lists(rows, max_size=4), st.integers(1, 30), st.booleans())))
-def test_rows_never_go_back(pages: list[tuple[list[Row], int, bool]]) -> None:
-    """Full pages, feeds and peers' updates come in any order and may be stale."""
+def test_rows_are_never_replaced_by_older_ones(pages: list[tuple[list[Row], int, bool]]) -> None:
+    """Full reads and rows of updates are applied in any order, and may be stale."""
     positions: dict[str, Position] = {}
 
-    def newer(row: Row) -> None:
+    def check_is_newer(row: Row) -> None:
         assert row.position > positions.get(row.key, BEGINNING)
         positions[row.key] = row.position
 
-    copy = TableCopy('t', newer)
-    for found, version, whole in pages:
-        if whole:
-            there = tuple(row for row in found if not row.gone and row.position <= at(version))
-            copy.take_full(Page(there, at(version)))
+    copy = TableCopy('t', check_is_newer)
+    for drawn, version, is_full in pages:
+        if is_full:
+            existing = tuple(row for row in drawn if not row.gone and row.position <= at(version))
+            copy.take_full(Page(existing, at(version)))
         else:
-            copy.take(found)
+            copy.take(drawn)
 
 
-async def _until(met: Any) -> None:
+async def _until(condition: Any) -> None:
     async with asyncio.timeout(5):
-        while not met():
+        while not condition():
             await asyncio.sleep(0.01)
--- a/tests/feeds/test_table_copy.py
+++ b/tests/feeds/test_table_copy.py
@@ -1,4 +1,4 @@
-"""The copy of a table: how old it is, and what it takes for complete."""
+"""The copy of a table: its age, when it is complete, and restores of the store."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 def copy_of(*rows: Row) -> TableCopy:
-    """Return a copy that was read in full at version 7, and just confirmed."""
+    """Return a copy that was just read in full, at version 7."""
     copy = TableCopy('t', lambda row: None, FollowRule(stale_s=2.0))
     copy.take_full(Page(rows, at(7)))
     copy.note_confirmed(boottime_s())
     return copy
 
 
-def test_copy_is_stale_once_nobody_has_confirmed_it_for_long() -> None:
+def test_copy_without_recent_confirmation_is_stale() -> None:
     with virtual_clock() as clock:
         copy = copy_of()
         clock.advance(2.0)
@@ -27,22 +27,22 @@
         clock.advance(0.5)
         assert copy.is_stale
         assert copy.age_s == 2.5
-        # No peer has passed anything on since the start.
+        # No peer has sent an update since the start.
         assert copy.peers_overdue_s == 0.5
 
 
-def test_confirmation_is_as_old_as_the_peer_says() -> None:
+def test_confirmation_has_the_age_that_the_peer_states() -> None:
     with virtual_clock() as clock:
         copy = copy_of()
         clock.advance(3.0)
         assert copy.take_update([], at(7), at(8), 1.0) is Continuity.CONTINUES
         assert (copy.position, copy.age_s) == (at(8), 1.0)
-        # An older confirmation takes nothing back.
+        # An older confirmation does not replace a newer one.
         assert copy.take_update([], at(7), at(8), 2.0) is Continuity.CONTINUES
         assert copy.age_s == 1.0
 
 
-def test_update_with_a_gap_brings_rows_and_confirms_nothing() -> None:
+def test_update_with_gap_applies_rows_and_confirms_nothing() -> None:
     with virtual_clock() as clock:
         copy = copy_of()
         clock.advance(3.0)
@@ -51,7 +51,7 @@
         assert (copy.position, copy.age_s) == (at(7), 3.0)
 
 
-def test_only_a_full_read_shows_what_has_gone_unnoticed() -> None:
+def test_full_read_deletes_rows_that_it_lacks() -> None:
     copy = copy_of(Row('a', b'1', at(5)), Row('b', b'1', at(6)))
     copy.needs_full_read = True
     copy.take_full(Page((Row('a', b'1', at(5)),), at(9)))
@@ -60,19 +60,19 @@
     assert not copy.needs_full_read
 
 
-def newness(value: bytes) -> tuple[int, ...]:
-    """Return the count that a writer put into a row; none in a row of another writer."""
+def writer_version(value: bytes) -> tuple[int, ...]:
+    """Return the number that the writer stored in a row; empty if there is none."""
     return (int(value),) if value.isdigit() else ()
 
 
-def copy_that_compares(kept_s: float = 2.0) -> TableCopy:
-    copy = TableCopy('t', lambda row: None, FollowRule(), ReturnRule(newness, kept_s))
+def copy_with_writer_versions(kept_s: float = 2.0) -> TableCopy:
+    copy = TableCopy('t', lambda row: None, FollowRule(), ReturnRule(writer_version, kept_s))
     rows = (Row('a', b'5', at(60, 1)), Row('b', b'5', at(70, 1)))
     copy.take_full(Page(rows, at(80, 1)))
     return copy
 
 
-def test_whole_read_of_a_later_era_is_taken_though_its_version_is_lower() -> None:
+def test_full_read_of_later_era_is_applied_at_lower_version() -> None:
     copy = TableCopy('t', lambda row: None)
     copy.take_full(Page((Row('a', b'old', at(75, 1)),), at(80, 1)))
     assert copy.take_full(Page((Row('a', b'new', at(41, 2)),), at(42, 2)))
@@ -80,15 +80,15 @@
     assert [row.value for row in copy.rows()] == [b'new']
 
 
-def test_changes_of_a_later_era_want_a_whole_read_even_where_versions_are_higher() -> None:
-    copy = copy_that_compares()
+def test_changes_of_later_era_need_full_read_even_at_higher_version() -> None:
+    copy = copy_with_writer_versions()
     assert not copy.take_changes(Page((Row('a', b'9', at(90, 2)),), at(90, 2)))
     assert copy.needs_full_read
     assert copy.position == at(80, 1)
 
 
-def test_late_answer_of_an_earlier_era_leads_nothing_back() -> None:
-    copy = copy_that_compares()
+def test_delayed_answer_of_earlier_era_is_ignored() -> None:
+    copy = copy_with_writer_versions()
     copy.take_full(Page((Row('a', b'6', at(41, 2)),), at(42, 2)))
     assert not copy.take_full(Page((Row('a', b'5', at(60, 1)),), at(99, 1)))
     assert not copy.take_changes(Page((Row('a', b'5', at(98, 1)),), at(99, 1)))
@@ -98,8 +98,8 @@
     assert {row.key: row.value for row in copy.rows()}['a'] == b'6'
 
 
-def test_row_that_was_replaced_since_the_copy_does_not_come_back() -> None:
-    copy = copy_that_compares()
+def test_older_row_of_restored_store_is_not_applied() -> None:
+    copy = copy_with_writer_versions()
     copy.take_full(Page((Row('a', b'3', at(41, 2)),), at(42, 2)))
     assert {row.key: row.value for row in copy.rows()}['a'] == b'5'
     assert copy.has_of_this_era('a')
@@ -107,8 +107,8 @@
     assert {row.key: row.position for row in copy.rows()}['a'] == at(43, 2)
 
 
-def test_row_that_was_deleted_since_the_copy_does_not_come_back() -> None:
-    copy = copy_that_compares()
+def test_deleted_row_of_restored_store_is_not_applied() -> None:
+    copy = copy_with_writer_versions()
     copy.take_changes(Page((Row('a', b'', at(81, 1), gone=True),), at(81, 1)))
     copy.take_full(Page((Row('a', b'5', at(41, 2)), Row('b', b'5', at(40, 2))), at(42, 2)))
     assert [row.key for row in copy.rows()] == ['b']
@@ -116,9 +116,9 @@
     assert sorted(row.key for row in copy.rows()) == ['a', 'b']
 
 
-def test_row_that_is_not_written_again_is_dropped_after_its_time() -> None:
+def test_row_not_written_again_is_dropped_after_retention_period() -> None:
     with virtual_clock() as clock:
-        copy = copy_that_compares(kept_s=2.0)
+        copy = copy_with_writer_versions(kept_s=2.0)
         copy.take_full(Page((Row('a', b'5', at(41, 2)),), at(42, 2)))
         clock.advance(1.9)
         copy.drop_unwritten()
@@ -126,31 +126,31 @@
         clock.advance(0.2)
         copy.drop_unwritten()
         assert [row.key for row in copy.rows()] == ['a']
-        # Nor does a late message of a peer bring it back.
+        # A delayed update of a peer does not add it again either.
         copy.take_update([Row('b', b'5', at(70, 1))], at(0), at(80, 1), 0.0)
         assert [row.key for row in copy.rows()] == ['a']
 
 
-def test_gateway_that_starts_learns_from_a_peer_what_the_store_has_lost() -> None:
-    copy = TableCopy('t', lambda row: None, FollowRule(), ReturnRule(newness))
+def test_new_gateway_receives_rows_lost_by_the_store_from_a_peer() -> None:
+    copy = TableCopy('t', lambda row: None, FollowRule(), ReturnRule(writer_version))
     copy.take_full(Page((Row('a', b'3', at(41, 2)),), at(42, 2)))
     copy.take_update([Row('a', b'5', at(60, 1))], at(0), at(42, 2), 0.0)
     assert [row.value for row in copy.rows()] == [b'5']
 
 
-def test_update_over_a_return_holds_the_whole_table() -> None:
-    reader, other = copy_that_compares(), copy_that_compares()
-    after = reader.position
-    reader.take_full(Page((Row('a', b'7', at(41, 2)),), at(42, 2)))
-    found = other.take_update(reader.rows_after(after), after, reader.position, 0.0)
-    assert found is Continuity.CONTINUES
+def test_update_into_later_era_is_complete() -> None:
+    polling, other = copy_with_writer_versions(), copy_with_writer_versions()
+    after = polling.position
+    polling.take_full(Page((Row('a', b'7', at(41, 2)),), at(42, 2)))
+    continuity = other.take_update(polling.rows_after(after), after, polling.position, 0.0)
+    assert continuity is Continuity.CONTINUES
     assert other.position == at(42, 2)
     assert {row.key: row.value for row in other.rows()}['a'] == b'7'
 
 
-def test_confirmations_of_an_earlier_era_count_no_more() -> None:
-    """The store's clock may have begun anew, lower."""
-    copy = copy_that_compares()
+def test_confirmations_of_earlier_era_are_discarded() -> None:
+    """The store's clock may have started anew, at a lower time."""
+    copy = copy_with_writer_versions()
     copy.note_confirmed(boottime_s(), 900_000)
     copy.take_full(Page((), at(42, 2)))
     assert copy.confirmed_ms == 0
