--- a/limeshelf/peers/__init__.py
+++ b/limeshelf/peers/__init__.py
@@ -1,1 +1,1 @@
-"""The inner protocol between limeshelf processes: messages, codec and sockets."""
+"""The protocol between limeshelf processes: messages, their encoding, and connections."""
--- a/limeshelf/peers/codec.py
+++ b/limeshelf/peers/codec.py
@@ -1,7 +1,7 @@
-"""Encodes peer messages with msgpack and checks them when they arrive.
+"""Encodes peer messages with msgpack, and validates received ones.
 
-Owns the frame around a message. Relies on the registry of
-:mod:`limeshelf.peers.messages` for which classes there are.
+Defines the frame around a message. The message classes are registered in
+:mod:`limeshelf.peers.messages`.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 class Envelope:
     """A message with its sender.
 
-    :param sender: address where the sender listens.
+    :param sender: address at which the sender listens.
     :param data_centre: data centre of the sender.
     """
 
@@ -37,26 +37,29 @@
     body: msgspec.Raw
 
 
-_frames = msgspec.msgpack.Decoder(_Frame)
+_frame_decoder = msgspec.msgpack.Decoder(_Frame)
 
 
 def encode(envelope: Envelope) -> bytes:
-    """Return the frame of *envelope*; its message is of a registered class."""
+    """Encode an envelope, whose message must be of a registered class, as a frame."""
     body = msgspec.Raw(msgspec.msgpack.encode(envelope.message))
     kind = kind_of(envelope.message)
     return msgspec.msgpack.encode(_Frame(envelope.sender, envelope.data_centre, kind, body))
 
 
 def decode(data: bytes) -> Envelope:
-    """Return the envelope in *data*; raises :exc:`MalformedMessage`."""
+    """Decode a frame.
+
+    :raises MalformedMessage: the data is too long, or no valid frame of a registered message.
+    """
     if len(data) > MAX_FRAME_BYTES:
         raise MalformedMessage
     try:
-        frame = _frames.decode(data)
-        kind = message_kinds.get(frame.kind)
-        if kind is None:
+        frame = _frame_decoder.decode(data)
+        message_class = message_kinds.get(frame.kind)
+        if message_class is None:
             raise MalformedMessage
-        message = msgspec.msgpack.decode(frame.body, type=kind)
+        message = msgspec.msgpack.decode(frame.body, type=message_class)
     except UNREADABLE:
         raise MalformedMessage from None
     return Envelope(frame.sender, frame.data_centre, message)
--- a/limeshelf/peers/messages.py
+++ b/limeshelf/peers/messages.py
@@ -1,7 +1,6 @@
-"""The registry of messages between processes: each class under its name on the wire.
+"""The registry of message classes, by their names on the wire.
 
-Owns the names; relies on nothing. The modules that define messages fill it as they are
-imported.
+Modules that define messages register them when they are imported.
 """
 
 from __future__ import annotations
@@ -10,28 +9,28 @@
 
 T = TypeVar('T')
 
-#: Message classes by the name that stands for them on the wire.
+#: Message classes by their name on the wire.
 message_kinds: dict[str, type[Any]] = {}
-_kind_names: dict[type[Any], str] = {}
+_kinds: dict[type[Any], str] = {}
 
 
 def add_message(kind: str) -> Any:
-    """Return a decorator that adds a message class under its wire name.
+    """Return a decorator that registers a message class.
 
-    :param kind: the wire name; one that is taken already would be replaced.
+    :param kind: name on the wire; a class registered under it before would be replaced.
     """
 
     def add(cls: type[T]) -> type[T]:
         message_kinds[kind] = cls
-        _kind_names[cls] = kind
+        _kinds[cls] = kind
         return cls
 
     return add
 
 
 def kind_of(message: object) -> str:
-    """Return the wire name of a message's class.
+    """Return the name on the wire of a message's class.
 
     :raises KeyError: the class is not registered.
     """
-    return _kind_names[type(message)]
+    return _kinds[type(message)]
