--- a/limeshelf/peers/framing.py
+++ b/limeshelf/peers/framing.py
@@ -1,8 +1,8 @@
-"""How frames follow one another on a connection between two processes.
+"""Separates the frames on a connection between two processes.
 
-Owns the form on the wire: the TCP mapping of the Scalability Protocols, one-way pipes only
-(https://nanomsg.org/rfcs/sp-tcp-v1.html). Both ends send a greeting of eight bytes; then
-each frame goes as its length, eight bytes, and its bytes. Relies on nothing.
+The wire format is the TCP mapping of the Scalability Protocols, with one-way pipes only
+(https://nanomsg.org/rfcs/sp-tcp-v1.html). Both ends first send a greeting of eight bytes. Each
+frame is then sent as its length, in eight bytes, followed by its content.
 """
 
 from __future__ import annotations
@@ -12,78 +12,78 @@
 
 from limeshelf.errors import LimeshelfError
 
-#: A longer frame is refused before it is kept.
+#: A frame that states a greater length is rejected before its content is buffered.
 MAX_FRAME_BYTES = 8 << 20
 
 _GREETING = struct.Struct('>4sHH')
 _LENGTH = struct.Struct('>Q')
-_MARK = b'\0SP\0'
+_SIGNATURE = b'\0SP\0'
 
 
 class MalformedMessage(LimeshelfError):
-    """What arrived is no message of ours."""
+    """Received data is not a valid message of this protocol."""
 
 
 class PipeEnd(enum.IntEnum):
-    """The ends of a one-way pipe, by the numbers that stand in their greetings."""
+    """The ends of a one-way pipe; the values are their protocol numbers in the greeting."""
 
     SENDER = 0x50
     RECEIVER = 0x51
 
 
 def greeting(end: PipeEnd) -> bytes:
-    """Return what an end sends first."""
-    return _GREETING.pack(_MARK, end, 0)
+    """Return the greeting that an end sends first."""
+    return _GREETING.pack(_SIGNATURE, end, 0)
 
 
-def framed(frame: bytes) -> bytes:
-    """Return a frame as it goes over a connection."""
+def add_length_prefix(frame: bytes) -> bytes:
+    """Return a frame as it is sent over a connection."""
     return _LENGTH.pack(len(frame)) + frame
 
 
 class FrameReader:
-    """Cuts the bytes of one connection into frames.
+    """Splits the bytes received on one connection into frames.
 
-    :param other: the end that the bytes come from.
+    :param remote_end: the end that sends the bytes.
     """
 
-    def __init__(self, other: PipeEnd) -> None:
-        self._expected = greeting(other)
-        self._greeted = False
-        self._rest = bytearray()
+    def __init__(self, remote_end: PipeEnd) -> None:
+        self._expected_greeting = greeting(remote_end)
+        self._has_greeting = False
+        self._buffer = bytearray()
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Return the frames that *data* completes.
+        """Buffer *data* and return the frames that it completes.
 
-        :raises MalformedMessage: the greeting is another one, or a frame is too long; the
-            connection cannot be read further.
+        :raises MalformedMessage: the greeting is wrong, or a frame is too long; the connection
+            must not be read further.
         """
-        self._rest += data
-        if not self._greeted and not self._take_greeting():
+        self._buffer += data
+        if not self._has_greeting and not self._consume_greeting():
             return []
         frames = []
         start = 0
         while (end := self._frame_end(start)) is not None:
-            frames.append(bytes(self._rest[start + _LENGTH.size : end]))
+            frames.append(bytes(self._buffer[start + _LENGTH.size : end]))
             start = end
-        del self._rest[:start]
+        del self._buffer[:start]
         return frames
 
-    def _take_greeting(self) -> bool:
-        if len(self._rest) < len(self._expected):
+    def _consume_greeting(self) -> bool:
+        if len(self._buffer) < len(self._expected_greeting):
             return False
-        if not self._rest.startswith(self._expected):
+        if not self._buffer.startswith(self._expected_greeting):
             raise MalformedMessage
-        del self._rest[: len(self._expected)]
-        self._greeted = True
+        del self._buffer[: len(self._expected_greeting)]
+        self._has_greeting = True
         return True
 
     def _frame_end(self, start: int) -> int | None:
-        """Return where the frame that begins at *start* ends; ``None`` if it is not whole."""
-        if len(self._rest) - start < _LENGTH.size:
+        """Return the end of the frame that begins at *start*; ``None`` if it is incomplete."""
+        if len(self._buffer) - start < _LENGTH.size:
             return None
-        (size,) = _LENGTH.unpack_from(self._rest, start)
+        (size,) = _LENGTH.unpack_from(self._buffer, start)
         if size > MAX_FRAME_BYTES:
             raise MalformedMessage
         end: int = start + _LENGTH.size + size
-        return end if end <= len(self._rest) else None
+        return end if end <= len(self._buffer) else None
--- a/limeshelf/peers/link.py
+++ b/limeshelf/peers/link.py
@@ -1,10 +1,9 @@
-"""The connection to one peer, with its bounded queue.
+"""The connection to one peer, with a bounded queue of frames.
 
-Owns the frames that wait for the peer and the connection to it. A peer that takes nothing
-costs memory up to the queue's limit and delays nobody else. Relies on
-:mod:`limeshelf.util.sockets` to notice a peer that is out of reach, also one whose open
-connection has fallen silent: unacknowledged data breaks it after 0.8 s, and the next frame
-opens another.
+Owns the frames queued for the peer and the connection to it. A peer that accepts no data costs
+memory up to the limit of its queue, and does not delay frames to other peers. The socket options
+of :mod:`limeshelf.util.sockets` detect an unreachable peer on an open connection too: data that
+stays unacknowledged for 0.8 s breaks the connection, and the next frame opens another one.
 """
 
 from __future__ import annotations
@@ -15,30 +14,30 @@
 
 import attrs
 
-from limeshelf.peers.framing import PipeEnd, framed, greeting
+from limeshelf.peers.framing import PipeEnd, add_length_prefix, greeting
 from limeshelf.util.backoff import full_jitter_s
 from limeshelf.util.clock import boottime_s
 from limeshelf.util.sockets import keep_alive
 
-#: Frames kept for a peer that does not take them; older ones are dropped.
+#: Most frames queued for one peer; if there are more, the oldest are dropped.
 MAX_QUEUED_FRAMES = 64
-#: A connection that was not used for this long is closed.
-IDLE_S = 30.0
-#: Longest time for a new connection.
-CONNECT_S = 1.0
-#: Bound of the pause after a failed attempt to connect: the first and the largest.
+#: A connection over which no frame was sent for this long is closed.
+IDLE_TIMEOUT_S = 30.0
+#: Time-out for opening a connection.
+CONNECT_TIMEOUT_S = 1.0
+#: Base and limit of the exponential back-off after a failed connection.
 RECONNECT_BASE_S = 0.1
 RECONNECT_LIMIT_S = 1.0
-#: A frame that waits for a connection for longer is dropped: what it says is out of date.
-FRAME_LIFE_S = 2.0
+#: A frame that has been queued for longer is dropped, because its content is out of date.
+MAX_FRAME_AGE_S = 2.0
 
 
 @attrs.define
 class Traffic:
-    """What went to the peers of one process, over all links.
+    """Counts of what one process sent to its peers, over all links.
 
-    :ivar sent_bytes: in frames that a connection took.
-    :ivar dropped: frames that were queued for a peer and never sent.
+    :ivar sent_bytes: bytes of the frames written to a connection.
+    :ivar dropped: frames that were queued for a peer and dropped from the queue.
     """
 
     sent_bytes: int = 0
@@ -51,65 +50,68 @@
 
 
 class PeerLink:
-    """Sends frames to one peer, one after the other.
+    """Sends frames to one peer, in the order in which they were queued.
 
-    :param address: where the peer listens, host and port.
-    :param traffic: counts what is sent and dropped.
+    :param address: host and port at which the peer listens.
+    :param traffic: counts to which this link adds.
     """
 
     def __init__(self, address: str, traffic: Traffic) -> None:
         self.address = address
         self._traffic = traffic
         self._frames: deque[_QueuedFrame] = deque()
-        self._arrived = asyncio.Event()
+        self._frame_queued = asyncio.Event()
 
     def put(self, frame: bytes) -> None:
-        """Queue *frame*; where the queue is full, the oldest frame is dropped for it."""
+        """Queue *frame*; if the queue is full, drop its oldest frame."""
         if len(self._frames) >= MAX_QUEUED_FRAMES:
             self._frames.popleft()
             self._traffic.dropped += 1
         self._frames.append(_QueuedFrame(boottime_s(), frame))
-        self._arrived.set()
+        self._frame_queued.set()
 
-    def take(self) -> list[bytes]:
-        """Return the queued frames that are not out of date, and forget all."""
-        oldest_s = boottime_s() - FRAME_LIFE_S
+    def pop_current(self) -> list[bytes]:
+        """Return the queued frames that are not out of date, and clear the queue."""
+        oldest_s = boottime_s() - MAX_FRAME_AGE_S
         frames = [queued.frame for queued in self._frames if queued.queued_s >= oldest_s]
         self._traffic.dropped += len(self._frames) - len(frames)
         self._frames.clear()
         return frames
 
     async def run(self) -> None:
-        """Connect when there is something to send; end after :data:`IDLE_S` without it."""
+        """Send queued frames; return when none was queued for :data:`IDLE_TIMEOUT_S`."""
         failures = 0
         while await self._has_frames():
             try:
                 await self._connect_and_send()
                 failures = 0
             except OSError:
-                # Also a time-out. A peer out of reach is an ordinary state here: messages
-                # may be lost, and a line for each would flood the log.
+                # Includes time-outs. Not logged: unreachable peers are common and messages may be
+                # lost, so that a line for each failure would flood the log.
                 failures += 1
                 pause_s = full_jitter_s(failures, RECONNECT_BASE_S, RECONNECT_LIMIT_S)
                 await asyncio.sleep(pause_s)
 
     async def _has_frames(self) -> bool:
-        """Return whether a frame is queued, as soon as one is; not after :data:`IDLE_S`."""
+        """Wait for a queued frame; return whether there is one within :data:`IDLE_TIMEOUT_S`."""
         if self._frames:
             return True
-        self._arrived.clear()
+        self._frame_queued.clear()
         try:
-            async with asyncio.timeout(IDLE_S):
-                await self._arrived.wait()
+            async with asyncio.timeout(IDLE_TIMEOUT_S):
+                await self._frame_queued.wait()
         except TimeoutError:
-            # The usual end of a link: nothing was to be sent for a while.
+            # The usual end of a link: there was no frame to send for a while.
             return False
         return True
 
     async def _connect_and_send(self) -> None:
-        """Send frames over a new connection until it is idle; raises if it breaks."""
+        """Send frames over a new connection until it is idle.
+
+        :raises OSError: the connection failed.
+        """
         host, _, port = self.address.rpartition(':')
-        async with asyncio.timeout(CONNECT_S):
+        async with asyncio.timeout(CONNECT_TIMEOUT_S):
             reader, writer = await asyncio.open_connection(host, int(port))
         try:
             keep_alive(writer.get_extra_info('socket'))
@@ -117,11 +119,11 @@
             while await self._has_frames():
                 if reader.at_eof() or writer.is_closing():
                     raise ConnectionResetError
-                await self._send(writer, self.take())
+                await self._send(writer, self.pop_current())
         finally:
             writer.close()
 
     async def _send(self, writer: asyncio.StreamWriter, frames: list[bytes]) -> None:
-        writer.writelines([framed(frame) for frame in frames])
+        writer.writelines([add_length_prefix(frame) for frame in frames])
         await writer.drain()
         self._traffic.sent_bytes += sum(map(len, frames))
--- a/tests/peers/test_peers.py
+++ b/tests/peers/test_peers.py
@@ -1,4 +1,4 @@
-"""Peer messages: hostile frames, bounded queues, the right address."""
+"""Peer messages: malformed frames, bounded queues, addresses and reconnection."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 from limeshelf.peers.codec import Envelope, decode, encode
 from limeshelf.peers.framing import MalformedMessage, PipeEnd, greeting
-from limeshelf.peers.link import FRAME_LIFE_S, MAX_QUEUED_FRAMES, PeerLink, Traffic
+from limeshelf.peers.link import MAX_FRAME_AGE_S, MAX_QUEUED_FRAMES, PeerLink, Traffic
 from limeshelf.peers.messages import message_kinds
 from limeshelf.peers.node import PeerNode
 from limeshelf.standalone.messages import ConfigPull, Heartbeat
@@ -24,7 +24,7 @@
 )
 
 
-def accept(data: bytes) -> None:
+def check_decoded_or_rejected(data: bytes) -> None:
     try:
         assert type(decode(data).message) in message_kinds.values()
     except MalformedMessage:
@@ -32,17 +32,17 @@
 
 
 @given(st.binary(max_size=200))
-def test_any_bytes_are_decoded_or_refused(data: bytes) -> None:
-    accept(data)
+def test_any_bytes_are_decoded_or_rejected(data: bytes) -> None:
+    check_decoded_or_rejected(data)
 
 
 @given(st.sampled_from(sorted(message_kinds)), VALUES)
-def test_any_body_is_decoded_or_refused(kind: str, body: object) -> None:
+def test_any_body_is_decoded_or_rejected(kind: str, body: object) -> None:
     frame = {'sender': 'a', 'data_centre': 'x', 'kind': kind, 'body': body}
-    accept(msgspec.msgpack.encode(frame))
+    check_decoded_or_rejected(msgspec.msgpack.encode(frame))
 
 
-def test_deep_nesting_is_refused() -> None:
+def test_deep_nesting_is_rejected() -> None:
     with pytest.raises(MalformedMessage):
         decode(b'\x91' * 100_000)
 
@@ -53,26 +53,26 @@
 
 
 def test_address_is_the_bound_port() -> None:
-    """The socket object gives its port in network byte order."""
-
-    async def case() -> None:
-        got = asyncio.Event()
-        one, two = PeerNode('127.0.0.1', 0, 'x'), PeerNode('127.0.0.1', 0, 'x')
-        two.add_handler(ConfigPull, lambda envelope: got.set())
-        await one.start()
-        await two.start()
+    """The port of the address must not be in network byte order, as a socket object gives it."""
+
+    async def scenario() -> None:
+        received = asyncio.Event()
+        node, peer = PeerNode('127.0.0.1', 0, 'x'), PeerNode('127.0.0.1', 0, 'x')
+        peer.add_handler(ConfigPull, lambda envelope: received.set())
+        await node.start()
+        await peer.start()
         try:
-            one.send(two.address, ConfigPull(1))
-            await asyncio.wait_for(got.wait(), 10)
+            node.send(peer.address, ConfigPull(1))
+            await asyncio.wait_for(received.wait(), 10)
         finally:
-            await one.close()
-            await two.close()
+            await node.close()
+            await peer.close()
 
-    asyncio.run(case())
+    asyncio.run(scenario())
 
 
-def test_queue_to_a_silent_peer_is_bounded() -> None:
-    async def case() -> None:
+def test_queue_for_an_unreachable_peer_is_bounded() -> None:
+    async def scenario() -> None:
         node = PeerNode('127.0.0.1', 0, 'x')
         await node.start()
         try:
@@ -82,11 +82,11 @@
         finally:
             await node.close()
 
-    asyncio.run(case())
+    asyncio.run(scenario())
 
 
 def test_full_queue_drops_the_oldest_frame() -> None:
-    async def case() -> None:
+    async def scenario() -> None:
         traffic = Traffic()
         link = PeerLink('127.0.0.1:1', traffic)
         for number in range(MAX_QUEUED_FRAMES):
@@ -94,55 +94,55 @@
         assert traffic.dropped == 0
         link.put(b'last')
         assert traffic.dropped == 1
-        frames = link.take()
+        frames = link.pop_current()
         assert (frames[0], frames[-1], len(frames)) == (b'1', b'last', MAX_QUEUED_FRAMES)
 
-    asyncio.run(case())
+    asyncio.run(scenario())
 
 
-def test_frame_that_waited_too_long_is_not_sent() -> None:
-    async def case() -> None:
+def test_outdated_frame_is_not_sent() -> None:
+    async def scenario() -> None:
         traffic = Traffic()
         with fake_time() as clock:
             link = PeerLink('127.0.0.1:1', traffic)
             link.put(b'old')
-            clock.advance(FRAME_LIFE_S + 0.1)
+            clock.advance(MAX_FRAME_AGE_S + 0.1)
             link.put(b'new')
-            assert link.take() == [b'new']
+            assert link.pop_current() == [b'new']
         assert traffic.dropped == 1
 
-    asyncio.run(case())
-
-
-def test_link_connects_again_when_its_peer_is_back() -> None:
-    async def case() -> None:
-        got: asyncio.Queue[Envelope] = asyncio.Queue()
-        one, two = PeerNode('127.0.0.1', 0, 'x'), PeerNode('127.0.0.1', 0, 'x')
-        two.add_handler(ConfigPull, got.put_nowait)
-        await one.start()
-        await two.start()
-        port = int(two.address.rpartition(':')[2])
-        one.send(two.address, ConfigPull(1))
-        await asyncio.wait_for(got.get(), 10)
-        await two.close()
-        again = PeerNode('127.0.0.1', port, 'x')
-        again.add_handler(ConfigPull, got.put_nowait)
-        await again.start()
+    asyncio.run(scenario())
+
+
+def test_link_reconnects_after_its_peer_restarted() -> None:
+    async def scenario() -> None:
+        received: asyncio.Queue[Envelope] = asyncio.Queue()
+        node, peer = PeerNode('127.0.0.1', 0, 'x'), PeerNode('127.0.0.1', 0, 'x')
+        peer.add_handler(ConfigPull, received.put_nowait)
+        await node.start()
+        await peer.start()
+        port = int(peer.address.rpartition(':')[2])
+        node.send(peer.address, ConfigPull(1))
+        await asyncio.wait_for(received.get(), 10)
+        await peer.close()
+        restarted = PeerNode('127.0.0.1', port, 'x')
+        restarted.add_handler(ConfigPull, received.put_nowait)
+        await restarted.start()
         try:
             async with asyncio.timeout(10):
-                while got.empty():
-                    one.send(two.address, ConfigPull(2))
+                while received.empty():
+                    node.send(peer.address, ConfigPull(2))
                     await asyncio.sleep(0.05)
-            assert (await got.get()).message == ConfigPull(2)
+            assert (await received.get()).message == ConfigPull(2)
         finally:
-            await one.close()
-            await again.close()
+            await node.close()
+            await restarted.close()
 
-    asyncio.run(case())
+    asyncio.run(scenario())
 
 
-def test_connection_that_speaks_otherwise_is_closed_and_counted() -> None:
-    async def case() -> None:
+def test_connection_with_another_protocol_is_closed_and_counted() -> None:
+    async def scenario() -> None:
         node = PeerNode('127.0.0.1', 0, 'x')
         await node.start()
         try:
@@ -156,22 +156,22 @@
         finally:
             await node.close()
 
-    asyncio.run(case())
+    asyncio.run(scenario())
 
 
 def test_forwarded_message_keeps_its_sender() -> None:
-    async def case() -> None:
-        got: asyncio.Queue[Envelope] = asyncio.Queue()
-        one, two = PeerNode('127.0.0.1', 0, 'x'), PeerNode('127.0.0.1', 0, 'x')
-        two.add_handler(ConfigPull, got.put_nowait)
-        await one.start()
-        await two.start()
+    async def scenario() -> None:
+        received: asyncio.Queue[Envelope] = asyncio.Queue()
+        node, peer = PeerNode('127.0.0.1', 0, 'x'), PeerNode('127.0.0.1', 0, 'x')
+        peer.add_handler(ConfigPull, received.put_nowait)
+        await node.start()
+        await peer.start()
         try:
-            one.forward_all([two.address], Envelope('10.0.0.1:7', 'y', ConfigPull(1)))
-            envelope = await asyncio.wait_for(got.get(), 10)
+            node.forward_all([peer.address], Envelope('10.0.0.1:7', 'y', ConfigPull(1)))
+            envelope = await asyncio.wait_for(received.get(), 10)
             assert (envelope.sender, envelope.data_centre) == ('10.0.0.1:7', 'y')
         finally:
-            await one.close()
-            await two.close()
+            await node.close()
+            await peer.close()
 
-    asyncio.run(case())
+    asyncio.run(scenario())
