--- a/limeshelf/peers/node.py
+++ b/limeshelf/peers/node.py
@@ -1,8 +1,8 @@
-"""The peer connections of one process: one listener, one task for each connection.
+"""The peer connections of one process: one listener, and one task for each connection.
 
-Owns the links to peers and the counts of what was sent, received, dropped and refused.
-Relies on :mod:`limeshelf.peers.codec` for the form of messages and on
-:mod:`limeshelf.peers.framing` for what separates them. Both halves of the product use it.
+Owns the links to peers and the counts of sent, received, dropped and malformed data.
+:mod:`limeshelf.peers.codec` encodes the messages, and :mod:`limeshelf.peers.framing` separates
+them on a connection. Both the gateway and :mod:`limeshelf.standalone` use this module.
 """
 
 from __future__ import annotations
@@ -25,24 +25,25 @@
     Handler = Callable[[Envelope], None]
 
 #: Most bytes that are read from a connection at once.
-READ_BYTES = 1 << 16
-#: Frames that may wait for their handlers; then connections are read no further.
-MAX_ARRIVED_FRAMES = 1024
+READ_SIZE_BYTES = 1 << 16
+#: Most received frames that may wait for their handlers; connections are not read while there
+#: are as many.
+MAX_RECEIVED_FRAMES = 1024
 
 
 class PeerNode:
-    """Sends messages to peers and hands arriving ones to handlers.
-
-    Messages are one-way and may be lost; every exchange that needs certainty
-    repeats itself periodically.
-
-    :param host: address to listen at, which goes to peers with each message.
-    :param port: TCP port; 0 takes a free one.
-    :param data_centre: of this process, sent with each message.
-    :ivar address: host and port where this process listens; empty before the start.
-    :ivar received_bytes: in frames that arrived, malformed ones included.
-    :ivar malformed: frames that arrived and are no messages of ours, and connections of
-        those who do not speak as we do.
+    """Sends messages to peers, and passes received messages to handlers.
+
+    Messages are one-way and may be lost. An exchange that must not miss one repeats its messages
+    periodically.
+
+    :param host: address to listen on, which peers receive with each message.
+    :param port: TCP port; 0 selects a free one.
+    :param data_centre: data centre of this process, sent with each message.
+    :ivar address: host and port on which this process listens; empty before the start.
+    :ivar received_bytes: bytes of received frames, including malformed ones.
+    :ivar malformed: received frames that are not valid messages, plus connections that were closed
+        because they did not follow the protocol.
     """
 
     def __init__(self, host: str, port: int, data_centre: str) -> None:
@@ -55,30 +56,30 @@
         self._handlers: dict[type[Any], list[Handler]] = {}
         self._links: dict[str, PeerLink] = {}
         self._traffic = Traffic()
-        self._arrived: asyncio.Queue[bytes] = asyncio.Queue(MAX_ARRIVED_FRAMES)
+        self._received_frames: asyncio.Queue[bytes] = asyncio.Queue(MAX_RECEIVED_FRAMES)
         self._tasks = TaskSet()
         self._server: asyncio.Server | None = None
 
     @property
     def sent_bytes(self) -> int:
-        """Return the bytes in frames that a connection took, over all peers."""
+        """Return the bytes of the frames written to a connection, over all peers."""
         return self._traffic.sent_bytes
 
     @property
     def dropped(self) -> int:
-        """Return how many frames were queued for a peer and never sent."""
+        """Return how many frames were queued for a peer and dropped from its queue."""
         return self._traffic.dropped
 
-    def add_handler(self, kind: type[Any], handler: Handler) -> None:
-        """Call *handler* with each arriving message of class *kind*."""
-        self._handlers.setdefault(kind, []).append(handler)
+    def add_handler(self, message_class: type[Any], handler: Handler) -> None:
+        """Call *handler* with each received message of a class."""
+        self._handlers.setdefault(message_class, []).append(handler)
 
     async def start(self) -> None:
-        """Listen; :attr:`address` is known afterwards."""
+        """Start to listen, and set :attr:`address`."""
         self._server = await asyncio.start_server(self._accept, self._host, self._port)
         port = self._server.sockets[0].getsockname()[1]
         self.address = f'{self._host}:{port}'
-        self._tasks.keep(self._dispatch_arrived, 'peer-dispatch')
+        self._tasks.keep(self._dispatch_received, 'peer-dispatch')
 
     async def close(self) -> None:
         """Close all connections."""
@@ -91,11 +92,11 @@
         self.send_all([address], message)
 
     def send_all(self, addresses: list[str], message: Any) -> None:
-        """Queue *message* for several peers; it is encoded once."""
+        """Queue *message* for several peers; encode it only once."""
         self.forward_all(addresses, Envelope(self.address, self.data_centre, message))
 
     def forward_all(self, addresses: list[str], envelope: Envelope) -> None:
-        """Queue a message that may be of another process, which stays its sender."""
+        """Queue an envelope for several peers; its sender may be another process, and is kept."""
         if not addresses:
             return
         frame = encode(envelope)
@@ -119,37 +120,37 @@
         self._tasks.spawn(self._receive(reader, writer), 'peer-receive')
 
     async def _receive(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Hand on what arrives on one connection until it ends."""
-        frames = FrameReader(PipeEnd.SENDER)
+        """Queue the frames received on one connection, until it ends."""
+        frame_reader = FrameReader(PipeEnd.SENDER)
         try:
             keep_alive(writer.get_extra_info('socket'))
             writer.write(greeting(PipeEnd.RECEIVER))
-            while data := await reader.read(READ_BYTES):
-                for frame in frames.feed(data):
+            while data := await reader.read(READ_SIZE_BYTES):
+                for frame in frame_reader.feed(data):
                     self.received_bytes += len(frame)
-                    await self._arrived.put(frame)
+                    await self._received_frames.put(frame)
         except MalformedMessage:
             self.malformed += 1
         except OSError:
-            # Its sender is gone or out of reach, and connects again when it is back.
+            # The sender stopped or is unreachable; it connects again later.
             pass
         finally:
             writer.close()
 
-    async def _dispatch_arrived(self) -> None:
+    async def _dispatch_received(self) -> None:
         while True:
-            self._dispatch(await self._arrived.get())
+            self._dispatch(await self._received_frames.get())
 
     def _dispatch(self, frame: bytes) -> None:
         try:
             envelope = decode(frame)
         except MalformedMessage:
-            # Counted only: whoever sends such frames must not fill the log.
+            # Counted but not logged, so that a faulty sender cannot flood the log.
             self.malformed += 1
             return
         for handler in self._handlers.get(type(envelope.message), ()):
             try:
                 handler(envelope)
             except LimeshelfError as error:
-                # One message that cannot be used must not keep the next ones out.
+                # A message that its handler rejects must not end the dispatch of later ones.
                 logging.warning('peers=handler_failed error=%r', error)
