--- a/limeshelf/peers/questions.py
+++ b/limeshelf/peers/questions.py
@@ -1,7 +1,7 @@
-"""Questions to peers, each with one answer; who is silent is not asked for a while.
+"""Sends queries to peers and matches the answers; avoids peers that did not answer recently.
 
-Owns the questions that wait for an answer, and who fell silent. Relies on the node to carry
-questions, which may get lost as their answers may.
+Owns the pending queries, and which peers to avoid. Queries and answers are messages of
+:class:`~limeshelf.peers.node.PeerNode`, which may be lost.
 """
 
 from __future__ import annotations
@@ -19,45 +19,45 @@
 
 AnswerT = TypeVar('AnswerT')
 
-#: A peer that does not answer within this time is silent, in seconds.
+#: Time-out for the answer to a query.
 ANSWER_TIMEOUT_S = 0.08
-#: A silent peer is not asked for this long, in seconds.
+#: How long a peer is avoided after it did not answer a query in time.
 AVOID_S = 0.4
 
 
 class Questions(Generic[AnswerT]):
-    """Asks peers, and hands each answer to the question that waits for it.
+    """Queries peers, and passes each answer to its pending query.
 
-    :param on_silence: called with the address of a peer that did not answer in time.
+    :param on_timeout: called with the address of a peer that did not answer in time.
     """
 
-    def __init__(self, node: PeerNode, on_silence: Callable[[str], None]) -> None:
+    def __init__(self, node: PeerNode, on_timeout: Callable[[str], None]) -> None:
         self._node = node
-        self._on_silence = on_silence
-        self._waiting: dict[str, asyncio.Future[AnswerT]] = {}
+        self._on_timeout = on_timeout
+        self._pending: dict[str, asyncio.Future[AnswerT]] = {}
         self._avoid_until_s: dict[str, float] = {}
 
     def is_avoided(self, address: str) -> bool:
-        """Return whether a peer was silent a short time ago."""
+        """Return whether a peer recently did not answer, and must not be queried now."""
         return boottime_s() < self._avoid_until_s.get(address, 0.0)
 
-    async def ask(self, address: str, question_id: str, message: Any) -> AnswerT | None:
-        """Return the answer of a peer, ``None`` if it is silent."""
-        answered: asyncio.Future[AnswerT] = asyncio.get_running_loop().create_future()
-        self._waiting[question_id] = answered
+    async def ask(self, address: str, query_id: str, message: Any) -> AnswerT | None:
+        """Query a peer and return its answer; ``None`` if it does not answer in time."""
+        future: asyncio.Future[AnswerT] = asyncio.get_running_loop().create_future()
+        self._pending[query_id] = future
         self._node.send(address, message)
         try:
             async with asyncio.timeout(ANSWER_TIMEOUT_S):
-                return await answered
+                return await future
         except TimeoutError:
             self._avoid_until_s[address] = boottime_s() + AVOID_S
-            self._on_silence(address)
+            self._on_timeout(address)
             return None
         finally:
-            del self._waiting[question_id]
+            del self._pending[query_id]
 
-    def answer(self, question_id: str, value: AnswerT) -> None:
-        """Hand over the answer to a question, if it still waits."""
-        answered = self._waiting.get(question_id)
-        if answered is not None and not answered.done():
-            answered.set_result(value)
+    def answer(self, query_id: str, value: AnswerT) -> None:
+        """Pass on the answer to a query, if the query is still pending."""
+        future = self._pending.get(query_id)
+        if future is not None and not future.done():
+            future.set_result(value)
