--- a/limeshelf/feeds/follower.py
+++ b/limeshelf/feeds/follower.py
@@ -71,7 +71,7 @@
     :param reach: back-off that is shared by all tables that this process follows.
     :param on_page: called after an answer of the store was applied, with the copy and its
         position before that.
-    :ivar reached: whether the store has ever answered.
+    :ivar has_answered: whether the store has ever answered.
     """
 
     def __init__(
@@ -83,7 +83,7 @@
         on_page: Callable[[TableCopy, Position], None] = lambda copy, after: None,
     ) -> None:
         self.copy = copy
-        self.reached = False
+        self.has_answered = False
         self._store = store
         self._polling = polling or AlwaysDue()
         self._reach = reach or StoreReach()
@@ -173,7 +173,7 @@
             log_change('store_lost', table=self.copy.table, reason=reason)
 
     def _log_reached(self) -> None:
-        if self._is_store_lost or not self.reached:
+        if self._is_store_lost or not self.has_answered:
             log_change('store_reached', table=self.copy.table, version=self.copy.position.version)
         self._is_store_lost = False
-        self.reached = True
+        self.has_answered = True
--- a/tests/feeds/test_follower.py
+++ b/tests/feeds/test_follower.py
@@ -59,7 +59,7 @@
         copy = TableCopy('t', lambda row: None)
         follower = TableFollower(copy, client)
         task = asyncio.create_task(follower.run())
-        await _until(lambda: follower.reached)
+        await _until(lambda: follower.has_answered)
         store.faults.status = 503
         store.put('t', 'b', encoded('2'))
         store.drop('t', 'a')
