--- a/limeshelf/crashes/keeper.py
+++ b/limeshelf/crashes/keeper.py
@@ -25,7 +25,7 @@
 if TYPE_CHECKING:
     from limeshelf.crashes.suspects import Suspects, SuspectState
     from limeshelf.feeds.position import Position
-    from limeshelf.feeds.rows import Row, RowTable
+    from limeshelf.feeds.rows import Row, RowStore
     from limeshelf.feeds.table_copy import TableCopy
 
 #: Rows that the table keeps; the one that was written longest ago goes first.
@@ -50,7 +50,7 @@
 class QuarantineKeeper:
     """Writes the rows of suspects that this gateway witnessed, and takes in those of all."""
 
-    store: RowTable
+    store: RowStore
     suspects: Suspects
     _rows: dict[str, _KnownRow] = attrs.field(factory=dict)
     _due: set[Fingerprint] = attrs.field(factory=set)
--- a/limeshelf/feeds/follower.py
+++ b/limeshelf/feeds/follower.py
@@ -21,7 +21,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from limeshelf.feeds.rows import Page, RowTable
+    from limeshelf.feeds.rows import Page, RowStore
     from limeshelf.feeds.table_copy import TableCopy
 
 #: If the store repeatedly lacks the requested history, the process pauses before each full read
@@ -77,7 +77,7 @@
     def __init__(
         self,
         copy: TableCopy,
-        store: RowTable,
+        store: RowStore,
         polling: StorePolling | None = None,
         reach: StoreReach | None = None,
         on_page: Callable[[TableCopy, Position], None] = lambda copy, after: None,
--- a/limeshelf/feeds/rows.py
+++ b/limeshelf/feeds/rows.py
@@ -64,7 +64,7 @@
     rows: tuple[Row, ...] = field(default_factory=tuple)
 
 
-class RowTable(Protocol):
+class RowStore(Protocol):
     """The store operations that this product needs.
 
     Every operation raises :exc:`limeshelf.errors.PlatformUnavailable` if it had no effect, and
--- a/limeshelf/lease/leadership.py
+++ b/limeshelf/lease/leadership.py
@@ -43,7 +43,7 @@
 from limeshelf.util.clock import MS_PER_S, boottime_s
 
 if TYPE_CHECKING:
-    from limeshelf.feeds.rows import RowTable
+    from limeshelf.feeds.rows import RowStore
     from limeshelf.lease.row_reader import LeaseView
 
 #: A holder renews when this share of the lease has passed since the last renewal.
@@ -91,7 +91,7 @@
 
     def __init__(
         self,
-        store: RowTable,
+        store: RowStore,
         holder: str,
         lease_s: float,
         replicas_check_fences: bool = True,
--- a/limeshelf/lease/row_reader.py
+++ b/limeshelf/lease/row_reader.py
@@ -25,7 +25,7 @@
 from limeshelf.util.clock import MS_PER_S, boottime_s
 
 if TYPE_CHECKING:
-    from limeshelf.feeds.rows import Page, Row, RowTable
+    from limeshelf.feeds.rows import Page, Row, RowStore
     from limeshelf.feeds.store_clock import StoreClock
 
 
@@ -76,7 +76,7 @@
     :param clock: knows when the store last came back from a copy.
     """
 
-    def __init__(self, store: RowTable, holder: str, lease_s: float, clock: StoreClock) -> None:
+    def __init__(self, store: RowStore, holder: str, lease_s: float, clock: StoreClock) -> None:
         self._store = store
         self._holder = holder
         self._lease_s = lease_s
--- a/limeshelf/membership/registration.py
+++ b/limeshelf/membership/registration.py
@@ -23,7 +23,7 @@
 
 if TYPE_CHECKING:
     from limeshelf.feeds.position import Position
-    from limeshelf.feeds.rows import Row, RowTable
+    from limeshelf.feeds.rows import Row, RowStore
     from limeshelf.feeds.table_copy import TableCopy
     from limeshelf.membership.leader import LeaderView
     from limeshelf.membership.members import Members
@@ -65,7 +65,7 @@
         """Register the message handler."""
         self.node.add_handler(GatewayLeaving, self._handle_leaving)
 
-    async def keep_row(self, store: RowTable) -> None:
+    async def keep_row(self, store: RowStore) -> None:
         """Write this gateway's row, by which others find it; again whenever the store loses it."""
         while True:
             await self.write_row(store)
@@ -74,7 +74,7 @@
             await asyncio.sleep(random.uniform(0.0, REWRITE_SPREAD_S))
             log_change('member_row_lost')
 
-    async def write_row(self, store: RowTable) -> None:
+    async def write_row(self, store: RowStore) -> None:
         """Write this gateway's row; retry until the write succeeds."""
         value = self._own_value()
         attempt = 0
--- a/limeshelf/platform/store.py
+++ b/limeshelf/platform/store.py
@@ -64,7 +64,7 @@
 
 
 class StoreClient:
-    """Implements :class:`limeshelf.feeds.rows.RowTable`, whose errors it raises.
+    """Implements :class:`limeshelf.feeds.rows.RowStore`, whose errors it raises.
 
     :param count_call: called with the operation and the table of each call.
     :param clock: learns from each answer how the store's clock stands.
--- a/limeshelf/programs/followed_tables.py
+++ b/limeshelf/programs/followed_tables.py
@@ -32,7 +32,7 @@
 
     from limeshelf.calls.in_force import ConfigInForce
     from limeshelf.crashes.keeper import QuarantineKeeper
-    from limeshelf.feeds.rows import Row, RowTable
+    from limeshelf.feeds.rows import Row, RowStore
     from limeshelf.membership.registration import Registration
     from limeshelf.membership.row_exchange import RowExchange
     from limeshelf.metrics.prometheus import GatewayMetrics
@@ -144,7 +144,7 @@
 
 
 def follow_tables(
-    store: RowTable,
+    store: RowStore,
     rows: RowExchange,
     config_rows: ConfigRows,
     directory: ReplicaDirectory,
