--- a/limeshelf/feeds/follow_rule.py
+++ b/limeshelf/feeds/follow_rule.py
@@ -13,15 +13,16 @@
     table whose rows are not exchanged with peers.
 
     :ivar wait_s: how long the store may hold a call for changes (long polling), in seconds.
-    :ivar pace_s: delay after an answer with changes, in seconds, so that the next answer
+    :ivar batch_delay_s: delay after an answer with changes, in seconds, so that the next answer
         contains several changes.
-    :ivar stale_s: age of the last confirmation beyond which the copy is stale and the store is
-        polled, in seconds.
-    :ivar first_delay_s: longest delay before the first call, in seconds. If all processes start
-        together, their rows are not in the table yet, and peers may send the table meanwhile.
+    :ivar stale_after_s: age of the last confirmation, in seconds, beyond which the copy is stale
+        and the store is polled.
+    :ivar max_start_delay_s: longest delay before the first call, in seconds. If all processes
+        start together, their rows are not in the table yet, and peers may send the table
+        meanwhile.
     """
 
     wait_s: float = 8.0
-    pace_s: float = 0.0
-    stale_s: float = 1.0
-    first_delay_s: float = 0.0
+    batch_delay_s: float = 0.0
+    stale_after_s: float = 1.0
+    max_start_delay_s: float = 0.0
--- a/limeshelf/feeds/follower.py
+++ b/limeshelf/feeds/follower.py
@@ -96,7 +96,7 @@
     async def run(self) -> None:
         """Follow the table until cancelled."""
         copy = self.copy
-        await asyncio.sleep(random.uniform(0.5, 1.0) * copy.rule.first_delay_s)
+        await asyncio.sleep(random.uniform(0.5, 1.0) * copy.rule.max_start_delay_s)
         while True:
             if copy.confirmed_s and not self._polling.is_due():
                 await self._polling.until_due()
@@ -124,12 +124,14 @@
             self._log_reached()
             self._on_page(copy, after)
             if page.rows:
-                await asyncio.sleep(copy.rule.pace_s)
+                await asyncio.sleep(copy.rule.batch_delay_s)
 
     async def _pause_before_full_read(self) -> None:
         """Pause if the last answers did not continue the copy, to prevent a busy loop."""
         if self._unusable_answers > 1 and self.copy.needs_full_read:
-            limit_s = min(FULL_READ_PAUSE_RATIO * self.copy.rule.stale_s, FULL_READ_PAUSE_LIMIT_S)
+            limit_s = min(
+                FULL_READ_PAUSE_RATIO * self.copy.rule.stale_after_s, FULL_READ_PAUSE_LIMIT_S
+            )
             await asyncio.sleep(jittered_s(limit_s))
 
     async def _poll(self, wait_s: float) -> Page | None:
--- a/limeshelf/feeds/table_copy.py
+++ b/limeshelf/feeds/table_copy.py
@@ -87,7 +87,7 @@
     @property
     def is_stale(self) -> bool:
         """Return whether the last confirmation is older than the table's rule allows."""
-        return self.age_s > self.rule.stale_s
+        return self.age_s > self.rule.stale_after_s
 
     @property
     def peers_overdue_s(self) -> float:
@@ -95,7 +95,7 @@
 
         Negative while they are not overdue.
         """
-        return boottime_s() - self.peer_confirmed_s - self.rule.stale_s
+        return boottime_s() - self.peer_confirmed_s - self.rule.stale_after_s
 
     def rows(self) -> list[Row]:
         """Return the rows that exist."""
--- a/limeshelf/programs/followed_tables.py
+++ b/limeshelf/programs/followed_tables.py
@@ -51,12 +51,12 @@
 #: Gateways come and go seldom, and those that are silent are found out by silence. After a
 #: change the rows rest for a second: where all gateways start at once, each of their rows
 #: would bring another answer.
-MEMBER_RULE = FollowRule(wait_s=8.0, pace_s=1.0, stale_s=12.0, first_delay_s=0.7)
+MEMBER_RULE = FollowRule(wait_s=8.0, batch_delay_s=1.0, stale_after_s=12.0, max_start_delay_s=0.7)
 #: Calls that rest change seldom, and peers tell of them at once; the rows are for gateways that
 #: start, or that a cut keeps from all others. So they are read at once at a start: with a pause
 #: as for the members, a call that all gateways had known ended a replica of the new ones in 4
 #: of 8 runs beside load, without it in none of 6 (tests/gateway/test_deadly_call.py).
-QUARANTINE_RULE = FollowRule(wait_s=8.0, stale_s=12.0)
+QUARANTINE_RULE = FollowRule(wait_s=8.0, stale_after_s=12.0)
 #: The operator has confirmed the newest configuration to somebody; it is in force, and passed on
 #: to gateways that start, until the store has one that is as new.
 CONFIG_RETURN = ReturnRule(config_newness)
@@ -75,8 +75,8 @@
     """
     return FollowRule(
         wait_s=REPLICA_WAIT_SHARE * known_within_s,
-        pace_s=REPLICA_PACE_SHARE * known_within_s,
-        stale_s=STALE_SHARE * known_within_s,
+        batch_delay_s=REPLICA_PACE_SHARE * known_within_s,
+        stale_after_s=STALE_SHARE * known_within_s,
     )
 
 
@@ -84,7 +84,7 @@
     """Return how the table of the configuration is followed; as for :func:`replica_rule`."""
     return FollowRule(
         wait_s=CONFIG_WAIT_SHARE * known_within_s,
-        stale_s=STALE_SHARE * known_within_s,
+        stale_after_s=STALE_SHARE * known_within_s,
     )
 
 
--- a/tests/feeds/test_table_copy.py
+++ b/tests/feeds/test_table_copy.py
@@ -13,7 +13,7 @@
 
 def copy_of(*rows: Row) -> TableCopy:
     """Return a copy that was just read in full, at version 7."""
-    copy = TableCopy('t', lambda row: None, FollowRule(stale_s=2.0))
+    copy = TableCopy('t', lambda row: None, FollowRule(stale_after_s=2.0))
     copy.take_full(Page(rows, at(7)))
     copy.note_confirmed(boottime_s())
     return copy
--- a/tests/membership/test_row_exchange.py
+++ b/tests/membership/test_row_exchange.py
@@ -139,7 +139,7 @@
         for gateway in (first, second, third):
             gateway._handle_updates(update(0, 9))
         assert [gateway.is_due() for gateway in (first, second, third)] == [True, False, False]
-        clock.advance(FollowRule().stale_s + 1.5 * OVERDUE_STEP_S)
+        clock.advance(FollowRule().stale_after_s + 1.5 * OVERDUE_STEP_S)
         for gateway in (first, second, third):
             gateway.members.record_message('g1', 'c1')
             gateway.members.record_message('g2', 'c1')
@@ -151,7 +151,7 @@
         gateway = exchange('g2', 'g1')
         gateway._handle_updates(update(0, 9))
         copy = gateway.copies['t']
-        clock.advance(copy.rule.stale_s + 1.0)
+        clock.advance(copy.rule.stale_after_s + 1.0)
         gateway.members.record_message('g1', 'c1')
         copy.note_confirmed(clock.now_s)
         assert gateway.is_due()
@@ -177,7 +177,7 @@
     with virtual_clock() as clock:
         gateway = exchange('g2', 'g1')
         gateway.copies['u'] = TableCopy('u', lambda row: None)
-        clock.advance(FollowRule().stale_s + 1.0)
+        clock.advance(FollowRule().stale_after_s + 1.0)
         gateway.members.record_message('g1', 'c1')
         gateway._handle_updates(update(0, 9))
         assert gateway.is_due()
@@ -190,14 +190,14 @@
     with virtual_clock() as clock:
         first, second = exchange('g1', 'g2'), exchange('g2', 'g1')
         assert [gateway.is_due() for gateway in (first, second)] == [True, False]
-        clock.advance(FollowRule().stale_s + 1.0)
+        clock.advance(FollowRule().stale_after_s + 1.0)
         assert second.is_due()
 
 
 def test_follower_polls_the_store_only_while_updates_are_missing() -> None:
     async def run_scenario() -> None:
         store: Any = Store()
-        rule = FollowRule(wait_s=0.01, stale_s=0.3)
+        rule = FollowRule(wait_s=0.01, stale_after_s=0.3)
         copy = TableCopy('t', lambda row: None, rule)
         task = asyncio.create_task(TableFollower(copy, store, WhenStale(copy)).run())
         await asyncio.sleep(0.05)
@@ -254,7 +254,7 @@
         for other in others:
             gateway.members.record_message(other, 'c1')
         gateway._handle_updates(update(0, 9))
-        clock.advance(FollowRule().stale_s + 0.01)
+        clock.advance(FollowRule().stale_after_s + 0.01)
         gateway.members.record_message('g00', 'c1')
         assert not gateway.is_due()
         clock.advance(RELAY_TIMEOUT_S + 0.01)
