--- a/limeshelf/feeds/return_rule.py
+++ b/limeshelf/feeds/restore_rule.py
@@ -19,32 +19,32 @@
     from limeshelf.feeds.rows import Row
 
 #: Version that the writer stored in a row's value; empty if it cannot be decoded.
-Newness: TypeAlias = tuple[int, ...]
+WriterVersion: TypeAlias = tuple[int, ...]
 
 
 @attrs.frozen
-class ReturnRule:
+class RestoreRule:
     """Which of two rows of different eras is valid, and how long rows of earlier eras are kept.
 
-    :ivar newness_of: returns the writer's version from a row's value, which increases with each
-        write; ``None`` if the rows of the table contain no such version.
-    :ivar kept_s: how long a row that is missing from the later era is kept, in seconds.
+    :ivar writer_version_of: returns the writer's version from a row's value, which increases with
+        each write; ``None`` if the rows of the table contain no such version.
+    :ivar retention_s: how long a row that is missing from the later era is kept, in seconds.
     """
 
-    newness_of: Callable[[bytes], Newness] | None = None
-    kept_s: float = math.inf
+    writer_version_of: Callable[[bytes], WriterVersion] | None = None
+    retention_s: float = math.inf
 
     def replaces(self, row: Row, known: Row) -> bool:
         """Return whether *row* replaces *known*, which is of another era."""
         is_later = row.position > known.position
-        if self.newness_of is None:
+        if self.writer_version_of is None:
             return is_later
         if row.gone and is_later:
             return True
         if known.gone and not is_later:
             return False
-        version = self.newness_of(row.value)
-        known_version = self.newness_of(known.value)
+        version = self.writer_version_of(row.value)
+        known_version = self.writer_version_of(known.value)
         if version != known_version:
             return version > known_version
         # The same write: still or again present in the later era, or deleted in the earlier one.
--- a/limeshelf/feeds/table_copy.py
+++ b/limeshelf/feeds/table_copy.py
@@ -3,7 +3,7 @@
 Owns the rows, the position up to which they are complete, and when the store last confirmed
 that. :class:`~limeshelf.feeds.follower.TableFollower` applies the store's answers, and
 :class:`~limeshelf.membership.row_exchange.RowExchange` applies the updates of peers.
-:mod:`limeshelf.feeds.return_rule` decides which rows are valid in a later era of the store.
+:mod:`limeshelf.feeds.restore_rule` decides which rows are valid in a later era of the store.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from limeshelf.feeds.continuity import Continuity, continuity_of
 from limeshelf.feeds.follow_rule import FollowRule
 from limeshelf.feeds.position import BEGINNING, Position
-from limeshelf.feeds.return_rule import ReturnRule
+from limeshelf.feeds.restore_rule import RestoreRule
 from limeshelf.feeds.rows import Row
 from limeshelf.metrics.event_log import log_change
 from limeshelf.util.clock import boottime_s
@@ -58,7 +58,7 @@
         table: str,
         listener: Callable[[Row], None],
         rule: FollowRule | None = None,
-        return_rule: ReturnRule | None = None,
+        return_rule: RestoreRule | None = None,
     ) -> None:
         self.table = table
         self.rule = rule or FollowRule()
@@ -72,7 +72,7 @@
         self.return_listeners: list[Callable[[TableCopy], None]] = []
         self._rows: dict[str, Row] = {}
         self._listener = listener
-        self._return_rule = return_rule or ReturnRule()
+        self._return_rule = return_rule or RestoreRule()
         self._era_began_s = 0.0
         self._may_have_earlier_rows = False
         # Keys that exist in the current era of the store, but with an older row than the one
@@ -266,7 +266,7 @@
 
     @property
     def _is_retention_over(self) -> bool:
-        return boottime_s() - self._era_began_s > self._return_rule.kept_s
+        return boottime_s() - self._era_began_s > self._return_rule.retention_s
 
     def drop_unwritten(self) -> None:
         """Drop rows of earlier eras that were not written again within the retention period."""
--- a/limeshelf/platform/configuration.py
+++ b/limeshelf/platform/configuration.py
@@ -25,7 +25,7 @@
 from limeshelf.util.decoding import UNREADABLE
 
 if TYPE_CHECKING:
-    from limeshelf.feeds.return_rule import Newness
+    from limeshelf.feeds.restore_rule import WriterVersion
 
 #: Table and key of the row that holds the newest configuration, whole.
 CONFIG_TABLE = 'op'
@@ -132,7 +132,7 @@
 _versioned = msgspec.json.Decoder(_Versioned, strict=False)
 
 
-def config_newness(value: bytes) -> Newness:
+def config_newness(value: bytes) -> WriterVersion:
     """Return how new the configuration in a row is: the operator's version."""
     try:
         return (_versioned.decode(value).version,)
--- a/limeshelf/platform/replicas.py
+++ b/limeshelf/platform/replicas.py
@@ -16,7 +16,7 @@
 from limeshelf.util.decoding import UNREADABLE
 
 if TYPE_CHECKING:
-    from limeshelf.feeds.return_rule import Newness
+    from limeshelf.feeds.restore_rule import WriterVersion
 
 #: Table of the store in which replicas record themselves.
 REPLICA_TABLE = 'servers'
@@ -182,7 +182,7 @@
     )
 
 
-def record_newness(value: bytes) -> Newness:
+def record_newness(value: bytes) -> WriterVersion:
     """Return how new a replica's row is: by its start, then by its heartbeats."""
     try:
         beat = _beats.decode(value)
--- a/limeshelf/programs/followed_tables.py
+++ b/limeshelf/programs/followed_tables.py
@@ -14,7 +14,7 @@
 from limeshelf.errors import InvalidDocument
 from limeshelf.feeds.follow_rule import FollowRule
 from limeshelf.feeds.follower import TableFollower
-from limeshelf.feeds.return_rule import ReturnRule
+from limeshelf.feeds.restore_rule import RestoreRule
 from limeshelf.feeds.store_reach import StoreReach
 from limeshelf.feeds.table_copy import TableCopy
 from limeshelf.membership.member import MEMBER_TABLE
@@ -59,13 +59,13 @@
 QUARANTINE_RULE = FollowRule(wait_s=8.0, stale_after_s=12.0)
 #: The operator has confirmed the newest configuration to somebody; it is in force, and passed on
 #: to gateways that start, until the store has one that is as new.
-CONFIG_RETURN = ReturnRule(config_newness)
+CONFIG_RETURN = RestoreRule(config_newness)
 #: Replicas write their rows with each heartbeat. Those that live and reach the store are in it
 #: again within this time, in seconds; until then calls go on to them.
-REPLICA_RETURN = ReturnRule(record_newness, kept_s=2.5)
+REPLICA_RETURN = RestoreRule(record_newness, retention_s=2.5)
 #: Gateways write their rows again by themselves, and those that are silent are found out by
 #: silence; so are calls that rest, by who witnessed them.
-OWN_RETURN = ReturnRule(kept_s=10.0)
+OWN_RETURN = RestoreRule(retention_s=10.0)
 
 
 def replica_rule(known_within_s: float) -> FollowRule:
--- a/tests/feeds/test_returned_store.py
+++ b/tests/feeds/test_restored_store.py
@@ -16,7 +16,7 @@
 from limeshelf.feeds.continuity import Continuity
 from limeshelf.feeds.follow_rule import FollowRule
 from limeshelf.feeds.position import BEGINNING, Position
-from limeshelf.feeds.return_rule import ReturnRule
+from limeshelf.feeds.restore_rule import RestoreRule
 from limeshelf.feeds.rows import HistoryGone, Page, Row
 from limeshelf.feeds.table_copy import TableCopy
 
@@ -72,7 +72,7 @@
 
     def __init__(self) -> None:
         self.applied: dict[str, int] = {}
-        rule = ReturnRule(writer_version)
+        rule = RestoreRule(writer_version)
         self.copy = TableCopy('t', self._apply_row, FollowRule(), rule)
 
     def _apply_row(self, row: Row) -> None:
--- a/tests/feeds/test_table_copy.py
+++ b/tests/feeds/test_table_copy.py
@@ -4,7 +4,7 @@
 
 from limeshelf.feeds.continuity import Continuity
 from limeshelf.feeds.follow_rule import FollowRule
-from limeshelf.feeds.return_rule import ReturnRule
+from limeshelf.feeds.restore_rule import RestoreRule
 from limeshelf.feeds.rows import Page, Row
 from limeshelf.feeds.table_copy import TableCopy
 from limeshelf.util.clock import boottime_s, virtual_clock
@@ -65,8 +65,8 @@
     return (int(value),) if value.isdigit() else ()
 
 
-def copy_with_writer_versions(kept_s: float = 2.0) -> TableCopy:
-    copy = TableCopy('t', lambda row: None, FollowRule(), ReturnRule(writer_version, kept_s))
+def copy_with_writer_versions(retention_s: float = 2.0) -> TableCopy:
+    copy = TableCopy('t', lambda row: None, FollowRule(), RestoreRule(writer_version, retention_s))
     rows = (Row('a', b'5', at(60, 1)), Row('b', b'5', at(70, 1)))
     copy.take_full(Page(rows, at(80, 1)))
     return copy
@@ -118,7 +118,7 @@
 
 def test_row_not_written_again_is_dropped_after_retention_period() -> None:
     with virtual_clock() as clock:
-        copy = copy_with_writer_versions(kept_s=2.0)
+        copy = copy_with_writer_versions(retention_s=2.0)
         copy.take_full(Page((Row('a', b'5', at(41, 2)),), at(42, 2)))
         clock.advance(1.9)
         copy.drop_unwritten()
@@ -132,7 +132,7 @@
 
 
 def test_new_gateway_receives_rows_lost_by_the_store_from_a_peer() -> None:
-    copy = TableCopy('t', lambda row: None, FollowRule(), ReturnRule(writer_version))
+    copy = TableCopy('t', lambda row: None, FollowRule(), RestoreRule(writer_version))
     copy.take_full(Page((Row('a', b'3', at(41, 2)),), at(42, 2)))
     copy.take_update([Row('a', b'5', at(60, 1))], at(0), at(42, 2), 0.0)
     assert [row.value for row in copy.rows()] == [b'5']
