--- a/limeshelf/lease/row_reader.py
+++ b/limeshelf/lease/row_reader.py
@@ -106,7 +106,7 @@
 
     def _lost_leases_are_over(self, value: LeaseValue | None) -> bool:
         """Return whether nobody orders by a renewal that the store lost as it came back."""
-        since_s = self._clock.returned_s
+        since_s = self._clock.era_changed_s
         if math.isinf(since_s) and value is not None:
             # This process does not know when it came back; before it was first read.
             since_s = self._era_seen_s
--- a/limeshelf/membership/row_exchange.py
+++ b/limeshelf/membership/row_exchange.py
@@ -177,7 +177,7 @@
         self.members.add(envelope.sender, envelope.data_centre)
         if updates:
             era = NO_ERA if self.clock.era is None else self.clock.era
-            answer = TableUpdates(updates, query.asked_ms, self.clock.latest_ms(), era)
+            answer = TableUpdates(updates, query.asked_ms, self.clock.now_upper_bound_ms(), era)
             self.node.send(envelope.sender, answer)
 
     def _handle_updates(self, envelope: Envelope) -> None:
@@ -197,7 +197,7 @@
                 missing[update.table] = copy.position
             elif continuity is Continuity.CONTINUES:
                 forwarded.append(update_from_copy(copy, after))
-        if self.clock.returned_s >= started_s:
+        if self.clock.era_changed_s >= started_s:
             # The store's era has changed, so its clock must be determined again.
             missing = {name: copy.position for name, copy in self.copies.items()}
         if missing:
@@ -208,7 +208,7 @@
 
     def _apply_update(self, copy: TableCopy, update: TableUpdate, peer: str) -> Continuity:
         upto = position_from_message(update.upto_era, update.upto)
-        self.clock.enter(upto.era)
+        self.clock.advance_era(upto.era)
         return copy.take_update(
             rows_from_update(update),
             position_from_message(update.after_era, update.after),
@@ -223,7 +223,7 @@
         stated_s = update.age_ms / MS_PER_S
         if not self.clock.is_known or not update.confirmed_ms:
             return stated_s
-        return max(stated_s, self.clock.greatest_age_s(update.confirmed_ms) - CLOCK_TOLERANCE_S)
+        return max(stated_s, self.clock.age_upper_bound_s(update.confirmed_ms) - CLOCK_TOLERANCE_S)
 
     def _update_clock(self, updates: TableUpdates) -> None:
         """Update the estimate of the store's clock from a peer's answer to a query."""
@@ -235,7 +235,7 @@
         if not updates.store_ms:
             return
         era = max(0, updates.store_era)
-        self.clock.enter(era)
+        self.clock.advance_era(era)
         if era == self.clock.era:
             asked_s = updates.asked_ms / MS_PER_S
-            self.clock.note_answer(asked_s, updates.store_ms / MS_PER_S)
+            self.clock.record_answer(asked_s, updates.store_ms / MS_PER_S)
--- a/limeshelf/platform/store.py
+++ b/limeshelf/platform/store.py
@@ -79,13 +79,13 @@
         self._base_url = f'http://{address}'
         self._count_call = count_call
         self._clock = clock or StoreClock()
-        self._era = StoreEra(self._clock.enter)
+        self._era = StoreEra(self._clock.advance_era)
         self._session: aiohttp.ClientSession | None = None
 
     def change_address(self, address: str) -> None:
         """Send the next calls to another address of the same store."""
         self._base_url = f'http://{address}'
-        self._clock.forget_ways()
+        self._clock.reset_offset_upper_bound()
 
     async def read(self, table: str) -> Page:
         """Return all rows of *table* as of one moment of each page."""
@@ -131,7 +131,7 @@
     def _answered_s(self, asked_s: float, answer: StoreAnswer) -> float:
         if self._is_of_before(answer):
             return asked_s
-        return self._clock.answered_s(asked_s, boottime_s(), answer.now_ms / MS_PER_S)
+        return self._clock.estimate_answer_s(asked_s, boottime_s(), answer.now_ms / MS_PER_S)
 
     def _is_of_before(self, answer: StoreAnswer) -> bool:
         """Return whether an answer is of an earlier era, whose clock says nothing any more."""
@@ -171,7 +171,7 @@
         asked_s = boottime_s()
         answer = await self._call('POST', '/rows-tx', body=transaction)
         if answer.now_ms and not self._is_of_before(answer):
-            self._clock.note_answer(asked_s, answer.now_ms / MS_PER_S)
+            self._clock.record_answer(asked_s, answer.now_ms / MS_PER_S)
         return answer
 
     async def _call(
--- a/limeshelf/programs/components.py
+++ b/limeshelf/programs/components.py
@@ -272,7 +272,7 @@
         """
         if self.in_force.is_superseded:
             return math.inf
-        return self.store_clock.greatest_age_s(self.rows.copies[CONFIG_TABLE].confirmed_ms)
+        return self.store_clock.age_upper_bound_s(self.rows.copies[CONFIG_TABLE].confirmed_ms)
 
     def add_seeds(self, settings: GatewaySettings) -> None:
         """Add the gateways that the settings name, so that a start without the store works."""
--- a/tests/feeds/test_store_clock.py
+++ b/tests/feeds/test_store_clock.py
@@ -27,28 +27,28 @@
         actual_s = asked_s + call_latency_s + held_s
         now_s = actual_s + answer_latency_s
         shortest_s = min(shortest_s, answer_latency_s)
-        estimated_s = clock.answered_s(asked_s, now_s, actual_s + AHEAD_S)
+        estimated_s = clock.estimate_answer_s(asked_s, now_s, actual_s + AHEAD_S)
         assert asked_s <= estimated_s <= now_s
         assert estimated_s <= actual_s + shortest_s + 1e-6
 
 
 def test_held_call_counts_from_its_answer() -> None:
     clock = StoreClock()
-    clock.answered_s(100.0, 100.01, 5100.005)
-    assert clock.answered_s(101.0, 101.71, 5101.705) > 101.70
+    clock.estimate_answer_s(100.0, 100.01, 5100.005)
+    assert clock.estimate_answer_s(101.0, 101.71, 5101.705) > 101.70
 
 
 def test_later_era_resets_the_offset() -> None:
     """The store's clock may start anew; with the old offset, confirmations would seem too new."""
     clock = StoreClock()
-    clock.enter(1)
-    clock.note_answer(100.0, 5100.0)
-    assert clock.returned_s == -math.inf
-    clock.enter(2)
+    clock.advance_era(1)
+    clock.record_answer(100.0, 5100.0)
+    assert clock.era_changed_s == -math.inf
+    clock.advance_era(2)
     assert not clock.is_known
-    assert clock.returned_s > 0.0
-    clock.note_answer(101.0, 90_000.0)
-    clock.enter(2)
-    assert clock.least_local_s == 101.0 - 90_000.0
-    clock.enter(1)
+    assert clock.era_changed_s > 0.0
+    clock.record_answer(101.0, 90_000.0)
+    clock.advance_era(2)
+    assert clock.offset_lower_bound_s == 101.0 - 90_000.0
+    clock.advance_era(1)
     assert clock.era == 2
--- a/tests/membership/test_row_exchange.py
+++ b/tests/membership/test_row_exchange.py
@@ -217,7 +217,7 @@
     with virtual_clock() as clock:
         gateway, other = exchange('g1', 'g2'), exchange('g2', 'g1')
         # The store's clock shows 5 s while this machine's clock shows 1,000 s.
-        other.clock.note_answer(clock.now_s, 5.0)
+        other.clock.record_answer(clock.now_s, 5.0)
         other.copies['t'].take_update([], at(0), at(9), 0.0, 5000)
         node: Any = gateway.node
         gateway._query_random_peer()
@@ -228,7 +228,7 @@
         gateway._handle_updates(Envelope('g2', 'c1', other_node.sent[-1][1]))
         # The age may be too high by the delay of the query, but never too low by that of the
         # answer.
-        age_s = gateway.clock.greatest_age_s(gateway.copies['t'].confirmed_ms)
+        age_s = gateway.clock.age_upper_bound_s(gateway.copies['t'].confirmed_ms)
         assert 1.1 <= age_s <= 1.5 + 0.01
 
 
@@ -239,11 +239,11 @@
     """
     with virtual_clock() as clock:
         gateway = exchange('g2', 'g1')
-        gateway.clock.note_answer(clock.now_s, 5.0)
+        gateway.clock.record_answer(clock.now_s, 5.0)
         delayed = TableUpdate('t', 0, 9, 0, [], 5000)
         clock.advance(6.0)
         gateway._handle_updates(Envelope('g1', 'c1', TableUpdates([delayed])))
-        assert gateway.clock.greatest_age_s(gateway.copies['t'].confirmed_ms) >= 6.0
+        assert gateway.clock.age_upper_bound_s(gateway.copies['t'].confirmed_ms) >= 6.0
 
 
 def test_isolated_gateway_polls_as_soon_as_copies_are_stale() -> None:
@@ -266,7 +266,7 @@
     """A copy must not be fresh if its update waited in a queue for two seconds."""
     with virtual_clock() as clock:
         gateway = exchange('g2', 'g1')
-        gateway.clock.note_answer(clock.now_s, 5.0)
+        gateway.clock.record_answer(clock.now_s, 5.0)
         delayed = TableUpdate('t', 0, 9, 0, [], 5000)
         clock.advance(2.0)
         gateway._handle_updates(Envelope('g1', 'c1', TableUpdates([delayed])))
@@ -280,7 +280,7 @@
     with virtual_clock() as clock:
         gateway = exchange('g2', 'g1')
         # This gateway knows the store's clock to an accuracy of 0.2 s.
-        gateway.clock.note_answer(clock.now_s - 0.2, 5.0)
+        gateway.clock.record_answer(clock.now_s - 0.2, 5.0)
         gateway._handle_updates(
             Envelope('g1', 'c1', TableUpdates([TableUpdate('t', 0, 9, 100, [], 4900)]))
         )
--- a/tests/organisations/test_strict_revocation.py
+++ b/tests/organisations/test_strict_revocation.py
@@ -46,7 +46,7 @@
             Organisations([(ORGANISATION, [key])]),
             key,
             is_public=False,
-            config_age_s=self.clock.greatest_age_s(self.copy.confirmed_ms),
+            config_age_s=self.clock.age_upper_bound_s(self.copy.confirmed_ms),
             rule=RULE,
         )
         return isinstance(found, AccessGranted)
@@ -92,7 +92,7 @@
 
     def take_page(self, number: int, asked_s: float, page: Page) -> None:
         gateway = self.gateways[number]
-        answered_s = gateway.clock.answered_s(asked_s, self.now.now_s, page.now_ms / 1000)
+        answered_s = gateway.clock.estimate_answer_s(asked_s, self.now.now_s, page.now_ms / 1000)
         gateway.copy.take_full(page)
         gateway.copy.note_confirmed(answered_s, page.as_of_ms)
 
@@ -113,12 +113,12 @@
     def take_query(self, asker: int, asked: int, asked_s: float) -> None:
         answering = self.gateways[asked]
         if answering.clock.is_known:
-            latest_s = answering.clock.latest_ms() / 1000
+            latest_s = answering.clock.now_upper_bound_ms() / 1000
             self.on_the_way.append((self.take_clock, asker, asked_s, latest_s))
         self.pass_on(asked, asker)
 
     def take_clock(self, number: int, asked_s: float, store_s: float) -> None:
-        self.gateways[number].clock.note_answer(asked_s, store_s)
+        self.gateways[number].clock.record_answer(asked_s, store_s)
 
     @rule(data=st.data(), again=st.booleans())
     def deliver(self, data: st.DataObject, again: bool) -> None:
