--- a/limeshelf/feeds/follower.py
+++ b/limeshelf/feeds/follower.py
@@ -1,7 +1,7 @@
 """Polls the store for the changes of a table, if this process is due to poll.
 
 Owns whether the store answered the latest call for the table. Uses the store's feed of changes,
-and :mod:`limeshelf.feeds.store_reach` for the delay after failures. Applies the answers to a
+and :mod:`limeshelf.feeds.store_backoff` for the delay after failures. Applies the answers to a
 :class:`~limeshelf.feeds.table_copy.TableCopy`.
 """
 
@@ -14,7 +14,7 @@
 from limeshelf.errors import PlatformUnavailable, PlatformUnknown
 from limeshelf.feeds.position import Position
 from limeshelf.feeds.rows import HistoryGone
-from limeshelf.feeds.store_reach import StoreReach
+from limeshelf.feeds.store_backoff import StoreBackoff
 from limeshelf.metrics.event_log import log_change
 from limeshelf.util.backoff import jittered_s
 
@@ -68,7 +68,7 @@
     """Keeps the copy of one table up to date from the store.
 
     :param polling: decides whether this process polls the store now.
-    :param reach: back-off that is shared by all tables that this process follows.
+    :param backoff: back-off that is shared by all tables that this process follows.
     :param on_page: called after an answer of the store was applied, with the copy and its
         position before that.
     :ivar has_answered: whether the store has ever answered.
@@ -79,14 +79,14 @@
         copy: TableCopy,
         store: RowStore,
         polling: StorePolling | None = None,
-        reach: StoreReach | None = None,
+        backoff: StoreBackoff | None = None,
         on_page: Callable[[TableCopy, Position], None] = lambda copy, after: None,
     ) -> None:
         self.copy = copy
         self.has_answered = False
         self._store = store
         self._polling = polling or AlwaysDue()
-        self._reach = reach or StoreReach()
+        self._backoff = backoff or StoreBackoff()
         self._on_page = on_page
         self._is_store_lost = False
         # Consecutive answers that did not continue the copy.
@@ -104,7 +104,7 @@
             await self._pause_before_full_read()
             after = copy.position
             try:
-                async with self._reach.attempt(self._polling.spread_s) as is_probe:
+                async with self._backoff.attempt(self._polling.spread_s) as is_probe:
                     page = await self._poll(0.0 if is_probe else copy.rule.wait_s)
             except HistoryGone:
                 self._handle_history_gone()
--- a/limeshelf/feeds/store_reach.py
+++ b/limeshelf/feeds/store_backoff.py
@@ -26,7 +26,7 @@
 PAUSE_CHECK_INTERVAL_S = 0.25
 
 
-class StoreReach:
+class StoreBackoff:
     """Back-off of calls to the store, shared by all tables that this process follows.
 
     While the latest call has failed, only one table at a time calls the store, as a probe: with
--- a/limeshelf/programs/followed_tables.py
+++ b/limeshelf/programs/followed_tables.py
@@ -15,7 +15,7 @@
 from limeshelf.feeds.follow_rule import FollowRule
 from limeshelf.feeds.follower import TableFollower
 from limeshelf.feeds.restore_rule import RestoreRule
-from limeshelf.feeds.store_reach import StoreReach
+from limeshelf.feeds.store_backoff import StoreBackoff
 from limeshelf.feeds.table_copy import TableCopy
 from limeshelf.membership.member import MEMBER_TABLE
 from limeshelf.metrics.event_log import log_change
@@ -183,5 +183,5 @@
     members.return_listeners.append(registration.rewrite_if_lost)
     quarantine.return_listeners.append(keeper.note_return)
     rows.copies.update({copy.table: copy for copy in copies})
-    reach = StoreReach()
-    return [TableFollower(copy, store, rows, reach, rows.broadcast_page) for copy in copies]
+    backoff = StoreBackoff()
+    return [TableFollower(copy, store, rows, backoff, rows.broadcast_page) for copy in copies]
--- a/tests/feeds/test_late_configuration.py
+++ b/tests/feeds/test_late_configuration.py
@@ -23,12 +23,12 @@
 import attrs
 
 from limeshelf.errors import PlatformUnknown
-from limeshelf.feeds import store_reach
+from limeshelf.feeds import store_backoff
 from limeshelf.feeds.follow_rule import FollowRule
 from limeshelf.feeds.follower import TableFollower
 from limeshelf.feeds.position import BEGINNING, Position
 from limeshelf.feeds.rows import Page, Row
-from limeshelf.feeds.store_reach import StoreReach
+from limeshelf.feeds.store_backoff import StoreBackoff
 from limeshelf.feeds.table_copy import TableCopy
 from limeshelf.util.clock import boottime_s
 from tests.support.positions import at
@@ -115,15 +115,15 @@
 
 
 def test_held_call_for_one_table_does_not_block_another(monkeypatch: Any) -> None:
-    monkeypatch.setattr(store_reach, 'equal_jitter_s', lambda attempt, base_s, limit_s: 0.01)
+    monkeypatch.setattr(store_backoff, 'equal_jitter_s', lambda attempt, base_s, limit_s: 0.01)
 
     async def scenario() -> float:
-        store, polling, reach = Store(), IsolatedGateway(), StoreReach()
+        store, polling, backoff = Store(), IsolatedGateway(), StoreBackoff()
         members = copy_updated_by_peer('members', FollowRule(wait_s=MEMBERS_WAIT_S))
         config = copy_updated_by_peer('op', FollowRule(wait_s=CONFIG_WAIT_S))
         # The members table calls the store first.
         followers = [
-            TableFollower(copy, store, polling, reach)  # type: ignore[arg-type]
+            TableFollower(copy, store, polling, backoff)  # type: ignore[arg-type]
             for copy in (members, config)
         ]
         polling.due.set()
