--- a/limeshelf/crashes/keeper.py
+++ b/limeshelf/crashes/keeper.py
@@ -91,7 +91,7 @@
         lost = [
             key
             for key, known in self._rows.items()
-            if known.position.era < era and not copy.has_of_this_era(key)
+            if known.position.era < era and not copy.is_in_current_era(key)
         ]
         for key in lost:
             del self._rows[key]
--- a/limeshelf/feeds/follower.py
+++ b/limeshelf/feeds/follower.py
@@ -96,7 +96,7 @@
     async def run(self) -> None:
         """Follow the table until cancelled."""
         copy = self.copy
-        await asyncio.sleep(random.uniform(0.5, 1.0) * copy.rule.max_start_delay_s)
+        await asyncio.sleep(random.uniform(0.5, 1.0) * copy.follow_rule.max_start_delay_s)
         while True:
             if copy.confirmed_s and not self._polling.is_due():
                 await self._polling.until_due()
@@ -105,7 +105,7 @@
             after = copy.position
             try:
                 async with self._backoff.attempt(self._polling.spread_s) as is_probe:
-                    page = await self._poll(0.0 if is_probe else copy.rule.wait_s)
+                    page = await self._poll(0.0 if is_probe else copy.follow_rule.wait_s)
             except HistoryGone:
                 self._handle_history_gone()
                 continue
@@ -120,17 +120,18 @@
                 continue
             if copy.position.era > after.era:
                 self._unusable_answers = self._full_reads_before_retry = 0
-            copy.note_confirmed(page.answered_s, page.as_of_ms)
+            copy.record_confirmation(page.answered_s, page.as_of_ms)
             self._log_reached()
             self._on_page(copy, after)
             if page.rows:
-                await asyncio.sleep(copy.rule.batch_delay_s)
+                await asyncio.sleep(copy.follow_rule.batch_delay_s)
 
     async def _pause_before_full_read(self) -> None:
         """Pause if the last answers did not continue the copy, to prevent a busy loop."""
         if self._unusable_answers > 1 and self.copy.needs_full_read:
             limit_s = min(
-                FULL_READ_PAUSE_RATIO * self.copy.rule.stale_after_s, FULL_READ_PAUSE_LIMIT_S
+                FULL_READ_PAUSE_RATIO * self.copy.follow_rule.stale_after_s,
+                FULL_READ_PAUSE_LIMIT_S,
             )
             await asyncio.sleep(jittered_s(limit_s))
 
@@ -143,13 +144,13 @@
         copy = self.copy
         if copy.needs_full_read:
             page = await self._store.read(copy.table)
-            is_newest = copy.take_full(page)
+            is_newest = copy.apply_full_read(page)
             if self._full_reads_before_retry:
                 self._full_reads_before_retry -= 1
                 copy.needs_full_read = True
             return page if is_newest else None
         page = await self._store.changes(copy.table, copy.position, wait_s)
-        if not copy.take_changes(page):
+        if not copy.apply_changes(page):
             copy.needs_full_read = True
             return None
         self._unusable_answers = 0
--- a/limeshelf/feeds/table_copy.py
+++ b/limeshelf/feeds/table_copy.py
@@ -37,7 +37,7 @@
     deleted rows, which are kept for this purpose.
 
     :param listener: called with each row that replaces an older one or is new.
-    :param return_rule: which rows of an earlier era of the store are valid in a later one.
+    :param restore_rule: which rows of an earlier era of the store are valid in a later one.
     :ivar position: position of the store up to which the rows are complete.
     :ivar confirmed_s: when the store last confirmed to any gateway that the rows are complete, on
         the clock of :func:`~limeshelf.util.clock.boottime_s`; 0 if never.
@@ -50,18 +50,18 @@
     :ivar confirmed_by: source of the confirmation of ``confirmed_s``, as in ``source``.
     :ivar needs_full_read: whether changes may be missing that the store no longer has, so that
         the whole table must be read to find which rows exist.
-    :ivar return_listeners: called with the copy after rows of a later era have been applied.
+    :ivar restore_listeners: called with the copy after rows of a later era have been applied.
     """
 
     def __init__(
         self,
         table: str,
         listener: Callable[[Row], None],
-        rule: FollowRule | None = None,
-        return_rule: RestoreRule | None = None,
+        follow_rule: FollowRule | None = None,
+        restore_rule: RestoreRule | None = None,
     ) -> None:
         self.table = table
-        self.rule = rule or FollowRule()
+        self.follow_rule = follow_rule or FollowRule()
         self.position = BEGINNING
         self.confirmed_s = 0.0
         self.confirmed_ms = 0
@@ -69,10 +69,10 @@
         self.source = ''
         self.confirmed_by = ''
         self.needs_full_read = True
-        self.return_listeners: list[Callable[[TableCopy], None]] = []
+        self.restore_listeners: list[Callable[[TableCopy], None]] = []
         self._rows: dict[str, Row] = {}
         self._listener = listener
-        self._return_rule = return_rule or RestoreRule()
+        self._restore_rule = restore_rule or RestoreRule()
         self._era_began_s = 0.0
         self._may_have_earlier_rows = False
         # Keys that exist in the current era of the store, but with an older row than the one
@@ -87,7 +87,7 @@
     @property
     def is_stale(self) -> bool:
         """Return whether the last confirmation is older than the table's rule allows."""
-        return self.age_s > self.rule.stale_after_s
+        return self.age_s > self.follow_rule.stale_after_s
 
     @property
     def peers_overdue_s(self) -> float:
@@ -95,7 +95,7 @@
 
         Negative while they are not overdue.
         """
-        return boottime_s() - self.peer_confirmed_s - self.rule.stale_after_s
+        return boottime_s() - self.peer_confirmed_s - self.follow_rule.stale_after_s
 
     def rows(self) -> list[Row]:
         """Return the rows that exist."""
@@ -105,21 +105,21 @@
         """Return the rows that changed after a position, including deleted ones."""
         return [row for row in self._rows.values() if row.position > position]
 
-    def has_of_this_era(self, key: str) -> bool:
+    def is_in_current_era(self, key: str) -> bool:
         """Return whether a row exists in the known era of the store, even if it is outdated."""
         row = self._rows.get(key)
         return key in self._outdated_keys or (
             row is not None and not row.gone and row.position.era == self.position.era
         )
 
-    def value_of_this_era(self, key: str) -> bytes | None:
+    def current_era_value(self, key: str) -> bytes | None:
         """Return a row's value in the known era; ``None`` if it is missing or outdated there."""
         row = self._rows.get(key)
         if row is None or row.gone or row.position.era != self.position.era:
             return None
         return row.value
 
-    def take(self, rows: Iterable[Row]) -> None:
+    def apply_rows(self, rows: Iterable[Row]) -> None:
         """Apply each row that is newer than the known one."""
         for row in rows:
             known = self._rows.get(row.key)
@@ -135,7 +135,7 @@
     def _replaces(self, row: Row, known: Row) -> bool:
         if row.position.era == known.position.era:
             return row.position > known.position
-        return self._return_rule.replaces(row, known)
+        return self._restore_rule.replaces(row, known)
 
     def _store_row(self, row: Row, known: Row | None) -> None:
         if row.gone and known is not None and not row.value:
@@ -154,7 +154,7 @@
         if known is not None and not known.gone and known.position.era == era:
             self._outdated_keys.add(row.key)
 
-    def take_update(
+    def apply_update(
         self,
         rows: Iterable[Row],
         after: Position,
@@ -178,18 +178,18 @@
             if upto > self.position:
                 self.needs_full_read = False
             era_changed = self._advance_era(upto)
-            self.take(rows)
+            self.apply_rows(rows)
             self.position = upto
             confirmed_s = boottime_s() - age_s
-            self.note_confirmed(confirmed_s, confirmed_ms, peer)
+            self.record_confirmation(confirmed_s, confirmed_ms, peer)
             self.peer_confirmed_s = max(self.peer_confirmed_s, confirmed_s)
             if era_changed:
-                self._notify_return_listeners()
+                self._notify_restore_listeners()
         else:
-            self.take(rows)
+            self.apply_rows(rows)
         return continuity
 
-    def take_changes(self, page: Page) -> bool:
+    def apply_changes(self, page: Page) -> bool:
         """Apply the changes after the known position, as the store answered them.
 
         :return: whether the page continues the copy. A page of another era does not, because rows
@@ -199,11 +199,11 @@
             self.needs_full_read |= page.position > self.position
             return False
         self.source = STORE
-        self.take(page.rows)
+        self.apply_rows(page.rows)
         self.position = max(self.position, page.position)
         return True
 
-    def take_full(self, page: Page) -> bool:
+    def apply_full_read(self, page: Page) -> bool:
         """Apply a full read; known rows of its era that it does not contain were deleted.
 
         :return: whether the page is of the newest known era. A delayed answer of an earlier era
@@ -216,10 +216,10 @@
         if page.position >= self.position:
             self._delete_missing_rows(page)
             self.position = page.position
-        self.take(page.rows)
+        self.apply_rows(page.rows)
         self.needs_full_read = False
         if era_changed:
-            self._notify_return_listeners()
+            self._notify_restore_listeners()
         return True
 
     def _delete_missing_rows(self, page: Page) -> None:
@@ -231,7 +231,7 @@
             for row in self.rows()
             if row.key not in present and row.position.era == era and row.position <= page.position
         ]
-        self.take(missing)
+        self.apply_rows(missing)
 
     def _advance_era(self, position: Position) -> bool:
         """Switch to the era of *position* if it is later; return whether the store was restored.
@@ -260,15 +260,15 @@
         )
         return True
 
-    def _notify_return_listeners(self) -> None:
-        for listener in self.return_listeners:
+    def _notify_restore_listeners(self) -> None:
+        for listener in self.restore_listeners:
             listener(self)
 
     @property
     def _is_retention_over(self) -> bool:
-        return boottime_s() - self._era_began_s > self._return_rule.retention_s
+        return boottime_s() - self._era_began_s > self._restore_rule.retention_s
 
-    def drop_unwritten(self) -> None:
+    def drop_lost_rows(self) -> None:
         """Drop rows of earlier eras that were not written again within the retention period."""
         if not self._may_have_earlier_rows or not self._is_retention_over:
             return
@@ -284,7 +284,7 @@
         for row in lost:
             self._store_row(row, self._rows[row.key])
 
-    def note_confirmed(self, at_s: float, store_ms: int = 0, source: str = STORE) -> None:
+    def record_confirmation(self, at_s: float, store_ms: int = 0, source: str = STORE) -> None:
         """Record that the store confirmed the rows as complete.
 
         :param at_s: estimated time of the confirmation, on this machine's boot clock.
--- a/limeshelf/membership/registration.py
+++ b/limeshelf/membership/registration.py
@@ -97,7 +97,7 @@
         """Have this gateway's row written again if a restore of the store lost or reverted it."""
         era = copy.position.era
         is_written = self._written is not None and self._written.era >= era
-        if not is_written and copy.value_of_this_era(self.instance_id) != self._own_value():
+        if not is_written and copy.current_era_value(self.instance_id) != self._own_value():
             self._row_lost.set()
 
     def apply_row(self, row: Row) -> bool:
--- a/limeshelf/membership/row_exchange.py
+++ b/limeshelf/membership/row_exchange.py
@@ -131,7 +131,7 @@
                 self._polling_due.set()
                 self._polling_due = asyncio.Event()
             for copy in self.copies.values():
-                copy.drop_unwritten()
+                copy.drop_lost_rows()
             if self._needs_query():
                 self._query_random_peer()
             await asyncio.sleep(self._next_check_s())
@@ -209,7 +209,7 @@
     def _apply_update(self, copy: TableCopy, update: TableUpdate, peer: str) -> Continuity:
         upto = position_from_message(update.upto_era, update.upto)
         self.clock.advance_era(upto.era)
-        return copy.take_update(
+        return copy.apply_update(
             rows_from_update(update),
             position_from_message(update.after_era, update.after),
             upto,
--- a/limeshelf/programs/followed_tables.py
+++ b/limeshelf/programs/followed_tables.py
@@ -176,12 +176,12 @@
         ),
     )
     for copy in copies:
-        copy.return_listeners.append(
+        copy.restore_listeners.append(
             lambda copy: metrics.observe_return(copy.table, copy.position.era)
         )
     (_, _, members, quarantine) = copies
-    members.return_listeners.append(registration.rewrite_if_lost)
-    quarantine.return_listeners.append(keeper.note_return)
+    members.restore_listeners.append(registration.rewrite_if_lost)
+    quarantine.restore_listeners.append(keeper.note_return)
     rows.copies.update({copy.table: copy for copy in copies})
     backoff = StoreBackoff()
     return [TableFollower(copy, store, rows, backoff, rows.broadcast_page) for copy in copies]
--- a/tests/crashes/test_keeper.py
+++ b/tests/crashes/test_keeper.py
@@ -184,10 +184,10 @@
         state = SuspectState(CALL, frozenset({R1, R2}))
         copy = TableCopy(QUARANTINE_TABLE, lambda row: None)
         row = Row(CALL, write_value(state), at(60, 1))
-        copy.take_full(Page((row,), at(60, 1)))
+        copy.apply_full_read(Page((row,), at(60, 1)))
         for keeper in keepers:
             keeper.take_row(row)
-        copy.take_full(Page((), at(40, 2)))
+        copy.apply_full_read(Page((), at(40, 2)))
         for keeper in keepers:
             keeper.note_return(copy)
 
@@ -203,8 +203,8 @@
     def note(keeper: QuarantineKeeper) -> None:
         copy = TableCopy(QUARANTINE_TABLE, keeper.take_row)
         state = SuspectState(CALL, frozenset({R1, R2}))
-        copy.take_full(Page((Row(CALL, write_value(state), at(60, 1)),), at(60, 1)))
-        copy.take_full(Page((store.rows[CALL],), at(41, 2)))
+        copy.apply_full_read(Page((Row(CALL, write_value(state), at(60, 1)),), at(60, 1)))
+        copy.apply_full_read(Page((store.rows[CALL],), at(41, 2)))
         keeper.note_return(copy)
 
     play(store, saw, note=note)
--- a/tests/feeds/test_follower.py
+++ b/tests/feeds/test_follower.py
@@ -132,9 +132,9 @@
     for drawn, version, is_full in pages:
         if is_full:
             existing = tuple(row for row in drawn if not row.gone and row.position <= at(version))
-            copy.take_full(Page(existing, at(version)))
+            copy.apply_full_read(Page(existing, at(version)))
         else:
-            copy.take(drawn)
+            copy.apply_rows(drawn)
 
 
 async def _until(condition: Any) -> None:
--- a/tests/feeds/test_late_configuration.py
+++ b/tests/feeds/test_late_configuration.py
@@ -102,7 +102,7 @@
 
 def copy_updated_by_peer(table: str, rule: FollowRule) -> TableCopy:
     copy = TableCopy(table, lambda row: None, rule)
-    copy.take_update([], at(0), at(1), 0.0)
+    copy.apply_update([], at(0), at(1), 0.0)
     return copy
 
 
@@ -132,7 +132,7 @@
         # Peers still send updates, as they do to a gateway that is due; only the store is
         # unavailable.
         for copy in (members, config):
-            copy.take_update([], at(0), at(1), 0.0)
+            copy.apply_update([], at(0), at(1), 0.0)
         store.is_unavailable = False
         store.put('op')
         took_s = await until(lambda: config.rows(), MEMBERS_WAIT_S + 1.0)
--- a/tests/feeds/test_restored_store.py
+++ b/tests/feeds/test_restored_store.py
@@ -161,7 +161,7 @@
         copy = self.gateways[number].copy
         if copy.needs_full_read:
             page = self.store.read()
-            return lambda: copy.take_full(page)
+            return lambda: copy.apply_full_read(page)
         try:
             page = self.store.changes(copy.position)
         except HistoryGone:
@@ -170,7 +170,7 @@
                 copy.needs_full_read = True
 
             return handle_history_gone
-        return lambda: copy.take_changes(page)
+        return lambda: copy.apply_changes(page)
 
     def _send(self, sender: int, receiver: int, after: Position) -> None:
         copy = self.gateways[sender].copy
@@ -178,7 +178,7 @@
         receiving_copy = self.gateways[receiver].copy
 
         def apply() -> None:
-            if receiving_copy.take_update(rows, after, upto, 0.0) is Continuity.CONTINUES:
+            if receiving_copy.apply_update(rows, after, upto, 0.0) is Continuity.CONTINUES:
                 assert receiving_copy.position == upto
 
         self.in_transit.append(apply)
--- a/tests/feeds/test_table_copy.py
+++ b/tests/feeds/test_table_copy.py
@@ -14,8 +14,8 @@
 def copy_of(*rows: Row) -> TableCopy:
     """Return a copy that was just read in full, at version 7."""
     copy = TableCopy('t', lambda row: None, FollowRule(stale_after_s=2.0))
-    copy.take_full(Page(rows, at(7)))
-    copy.note_confirmed(boottime_s())
+    copy.apply_full_read(Page(rows, at(7)))
+    copy.record_confirmation(boottime_s())
     return copy
 
 
@@ -35,10 +35,10 @@
     with virtual_clock() as clock:
         copy = copy_of()
         clock.advance(3.0)
-        assert copy.take_update([], at(7), at(8), 1.0) is Continuity.CONTINUES
+        assert copy.apply_update([], at(7), at(8), 1.0) is Continuity.CONTINUES
         assert (copy.position, copy.age_s) == (at(8), 1.0)
         # An older confirmation does not replace a newer one.
-        assert copy.take_update([], at(7), at(8), 2.0) is Continuity.CONTINUES
+        assert copy.apply_update([], at(7), at(8), 2.0) is Continuity.CONTINUES
         assert copy.age_s == 1.0
 
 
@@ -46,7 +46,7 @@
     with virtual_clock() as clock:
         copy = copy_of()
         clock.advance(3.0)
-        assert copy.take_update([Row('a', b'1', at(9))], at(8), at(9), 0.0) is Continuity.GAP
+        assert copy.apply_update([Row('a', b'1', at(9))], at(8), at(9), 0.0) is Continuity.GAP
         assert [row.key for row in copy.rows()] == ['a']
         assert (copy.position, copy.age_s) == (at(7), 3.0)
 
@@ -54,7 +54,7 @@
 def test_full_read_deletes_rows_that_it_lacks() -> None:
     copy = copy_of(Row('a', b'1', at(5)), Row('b', b'1', at(6)))
     copy.needs_full_read = True
-    copy.take_full(Page((Row('a', b'1', at(5)),), at(9)))
+    copy.apply_full_read(Page((Row('a', b'1', at(5)),), at(9)))
     assert [row.key for row in copy.rows()] == ['a']
     assert [(row.key, row.gone) for row in copy.rows_after(at(7))] == [('b', True)]
     assert not copy.needs_full_read
@@ -68,81 +68,81 @@
 def copy_with_writer_versions(retention_s: float = 2.0) -> TableCopy:
     copy = TableCopy('t', lambda row: None, FollowRule(), RestoreRule(writer_version, retention_s))
     rows = (Row('a', b'5', at(60, 1)), Row('b', b'5', at(70, 1)))
-    copy.take_full(Page(rows, at(80, 1)))
+    copy.apply_full_read(Page(rows, at(80, 1)))
     return copy
 
 
 def test_full_read_of_later_era_is_applied_at_lower_version() -> None:
     copy = TableCopy('t', lambda row: None)
-    copy.take_full(Page((Row('a', b'old', at(75, 1)),), at(80, 1)))
-    assert copy.take_full(Page((Row('a', b'new', at(41, 2)),), at(42, 2)))
+    copy.apply_full_read(Page((Row('a', b'old', at(75, 1)),), at(80, 1)))
+    assert copy.apply_full_read(Page((Row('a', b'new', at(41, 2)),), at(42, 2)))
     assert copy.position == at(42, 2)
     assert [row.value for row in copy.rows()] == [b'new']
 
 
 def test_changes_of_later_era_need_full_read_even_at_higher_version() -> None:
     copy = copy_with_writer_versions()
-    assert not copy.take_changes(Page((Row('a', b'9', at(90, 2)),), at(90, 2)))
+    assert not copy.apply_changes(Page((Row('a', b'9', at(90, 2)),), at(90, 2)))
     assert copy.needs_full_read
     assert copy.position == at(80, 1)
 
 
 def test_delayed_answer_of_earlier_era_is_ignored() -> None:
     copy = copy_with_writer_versions()
-    copy.take_full(Page((Row('a', b'6', at(41, 2)),), at(42, 2)))
-    assert not copy.take_full(Page((Row('a', b'5', at(60, 1)),), at(99, 1)))
-    assert not copy.take_changes(Page((Row('a', b'5', at(98, 1)),), at(99, 1)))
+    copy.apply_full_read(Page((Row('a', b'6', at(41, 2)),), at(42, 2)))
+    assert not copy.apply_full_read(Page((Row('a', b'5', at(60, 1)),), at(99, 1)))
+    assert not copy.apply_changes(Page((Row('a', b'5', at(98, 1)),), at(99, 1)))
     assert not copy.needs_full_read
-    assert copy.take_update([], at(1, 1), at(99, 1), 0.0) is Continuity.BEHIND
+    assert copy.apply_update([], at(1, 1), at(99, 1), 0.0) is Continuity.BEHIND
     assert copy.position == at(42, 2)
     assert {row.key: row.value for row in copy.rows()}['a'] == b'6'
 
 
 def test_older_row_of_restored_store_is_not_applied() -> None:
     copy = copy_with_writer_versions()
-    copy.take_full(Page((Row('a', b'3', at(41, 2)),), at(42, 2)))
+    copy.apply_full_read(Page((Row('a', b'3', at(41, 2)),), at(42, 2)))
     assert {row.key: row.value for row in copy.rows()}['a'] == b'5'
-    assert copy.has_of_this_era('a')
-    copy.take_changes(Page((Row('a', b'5', at(43, 2)),), at(43, 2)))
+    assert copy.is_in_current_era('a')
+    copy.apply_changes(Page((Row('a', b'5', at(43, 2)),), at(43, 2)))
     assert {row.key: row.position for row in copy.rows()}['a'] == at(43, 2)
 
 
 def test_deleted_row_of_restored_store_is_not_applied() -> None:
     copy = copy_with_writer_versions()
-    copy.take_changes(Page((Row('a', b'', at(81, 1), gone=True),), at(81, 1)))
-    copy.take_full(Page((Row('a', b'5', at(41, 2)), Row('b', b'5', at(40, 2))), at(42, 2)))
+    copy.apply_changes(Page((Row('a', b'', at(81, 1), gone=True),), at(81, 1)))
+    copy.apply_full_read(Page((Row('a', b'5', at(41, 2)), Row('b', b'5', at(40, 2))), at(42, 2)))
     assert [row.key for row in copy.rows()] == ['b']
-    copy.take_changes(Page((Row('a', b'6', at(43, 2)),), at(43, 2)))
+    copy.apply_changes(Page((Row('a', b'6', at(43, 2)),), at(43, 2)))
     assert sorted(row.key for row in copy.rows()) == ['a', 'b']
 
 
 def test_row_not_written_again_is_dropped_after_retention_period() -> None:
     with virtual_clock() as clock:
         copy = copy_with_writer_versions(retention_s=2.0)
-        copy.take_full(Page((Row('a', b'5', at(41, 2)),), at(42, 2)))
+        copy.apply_full_read(Page((Row('a', b'5', at(41, 2)),), at(42, 2)))
         clock.advance(1.9)
-        copy.drop_unwritten()
+        copy.drop_lost_rows()
         assert sorted(row.key for row in copy.rows()) == ['a', 'b']
         clock.advance(0.2)
-        copy.drop_unwritten()
+        copy.drop_lost_rows()
         assert [row.key for row in copy.rows()] == ['a']
         # A delayed update of a peer does not add it again either.
-        copy.take_update([Row('b', b'5', at(70, 1))], at(0), at(80, 1), 0.0)
+        copy.apply_update([Row('b', b'5', at(70, 1))], at(0), at(80, 1), 0.0)
         assert [row.key for row in copy.rows()] == ['a']
 
 
 def test_new_gateway_receives_rows_lost_by_the_store_from_a_peer() -> None:
     copy = TableCopy('t', lambda row: None, FollowRule(), RestoreRule(writer_version))
-    copy.take_full(Page((Row('a', b'3', at(41, 2)),), at(42, 2)))
-    copy.take_update([Row('a', b'5', at(60, 1))], at(0), at(42, 2), 0.0)
+    copy.apply_full_read(Page((Row('a', b'3', at(41, 2)),), at(42, 2)))
+    copy.apply_update([Row('a', b'5', at(60, 1))], at(0), at(42, 2), 0.0)
     assert [row.value for row in copy.rows()] == [b'5']
 
 
 def test_update_into_later_era_is_complete() -> None:
     polling, other = copy_with_writer_versions(), copy_with_writer_versions()
     after = polling.position
-    polling.take_full(Page((Row('a', b'7', at(41, 2)),), at(42, 2)))
-    continuity = other.take_update(polling.rows_after(after), after, polling.position, 0.0)
+    polling.apply_full_read(Page((Row('a', b'7', at(41, 2)),), at(42, 2)))
+    continuity = other.apply_update(polling.rows_after(after), after, polling.position, 0.0)
     assert continuity is Continuity.CONTINUES
     assert other.position == at(42, 2)
     assert {row.key: row.value for row in other.rows()}['a'] == b'7'
@@ -151,6 +151,6 @@
 def test_confirmations_of_earlier_era_are_discarded() -> None:
     """The store's clock may have started anew, at a lower time."""
     copy = copy_with_writer_versions()
-    copy.note_confirmed(boottime_s(), 900_000)
-    copy.take_full(Page((), at(42, 2)))
+    copy.record_confirmation(boottime_s(), 900_000)
+    copy.apply_full_read(Page((), at(42, 2)))
     assert copy.confirmed_ms == 0
--- a/tests/membership/test_registration.py
+++ b/tests/membership/test_registration.py
@@ -89,10 +89,10 @@
         task = asyncio.create_task(own_registration.keep_row(written))
         await asyncio.sleep(0.01)
         copy = TableCopy(MEMBER_TABLE, lambda row: None)
-        copy.take_full(Page((Row('g-1', b'', at(50, 1)),), at(60, 1)))
-        copy.return_listeners.append(own_registration.rewrite_if_lost)
+        copy.apply_full_read(Page((Row('g-1', b'', at(50, 1)),), at(60, 1)))
+        copy.restore_listeners.append(own_registration.rewrite_if_lost)
         rows = () if left is None else (Row('g-1', left, at(30, 2)),)
-        copy.take_full(Page(rows, at(40, 2)))
+        copy.apply_full_read(Page(rows, at(40, 2)))
         await asyncio.sleep(0.01)
         task.cancel()
 
--- a/tests/membership/test_row_exchange.py
+++ b/tests/membership/test_row_exchange.py
@@ -151,9 +151,9 @@
         gateway = exchange('g2', 'g1')
         gateway._handle_updates(update(0, 9))
         copy = gateway.copies['t']
-        clock.advance(copy.rule.stale_after_s + 1.0)
+        clock.advance(copy.follow_rule.stale_after_s + 1.0)
         gateway.members.record_message('g1', 'c1')
-        copy.note_confirmed(clock.now_s)
+        copy.record_confirmation(clock.now_s)
         assert gateway.is_due()
         gateway._handle_updates(update(9, 9))
         assert not gateway.is_due()
@@ -181,7 +181,7 @@
         gateway.members.record_message('g1', 'c1')
         gateway._handle_updates(update(0, 9))
         assert gateway.is_due()
-        gateway.copies['u'].take_update([], at(0), at(9), 0.0)
+        gateway.copies['u'].apply_update([], at(0), at(9), 0.0)
         assert not gateway.is_due()
 
 
@@ -203,7 +203,7 @@
         await asyncio.sleep(0.05)
         assert store.calls == 1
         for _ in range(8):
-            copy.take_update([], at(7), at(7), 0.0)
+            copy.apply_update([], at(7), at(7), 0.0)
             await asyncio.sleep(0.05)
         assert store.calls == 1
         await asyncio.sleep(0.6)
@@ -218,7 +218,7 @@
         gateway, other = exchange('g1', 'g2'), exchange('g2', 'g1')
         # The store's clock shows 5 s while this machine's clock shows 1,000 s.
         other.clock.record_answer(clock.now_s, 5.0)
-        other.copies['t'].take_update([], at(0), at(9), 0.0, 5000)
+        other.copies['t'].apply_update([], at(0), at(9), 0.0, 5000)
         node: Any = gateway.node
         gateway._query_random_peer()
         clock.advance(0.4)
--- a/tests/membership/test_staleness_log.py
+++ b/tests/membership/test_staleness_log.py
@@ -20,7 +20,7 @@
 
 def copy_confirmed_now(clock: VirtualClock, source: str) -> TableCopy:
     copy = TableCopy('t', lambda row: None)
-    copy.note_confirmed(clock.now_s, source=source)
+    copy.record_confirmation(clock.now_s, source=source)
     return copy
 
 
@@ -30,14 +30,14 @@
         copy = copy_confirmed_now(clock, '10.0.0.1:7600')
         staleness = StalenessLog()
         staleness.check([copy], 1, is_polling=False)
-        clock.advance(copy.rule.stale_after_s + 0.5)
+        clock.advance(copy.follow_rule.stale_after_s + 0.5)
         staleness.check([copy], 1, is_polling=False)
         staleness.check([copy], 1, is_polling=False)
-        copy.note_confirmed(clock.now_s, source=STORE)
+        copy.record_confirmation(clock.now_s, source=STORE)
         staleness.check([copy], 1, is_polling=False)
     assert [event for event, _ in lines] == ['table_stale', 'table_fresh']
     assert lines[0][1]['confirmed_by'] == '10.0.0.1:7600'
-    assert lines[0][1]['age_ms'] == int((copy.rule.stale_after_s + 0.5) * 1000)
+    assert lines[0][1]['age_ms'] == int((copy.follow_rule.stale_after_s + 0.5) * 1000)
     assert lines[1][1]['confirmed_by'] == STORE
 
 
--- a/tests/organisations/test_strict_revocation.py
+++ b/tests/organisations/test_strict_revocation.py
@@ -93,8 +93,8 @@
     def take_page(self, number: int, asked_s: float, page: Page) -> None:
         gateway = self.gateways[number]
         answered_s = gateway.clock.estimate_answer_s(asked_s, self.now.now_s, page.now_ms / 1000)
-        gateway.copy.take_full(page)
-        gateway.copy.note_confirmed(answered_s, page.as_of_ms)
+        gateway.copy.apply_full_read(page)
+        gateway.copy.record_confirmation(answered_s, page.as_of_ms)
 
     @rule(sender=st.integers(0, GATEWAYS - 1), receiver=st.integers(0, GATEWAYS - 1))
     def pass_on(self, sender: int, receiver: int) -> None:
@@ -104,7 +104,7 @@
         )
 
     def take_update(self, number: int, version: int, confirmed_ms: int) -> None:
-        self.gateways[number].copy.take_update([], at(0), at(version), 0.0, confirmed_ms)
+        self.gateways[number].copy.apply_update([], at(0), at(version), 0.0, confirmed_ms)
 
     @rule(asker=st.integers(0, GATEWAYS - 1), asked=st.integers(0, GATEWAYS - 1))
     def query(self, asker: int, asked: int) -> None:
