--- a/limeshelf/dispatch/permits.py
+++ b/limeshelf/dispatch/permits.py
@@ -5,7 +5,7 @@
 answer, because permits issued by every gateway on its own would add up to a multiple of the rate.
 
 Owns the times of the next permits, as reported by pacers. Messages are sent through
-:mod:`limeshelf.peers.questions`.
+:mod:`limeshelf.peers.query_client`.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from limeshelf.dispatch.rate_limiter import RatePermit
 from limeshelf.membership.member import LOCAL
 from limeshelf.metrics.event_log import log_change
-from limeshelf.peers.questions import AVOID_S, Questions
+from limeshelf.peers.query_client import AVOID_S, QueryClient
 from limeshelf.util.clock import MS_PER_S, boottime_s
 from limeshelf.util.identifiers import new_id
 
@@ -62,7 +62,7 @@
         self._directory = directory
         self._notices = notices
         self._limiters = limiters
-        self._questions: Questions[RatePermit] = Questions(node, _log_timeout)
+        self._query_client: QueryClient[RatePermit] = QueryClient(node, _log_timeout)
         self._next_permits: dict[ReplicaStart, _NextPermit] = {}
 
     def start(self) -> None:
@@ -92,12 +92,12 @@
 
     async def _request(self, replica: Replica, max_wait_s: float) -> RatePermit:
         pacer = self._limiters.pacer_of(replica)
-        if pacer is None or self._questions.is_avoided(pacer):
+        if pacer is None or self._query_client.is_avoided(pacer):
             return _NO_PACER
         if pacer == LOCAL:
             return self._limiters.try_acquire(replica, max_wait_s, boottime_s()) or _NO_PACER
         query = _query_of(replica, max_wait_s)
-        return await self._questions.ask(pacer, query.query_id, query) or _NO_PACER
+        return await self._query_client.send_query(pacer, query.query_id, query) or _NO_PACER
 
     def _on_query(self, envelope: Envelope) -> None:
         query: PermitQuery = envelope.message
@@ -118,7 +118,7 @@
     def _on_verdict(self, envelope: Envelope) -> None:
         verdict: PermitVerdict = envelope.message
         permit = RatePermit(verdict.granted, verdict.wait_ms / MS_PER_S)
-        self._questions.answer(verdict.query_id, permit)
+        self._query_client.handle_answer(verdict.query_id, permit)
 
 
 def _query_of(replica: Replica, max_wait_s: float) -> PermitQuery:
--- a/limeshelf/membership/limit_exchange.py
+++ b/limeshelf/membership/limit_exchange.py
@@ -21,7 +21,7 @@
 from limeshelf.organisations.limiter import Decision, Limiter, LimitQuestion, Ruling
 from limeshelf.organisations.pace import Paces
 from limeshelf.organisations.usage import UsageLedger
-from limeshelf.peers.questions import AVOID_S, Questions
+from limeshelf.peers.query_client import AVOID_S, QueryClient
 from limeshelf.util.clock import MS_PER_S, boottime_s
 from limeshelf.util.identifiers import new_id
 
@@ -71,7 +71,7 @@
         self._ledger = UsageLedger(rule.window_s)
         self._limiter: Limiter | None = None
         self._paces = Paces(rule)
-        self._questions: Questions[Decision] = Questions(node, _log_unanswered)
+        self._query_client: QueryClient[Decision] = QueryClient(node, _log_unanswered)
         self._refusals: dict[str, _Refusal] = {}
         #: Whether no limiter decided on the latest call, and when a limiter last did.
         self._is_limiter_unavailable = False
@@ -177,7 +177,7 @@
         addresses = [
             LOCAL if member is own else member.address for member in self._members.own_relays()
         ]
-        return [limiter for limiter in addresses if not self._questions.is_avoided(limiter)]
+        return [limiter for limiter in addresses if not self._query_client.is_avoided(limiter)]
 
     def _decide_locally(self, gateway: str, organisation: str, amount: int) -> Decision:
         config = self._in_force.config
@@ -202,7 +202,7 @@
     ) -> Decision | None:
         """Return the decision of another gateway; ``None`` if it does not answer."""
         query = LimitQuery(new_id('l'), organisation, amount)
-        return await self._questions.ask(address, query.query_id, query)
+        return await self._query_client.send_query(address, query.query_id, query)
 
     def _handle_query(self, envelope: Envelope) -> None:
         query: LimitQuery = envelope.message
@@ -213,7 +213,7 @@
     def _handle_verdict(self, envelope: Envelope) -> None:
         verdict: LimitVerdict = envelope.message
         decision = Decision(verdict.ruling, verdict.wait_ms / MS_PER_S)
-        self._questions.answer(verdict.query_id, decision)
+        self._query_client.handle_answer(verdict.query_id, decision)
 
 
 def _log_unanswered(address: str) -> None:
--- a/limeshelf/peers/questions.py
+++ b/limeshelf/peers/query_client.py
@@ -25,8 +25,8 @@
 AVOID_S = 0.4
 
 
-class Questions(Generic[AnswerT]):
-    """Queries peers, and passes each answer to its pending query.
+class QueryClient(Generic[AnswerT]):
+    """Sends queries to peers, and passes each answer to its pending query.
 
     :param on_timeout: called with the address of a peer that did not answer in time.
     """
@@ -41,8 +41,8 @@
         """Return whether a peer recently did not answer, and must not be queried now."""
         return boottime_s() < self._avoid_until_s.get(address, 0.0)
 
-    async def ask(self, address: str, query_id: str, message: Any) -> AnswerT | None:
-        """Query a peer and return its answer; ``None`` if it does not answer in time."""
+    async def send_query(self, address: str, query_id: str, message: Any) -> AnswerT | None:
+        """Send a query and return the answer; ``None`` if the peer does not answer in time."""
         future: asyncio.Future[AnswerT] = asyncio.get_running_loop().create_future()
         self._pending[query_id] = future
         self._node.send(address, message)
@@ -56,7 +56,7 @@
         finally:
             del self._pending[query_id]
 
-    def answer(self, query_id: str, value: AnswerT) -> None:
+    def handle_answer(self, query_id: str, value: AnswerT) -> None:
         """Pass on the answer to a query, if the query is still pending."""
         future = self._pending.get(query_id)
         if future is not None and not future.done():
--- a/tests/dispatch/test_permits.py
+++ b/tests/dispatch/test_permits.py
@@ -12,7 +12,7 @@
 from limeshelf.dispatch.rate_limiter import RatePermit, ReplicaRateLimiters
 from limeshelf.membership.member import LOCAL
 from limeshelf.peers.codec import Envelope, decode, encode
-from limeshelf.peers.questions import AVOID_S
+from limeshelf.peers.query_client import AVOID_S
 from limeshelf.platform.replicas import read_record
 from limeshelf.replicas.directory import ReplicaDirectory
 from limeshelf.replicas.notices import NoticeTaker
