--- a/limeshelf/peers/codec.py
+++ b/limeshelf/peers/codec.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from limeshelf.peers.framing import MAX_FRAME_BYTES, MalformedMessage
-from limeshelf.peers.messages import kind_of, message_kinds
+from limeshelf.peers.messages import kind_of, message_classes
 from limeshelf.util.decoding import UNREADABLE
 
 
@@ -56,7 +56,7 @@
         raise MalformedMessage
     try:
         frame = _frame_decoder.decode(data)
-        message_class = message_kinds.get(frame.kind)
+        message_class = message_classes.get(frame.kind)
         if message_class is None:
             raise MalformedMessage
         message = msgspec.msgpack.decode(frame.body, type=message_class)
--- a/limeshelf/peers/messages.py
+++ b/limeshelf/peers/messages.py
@@ -10,7 +10,7 @@
 T = TypeVar('T')
 
 #: Message classes by their name on the wire.
-message_kinds: dict[str, type[Any]] = {}
+message_classes: dict[str, type[Any]] = {}
 _kinds: dict[type[Any], str] = {}
 
 
@@ -21,7 +21,7 @@
     """
 
     def add(cls: type[T]) -> type[T]:
-        message_kinds[kind] = cls
+        message_classes[kind] = cls
         _kinds[cls] = kind
         return cls
 
--- a/tests/forms/test_messages.py
+++ b/tests/forms/test_messages.py
@@ -31,7 +31,7 @@
 )
 from limeshelf.membership.row_messages import NO_ERA
 from limeshelf.peers.codec import Envelope, decode, encode
-from limeshelf.peers.messages import message_kinds
+from limeshelf.peers.messages import message_classes
 from tests.support.positions import at
 
 RECORDED = json.loads((Path(__file__).parent / 'messages.json').read_text())
@@ -175,14 +175,14 @@
 
 
 def test_kinds_are_those_recorded() -> None:
-    assert set(message_kinds) == {record['kind'] for record in RECORDED}
+    assert set(message_classes) == {record['kind'] for record in RECORDED}
 
 
 @pytest.mark.parametrize('record', RECORDED, ids=lambda record: record['kind'])
 def test_recorded_frame_is_read_and_written_the_same(record: dict[str, Any]) -> None:
     frame = bytes.fromhex(record['hex'])
     envelope = decode(frame)
-    assert type(envelope.message) is message_kinds[record['kind']]
+    assert type(envelope.message) is message_classes[record['kind']]
     assert envelope == Envelope(*SENDER, envelope.message)
     assert named(envelope.message) == record['message']
     assert encode(envelope) == frame
--- a/tests/peers/test_peers.py
+++ b/tests/peers/test_peers.py
@@ -12,7 +12,7 @@
 from limeshelf.peers.codec import Envelope, decode, encode
 from limeshelf.peers.framing import MalformedMessage, PipeEnd, greeting
 from limeshelf.peers.link import MAX_FRAME_AGE_S, MAX_QUEUED_FRAMES, PeerLink, Traffic
-from limeshelf.peers.messages import message_kinds
+from limeshelf.peers.messages import message_classes
 from limeshelf.peers.node import PeerNode
 from limeshelf.standalone.messages import ConfigPull, Heartbeat
 from tests.support.clock import fake_time
@@ -26,7 +26,7 @@
 
 def check_decoded_or_rejected(data: bytes) -> None:
     try:
-        assert type(decode(data).message) in message_kinds.values()
+        assert type(decode(data).message) in message_classes.values()
     except MalformedMessage:
         return
 
@@ -36,7 +36,7 @@
     check_decoded_or_rejected(data)
 
 
-@given(st.sampled_from(sorted(message_kinds)), VALUES)
+@given(st.sampled_from(sorted(message_classes)), VALUES)
 def test_any_body_is_decoded_or_rejected(kind: str, body: object) -> None:
     frame = {'sender': 'a', 'data_centre': 'x', 'kind': kind, 'body': body}
     check_decoded_or_rejected(msgspec.msgpack.encode(frame))
