--- a/limeshelf/crashes/quarantine_sync.py
+++ b/limeshelf/crashes/quarantine_sync.py
@@ -25,7 +25,7 @@
 if TYPE_CHECKING:
     from limeshelf.crashes.suspects import Suspects, SuspectState
     from limeshelf.feeds.position import Position
-    from limeshelf.feeds.rows import Row, RowTable
+    from limeshelf.feeds.rows import Row, RowStore
     from limeshelf.feeds.table_copy import TableCopy
 
 #: Maximum number of rows in the table; the row written longest ago is deleted first.
@@ -50,7 +50,7 @@
 class QuarantineSync:
     """Writes rows of suspects observed by this gateway, and merges the rows of all gateways."""
 
-    store: RowTable
+    store: RowStore
     suspects: Suspects
     _rows: dict[str, _KnownRow] = attrs.field(factory=dict)
     _unwritten: set[Fingerprint] = attrs.field(factory=set)
@@ -91,7 +91,7 @@
         lost = [
             key
             for key, known in self._rows.items()
-            if known.position.era < era and not copy.has_of_this_era(key)
+            if known.position.era < era and not copy.is_in_current_era(key)
         ]
         for key in lost:
             del self._rows[key]
--- a/limeshelf/lease/row_reader.py
+++ b/limeshelf/lease/row_reader.py
@@ -25,7 +25,7 @@
 from limeshelf.util.clock import MS_PER_S, boottime_s
 
 if TYPE_CHECKING:
-    from limeshelf.feeds.rows import Page, Row, RowTable
+    from limeshelf.feeds.rows import Page, Row, RowStore
     from limeshelf.feeds.store_clock import StoreClock
 
 
@@ -76,7 +76,7 @@
     :param clock: gives the time when the store was last restored from a copy.
     """
 
-    def __init__(self, store: RowTable, holder: str, lease_s: float, clock: StoreClock) -> None:
+    def __init__(self, store: RowStore, holder: str, lease_s: float, clock: StoreClock) -> None:
         self._store = store
         self._holder = holder
         self._lease_s = lease_s
@@ -106,7 +106,7 @@
 
     def _lost_leases_have_expired(self, value: LeaseValue | None) -> bool:
         """Return whether every lease renewed by a write that the store has lost has expired."""
-        since_s = self._clock.returned_s
+        since_s = self._clock.era_changed_s
         if math.isinf(since_s) and value is not None:
             # The time of the restore is unknown; it was before the first read in this era.
             since_s = self._era_seen_s
--- a/limeshelf/platform/configuration.py
+++ b/limeshelf/platform/configuration.py
@@ -25,7 +25,7 @@
 from limeshelf.util.decoding import UNREADABLE
 
 if TYPE_CHECKING:
-    from limeshelf.feeds.return_rule import Newness
+    from limeshelf.feeds.restore_rule import WriterVersion
 
 #: Table and key of the row that holds the complete latest configuration.
 CONFIG_TABLE = 'op'
@@ -132,7 +132,7 @@
 _version_decoder = msgspec.json.Decoder(_VersionOnly, strict=False)
 
 
-def config_newness(value: bytes) -> Newness:
+def config_newness(value: bytes) -> WriterVersion:
     """Return the sort key of a configuration by age: the operator's version."""
     try:
         return (_version_decoder.decode(value).version,)
--- a/limeshelf/platform/replicas.py
+++ b/limeshelf/platform/replicas.py
@@ -16,7 +16,7 @@
 from limeshelf.util.decoding import UNREADABLE
 
 if TYPE_CHECKING:
-    from limeshelf.feeds.return_rule import Newness
+    from limeshelf.feeds.restore_rule import WriterVersion
 
 #: Table of the store in which replicas register.
 REPLICA_TABLE = 'servers'
@@ -185,7 +185,7 @@
     )
 
 
-def record_newness(value: bytes) -> Newness:
+def record_newness(value: bytes) -> WriterVersion:
     """Return the sort key of a replica's row by age: its start, then its heartbeat count."""
     try:
         age = _row_age_decoder.decode(value)
--- a/limeshelf/platform/store.py
+++ b/limeshelf/platform/store.py
@@ -64,7 +64,7 @@
 
 
 class StoreClient:
-    """Implements :class:`limeshelf.feeds.rows.RowTable`, whose errors it raises.
+    """Implements :class:`limeshelf.feeds.rows.RowStore`, whose errors it raises.
 
     :param count_call: called with the operation and the table of each request.
     :param clock: updated with the store's time from its responses.
@@ -79,13 +79,13 @@
         self._base_url = f'http://{address}'
         self._count_call = count_call
         self._clock = clock or StoreClock()
-        self._era = StoreEra(self._clock.enter)
+        self._era = StoreEra(self._clock.advance_era)
         self._session: aiohttp.ClientSession | None = None
 
     def change_address(self, address: str) -> None:
         """Send further requests to another address of the same store."""
         self._base_url = f'http://{address}'
-        self._clock.forget_ways()
+        self._clock.reset_offset_upper_bound()
 
     async def read(self, table: str) -> Page:
         """Return all rows of *table*.
@@ -134,7 +134,7 @@
     def _answered_s(self, sent_s: float, response: StoreResponse) -> float:
         if self._is_from_earlier_era(response):
             return sent_s
-        return self._clock.answered_s(sent_s, boottime_s(), response.now_ms / MS_PER_S)
+        return self._clock.estimate_answer_s(sent_s, boottime_s(), response.now_ms / MS_PER_S)
 
     def _is_from_earlier_era(self, response: StoreResponse) -> bool:
         """Return whether a response is from an earlier era, whose clock is no longer valid."""
@@ -174,7 +174,7 @@
         sent_s = boottime_s()
         response = await self._call('POST', '/rows-tx', body=transaction)
         if response.now_ms and not self._is_from_earlier_era(response):
-            self._clock.note_answer(sent_s, response.now_ms / MS_PER_S)
+            self._clock.record_answer(sent_s, response.now_ms / MS_PER_S)
         return response
 
     async def _call(
--- a/limeshelf/programs/followed_tables.py
+++ b/limeshelf/programs/followed_tables.py
@@ -14,8 +14,8 @@
 from limeshelf.errors import InvalidDocument
 from limeshelf.feeds.follow_rule import FollowRule
 from limeshelf.feeds.follower import TableFollower
-from limeshelf.feeds.return_rule import ReturnRule
-from limeshelf.feeds.store_reach import StoreReach
+from limeshelf.feeds.restore_rule import RestoreRule
+from limeshelf.feeds.store_backoff import StoreBackoff
 from limeshelf.feeds.table_copy import TableCopy
 from limeshelf.membership.member import MEMBER_TABLE
 from limeshelf.metrics.event_log import log_change
@@ -32,7 +32,7 @@
 
     from limeshelf.calls.in_force import ConfigInForce
     from limeshelf.crashes.quarantine_sync import QuarantineSync
-    from limeshelf.feeds.rows import Row, RowTable
+    from limeshelf.feeds.rows import Row, RowStore
     from limeshelf.membership.registration import Registration
     from limeshelf.membership.row_exchange import RowExchange
     from limeshelf.metrics.prometheus import GatewayMetrics
@@ -52,23 +52,23 @@
 #: Gateways rarely start or stop, and failed ones are detected by missing messages. After a
 #: change the next request is delayed by 1 s: if all gateways start at once, each of their rows
 #: would otherwise cause a separate response.
-MEMBER_RULE = FollowRule(wait_s=8.0, pace_s=1.0, stale_s=12.0, first_delay_s=0.7)
+MEMBER_RULE = FollowRule(wait_s=8.0, batch_delay_s=1.0, stale_after_s=12.0, max_start_delay_s=0.7)
 #: The quarantined calls rarely change, and peers announce changes at once; the rows serve
 #: gateways that start or are partitioned from all others. A starting gateway therefore reads
 #: them at once: with an initial delay as for the members, a call that all earlier gateways knew
 #: to crash replicas crashed one through a new gateway in 4 of 8 runs under load, without the
 #: delay in none of 6 (tests/gateway/test_crashing_call.py).
-QUARANTINE_RULE = FollowRule(wait_s=8.0, stale_s=12.0)
+QUARANTINE_RULE = FollowRule(wait_s=8.0, stale_after_s=12.0)
 #: After the store is restored from an older copy, the latest configuration stays in force and is
 #: passed on to starting gateways until the store has one at least as new, because the operator
 #: has already confirmed it.
-CONFIG_RETURN = ReturnRule(config_newness)
+CONFIG_RETURN = RestoreRule(config_newness)
 #: Replicas write their rows with each heartbeat. After a restore, the row of each live replica
 #: that reaches the store is back within this time, in seconds; until then it still gets calls.
-REPLICA_RETURN = ReturnRule(record_newness, kept_s=2.5)
+REPLICA_RETURN = RestoreRule(record_newness, retention_s=2.5)
 #: After a restore, gateways write their own rows again, and failed gateways are detected by
 #: missing messages. Rows of quarantined calls are written again by the gateways that know them.
-OWN_RETURN = ReturnRule(kept_s=10.0)
+OWN_RETURN = RestoreRule(retention_s=10.0)
 
 
 def replica_rule(known_within_s: float) -> FollowRule:
@@ -78,8 +78,8 @@
     """
     return FollowRule(
         wait_s=REPLICA_WAIT_SHARE * known_within_s,
-        pace_s=REPLICA_PACE_SHARE * known_within_s,
-        stale_s=STALE_SHARE * known_within_s,
+        batch_delay_s=REPLICA_PACE_SHARE * known_within_s,
+        stale_after_s=STALE_SHARE * known_within_s,
     )
 
 
@@ -87,7 +87,7 @@
     """Return how the table of the configuration is followed; as for :func:`replica_rule`."""
     return FollowRule(
         wait_s=CONFIG_WAIT_SHARE * known_within_s,
-        stale_s=STALE_SHARE * known_within_s,
+        stale_after_s=STALE_SHARE * known_within_s,
     )
 
 
@@ -147,7 +147,7 @@
 
 
 def follow_tables(
-    store: RowTable,
+    store: RowStore,
     rows: RowExchange,
     config_rows: ConfigRows,
     directory: ReplicaDirectory,
@@ -179,12 +179,12 @@
         ),
     )
     for copy in copies:
-        copy.return_listeners.append(
+        copy.restore_listeners.append(
             lambda copy: metrics.observe_return(copy.table, copy.position.era)
         )
     (_, _, members, quarantine) = copies
-    members.return_listeners.append(registration.rewrite_if_lost)
-    quarantine.return_listeners.append(quarantine_sync.rewrite_lost_rows)
+    members.restore_listeners.append(registration.rewrite_if_lost)
+    quarantine.restore_listeners.append(quarantine_sync.rewrite_lost_rows)
     rows.copies.update({copy.table: copy for copy in copies})
-    reach = StoreReach()
-    return [TableFollower(copy, store, rows, reach, rows.broadcast_page) for copy in copies]
+    backoff = StoreBackoff()
+    return [TableFollower(copy, store, rows, backoff, rows.broadcast_page) for copy in copies]
--- a/tests/crashes/test_quarantine_sync.py
+++ b/tests/crashes/test_quarantine_sync.py
@@ -185,10 +185,10 @@
         state = SuspectState(CALL, frozenset({R1, R2}))
         copy = TableCopy(QUARANTINE_TABLE, lambda row: None)
         row = Row(CALL, encode_value(state), at(60, 1))
-        copy.take_full(Page((row,), at(60, 1)))
+        copy.apply_full_read(Page((row,), at(60, 1)))
         for sync in syncs:
             sync.apply_row(row)
-        copy.take_full(Page((), at(40, 2)))
+        copy.apply_full_read(Page((), at(40, 2)))
         for sync in syncs:
             sync.rewrite_lost_rows(copy)
 
@@ -204,8 +204,8 @@
     def update(sync: QuarantineSync) -> None:
         copy = TableCopy(QUARANTINE_TABLE, sync.apply_row)
         state = SuspectState(CALL, frozenset({R1, R2}))
-        copy.take_full(Page((Row(CALL, encode_value(state), at(60, 1)),), at(60, 1)))
-        copy.take_full(Page((store.rows[CALL],), at(41, 2)))
+        copy.apply_full_read(Page((Row(CALL, encode_value(state), at(60, 1)),), at(60, 1)))
+        copy.apply_full_read(Page((store.rows[CALL],), at(41, 2)))
         sync.rewrite_lost_rows(copy)
 
     run_syncs(store, observer, update=update)
--- a/tests/membership/test_row_exchange.py
+++ b/tests/membership/test_row_exchange.py
@@ -139,7 +139,7 @@
         for gateway in (first, second, third):
             gateway._handle_updates(update(0, 9))
         assert [gateway.is_due() for gateway in (first, second, third)] == [True, False, False]
-        clock.advance(FollowRule().stale_s + 1.5 * OVERDUE_STEP_S)
+        clock.advance(FollowRule().stale_after_s + 1.5 * OVERDUE_STEP_S)
         for gateway in (first, second, third):
             gateway.members.record_message('g1', 'c1')
             gateway.members.record_message('g2', 'c1')
@@ -151,9 +151,9 @@
         gateway = exchange('g2', 'g1')
         gateway._handle_updates(update(0, 9))
         copy = gateway.copies['t']
-        clock.advance(copy.rule.stale_s + 1.0)
+        clock.advance(copy.follow_rule.stale_after_s + 1.0)
         gateway.members.record_message('g1', 'c1')
-        copy.note_confirmed(clock.now_s)
+        copy.record_confirmation(clock.now_s)
         assert gateway.is_due()
         gateway._handle_updates(update(9, 9))
         assert not gateway.is_due()
@@ -177,11 +177,11 @@
     with virtual_clock() as clock:
         gateway = exchange('g2', 'g1')
         gateway.copies['u'] = TableCopy('u', lambda row: None)
-        clock.advance(FollowRule().stale_s + 1.0)
+        clock.advance(FollowRule().stale_after_s + 1.0)
         gateway.members.record_message('g1', 'c1')
         gateway._handle_updates(update(0, 9))
         assert gateway.is_due()
-        gateway.copies['u'].take_update([], at(0), at(9), 0.0)
+        gateway.copies['u'].apply_update([], at(0), at(9), 0.0)
         assert not gateway.is_due()
 
 
@@ -190,20 +190,20 @@
     with virtual_clock() as clock:
         first, second = exchange('g1', 'g2'), exchange('g2', 'g1')
         assert [gateway.is_due() for gateway in (first, second)] == [True, False]
-        clock.advance(FollowRule().stale_s + 1.0)
+        clock.advance(FollowRule().stale_after_s + 1.0)
         assert second.is_due()
 
 
 def test_follower_polls_the_store_only_while_updates_are_missing() -> None:
     async def run_scenario() -> None:
         store: Any = Store()
-        rule = FollowRule(wait_s=0.01, stale_s=0.3)
+        rule = FollowRule(wait_s=0.01, stale_after_s=0.3)
         copy = TableCopy('t', lambda row: None, rule)
         task = asyncio.create_task(TableFollower(copy, store, WhenStale(copy)).run())
         await asyncio.sleep(0.05)
         assert store.calls == 1
         for _ in range(8):
-            copy.take_update([], at(7), at(7), 0.0)
+            copy.apply_update([], at(7), at(7), 0.0)
             await asyncio.sleep(0.05)
         assert store.calls == 1
         await asyncio.sleep(0.6)
@@ -217,8 +217,8 @@
     with virtual_clock() as clock:
         gateway, other = exchange('g1', 'g2'), exchange('g2', 'g1')
         # The store's clock shows 5 s while this machine's clock shows 1,000 s.
-        other.clock.note_answer(clock.now_s, 5.0)
-        other.copies['t'].take_update([], at(0), at(9), 0.0, 5000)
+        other.clock.record_answer(clock.now_s, 5.0)
+        other.copies['t'].apply_update([], at(0), at(9), 0.0, 5000)
         node: Any = gateway.node
         gateway._query_random_peer()
         clock.advance(0.4)
@@ -228,7 +228,7 @@
         gateway._handle_updates(Envelope('g2', 'c1', other_node.sent[-1][1]))
         # The age may be too high by the delay of the query, but never too low by that of the
         # answer.
-        age_s = gateway.clock.greatest_age_s(gateway.copies['t'].confirmed_ms)
+        age_s = gateway.clock.age_upper_bound_s(gateway.copies['t'].confirmed_ms)
         assert 1.1 <= age_s <= 1.5 + 0.01
 
 
@@ -239,11 +239,11 @@
     """
     with virtual_clock() as clock:
         gateway = exchange('g2', 'g1')
-        gateway.clock.note_answer(clock.now_s, 5.0)
+        gateway.clock.record_answer(clock.now_s, 5.0)
         delayed = TableUpdate('t', 0, 9, 0, [], 5000)
         clock.advance(6.0)
         gateway._handle_updates(Envelope('g1', 'c1', TableUpdates([delayed])))
-        assert gateway.clock.greatest_age_s(gateway.copies['t'].confirmed_ms) >= 6.0
+        assert gateway.clock.age_upper_bound_s(gateway.copies['t'].confirmed_ms) >= 6.0
 
 
 def test_isolated_gateway_polls_as_soon_as_copies_are_stale() -> None:
@@ -254,7 +254,7 @@
         for other in others:
             gateway.members.record_message(other, 'c1')
         gateway._handle_updates(update(0, 9))
-        clock.advance(FollowRule().stale_s + 0.01)
+        clock.advance(FollowRule().stale_after_s + 0.01)
         gateway.members.record_message('g00', 'c1')
         assert not gateway.is_due()
         clock.advance(RELAY_TIMEOUT_S + 0.01)
@@ -266,7 +266,7 @@
     """A copy must not be fresh if its update waited in a queue for two seconds."""
     with virtual_clock() as clock:
         gateway = exchange('g2', 'g1')
-        gateway.clock.note_answer(clock.now_s, 5.0)
+        gateway.clock.record_answer(clock.now_s, 5.0)
         delayed = TableUpdate('t', 0, 9, 0, [], 5000)
         clock.advance(2.0)
         gateway._handle_updates(Envelope('g1', 'c1', TableUpdates([delayed])))
@@ -280,7 +280,7 @@
     with virtual_clock() as clock:
         gateway = exchange('g2', 'g1')
         # This gateway knows the store's clock to an accuracy of 0.2 s.
-        gateway.clock.note_answer(clock.now_s - 0.2, 5.0)
+        gateway.clock.record_answer(clock.now_s - 0.2, 5.0)
         gateway._handle_updates(
             Envelope('g1', 'c1', TableUpdates([TableUpdate('t', 0, 9, 100, [], 4900)]))
         )
