--- a/limeshelf/organisations/__init__.py
+++ b/limeshelf/organisations/__init__.py
@@ -1,5 +1,5 @@
-"""Organisations: whose key a call carries, whether it may run, and how much they may ask.
+"""Organisations: API keys, access checks and usage limits.
 
-Rules and values only, without input or output: the adapter reads organisations from the
-operator's configuration, the gateway asks before each send.
+Contains rules and values only and does no input or output. The platform adapter reads
+organisations from the operator's configuration; the gateway checks access before each send.
 """
--- a/limeshelf/organisations/access.py
+++ b/limeshelf/organisations/access.py
@@ -1,13 +1,13 @@
-"""Whether a call may begin, by its key and by the age of the configuration.
+"""Checks whether a call may begin, by its key and by the age of the configuration.
 
-The configuration is a lease on its keys. A key is taken away by a newer configuration, which
-a gateway that is cut off does not see; so a key counts only as long as the store has
-confirmed, to this gateway or to one that passed it on, that there was no newer configuration.
-Then every call that begins carries a key that was there less than
-:attr:`AccessRule.revoked_within_s` ago. The rule is asked before a call is accepted and again
-before each send, because keys go while calls wait.
+A key is revoked by a newer configuration, which a gateway that is cut off does not receive. A
+key is therefore valid only for a limited time after the store last confirmed that there was no
+newer configuration; the confirmation may come from the store or from another gateway that
+forwarded it. A call that begins thus carries a key that was valid less than
+:attr:`AccessRule.revoked_within_s` ago. The check runs before a call is accepted and again
+before each send, because keys can be revoked while calls wait.
 
-Decides only. The age comes from :class:`limeshelf.feeds.store_clock.StoreClock`, which never
+Holds no state. The age comes from :class:`limeshelf.feeds.store_clock.StoreClock`, which never
 understates it.
 """
 
@@ -21,16 +21,16 @@
 if TYPE_CHECKING:
     from limeshelf.organisations.organisation import KeyDigest, Organisation, Organisations
 
-#: Part of the time within which a key must be out of use that is kept back: for the way from
-#: the check to the replica, and for clocks that run at unlike speeds.
+#: Share of the allowed revocation time held in reserve for the delay between the check and the
+#: arrival at the replica, and for clocks that run at different speeds.
 MARGIN_SHARE = 0.1
 
 
 class Denial(enum.Enum):
     """Why a call may not begin.
 
-    ``UNKNOWN_KEY``: no organisation holds its key, or it carries none.
-    ``CONFIG_TOO_OLD``: the key may have been taken away, or given, by a newer configuration.
+    ``UNKNOWN_KEY``: the call carries no key, or one that belongs to no organisation.
+    ``CONFIG_TOO_OLD``: a newer configuration may have revoked or added the key.
     """
 
     UNKNOWN_KEY = 'unknown_key'
@@ -41,7 +41,8 @@
 class AccessGranted:
     """The call may begin.
 
-    :param organisation: that holds its key; ``None`` where it needs none and carries none.
+    :param organisation: owner of the call's key; ``None`` if the call needs no key and carries
+        none that is known.
     """
 
     organisation: Organisation | None
@@ -49,16 +50,17 @@
 
 @attrs.frozen
 class AccessRule:
-    """How soon a key that was taken away must be out of use.
+    """The time after which a revoked key must no longer be accepted.
 
-    :param revoked_within_s: ``None`` where a gateway may go on with the keys it knows.
+    :param revoked_within_s: in seconds; ``None`` if a gateway may accept the keys it knows
+        indefinitely.
     """
 
     revoked_within_s: float | None = None
 
     @property
     def max_age_s(self) -> float:
-        """Return the age up to which a configuration says who holds a key, in seconds."""
+        """Return the age up to which a configuration is valid for access checks, in seconds."""
         if self.revoked_within_s is None:
             return float('inf')
         return self.revoked_within_s * (1 - MARGIN_SHARE)
@@ -74,10 +76,10 @@
 ) -> AccessGranted | Denial:
     """Return whether a call may begin now.
 
-    :param organisations: of the configuration in force; ``None`` where it asks for no keys.
-    :param key: that the call carries; ``None`` for none, or a malformed one.
+    :param organisations: of the configuration in force; ``None`` if it requires no keys.
+    :param key: digest of the call's key; ``None`` if the key is missing or malformed.
     :param is_public: whether the call's route needs no key.
-    :param config_age_s: time since the configuration surely was the newest, in seconds.
+    :param config_age_s: time since the configuration was last known to be the newest, in seconds.
     """
     if organisations is None:
         return AccessGranted(None)
@@ -85,7 +87,7 @@
     if is_public:
         return AccessGranted(organisation)
     if config_age_s > rule.max_age_s:
-        # Also for a key that is not known: a newer configuration may hold it.
+        # This includes unknown keys: a newer configuration may have added them.
         return Denial.CONFIG_TOO_OLD
     if organisation is None:
         return Denial.UNKNOWN_KEY
--- a/limeshelf/organisations/organisation.py
+++ b/limeshelf/organisations/organisation.py
@@ -1,7 +1,7 @@
-"""The organisations of one configuration, found by the key that a call carries.
+"""Organisations with their API keys and usage limits, as one configuration defines them.
 
-Values only. Keys are kept as digests: what holds no key can put none into a log line, an
-error or a message, and comparing digests tells nothing about a key by the time it takes.
+Contains values only. Keys are stored as digests, so that no key can end up in a log line, an
+error or a message, and so that the duration of a comparison reveals nothing about a key.
 """
 
 from __future__ import annotations
@@ -14,27 +14,27 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-#: Stands for a key wherever it is compared or kept.
+#: Digest that replaces a key wherever it is compared or stored.
 KeyDigest = NewType('KeyDigest', bytes)
 
-#: Long enough that two keys never share a digest.
+#: Long enough to make collisions between keys negligible.
 DIGEST_BYTES = 16
 
 
 def digest_of(key: str) -> KeyDigest:
-    """Return what stands for a key."""
+    """Return the digest of a key."""
     data = key.encode(errors='surrogateescape')
     return KeyDigest(hashlib.blake2b(data, digest_size=DIGEST_BYTES).digest())
 
 
 @attrs.frozen
 class UsageLimit:
-    """How much an organisation may use, over all gateways together.
+    """The usage limit of an organisation, over all gateways together.
 
-    :param per_s: units a second.
-    :param burst: units beyond that, once.
+    :param per_s: sustained rate, in units a second.
+    :param burst: units that may be used at once beyond that rate.
     :param in_tokens: whether the unit is a token; otherwise it is a call.
-    :param plain_call_tokens: what a call counts that states no tokens, where the unit is one.
+    :param plain_call_tokens: cost of a call that states no token count, if the unit is a token.
     """
 
     per_s: float
@@ -43,10 +43,10 @@
     plain_call_tokens: int = 0
 
     def cost_of(self, tokens: int | None) -> int:
-        """Return what a call counts.
+        """Return the cost of a call, in units of the limit.
 
-        :param tokens: of the prompt and the most that may be generated; ``None`` for a call
-            that states none.
+        :param tokens: tokens of the prompt plus the maximum to generate; ``None`` if the call
+            states no token count.
         """
         if not self.in_tokens:
             return 1
@@ -55,11 +55,11 @@
 
 @attrs.frozen
 class Organisation:
-    """Who sends calls under some keys.
+    """A customer, whose calls are identified by their keys.
 
-    :param priority: rank of its calls, before that of their route; 0 is the most urgent,
-        ``None`` leaves it to the route.
-    :param limit: ``None`` for no limit.
+    :param priority: priority of its calls, which overrides that of their route; 0 is the most
+        urgent, ``None`` uses the priority of the route.
+    :param limit: usage limit; ``None`` for no limit.
     """
 
     name: str
@@ -68,7 +68,7 @@
 
 
 class Organisations:
-    """All organisations of a configuration, by key."""
+    """All organisations of a configuration, indexed by key and by name."""
 
     def __init__(self, entries: Iterable[tuple[Organisation, Iterable[KeyDigest]]]) -> None:
         self._by_key: dict[KeyDigest, Organisation] = {}
@@ -78,10 +78,10 @@
             self._by_key.update(dict.fromkeys(keys, organisation))
 
     def holder_of(self, key: KeyDigest | None) -> Organisation | None:
-        """Return the organisation that holds a key; ``None`` if none does."""
+        """Return the organisation that a key belongs to, or ``None`` if there is none."""
         return None if key is None else self._by_key.get(key)
 
     def limit_of(self, name: str) -> UsageLimit | None:
-        """Return the limit of an organisation; ``None`` without one, or if it is not known."""
+        """Return the limit of an organisation; ``None`` if it has none or is unknown."""
         organisation = self._by_name.get(name)
         return None if organisation is None else organisation.limit
--- a/tests/organisations/test_access.py
+++ b/tests/organisations/test_access.py
@@ -1,4 +1,4 @@
-"""Whether a call may begin: its key, its route, the age of the configuration."""
+"""Access checks: by key, by route and by the age of the configuration."""
 
 from __future__ import annotations
 
@@ -23,30 +23,30 @@
         (KNOWN, False, 0.1, STRICT, AccessGranted(ACME)),
         (UNKNOWN, False, 0.1, STRICT, Denial.UNKNOWN_KEY),
         (None, False, 0.1, STRICT, Denial.UNKNOWN_KEY),
-        # A newer configuration may hold a key that is not known here.
+        # A newer configuration may have revoked a known key or added an unknown one.
         (KNOWN, False, 4.9, STRICT, Denial.CONFIG_TOO_OLD),
         (UNKNOWN, False, 4.9, STRICT, Denial.CONFIG_TOO_OLD),
         (KNOWN, False, math.inf, STRICT, Denial.CONFIG_TOO_OLD),
         (KNOWN, False, math.inf, LENIENT, AccessGranted(ACME)),
         (UNKNOWN, False, math.inf, LENIENT, Denial.UNKNOWN_KEY),
-        # Public routes go on, and say who sends where that is known.
+        # Public routes need no key, but a known key still identifies the organisation.
         (None, True, math.inf, STRICT, AccessGranted(None)),
         (UNKNOWN, True, 0.1, STRICT, AccessGranted(None)),
         (KNOWN, True, math.inf, STRICT, AccessGranted(ACME)),
     ],
 )
-def test_who_may_begin(
+def test_access_by_key_route_and_configuration_age(
     key: bytes, is_public: bool, age_s: float, rule: AccessRule, expected: object
 ) -> None:
-    found = check_access(ORGANISATIONS, key, is_public=is_public, config_age_s=age_s, rule=rule)
-    assert found == expected
+    result = check_access(ORGANISATIONS, key, is_public=is_public, config_age_s=age_s, rule=rule)
+    assert result == expected
 
 
-def test_configuration_without_organisations_asks_for_no_key() -> None:
-    found = check_access(None, UNKNOWN, is_public=False, config_age_s=math.inf, rule=STRICT)
-    assert found == AccessGranted(None)
+def test_configuration_without_organisations_requires_no_key() -> None:
+    result = check_access(None, UNKNOWN, is_public=False, config_age_s=math.inf, rule=STRICT)
+    assert result == AccessGranted(None)
 
 
-def test_keys_count_for_less_than_the_time_within_which_they_must_be_out_of_use() -> None:
+def test_keys_are_valid_for_less_than_the_allowed_revocation_time() -> None:
     assert 4.0 < STRICT.max_age_s < 5.0
     assert math.isinf(LENIENT.max_age_s)
--- a/tests/organisations/test_organisation.py
+++ b/tests/organisations/test_organisation.py
@@ -1,4 +1,4 @@
-"""Keys are found by their digests; what a call counts for its organisation."""
+"""Lookup of organisations by key digest, and the cost of a call."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 )
 
 
-def test_key_names_its_holder() -> None:
+def test_key_identifies_its_organisation() -> None:
     one, other = Organisation('one'), Organisation('other')
     keys = [digest_of(f'k-{number}') for number in range(3)]
     organisations = Organisations([(one, keys[:2]), (other, keys[2:])])
@@ -21,7 +21,7 @@
     assert organisations.holder_of(None) is None
 
 
-def test_text_that_is_no_unicode_is_a_key_like_any_other() -> None:
+def test_keys_may_contain_undecodable_bytes() -> None:
     assert digest_of('\udcff') != digest_of('\udcfe')
 
 
--- a/tests/organisations/test_strict_revocation.py
+++ b/tests/organisations/test_strict_revocation.py
@@ -1,8 +1,8 @@
-"""No gateway ever takes a key for good that was taken away longer ago than is allowed.
+"""No gateway ever accepts a key that was revoked longer ago than the rule allows.
 
-A machine of a store with a clock of its own, of gateways that ask it and one another, and of
-messages that are lost, held back and delivered in any order, while processes stand still. The
-operator writes a new configuration at any moment; each takes the key of the one before away.
+A stateful test of a store with its own clock and of gateways that query the store and one
+another. Messages are lost, delayed, duplicated and delivered in any order, and time passes at
+any point. A new configuration can be written at any moment; each revokes the previous key.
 """
 
 from __future__ import annotations
@@ -24,14 +24,14 @@
 
 RULE = AccessRule(revoked_within_s=5.0)
 GATEWAYS = 3
-#: The store's clock minus that of the machines.
-AHEAD_S = -700.0
+#: Offset of the store's clock from the clock of the gateways.
+STORE_OFFSET_S = -700.0
 ORGANISATION = Organisation('acme')
 
 
 @attrs.define(eq=False)
 class GatewayCopy:
-    """What a gateway knows of the table of the configuration."""
+    """The copy of the configuration table at one gateway."""
 
     clock: StoreClock = attrs.field(factory=StoreClock)
     copy: TableCopy = attrs.field(factory=lambda: TableCopy('op', lambda row: None))
@@ -52,22 +52,22 @@
         return isinstance(found, AccessGranted)
 
 
-class Revocation(RuleBasedStateMachine):
+class RevocationMachine(RuleBasedStateMachine):
     def __init__(self) -> None:
         super().__init__()
         self.time = virtual_clock()
         self.now = self.time.__enter__()
         self.gateways = [GatewayCopy() for _ in range(GATEWAYS)]
         self.version = 1
-        #: When each version was replaced by the next, on the machines' clock.
+        #: Time at which each version was replaced, on the clock of the gateways.
         self.replaced_s: dict[int, float] = {}
-        self.on_the_way: list[Any] = []
+        self.in_flight: list[Any] = []
 
     def teardown(self) -> None:
         self.time.__exit__(None, None, None)
 
     def store_ms(self) -> int:
-        return int((self.now.now_s + AHEAD_S) * 1000)
+        return int((self.now.now_s + STORE_OFFSET_S) * 1000)
 
     @rule(seconds=st.sampled_from([0.01, 0.3, 1.0, 4.0]))
     def wait(self, seconds: float) -> None:
@@ -78,17 +78,17 @@
         self.replaced_s[self.version] = self.now.now_s
         self.version += 1
 
-    @rule(number=st.integers(0, GATEWAYS - 1), there_s=st.sampled_from([0.0, 0.2, 2.0]))
-    def ask_store(self, number: int, there_s: float) -> None:
+    @rule(number=st.integers(0, GATEWAYS - 1), request_delay_s=st.sampled_from([0.0, 0.2, 2.0]))
+    def ask_store(self, number: int, request_delay_s: float) -> None:
         asked_s = self.now.now_s
-        self.now.advance(there_s)
+        self.now.advance(request_delay_s)
         page = Page(
             (Row('config', b'', at(self.version)),),
             at(self.version),
             self.store_ms(),
             as_of_ms=self.store_ms(),
         )
-        self.on_the_way.append((self.take_page, number, asked_s, page))
+        self.in_flight.append((self.take_page, number, asked_s, page))
 
     def take_page(self, number: int, asked_s: float, page: Page) -> None:
         gateway = self.gateways[number]
@@ -99,7 +99,7 @@
     @rule(sender=st.integers(0, GATEWAYS - 1), receiver=st.integers(0, GATEWAYS - 1))
     def pass_on(self, sender: int, receiver: int) -> None:
         copy = self.gateways[sender].copy
-        self.on_the_way.append(
+        self.in_flight.append(
             (self.take_update, receiver, copy.position.version, copy.confirmed_ms)
         )
 
@@ -108,35 +108,37 @@
 
     @rule(asker=st.integers(0, GATEWAYS - 1), asked=st.integers(0, GATEWAYS - 1))
     def query(self, asker: int, asked: int) -> None:
-        self.on_the_way.append((self.take_query, asker, asked, self.now.now_s))
+        self.in_flight.append((self.take_query, asker, asked, self.now.now_s))
 
     def take_query(self, asker: int, asked: int, asked_s: float) -> None:
         answering = self.gateways[asked]
         if answering.clock.is_known:
             latest_s = answering.clock.latest_ms() / 1000
-            self.on_the_way.append((self.take_clock, asker, asked_s, latest_s))
+            self.in_flight.append((self.take_clock, asker, asked_s, latest_s))
         self.pass_on(asked, asker)
 
     def take_clock(self, number: int, asked_s: float, store_s: float) -> None:
         self.gateways[number].clock.note_answer(asked_s, store_s)
 
-    @rule(data=st.data(), again=st.booleans())
-    def deliver(self, data: st.DataObject, again: bool) -> None:
-        if not self.on_the_way:
+    @rule(data=st.data(), is_duplicated=st.booleans())
+    def deliver(self, data: st.DataObject, is_duplicated: bool) -> None:
+        if not self.in_flight:
             return
-        place = data.draw(st.integers(0, len(self.on_the_way) - 1))
-        handle, *arguments = self.on_the_way[place]
-        if not again:
-            del self.on_the_way[place]
+        index = data.draw(st.integers(0, len(self.in_flight) - 1))
+        handle, *arguments = self.in_flight[index]
+        if not is_duplicated:
+            del self.in_flight[index]
         handle(*arguments)
 
     @invariant()
-    def no_key_counts_that_went_too_long_ago(self) -> None:
+    def no_key_is_accepted_too_long_after_its_revocation(self) -> None:
         for gateway in self.gateways:
             if gateway.admits():
-                gone_s = self.now.now_s - self.replaced_s.get(gateway.version, self.now.now_s)
-                assert gone_s <= RULE.max_age_s + 0.002
+                revoked_for_s = self.now.now_s - self.replaced_s.get(
+                    gateway.version, self.now.now_s
+                )
+                assert revoked_for_s <= RULE.max_age_s + 0.002
 
 
-TestRevocation = Revocation.TestCase
+TestRevocation = RevocationMachine.TestCase
 TestRevocation.settings = settings(max_examples=150, stateful_step_count=40, deadline=None)
