--- a/limeshelf/organisations/limits.py
+++ b/limeshelf/organisations/limits.py
@@ -1,7 +1,8 @@
-"""How much of an organisation's limit a data centre may use, and a gateway by itself.
+"""Computes the quotas of a usage limit: for a data centre, and for a gateway without a limiter.
 
-All gateways together are bound in any window, whether they hear one another or not. So each
-data centre has a fixed part, and one that is cut off goes on with its own. Decides only.
+All gateways together stay within the limit in any window, whether or not they can reach one
+another. Each data centre therefore has a fixed quota, which remains its own when it is cut off.
+Holds no state.
 """
 
 from __future__ import annotations
@@ -13,28 +14,29 @@
 if TYPE_CHECKING:
     from limeshelf.organisations.organisation import UsageLimit
 
-#: Share of what is tolerated that is used. The rest covers runs that began before a gateway
-#: learned of a lower limit or of what others granted meanwhile.
+#: Share of the tolerated usage that is given out as quotas. The rest covers runs that began
+#: before a gateway received a lowered limit or the latest grants of other gateways.
 USED_SHARE = 0.95
-#: Share of a data centre's part that its gateways may use without the limiter, each an equal
-#: part of it. The limiter counts each for that much at least, so the rest has less: of calls of
-#: 1,600 tokens that an organisation of 5,000 a second was owed, 0.015 were refused; with 0.2,
-#: 0.026; with 0.05, 0.009 (tests/organisations/test_limit_ways.py).
+#: Share of a data centre's quota that its gateways may use without asking the limiter, divided
+#: equally among them. The limiter counts at least that much for each gateway, so a larger share
+#: refuses more calls: of the 1,600-token calls within the limit of an organisation that uses
+#: 5,000 tokens a second, 0.015 were refused with 0.1, 0.026 with 0.2 and 0.009 with 0.05
+#: (tests/organisations/test_limit_methods.py).
 OWN_SHARE = 0.1
 
 
 @attrs.frozen
 class LimitRule:
-    """What of a limit is tolerated, from the settings.
+    """How far a limit may be exceeded, from the settings.
 
-    A limit may be exceeded by the tolerance; it is used so that data centres that get unlike
-    shares of an organisation's calls still serve all that lies below the limit. With three, of
-    which one gets 0.37 of the calls, equal parts of the limit itself would serve 0.9 of it.
+    The tolerance is used so that data centres that receive unequal shares of an organisation's
+    calls still serve all calls below the limit. With three data centres, one of which receives
+    0.37 of the calls, equal parts of the limit itself would serve only 0.9 of it.
 
-    :param window_s: in which usage is counted, in seconds.
+    :param window_s: length of the window in which usage is counted, in seconds.
     :param overrun: share by which a limit may be exceeded, 0 or more.
-    :param slack: units beyond that, in each window.
-    :param centres: data centres with gateways.
+    :param slack: further units by which it may be exceeded in each window.
+    :param centres: number of data centres with gateways.
     """
 
     window_s: float
@@ -43,24 +45,25 @@
     centres: int
 
     def of_centre(self, limit: UsageLimit) -> float:
-        """Return what a data centre may use of a limit in any window."""
+        """Return the units of a limit that a data centre may use in any window."""
         allowed = limit.per_s * self.window_s + limit.burst
         tolerated = allowed * (1 + self.overrun) + self.slack
         return USED_SHARE * tolerated / max(1, self.centres)
 
     def pace_per_s(self, limit: UsageLimit) -> float:
-        """Return what a data centre may use a second in the long run."""
+        """Return the sustained rate at which a data centre may use a limit, in units a second."""
         return USED_SHARE * limit.per_s * (1 + self.overrun) / max(1, self.centres)
 
     def pace_burst(self, limit: UsageLimit) -> float:
-        """Return what a data centre may use beyond that, once."""
+        """Return the units that a data centre may use at once beyond the sustained rate."""
         return self.of_centre(limit) - self.window_s * self.pace_per_s(limit)
 
     def of_gateway(self, limit: UsageLimit, gateways: int, age_s: float = float('inf')) -> float:
-        """Return what a gateway may use in any window without asking the limiter.
+        """Return the units that a gateway may use in any window without asking the limiter.
 
-        :param gateways: of its data centre.
-        :param age_s: of its process, in seconds: one before it may have used the part.
+        :param gateways: number of gateways in its data centre.
+        :param age_s: age of its process, in seconds. A young process gets less, because its
+            predecessor may have used the quota in the same window.
         """
         known_share = min(1.0, age_s / self.window_s)
         return known_share * OWN_SHARE * self.of_centre(limit) / max(1, gateways)
--- a/tests/organisations/test_limit_machine.py
+++ b/tests/organisations/test_limit_machine.py
@@ -1,9 +1,9 @@
-"""In every window what runs stays within the tolerated limit, whatever fails.
+"""Usage stays within the tolerated limit in every window, whatever fails.
 
-A machine of one data centre: gateways with a ledger each, two limiters that hear their
-reports, and messages that are lost, held back and delivered in any order. Gateways are cut off
-from the limiters one by one, freeze and start again; calls wait between their reservation and
-their run. The limiters may take turns, or be asked both.
+A stateful test of one data centre: gateways with a usage record each, and two limiters that
+receive their reports. Gateways are cut off from the limiters one by one, restart and reserve
+usage for calls that run later or not at all. Either limiter may be asked at any time, and both
+may be replaced.
 """
 
 from __future__ import annotations
@@ -26,8 +26,8 @@
 LIMIT = UsageLimit(per_s=1000.0, burst=0.0, in_tokens=True)
 TOLERATED = RULE.of_centre(LIMIT) / USED_SHARE
 GATEWAYS = 5
-#: Largest call: 0.02 of what is tolerated in a window.
-LARGEST = 170
+#: Cost of a call: 0.02 of the tolerated usage in a window.
+CALL_COST = 170
 NUMBERS = st.integers(0, GATEWAYS - 1)
 
 
@@ -38,7 +38,7 @@
     waiting: list[tuple[int, Reservation]] = attrs.field(factory=list)
 
 
-class Limits(RuleBasedStateMachine):
+class LimitMachine(RuleBasedStateMachine):
     def __init__(self) -> None:
         super().__init__()
         self.time = virtual_clock()
@@ -47,7 +47,7 @@
         self.limiters = [Limiter(RULE, self.now.now_s) for _ in range(2)]
         self.cut_off: set[int] = set()
         self.runs: list[tuple[float, int]] = []
-        # A while passes without a fault.
+        # Starts with two windows without a fault.
         for _ in range(int(2 * WINDOW_S)):
             self.now.advance(1.0)
             self.report_all()
@@ -75,17 +75,17 @@
 
     @rule(quarters=st.integers(1, 12))
     def wait(self, quarters: int) -> None:
-        """Time passes; those that are not cut off report as often as ever."""
+        """Time passes; gateways that are not cut off report at the usual period."""
         for _ in range(quarters):
             self.now.advance(0.25)
             self.report_all()
 
     @rule(number=NUMBERS, which=st.integers(0, 1), calls=st.integers(1, 40), data=st.data())
     def ask(self, number: int, which: int, calls: int, data: Any) -> None:
-        """Calls come one after the other; each is sent now or waits."""
+        """A gateway receives calls one after the other, which are all sent now or all wait."""
         waits = data.draw(st.booleans())
         for _ in range(calls):
-            self.one_call(number, which, LARGEST, waits)
+            self.one_call(number, which, CALL_COST, waits)
 
     def one_call(self, number: int, which: int, amount: int, waits: bool) -> None:
         gateway = self.gateways[number]
@@ -121,19 +121,19 @@
         gateway.waiting.clear()
 
     @rule(number=NUMBERS)
-    def give_up_waiting(self, number: int) -> None:
+    def cancel_waiting(self, number: int) -> None:
         for _, reservation in self.gateways[number].waiting:
             reservation.close()
         self.gateways[number].waiting.clear()
 
     @rule(number=NUMBERS)
-    def cut(self, number: int) -> None:
-        """The report before the cut was the last one; it is at most a quarter old."""
+    def cut_off_gateway(self, number: int) -> None:
+        """The gateway reports once more and is then cut off."""
         self.report(number)
         self.cut_off.add(number)
 
     @rule()
-    def heal(self) -> None:
+    def reconnect_all(self) -> None:
         self.cut_off.clear()
         self.report_all()
 
@@ -143,14 +143,14 @@
         self.gateways[number] = Gateway(self.now.now_s)
 
     @rule(which=st.integers(0, 1))
-    def lose_limiter(self, which: int) -> None:
-        """Another gateway takes its place, which has heard nothing so far."""
+    def replace_limiter(self, which: int) -> None:
+        """Replace a limiter by another gateway, which has received no reports so far."""
         self.limiters[which] = Limiter(RULE, self.now.now_s)
         self.report_all()
 
     @rule()
-    def lose_all(self) -> None:
-        """All lose power and start again."""
+    def restart_all(self) -> None:
+        """Restart all gateways and limiters at once, as after a power failure."""
         self.cut_off.clear()
         self.now.advance(0.5)
         self.gateways = [Gateway(self.now.now_s) for _ in range(GATEWAYS)]
@@ -159,10 +159,10 @@
 
     @invariant()
     def every_window_is_within_the_tolerated_limit(self) -> None:
-        oldest_s = self.now.now_s - WINDOW_S
-        self.runs = [(at_s, amount) for at_s, amount in self.runs if at_s > oldest_s]
+        window_begin_s = self.now.now_s - WINDOW_S
+        self.runs = [(at_s, amount) for at_s, amount in self.runs if at_s > window_begin_s]
         assert sum(amount for _, amount in self.runs) <= TOLERATED
 
 
-TestLimits = Limits.TestCase
+TestLimits = LimitMachine.TestCase
 TestLimits.settings = settings(max_examples=100, stateful_step_count=40, deadline=None)
--- a/tests/organisations/test_limit_ways.py
+++ b/tests/organisations/test_limit_methods.py
@@ -1,17 +1,17 @@
-"""Benchmark: three ways to hold a limit over all gateways, on the same calls.
+"""Benchmark of three methods to enforce a limit over all gateways, with the same calls.
 
-69 gateways in three data centres that get 0.37, 0.37 and 0.26 of the calls of one organisation;
-a call counts 1,600 tokens. The organisation sends its usual rate for 20 s, then 7.5 times as
-much for 6.5 s, then its usual rate again; its limit is 1.8 times its usual rate, 2,700 a second
-at the least. What is owed is what a token bucket of the limit lets through.
+69 gateways in three data centres receive 0.37, 0.37 and 0.26 of the calls of one organisation; a
+call costs 1,600 tokens. The organisation sends at its usual rate for 20 s, then at 7.5 times that
+rate for 6.5 s, then at its usual rate again. Its limit is 1.8 times its usual rate, but at least
+2,700 tokens a second. The calls that a token bucket of the limit admits should be served.
 
-Refused of what is owed at the usual rate, and the largest window as a share of what is
-tolerated (1 must not be exceeded), five draws each:
+The table gives, for five seeds each, the share of these calls that was refused at the usual rate,
+and the usage of the largest window as a share of the tolerated usage (must not exceed 1):
 
 ============================  ==============  ==============  ===============
-way                           1,200 a second  5,000 a second  50,000 a second
+method                        1,200 a second  5,000 a second  50,000 a second
 ============================  ==============  ==============  ===============
-equal parts a gateway         1.00, 0.00      1.00, 0.00      0.04, 0.84
+equal quotas for gateways     1.00, 0.00      1.00, 0.00      0.04, 0.84
 rates in digests, 0.5 s old   0.00, 1.10      0.00, 1.25      0.00, 1.25
 a limiter a data centre       0.00, 0.76      0.02, 0.85      0.00, 0.89
 ============================  ==============  ==============  ===============
@@ -36,32 +36,32 @@
 RULE = LimitRule(window_s=WINDOW_S, overrun=0.1, slack=11_000.0, centres=3)
 CENTRE_SHARES = (0.37, 0.37, 0.26)
 GATEWAYS = 23
-CALL = 1600
+CALL_TOKENS = 1600
 STEP_S = 0.01
 REPORT_STEPS = 25
-USUAL_S, HOT_S, AFTER_S = 20.0, 6.5, 10.0
-HOT = 7.5
-#: A gateway learns with its second summary of what another one reported with its digest.
-DIGEST_LAG_S = 0.5
+USUAL_S, PEAK_S, AFTER_S = 20.0, 6.5, 10.0
+PEAK_FACTOR = 7.5
+#: Delay until a gateway knows the usage that another one reported: two summary periods.
+DIGEST_DELAY_S = 0.5
 
 
-class Way(Protocol):
+class Method(Protocol):
     def admit(self, centre: int, gateway: int) -> bool: ...
 
     def report(self) -> None: ...
 
 
 @attrs.define
-class EqualParts:
-    """Each gateway has an equal part of what is tolerated."""
+class EqualQuotas:
+    """Each gateway has an equal share of the tolerated usage."""
 
     limit: UsageLimit
     windows: dict[tuple[int, int], UsageWindow] = attrs.field(factory=dict)
 
     def admit(self, centre: int, gateway: int) -> bool:
         window = self.windows.setdefault((centre, gateway), UsageWindow(WINDOW_S))
-        part = RULE.of_centre(self.limit) / GATEWAYS
-        return use(window) if window.used() + CALL <= part else False
+        quota = RULE.of_centre(self.limit) / GATEWAYS
+        return use(window) if window.used() + CALL_TOKENS <= quota else False
 
     def report(self) -> None:
         pass
@@ -69,7 +69,7 @@
 
 @attrs.define
 class RatesInDigests:
-    """Each gateway goes by what all had used a while ago, and by its own use since."""
+    """Each gateway adds its own recent usage to the total of all as last reported."""
 
     limit: UsageLimit
     used: list[tuple[float, int]] = attrs.field(factory=list)
@@ -81,23 +81,23 @@
         assert self.clock is not None
         key = (centre, gateway)
         allowed = 3 * RULE.of_centre(self.limit)
-        if self.known + self.own.get(key, 0) + CALL > allowed:
+        if self.known + self.own.get(key, 0) + CALL_TOKENS > allowed:
             return False
-        self.own[key] = self.own.get(key, 0) + CALL
-        self.used.append((self.clock.now_s, CALL))
+        self.own[key] = self.own.get(key, 0) + CALL_TOKENS
+        self.used.append((self.clock.now_s, CALL_TOKENS))
         return True
 
     def report(self) -> None:
         assert self.clock is not None
         now_s = self.clock.now_s
         self.used = [(at_s, amount) for at_s, amount in self.used if at_s > now_s - WINDOW_S]
-        self.known = sum(amount for at_s, amount in self.used if at_s < now_s - DIGEST_LAG_S)
+        self.known = sum(amount for at_s, amount in self.used if at_s < now_s - DIGEST_DELAY_S)
         self.own.clear()
 
 
 @attrs.define
-class LimiterEach:
-    """A limiter in each data centre."""
+class LimiterPerCentre:
+    """A limiter in each data centre decides for its gateways."""
 
     limit: UsageLimit
     limiters: list[Limiter] = attrs.field(factory=list)
@@ -108,13 +108,13 @@
     def admit(self, centre: int, gateway: int) -> bool:
         assert self.clock is not None
         now_s = self.clock.now_s
-        if self.paces[centre].wait_s('acme', self.limit, CALL, now_s):
+        if self.paces[centre].wait_s('acme', self.limit, CALL_TOKENS, now_s):
             return False
-        question = LimitQuestion(str(gateway), 'acme', self.limit, CALL, GATEWAYS)
+        question = LimitQuestion(str(gateway), 'acme', self.limit, CALL_TOKENS, GATEWAYS)
         decision = self.limiters[centre].decide(question, now_s)
         if decision.ruling is not Ruling.WITHIN:
             return False
-        self.paces[centre].take('acme', CALL)
+        self.paces[centre].take('acme', CALL_TOKENS)
         return use(self.windows[centre, gateway])
 
     def report(self) -> None:
@@ -130,34 +130,36 @@
 
 
 def use(window: UsageWindow) -> bool:
-    call = window.reserve(CALL)
+    call = window.reserve(CALL_TOKENS)
     call.note_sent()
     call.close()
     return True
 
 
 @attrs.define
-class Bucket:
-    """What is owed: a token bucket of the limit itself."""
+class LimitBucket:
+    """A token bucket of the limit itself, which determines the calls that should be served."""
 
     limit: UsageLimit
-    saved: float
+    level: float
 
-    def owes(self) -> bool:
-        if self.saved < CALL:
+    def try_take(self) -> bool:
+        if self.level < CALL_TOKENS:
             return False
-        self.saved -= CALL
+        self.level -= CALL_TOKENS
         return True
 
-    def pass_time(self, seconds: float) -> None:
-        self.saved = min(self.limit.burst, self.saved + seconds * self.limit.per_s)
+    def refill(self, seconds: float) -> None:
+        self.level = min(self.limit.burst, self.level + seconds * self.limit.per_s)
 
 
 @attrs.define
-class Played:
-    """What a way did with the calls of one draw.
+class SimulationResult:
+    """The result of one method for the calls of one seed.
 
-    :ivar largest: window of runs, as a share of what is tolerated.
+    :ivar owed: calls that should be served; in ``owed_usual`` those at the usual rate.
+    :ivar refused: of these, the calls that were refused.
+    :ivar largest: usage of the largest window, as a share of the tolerated usage.
     """
 
     owed: int = 0
@@ -167,58 +169,58 @@
     largest: float = 0.0
 
 
-def play(way: Way, usual_per_s: float, limit: UsageLimit, seed: int) -> Played:
-    draw = random.Random(seed)
+def simulate(method: Method, usual_per_s: float, limit: UsageLimit, seed: int) -> SimulationResult:
+    generator = random.Random(seed)
     tolerated = 3 * RULE.of_centre(limit) / USED_SHARE
-    bucket = Bucket(limit, limit.burst)
-    played = Played()
+    bucket = LimitBucket(limit, limit.burst)
+    result = SimulationResult()
     runs: list[float] = []
     with virtual_clock() as clock:
-        if not isinstance(way, EqualParts):
-            way.clock = clock  # type: ignore[attr-defined]
-        for step in range(int((USUAL_S + HOT_S + AFTER_S) / STEP_S)):
+        if not isinstance(method, EqualQuotas):
+            method.clock = clock  # type: ignore[attr-defined]
+        for step in range(int((USUAL_S + PEAK_S + AFTER_S) / STEP_S)):
             clock.advance(STEP_S)
-            bucket.pass_time(STEP_S)
+            bucket.refill(STEP_S)
             if step % REPORT_STEPS == 0:
-                way.report()
-            is_hot = USUAL_S <= step * STEP_S < USUAL_S + HOT_S
-            expected = usual_per_s * (HOT if is_hot else 1.0) * STEP_S / CALL
-            for _ in range(int(expected) + (draw.random() < expected % 1)):
-                [centre] = draw.choices(range(3), CENTRE_SHARES)
-                is_owed = bucket.owes()
-                is_admitted = way.admit(centre, draw.randrange(GATEWAYS))
+                method.report()
+            is_peak = USUAL_S <= step * STEP_S < USUAL_S + PEAK_S
+            expected = usual_per_s * (PEAK_FACTOR if is_peak else 1.0) * STEP_S / CALL_TOKENS
+            for _ in range(int(expected) + (generator.random() < expected % 1)):
+                [centre] = generator.choices(range(3), CENTRE_SHARES)
+                is_owed = bucket.try_take()
+                is_admitted = method.admit(centre, generator.randrange(GATEWAYS))
                 if is_admitted:
                     runs.append(clock.now_s)
-                played.owed += is_owed
-                played.refused += is_owed and not is_admitted
+                result.owed += is_owed
+                result.refused += is_owed and not is_admitted
                 if step * STEP_S < USUAL_S:
-                    played.owed_usual += is_owed
-                    played.refused_usual += is_owed and not is_admitted
+                    result.owed_usual += is_owed
+                    result.refused_usual += is_owed and not is_admitted
             runs = [at_s for at_s in runs if at_s > clock.now_s - WINDOW_S]
-            played.largest = max(played.largest, len(runs) * CALL / tolerated)
-    return played
+            result.largest = max(result.largest, len(runs) * CALL_TOKENS / tolerated)
+    return result
 
 
 @pytest.mark.parametrize(
-    ('way', 'usual_per_s', 'refused_usual', 'largest'),
+    ('method', 'usual_per_s', 'refused_usual', 'largest'),
     [
-        (EqualParts, 1200.0, 1.0, 0.0),
-        (EqualParts, 5000.0, 1.0, 0.0),
-        (EqualParts, 50_000.0, 0.04, 0.84),
+        (EqualQuotas, 1200.0, 1.0, 0.0),
+        (EqualQuotas, 5000.0, 1.0, 0.0),
+        (EqualQuotas, 50_000.0, 0.04, 0.84),
         (RatesInDigests, 1200.0, 0.0, 1.10),
         (RatesInDigests, 5000.0, 0.0, 1.25),
         (RatesInDigests, 50_000.0, 0.0, 1.25),
-        (LimiterEach, 1200.0, 0.0, 0.76),
-        (LimiterEach, 5000.0, 0.02, 0.85),
-        (LimiterEach, 50_000.0, 0.0, 0.89),
+        (LimiterPerCentre, 1200.0, 0.0, 0.76),
+        (LimiterPerCentre, 5000.0, 0.02, 0.85),
+        (LimiterPerCentre, 50_000.0, 0.0, 0.89),
     ],
 )
 def test_refused_at_the_usual_rate_and_largest_window(
-    way: type[Way], usual_per_s: float, refused_usual: float, largest: float
+    method: type[Method], usual_per_s: float, refused_usual: float, largest: float
 ) -> None:
     per_s = max(2700.0, 1.8 * usual_per_s)
     limit = UsageLimit(per_s, per_s, in_tokens=True, plain_call_tokens=200)
-    results = [play(way(limit), usual_per_s, limit, seed) for seed in range(5)]
+    results = [simulate(method(limit), usual_per_s, limit, seed) for seed in range(5)]
     refused = sum(one.refused_usual for one in results) / sum(one.owed_usual for one in results)
     assert refused == pytest.approx(refused_usual, abs=0.02)
     assert max(one.largest for one in results) == pytest.approx(largest, abs=0.06)
