--- a/limeshelf/organisations/pace.py
+++ b/limeshelf/organisations/pace.py
@@ -1,9 +1,9 @@
-"""Spreads what organisations may use over time, by a token bucket each.
+"""Smooths the usage of organisations with a token bucket for each.
 
-A window alone lets an organisation that sends many times its usual use all of it at once, and
-then nothing for as long: at 7.5 times the usual rate, a second of everything, which fills the
-queues of all, and 7 s of nothing. Owns the levels of the buckets; the bound itself stands in
-:mod:`limeshelf.organisations.limiter`.
+With the window alone, an organisation that exceeds its limit uses up its quota at once and then
+has every call refused until the window has passed: at 7.5 times the usual rate, one second of
+calls that fill all queues is followed by 7 s without any. Owns the levels of the buckets; the
+quota of the window is enforced by :mod:`limeshelf.organisations.limiter`.
 """
 
 from __future__ import annotations
@@ -16,12 +16,13 @@
     from limeshelf.organisations.limits import LimitRule
     from limeshelf.organisations.organisation import UsageLimit
 
-#: A bucket holds what may be used in this time at least, whatever burst the limit allows: calls
-#: come in clumps also at a steady rate.
+#: The capacity of a bucket is at least what the rate allows in this time, whatever burst the
+#: limit allows, because calls arrive in clusters even at a steady average rate.
 LEAST_BUCKET_S = 3.0
-#: ...and so many of the largest calls that came, since a bucket of a small limit's burst holds
-#: two or three. On a quiet day 0.016 of the calls were refused with it and 0.018 without (one
-#: play each): most of these the window's part refuses.
+#: The capacity of a bucket is also at least this many of the largest calls seen, because the
+#: burst of a small limit holds only two or three of them. Under light load 0.016 of the calls
+#: were refused with this minimum and 0.018 without (one run each); the quota of the window
+#: causes most of these refusals.
 LEAST_BUCKET_CALLS = 6
 
 
@@ -29,8 +30,8 @@
 class _Bucket:
     """The bucket of one organisation.
 
-    :ivar level: what may be used now; below zero after a call that counts more than it holds.
-    :ivar largest: what the largest call counted that came.
+    :ivar level: units available now; negative after a call whose cost exceeded the level.
+    :ivar largest: cost of the largest call seen.
     """
 
     level: float
@@ -39,16 +40,17 @@
 
 
 class Paces:
-    """The buckets of the organisations of a data centre; each is full at its start."""
+    """The token buckets of a data centre, one for each organisation; initially full."""
 
     def __init__(self, rule: LimitRule) -> None:
         self._rule = rule
         self._buckets: dict[str, _Bucket] = {}
 
     def wait_s(self, organisation: str, limit: UsageLimit, amount: int, now_s: float) -> float:
-        """Return the time until a call may be let through, in seconds; 0 for now.
+        """Return the time until a call may be admitted, in seconds; 0 for now.
 
-        :param limit: in force now; it may have changed since the last call.
+        :param limit: limit in force now; it may have changed since the last call.
+        :param amount: cost of the call, in units of the limit.
         """
         per_s = self._rule.pace_per_s(limit)
         bucket = self._buckets.get(organisation)
@@ -59,11 +61,11 @@
         if bucket is None:
             bucket = self._buckets[organisation] = _Bucket(capacity, now_s)
         bucket.largest = largest
-        passed_s = now_s - bucket.updated_s
-        bucket.level = min(capacity, bucket.level + per_s * passed_s)
+        elapsed_s = now_s - bucket.updated_s
+        bucket.level = min(capacity, bucket.level + per_s * elapsed_s)
         bucket.updated_s = now_s
         return max(0.0, (min(float(amount), capacity) - bucket.level) / per_s)
 
     def take(self, organisation: str, amount: int) -> None:
-        """Let a call through; :meth:`wait_s` was asked for it."""
+        """Deduct the cost of an admitted call; :meth:`wait_s` must have returned 0 for it."""
         self._buckets[organisation].level -= amount
