--- a/tests/organisations/test_usage.py
+++ b/tests/organisations/test_usage.py
@@ -1,4 +1,4 @@
-"""What a gateway has used: reserved while a call waits, counted from its send on."""
+"""Usage of a gateway: reserved while a call waits and counted once it is sent."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
         assert window.used() == 0
 
 
-def test_call_that_is_never_sent_gives_back_what_it_reserved() -> None:
+def test_call_that_is_never_sent_releases_its_reservation() -> None:
     window = UsageWindow(WINDOW_S)
     call = window.reserve(100)
     call.close()
@@ -44,7 +44,7 @@
         assert window.used() == 0
 
 
-def test_call_that_ends_without_a_run_gives_back_what_it_sent() -> None:
+def test_call_that_ends_without_a_run_is_not_counted() -> None:
     window = UsageWindow(WINDOW_S)
     call = window.reserve(100)
     call.note_sent()
@@ -62,7 +62,7 @@
     assert window.used() == 200
 
 
-def test_ledger_names_only_what_is_used() -> None:
+def test_report_contains_only_organisations_with_usage() -> None:
     with virtual_clock() as clock:
         ledger = UsageLedger(WINDOW_S)
         call = ledger.of('one').reserve(100)
@@ -74,7 +74,7 @@
         assert ledger.report(holds_claims=False) == {}
 
 
-def test_call_that_waits_long_stays_in_the_ledger() -> None:
+def test_reservation_outlives_the_window() -> None:
     with virtual_clock() as clock:
         ledger = UsageLedger(WINDOW_S)
         call = ledger.of('one').reserve(100)
@@ -84,8 +84,8 @@
         assert ledger.report(holds_claims=False) == {'one': 100}
 
 
-def test_gateway_without_a_limiter_goes_on_at_the_rate_that_it_had() -> None:
-    """Before, it could use nothing until what it had used left the window."""
+def test_gateway_without_a_limiter_continues_at_its_previous_rate() -> None:
+    """Guards against refusing all calls until the earlier usage has left the window."""
     with virtual_clock() as clock:
         ledger = UsageLedger(WINDOW_S)
         for _ in range(8):
@@ -106,7 +106,7 @@
             assert ledger.report(holds_claims=True) == {'one': 800}
 
 
-def test_claim_falls_with_what_is_used_while_a_limiter_answers() -> None:
+def test_allowance_falls_with_usage_while_a_limiter_answers() -> None:
     with virtual_clock() as clock:
         ledger = UsageLedger(WINDOW_S)
         call = ledger.of('one').reserve(100)
