--- a/limeshelf/metrics/__init__.py
+++ b/limeshelf/metrics/__init__.py
@@ -1,7 +1,7 @@
-"""What a process records of itself: events, decisions, and metrics.
+"""Logs and metrics of a process.
 
-* ``event_log``: JSON lines on standard output, of the gateway.
-* ``decision_log``: one line a decision, kept for ``explain``, of the own wire.
-* ``prometheus``: counters and histograms that the gateway serves to a scraper.
-* ``statsd``: counters, gauges and timers that the own wire's programs send.
+* ``event_log``: the gateway's events as JSON lines on standard output.
+* ``decision_log``: one line for each decision of the standalone programs, kept for ``explain``.
+* ``prometheus``: counters, gauges and histograms that the gateway serves to a scraper.
+* ``statsd``: counters, gauges and timers that the standalone programs send.
 """
--- a/limeshelf/metrics/decision_log.py
+++ b/limeshelf/metrics/decision_log.py
@@ -1,8 +1,8 @@
-"""The decision log of the own wire's programs: one line for each decision.
+"""The decision log of the standalone programs: one line for each decision.
 
-Owns the latest lines by subject, which the operator's ``explain`` reads. Unlike
-the event log it writes ``name=value`` pairs through absl, as all lines of those
-programs do, and keeps what it wrote. Relies on nothing of the product.
+Owns the latest lines for each subject, which the operator's ``explain`` command reads. Unlike the
+event log, it writes ``name=value`` pairs through absl, as these programs do for all log lines,
+and keeps the lines in memory.
 """
 
 from __future__ import annotations
@@ -12,16 +12,16 @@
 
 from absl import logging
 
-#: Subjects (request ids or models) whose lines are kept.
-KEPT_SUBJECTS = 4096
-#: Lines kept for one subject; older ones are dropped.
-KEPT_LINES = 20
+#: Maximum number of subjects (request ids or models) whose lines are kept.
+MAX_SUBJECTS = 4096
+#: Maximum number of lines kept for one subject; older ones are dropped.
+MAX_LINES_PER_SUBJECT = 20
 
 
 class DecisionLog:
-    """Writes decision lines and remembers the latest.
+    """Writes decision lines and keeps the latest in memory.
 
-    :param enabled: whether lines go to the log; they are kept in any case.
+    :param enabled: whether lines are written to the log; they are kept in either case.
     """
 
     def __init__(self, enabled: bool) -> None:
@@ -29,19 +29,19 @@
         self._lines: OrderedDict[str, list[str]] = OrderedDict()
 
     def add(self, subject: str, decision: str, **fields: object) -> None:
-        """Note a decision.
+        """Record a decision.
 
         :param subject: request id or model that the decision is about.
-        :param decision: kind of decision, for example ``route``.
-        :param fields: what decided it; the name carries the unit.
+        :param decision: kind of the decision, for example ``route``.
+        :param fields: inputs of the decision; their names include the unit.
         """
         pairs = ' '.join(f'{name}={_text(value)}' for name, value in fields.items())
         line = f'decision={decision} subject={subject} {pairs}'
         kept = self._lines.setdefault(subject, [])
         kept.append(line)
-        del kept[:-KEPT_LINES]
+        del kept[:-MAX_LINES_PER_SUBJECT]
         self._lines.move_to_end(subject)
-        if len(self._lines) > KEPT_SUBJECTS:
+        if len(self._lines) > MAX_SUBJECTS:
             self._lines.popitem(last=False)
         if self._enabled:
             _write(line)
@@ -52,8 +52,8 @@
 
 
 def _write(line: str) -> None:
-    # Straight to the handler: the logger would walk the stack for the place of
-    # the call, which took a tenth of a request's time and is always this one.
+    # Bypasses the logger, which would walk the stack to find the caller: this took a tenth of
+    # a request's time and would always yield this function.
     logging.get_absl_handler().handle(
         std_logging.LogRecord('absl', std_logging.INFO, __file__, 0, line, None, None)
     )
--- a/limeshelf/metrics/prometheus.py
+++ b/limeshelf/metrics/prometheus.py
@@ -1,7 +1,6 @@
-"""Metrics of a gateway, served to a scraper in the text format of Prometheus.
+"""Metrics of a gateway, served to a scraper in the Prometheus text format.
 
-Owns the counters, and the histogram of latencies. Names and labels are listed
-in tests/forms/test_metrics.py.
+Owns the metrics of the process. Their names and labels are listed in tests/forms/test_metrics.py.
 """
 
 from __future__ import annotations
@@ -94,12 +93,12 @@
         )
 
     def observe_call(self, status: int, seconds: float) -> None:
-        """Count a call that was answered with HTTP status *status* after *seconds*."""
+        """Count a call answered with HTTP status *status* after *seconds*."""
         self._calls.labels(str(status)).inc()
         self._latency.observe(seconds)
 
     def observe_order(self, outcome: str) -> None:
-        """Count an order to a replica.
+        """Count an order sent to a replica.
 
         :param outcome: value of :class:`limeshelf.orders.order.OrderOutcome`.
         """
@@ -113,25 +112,25 @@
         self._store_calls.labels(operation, table).inc()
 
     def observe_unreadable_row(self, table: str) -> None:
-        """Count a row that names nothing, since it cannot be read."""
+        """Count a row of the store that cannot be decoded and is ignored."""
         self._unreadable_rows.labels(table).inc()
 
     def observe_restart(self, learned_by: str) -> None:
-        """Count a restart of a replica under the same id.
+        """Count a restart of a replica that kept its id.
 
         :param learned_by: value of :class:`limeshelf.replicas.starts.StatementWay`.
         """
         self._restarts.labels(learned_by).inc()
 
     def observe_notice(self, statement: str) -> None:
-        """Count that a replica began to ask for something.
+        """Count a request that a replica has started to make of the gateways.
 
         :param statement: value of :class:`limeshelf.replicas.notices.Statement`.
         """
         self._notices.labels(statement).inc()
 
     def observe_return(self, table: str, era: int) -> None:
-        """Count that the copy of *table* went over to a later era of the store."""
+        """Count a switch of the copy of *table* to a later era of the store."""
         self._returns.labels(table).inc()
         self._era.set(era)
 
@@ -142,31 +141,33 @@
     def watch_unserved(
         self, kind: str, longest_s: Callable[[], float], keys: Callable[[], int]
     ) -> None:
-        """Serve what goes unserved of a kind.
+        """Serve gauges of the unserved demand of one kind.
 
         :param kind: value of :class:`limeshelf.demand.unserved.UnservedKind`.
+        :param longest_s: returns the longest time without service, in seconds.
+        :param keys: returns the number of unserved models or adapters.
         """
         self._unserved_s.labels(kind).set_function(longest_s)
         self._unserved_keys.labels(kind).set_function(keys)
 
-    def watch(self, name: str, meaning: str, read: Callable[[], float]) -> None:
-        """Serve what *read* returns as a gauge called *name*."""
-        Gauge(f'limeshelf_{name}', meaning, registry=self._registry).set_function(read)
+    def watch(self, name: str, help_text: str, read: Callable[[], float]) -> None:
+        """Serve the value that *read* returns as a gauge called *name*."""
+        Gauge(f'limeshelf_{name}', help_text, registry=self._registry).set_function(read)
 
     def text(self) -> bytes:
-        """Return all metrics in the text format."""
+        """Return all metrics in the Prometheus text format."""
         return generate_latest(self._registry)
 
 
 class MetricsServer:
-    """Serves the metrics on an address of their own."""
+    """HTTP server for the metrics, on a separate address."""
 
     def __init__(self, metrics: GatewayMetrics) -> None:
         self._metrics = metrics
         self._runner: web.ServerRunner | None = None
 
     async def start(self, host: str, port: int) -> None:
-        """Listen."""
+        """Start listening."""
         self._runner = web.ServerRunner(web.Server(self._answer, access_log=None))
         await self._runner.setup()
         await web.TCPSite(self._runner, host, port).start()
--- a/limeshelf/metrics/statsd.py
+++ b/limeshelf/metrics/statsd.py
@@ -1,7 +1,7 @@
-"""Metrics of the own wire's programs: gathered in the process, sent by statsd.
+"""Metrics of the standalone programs, collected in the process and sent by statsd.
 
-Owns what was gathered since the last sending. Names are listed in
-docs/reference/metrics.rst. Relies on the settings for the receiver's address.
+Owns the values collected since the last send. Names are listed in docs/reference/metrics.rst. The
+address of the receiver comes from the settings.
 """
 
 from __future__ import annotations
@@ -17,14 +17,14 @@
 if TYPE_CHECKING:
     from limeshelf.settings.model import MetricsSettings
 
-#: Timings kept between two sendings; later ones are left out.
-TIMINGS_LIMIT = 1000
+#: Maximum number of timings kept between two sends; further ones are dropped.
+MAX_TIMINGS = 1000
 
 
 class Metrics:
-    """Gathers metrics and sends them once a period.
+    """Collects metrics and sends them periodically.
 
-    Gathering keeps the cost of a counter on the request path to one addition.
+    Collecting limits the cost of a counter on the request path to one addition.
     """
 
     def __init__(self, settings: MetricsSettings, prefix: str) -> None:
@@ -37,7 +37,7 @@
             self._client = statsd.StatsClient(
                 settings.statsd_host, settings.statsd_port, prefix=prefix
             )
-        self._sent: Counter[str] = Counter()
+        self._sent_totals: Counter[str] = Counter()
 
     def count(self, name: str, by: int = 1) -> None:
         """Add to a counter."""
@@ -48,26 +48,26 @@
         self.gauges[name] = value
 
     def time_s(self, name: str, seconds: float) -> None:
-        """Note a duration in seconds."""
-        if self._client is not None and len(self._timings) < TIMINGS_LIMIT:
+        """Record a duration in seconds."""
+        if self._client is not None and len(self._timings) < MAX_TIMINGS:
             self._timings.append((name, seconds))
 
     async def run(self) -> None:
-        """Send what was gathered, once a period."""
+        """Send the collected values periodically."""
         while True:
             await asyncio.sleep(jittered_s(self._flush_s))
             self.flush()
 
     def flush(self) -> None:
-        """Send what was gathered since the last time."""
+        """Send the values collected since the last send."""
         timings, self._timings = self._timings, []
         if self._client is None:
             return
         with self._client.pipeline() as pipeline:
             for name, total in self.counters.items():
-                if total != self._sent[name]:
-                    pipeline.incr(name, total - self._sent[name])
-                    self._sent[name] = total
+                if total != self._sent_totals[name]:
+                    pipeline.incr(name, total - self._sent_totals[name])
+                    self._sent_totals[name] = total
             for name, value in self.gauges.items():
                 pipeline.gauge(name, value)
             for name, seconds in timings:
--- a/tests/metrics/test_decision_log.py
+++ b/tests/metrics/test_decision_log.py
@@ -1,8 +1,8 @@
-"""Decisions are kept for a while, so that they can be explained."""
+"""The decision log keeps the latest lines for ``explain``."""
 
 from __future__ import annotations
 
-from limeshelf.metrics.decision_log import KEPT_LINES, KEPT_SUBJECTS, DecisionLog
+from limeshelf.metrics.decision_log import MAX_LINES_PER_SUBJECT, MAX_SUBJECTS, DecisionLog
 
 
 def test_line_names_its_subject_and_inputs() -> None:
@@ -13,11 +13,11 @@
 
 def test_latest_lines_of_the_latest_subjects_are_kept() -> None:
     log = DecisionLog(enabled=False)
-    for number in range(KEPT_LINES + 3):
+    for number in range(MAX_LINES_PER_SUBJECT + 3):
         log.add('r-1', 'route', number=number)
-    assert len(log.lines('r-1')) == KEPT_LINES
+    assert len(log.lines('r-1')) == MAX_LINES_PER_SUBJECT
     assert log.lines('r-1')[0].endswith('number=3')
-    for number in range(KEPT_SUBJECTS):
+    for number in range(MAX_SUBJECTS):
         log.add(f's-{number}', 'route')
     assert log.lines('r-1') == []
     assert len(log.lines('s-0')) == 1
--- a/tests/metrics/test_event_log.py
+++ b/tests/metrics/test_event_log.py
@@ -1,4 +1,4 @@
-"""The event log never blocks, and says how many lines it left out."""
+"""The event log never blocks, and reports the number of dropped lines."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from limeshelf.util.clock import VirtualClock
 from tests.support.clock import fake_time
 
-#: More than a pipe holds.
+#: Longer than the capacity of a pipe.
 LARGE_TEXT = 'x' * 300_000
 
 
@@ -34,12 +34,12 @@
 
 
 def drain(reader: int) -> bytes:
-    found = b''
+    output = b''
     while True:
         try:
-            found += os.read(reader, 1 << 20)
+            output += os.read(reader, 1 << 20)
         except BlockingIOError:
-            return found
+            return output
 
 
 def events(text: bytes) -> list[dict[str, Any]]:
@@ -57,7 +57,7 @@
     assert (line['instance'], line['event'], line['phase']) == ('g-1', 'phase', 'serving')
 
 
-def test_lines_of_requests_are_bounded_and_counted(
+def test_request_lines_are_rate_limited_and_counted(
     clock: VirtualClock, pipe: tuple[int, int]
 ) -> None:
     log = EventLog(pipe[1])
@@ -70,20 +70,22 @@
     assert names == ['attempt'] * REQUEST_LINES_PER_S + ['phase', 'lines_dropped', 'attempt']
 
 
-def test_slow_reader_gets_whole_lines_later(clock: VirtualClock, pipe: tuple[int, int]) -> None:
+def test_slow_reader_receives_complete_lines_later(
+    clock: VirtualClock, pipe: tuple[int, int]
+) -> None:
     log = EventLog(pipe[1])
     for _ in range(3):
         log.change('large', text=LARGE_TEXT)
-    found = drain(pipe[0])
+    output = drain(pipe[0])
     for _ in range(100):
         log.change('small')
-        found += drain(pipe[0])
+        output += drain(pipe[0])
     assert log.dropped == 0
-    names = [line['event'] for line in events(found)]
+    names = [line['event'] for line in events(output)]
     assert names == ['large'] * 3 + ['small'] * 100
 
 
-def test_lines_that_a_slow_reader_leaves_no_room_for_are_counted(
+def test_lines_that_do_not_fit_the_buffer_are_counted(
     clock: VirtualClock, pipe: tuple[int, int]
 ) -> None:
     log = EventLog(pipe[1])
@@ -105,16 +107,16 @@
     EventLog().change('phase')
 
 
-def test_log_goes_on_when_its_reader_has_caught_up(
+def test_log_continues_when_its_reader_has_caught_up(
     clock: VirtualClock, pipe: tuple[int, int]
 ) -> None:
-    """The buffer was flushed only behind the check of its size: once full, for ever full."""
+    """Guards against a full buffer that is never flushed, because only added lines flush it."""
     log = EventLog(pipe[1])
     while not log.dropped:
         log.change('large', text=LARGE_TEXT)
-    found = b''
+    output = b''
     for _ in range(200):
-        found += drain(pipe[0])
+        output += drain(pipe[0])
         log.change('small')
-    found += drain(pipe[0])
-    assert b'"small"' in found
+    output += drain(pipe[0])
+    assert b'"small"' in output
