--- a/limeshelf/util/__init__.py
+++ b/limeshelf/util/__init__.py
@@ -1,10 +1,13 @@
-"""What both halves of the product need and no standard library gives.
+"""Utilities shared by all packages.
 
-* ``backoff``: pauses before a retry, and periods that do not run in step.
-* ``clock``: the steady clock and the one for people, both replaceable in tests.
+* ``backoff``: random delays before retries, and jittered periods.
+* ``clock``: the boot clock and the wall clock, both replaceable in tests.
+* ``connector``: an HTTP connector that closes each descriptor only once.
+* ``decoding``: the exceptions that decoders raise for invalid input.
 * ``http``: HTTP sessions that send each request once.
 * ``identifiers``: random ids.
 * ``rate``: a token bucket.
-* ``sockets``: TCP sockets that notice a cut.
-* ``tasks``: background tasks that are never lost silently.
+* ``sockets``: TCP sockets that detect an unreachable peer.
+* ``suspension``: time limits that include the time for which the machine was suspended.
+* ``tasks``: background tasks whose failures are logged.
 """
--- a/limeshelf/util/clock.py
+++ b/limeshelf/util/clock.py
@@ -1,7 +1,7 @@
-"""Clocks: one that goes on through suspension, one for people.
+"""Clocks: the boot clock, which includes suspension, and the wall clock.
 
-Whatever measures, ages or expires reads time here, so that tests and experiments can
-put a :class:`VirtualClock` in place of both.
+All code that measures durations or checks expiry reads the time here, so that tests and
+experiments can replace both clocks by a :class:`VirtualClock`.
 """
 
 from __future__ import annotations
@@ -21,9 +21,9 @@
 
 @attrs.define
 class VirtualClock:
-    """A clock that is moved by hand, for experiments and tests.
+    """A manually advanced clock for experiments and tests.
 
-    :ivar now_s: what :func:`boottime_s` returns; its start has no meaning.
+    :ivar now_s: value that :func:`boottime_s` returns; its origin is arbitrary.
     """
 
     now_s: float = 1000.0
@@ -33,7 +33,7 @@
         self.now_s += seconds
 
 
-#: Added to a virtual clock for the wall clock, in seconds since the epoch.
+#: Wall clock at the origin of a virtual clock, in seconds since the epoch.
 VIRTUAL_EPOCH_S = 1.7e9
 
 _virtual: VirtualClock | None = None
@@ -42,8 +42,8 @@
 def boottime_s() -> float:
     """Return seconds of ``CLOCK_BOOTTIME``, which never jumps or pauses.
 
-    Leases are judged on it, because wall clocks jump and because
-    ``CLOCK_MONOTONIC`` stands still while a machine is suspended.
+    Leases are checked with it, because wall clocks jump and ``CLOCK_MONOTONIC`` stops while a
+    machine is suspended.
     """
     if _virtual is not None:
         return _virtual.now_s
@@ -51,7 +51,7 @@
 
 
 def wall_s() -> float:
-    """Return wall clock seconds since the epoch, for records that people read."""
+    """Return wall clock seconds since the epoch, for logs and other records."""
     if _virtual is not None:
         return VIRTUAL_EPOCH_S + _virtual.now_s
     return time.time()
@@ -59,9 +59,9 @@
 
 @contextlib.contextmanager
 def virtual_clock() -> Iterator[VirtualClock]:
-    """Replace both clocks of this process by one that is moved by hand.
+    """Replace both clocks of this process by a manually advanced one.
 
-    Pauses of the event loop are not affected.
+    Timers of the event loop are not affected.
     """
     global _virtual
     before = _virtual
--- a/limeshelf/util/decoding.py
+++ b/limeshelf/util/decoding.py
@@ -1,9 +1,9 @@
-"""What goes wrong when bytes of others are decoded."""
+"""The exceptions that decoding untrusted bytes can raise."""
 
 from __future__ import annotations
 
 import msgspec
 
-#: What a decoder raises for bytes that are no such document; text that is no UTF-8 and nesting
-#: without end are among them (tests/platform/test_foreign_rows.py draws any).
+#: Exceptions of a decoder for invalid documents, which include text that is not UTF-8 and
+#: excessive nesting (tests/platform/test_foreign_rows.py generates arbitrary input).
 UNREADABLE = (msgspec.MsgspecError, UnicodeDecodeError, RecursionError)
--- a/limeshelf/util/identifiers.py
+++ b/limeshelf/util/identifiers.py
@@ -1,4 +1,4 @@
-"""Random identifiers, of which no two are alike on any instance."""
+"""Random identifiers, unique across instances."""
 
 from __future__ import annotations
 
