--- a/limeshelf/util/connector.py
+++ b/limeshelf/util/connector.py
@@ -1,13 +1,13 @@
-"""Connections of HTTP clients whose descriptor is closed once, also if they are given up.
+"""An HTTP client connector that closes each descriptor only once, even if a request is cancelled.
 
-The event loop closes the descriptor of a connection that is given up between the end of its
-handshake and its first use, and leaves the socket object with the number. Once that object is
-collected, the number is closed again, and by then it may be another connection's: answers then
-went to callers of other requests, and processes ended (two of three plays of a day on which
-processes are short of time).
+If a request is cancelled between the end of the connection's handshake and its first use, the
+event loop closes the descriptor, but the socket object still holds its number. When that object
+is garbage collected, the number is closed again, although it may belong to another connection by
+then. Answers then reached callers of other requests, and processes crashed (in two of three runs
+of a load on which processes are short of CPU time).
 
-Relies on a private method of aiohttp's connector, in which a connection is made;
-tests/util/test_connector.py fails when a release of aiohttp drops or renames it.
+Depends on a private method of aiohttp's connector, which creates a connection;
+tests/util/test_connector.py fails when a release of aiohttp removes or renames it.
 """
 
 from __future__ import annotations
@@ -24,20 +24,20 @@
 
     from aiohttp.client_proto import ResponseHandler
 
-#: The sockets of the connection that the running task makes.
-_made: ContextVar[list[socket.socket]] = ContextVar('made')
+#: The sockets of the connection that the current task is opening.
+_opened_sockets: ContextVar[list[socket.socket]] = ContextVar('made')
 
 
 class SingleCloseConnector(aiohttp.TCPConnector):
-    """Makes connections and gives them up without closing a descriptor twice.
+    """Opens connections and abandons them without closing a descriptor twice.
 
-    :param make_socket: makes the socket of a new connection.
+    :param make_socket: creates the socket of a new connection.
     """
 
     def __init__(self, make_socket: Callable[[Any], socket.socket], **options: Any) -> None:
         def make(address_info: Any) -> socket.socket:
             made = make_socket(address_info)
-            _made.get().append(made)
+            _opened_sockets.get().append(made)
             return made
 
         super().__init__(socket_factory=make, **options)
@@ -46,12 +46,12 @@
         self, *arguments: Any, **options: Any
     ) -> tuple[asyncio.Transport, ResponseHandler]:
         made: list[socket.socket] = []
-        _made.set(made)
+        _opened_sockets.set(made)
         try:
             return await super()._wrap_create_connection(*arguments, **options)
         except BaseException:
             for one in made:
-                # One that never connected was closed by its maker, and has no number left; of
-                # any other, the loop has closed the descriptor.
+                # A socket that never connected is closed already and holds no descriptor. For
+                # any other, the event loop has closed the descriptor.
                 one.detach()
             raise
--- a/limeshelf/util/http.py
+++ b/limeshelf/util/http.py
@@ -1,8 +1,8 @@
 """HTTP client sessions that send each request once.
 
-Every HTTP session of the product is passed through here. Relies on a private
-attribute of aiohttp, which has no public switch for it;
-tests/util/test_http.py fails when a release of aiohttp drops or renames it.
+Every HTTP session of the project is created with :func:`without_silent_retry`. Depends on a
+private attribute of aiohttp, which has no public option for it; tests/util/test_http.py fails
+when a release of aiohttp removes or renames it.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 
 
 def without_silent_retry(session: aiohttp.ClientSession) -> aiohttp.ClientSession:
-    """Return *session*, which no longer sends a request again by itself.
+    """Disable the automatic retries of *session* and return it.
 
-    When a kept connection drops before the answer, aiohttp sends idempotent
-    methods a second time on a new one. The server may have run the first one,
-    and a repeat is for the caller to decide, within its retry budget.
+    When a keep-alive connection is closed before the answer, aiohttp sends requests with an
+    idempotent method again on a new connection. The server may have run the first one, and
+    the caller must decide about retries, within its retry budget.
     """
     session._retry_connection = False
     return session
--- a/limeshelf/util/sockets.py
+++ b/limeshelf/util/sockets.py
@@ -1,7 +1,6 @@
-"""TCP sockets that notice within a few seconds that the other end is out of reach.
+"""TCP sockets that detect an unreachable peer within a few seconds.
 
-Without these options, the system waits for minutes behind a link that drops
-everything.
+Without these options, the operating system waits for minutes on a link that drops all packets.
 """
 
 from __future__ import annotations
@@ -10,53 +9,53 @@
 import struct
 from typing import Any
 
-#: Data that is not acknowledged for this long breaks the connection. Short because of replicas
-#: behind a cut.
+#: A connection is closed if sent data is not acknowledged for this long. Short so that replicas
+#: behind a network partition are detected soon.
 USER_TIMEOUT_MS = 800
-#: An idle connection is probed after this time.
-PROBE_AFTER_S = 2
-#: Time between two such probes.
-PROBE_EVERY_S = 1
-#: Unanswered probes that break the connection.
-PROBES = 2
-#: ``struct linger``: on, with no time to send what is left.
-_DROP_AT_CLOSE = struct.pack('ii', 1, 0)
+#: Idle time after which a connection is probed.
+PROBE_IDLE_S = 2
+#: Time between two probes.
+PROBE_INTERVAL_S = 1
+#: Number of unanswered probes after which the connection is closed.
+PROBE_COUNT = 2
+#: ``struct linger``: enabled, with a timeout of zero, so that closing discards unsent data.
+_LINGER_DISCARD = struct.pack('ii', 1, 0)
 
 
 def keepalive_socket(address_info: Any) -> socket.socket:
-    """Return a stream socket that does not hang behind a cut.
+    """Return a stream socket that detects an unreachable peer.
 
-    :param address_info: as :func:`socket.getaddrinfo` returns it; the socket
-        factory of aiohttp's connectors gets one.
+    :param address_info: address as returned by :func:`socket.getaddrinfo`, which aiohttp passes
+        to the socket factory of a connector.
     """
     family, kind, protocol, _, _ = address_info
-    made = socket.socket(family, kind, protocol)
-    made.setblocking(False)
-    keep_alive(made)
-    return made
+    created = socket.socket(family, kind, protocol)
+    created.setblocking(False)
+    keep_alive(created)
+    return created
 
 
 def keep_alive(connection: socket.socket) -> None:
-    """Make a stream socket notice that the other end is out of reach.
+    """Set the options with which a stream socket detects an unreachable peer.
 
-    :param connection: connected or not; a transport's own view of its socket will do.
+    :param connection: connected or unconnected socket, or the socket object of a transport.
     """
     connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_AFTER_S)
-    connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_EVERY_S)
-    connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, PROBES)
+    connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_IDLE_S)
+    connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_INTERVAL_S)
+    connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, PROBE_COUNT)
 
 
 def reset_on_close_socket(address_info: Any) -> socket.socket:
-    """Return a :func:`keepalive_socket` whose close drops what has not been sent.
+    """Return a :func:`keepalive_socket` that discards unsent data when it is closed.
 
-    The system would send it when a cut heals, and an order that was given up must
-    not arrive then.
+    Otherwise the operating system would still send the data when a network partition ends, and
+    an order that was abandoned must not arrive then.
 
     :param address_info: as for :func:`keepalive_socket`.
     """
-    made = keepalive_socket(address_info)
-    made.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _DROP_AT_CLOSE)
-    return made
+    created = keepalive_socket(address_info)
+    created.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_DISCARD)
+    return created
--- a/tests/util/test_connector.py
+++ b/tests/util/test_connector.py
@@ -1,4 +1,4 @@
-"""A connection that is given up as it is made closes its descriptor once."""
+"""A connection that is cancelled while it is opened closes its descriptor once."""
 
 from __future__ import annotations
 
@@ -16,27 +16,27 @@
 from limeshelf.util.sockets import keepalive_socket
 
 
-def test_private_method_of_the_library_is_there() -> None:
+def test_private_method_of_aiohttp_exists() -> None:
     assert asyncio.iscoroutinefunction(aiohttp.TCPConnector._wrap_create_connection)
 
 
 @attrs.frozen
-class Made:
-    """A socket and what its descriptor is.
+class TrackedSocket:
+    """A socket and the identity of its connection.
 
-    :ivar inode: names the connection behind the number, which another one may get.
+    :ivar inode: inode of the connection; the descriptor number alone may be reused.
     """
 
     socket: socket.socket
     inode: int
 
     @classmethod
-    def from_address(cls, address_info: Any) -> Made:
-        made = keepalive_socket(address_info)
-        return cls(made, os.fstat(made.fileno()).st_ino)
+    def from_address(cls, address_info: Any) -> TrackedSocket:
+        created = keepalive_socket(address_info)
+        return cls(created, os.fstat(created.fileno()).st_ino)
 
-    def is_closed_behind(self) -> bool:
-        """Return whether the object still has its number, and the connection is closed."""
+    def has_stale_descriptor(self) -> bool:
+        """Return whether the object still holds a descriptor whose connection is closed."""
         if self.socket.fileno() == -1:
             return False
         try:
@@ -45,8 +45,8 @@
             return True
 
 
-async def give_up_at_first_use(connector: aiohttp.TCPConnector, url: str) -> None:
-    """Ask for something, and give it up as the connection is handed to its protocol."""
+async def cancel_at_first_use(connector: aiohttp.TCPConnector, url: str) -> None:
+    """Send a request and cancel it when the connection is passed to its protocol."""
     loop = asyncio.get_running_loop()
     make_protocol = connector._factory
     async with aiohttp.ClientSession(connector=connector) as session:
@@ -63,28 +63,28 @@
 
 
 @pytest.mark.parametrize('guarded', [True, False])
-def test_no_socket_is_left_with_a_number_that_is_closed(guarded: bool) -> None:
-    """With the library's own connector some are; if that ends, this class can go."""
-    sockets: list[Made] = []
+def test_no_socket_is_left_with_a_stale_descriptor(guarded: bool) -> None:
+    """The unguarded row shows that aiohttp still leaves one; if it fails, drop the connector."""
+    sockets: list[TrackedSocket] = []
 
     def make(address_info: Any) -> socket.socket:
-        sockets.append(Made.from_address(address_info))
+        sockets.append(TrackedSocket.from_address(address_info))
         return sockets[-1].socket
 
-    async def play() -> int:
+    async def scenario() -> int:
         server = await asyncio.start_server(lambda *_: None, '127.0.0.1', 0)
         url = f'http://127.0.0.1:{server.sockets[0].getsockname()[1]}'
         connector = (
             SingleCloseConnector(make) if guarded else aiohttp.TCPConnector(socket_factory=make)
         )
-        await give_up_at_first_use(connector, url)
+        await cancel_at_first_use(connector, url)
         server.close()
-        return sum(one.is_closed_behind() for one in sockets)
+        return sum(one.has_stale_descriptor() for one in sockets)
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        left = runner.run(play())
+        stale_descriptors = runner.run(scenario())
         for one in sockets:
-            if one.is_closed_behind():
+            if one.has_stale_descriptor():
                 one.socket.detach()
     assert len(sockets) == 1
-    assert bool(left) is not guarded
+    assert bool(stale_descriptors) is not guarded
--- a/tests/util/test_http.py
+++ b/tests/util/test_http.py
@@ -1,4 +1,4 @@
-"""A request on a connection that drops is sent once."""
+"""A request on a connection that is closed before the answer is sent only once."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class DroppingServer:
-    """Answers the first request of a connection, and drops it at the second."""
+    """Answers the first request of a connection and closes it at the second."""
 
     def __init__(self) -> None:
         self.requests = 0
@@ -31,9 +31,9 @@
 
 
 async def requests_of_two_calls(session: aiohttp.ClientSession) -> tuple[int, bool]:
-    """Return the requests that a server saw of two calls, and whether the second failed."""
-    dropping = DroppingServer()
-    server = await asyncio.start_server(dropping.serve, '127.0.0.1', 0)
+    """Return the number of requests a server received for two calls, and if the second failed."""
+    closing_server = DroppingServer()
+    server = await asyncio.start_server(closing_server.serve, '127.0.0.1', 0)
     url = f'http://127.0.0.1:{server.sockets[0].getsockname()[1]}/'
     failed = False
     async with session:
@@ -45,17 +45,17 @@
         except aiohttp.ServerDisconnectedError:
             failed = True
     server.close()
-    return dropping.requests, failed
+    return closing_server.requests, failed
 
 
-@pytest.mark.parametrize(('silent', 'expected'), [(True, (3, False)), (False, (2, True))])
+@pytest.mark.parametrize(('retries', 'expected'), [(True, (3, False)), (False, (2, True))])
 def test_call_on_a_dropped_connection_is_sent_once(
-    silent: bool, expected: tuple[int, bool]
+    retries: bool, expected: tuple[int, bool]
 ) -> None:
-    """The first row shows that the library still repeats where it is let."""
+    """The first row shows that aiohttp still retries by default."""
 
-    async def play() -> tuple[int, bool]:
+    async def scenario() -> tuple[int, bool]:
         session = aiohttp.ClientSession()
-        return await requests_of_two_calls(session if silent else without_silent_retry(session))
+        return await requests_of_two_calls(session if retries else without_silent_retry(session))
 
-    assert asyncio.run(play()) == expected
+    assert asyncio.run(scenario()) == expected
