--- a/limeshelf/util/suspension.py
+++ b/limeshelf/util/suspension.py
@@ -1,10 +1,9 @@
-"""Time limits that count the time for which the machine was suspended, and who notices that.
+"""Time limits that include the time for which the machine was suspended, and its detection.
 
-While a machine is suspended, the boot clock goes on and the clock of the event loop stands still,
-so that a plain timer ends late by as long. Owns the limits that are open in this process; relies
-on :mod:`limeshelf.util.clock` for the boot clock. A wait on which a promise rests uses
-:func:`boot_timeout`; the others say nothing by their end, and are listed in
-``docs/design/suspension.rst``.
+While a machine is suspended, the boot clock continues and the clock of the event loop stops, so
+that a plain timer ends late by the length of the suspension. Owns the open time limits of this
+process. Waits that a guarantee depends on use :func:`boot_timeout`; the other waits imply
+nothing when they end, and are listed in ``docs/design/suspension.rst``.
 """
 
 from __future__ import annotations
@@ -20,20 +19,20 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-#: Between two comparisons of the clocks, in seconds: this long after waking, at the most,
-#: limits are right again.
-CHECK_S = 0.1
-#: Less than this is no suspension, in seconds: the two clocks are read one after the other.
-LEAST_SLEPT_S = 0.05
+#: Period at which the clocks are compared, and thus the maximum delay after a wake-up until
+#: the limits are corrected.
+CHECK_PERIOD_S = 0.1
+#: Smallest difference that counts as a suspension: the two clocks are read one after the other.
+MIN_SUSPENSION_S = 0.05
 
-#: Open time limits, with their ends on the boot clock.
+#: Open time limits, with their end times on the boot clock.
 _ends_s: weakref.WeakKeyDictionary[asyncio.Timeout, float] = weakref.WeakKeyDictionary()
 
 
 def boot_timeout(limit_s: float) -> asyncio.Timeout:
-    """Return a time limit as :func:`asyncio.timeout` does, on the boot clock.
+    """Return a time limit like :func:`asyncio.timeout`, but on the boot clock.
 
-    :param limit_s: from now, in seconds; below zero as zero.
+    :param limit_s: time from now, in seconds; negative values count as zero.
     """
     limit_s = max(0.0, limit_s)
     limit = asyncio.timeout(limit_s)
@@ -41,35 +40,35 @@
     return limit
 
 
-def _set_right() -> None:
-    """Let each open limit end when the boot clock says so."""
-    ahead_s = asyncio.get_running_loop().time() - boottime_s()
+def _reschedule_open_limits() -> None:
+    """Reschedule the open limits to end at their time on the boot clock."""
+    loop_offset_s = asyncio.get_running_loop().time() - boottime_s()
     for limit, end_s in list(_ends_s.items()):
         try:
-            limit.reschedule(ahead_s + end_s)
+            limit.reschedule(loop_offset_s + end_s)
         except RuntimeError:
-            # Over already, or not begun; nothing in the object tells which. One that is not
-            # begun yet began in this very step of the loop.
+            # The limit has ended or has not been entered; the object does not tell which. One
+            # that has not been entered was created in the current step of the loop.
             del _ends_s[limit]
 
 
 @attrs.define
 class SuspensionWatch:
-    """Notices that the machine was suspended, and sets open limits right.
+    """Detects suspensions of the machine and corrects the open limits.
 
-    :param on_wake: called with how long it was, in seconds.
+    :param on_wake: called with the length of the suspension, in seconds.
     """
 
     on_wake: Callable[[float], None]
 
     async def run(self) -> None:
-        """Compare the clocks, again and again."""
+        """Compare the clocks periodically."""
         loop = asyncio.get_running_loop()
-        lead_s = boottime_s() - loop.time()
+        offset_s = boottime_s() - loop.time()
         while True:
-            await asyncio.sleep(CHECK_S)
-            now_s = boottime_s() - loop.time()
-            slept_s, lead_s = now_s - lead_s, now_s
-            if slept_s >= LEAST_SLEPT_S:
-                _set_right()
-                self.on_wake(slept_s)
+            await asyncio.sleep(CHECK_PERIOD_S)
+            new_offset_s = boottime_s() - loop.time()
+            suspended_s, offset_s = new_offset_s - offset_s, new_offset_s
+            if suspended_s >= MIN_SUSPENSION_S:
+                _reschedule_open_limits()
+                self.on_wake(suspended_s)
--- a/limeshelf/util/tasks.py
+++ b/limeshelf/util/tasks.py
@@ -1,7 +1,7 @@
-"""Background tasks that are never lost silently, and end together.
+"""Background tasks whose failures are logged, and which are cancelled together.
 
-Owns the tasks of one process or component. A loop that fails is logged, counted and
-run again.
+Owns the tasks of one process or component. A supervised loop that fails is logged, counted and
+restarted.
 """
 
 from __future__ import annotations
@@ -17,20 +17,20 @@
     from collections.abc import Callable, Coroutine
 
 
-#: Bound of the random pause before a failed loop is run again; doubled with each failure.
-AGAIN_BASE_S = 0.1
-#: Largest bound of that pause.
-AGAIN_LIMIT_S = 2.0
-#: A task that has not ended this long after its cancellation is cancelled again.
-CANCEL_AGAIN_S = 0.5
+#: Bound of the random delay before a failed loop is restarted; doubles with each failure.
+RESTART_BASE_S = 0.1
+#: Largest bound of that delay.
+RESTART_LIMIT_S = 2.0
+#: Time after which a task that has not ended is cancelled again.
+CANCEL_RETRY_S = 0.5
 
 
 class TaskSet:
-    """Keeps background tasks alive and cancels them together.
+    """Holds references to background tasks and cancels them together.
 
-    A task that ends by an error is logged and counted.
+    A task that ends with an exception is logged and counted.
 
-    :ivar failures: errors that ended a task, or a turn of a kept loop.
+    :ivar failures: number of exceptions that ended a task or a run of a supervised loop.
     """
 
     def __init__(self) -> None:
@@ -41,21 +41,21 @@
         """Start *coroutine* as a task called *name*."""
         task = asyncio.get_running_loop().create_task(coroutine, name=name)
         self._tasks.add(task)
-        task.add_done_callback(self._finished)
+        task.add_done_callback(self._on_done)
         return task
 
     def keep(
         self, function: Callable[..., Coroutine[Any, Any, None]], name: str, *arguments: Any
     ) -> asyncio.Task[Any]:
-        """Run *function* as a task, and again whenever it fails.
+        """Run *function* as a task, and restart it whenever it fails.
 
-        For loops that a process cannot do without: a fault in one turn must not
-        end the loop while the process otherwise goes on
-        (tests/util/test_tasks.py::test_loop_that_fails_is_run_again).
+        For loops that are essential to a process: an exception in one iteration must not end
+        the loop while the process continues
+        (tests/util/test_tasks.py::test_loop_that_fails_is_restarted).
         """
-        return self.spawn(self._keep(function, name, arguments), name)
+        return self.spawn(self._run_supervised(function, name, arguments), name)
 
-    async def _keep(
+    async def _run_supervised(
         self,
         function: Callable[..., Coroutine[Any, Any, None]],
         name: str,
@@ -70,9 +70,9 @@
                 self.failures += 1
                 attempt += 1
                 logging.exception('task=%s state=failed_and_kept error=%r', name, error)
-            await asyncio.sleep(full_jitter_s(attempt, AGAIN_BASE_S, AGAIN_LIMIT_S))
+            await asyncio.sleep(full_jitter_s(attempt, RESTART_BASE_S, RESTART_LIMIT_S))
 
-    def _finished(self, task: asyncio.Task[Any]) -> None:
+    def _on_done(self, task: asyncio.Task[Any]) -> None:
         self._tasks.discard(task)
         if task.cancelled() or task.exception() is None:
             return
@@ -80,14 +80,13 @@
         logging.error('task=%s state=failed error=%r', task.get_name(), task.exception())
 
     async def close(self) -> None:
-        """Cancel every task and wait until all have ended.
+        """Cancel all tasks and wait until they have ended.
 
-        A cancellation can get lost inside a task, for example in
-        :func:`asyncio.wait_for` when its result arrives at the same moment;
-        such a task is cancelled again.
+        A task can swallow a cancellation, for example in :func:`asyncio.wait_for` when the
+        result arrives at the same moment; such a task is cancelled again.
         """
         pending = set(self._tasks)
         while pending:
             for task in pending:
                 task.cancel()
-            _, pending = await asyncio.wait(pending, timeout=CANCEL_AGAIN_S)
+            _, pending = await asyncio.wait(pending, timeout=CANCEL_RETRY_S)
--- a/tests/util/test_tasks.py
+++ b/tests/util/test_tasks.py
@@ -1,4 +1,4 @@
-"""Background tasks: no loop ends silently."""
+"""Background tasks: failed loops are restarted, and all tasks end on close."""
 
 from __future__ import annotations
 
@@ -9,36 +9,36 @@
 from limeshelf.util.tasks import TaskSet
 
 
-def test_loop_that_fails_is_run_again() -> None:
+def test_loop_that_fails_is_restarted() -> None:
     async def case() -> None:
         tasks = TaskSet()
-        turns: list[int] = []
+        iterations: list[int] = []
         done = asyncio.Event()
 
         async def loop(step: int) -> None:
-            turns.append(step)
-            if len(turns) < 3:
-                raise KeyError('a fault of one turn')
+            iterations.append(step)
+            if len(iterations) < 3:
+                raise KeyError('a fault of one iteration')
             done.set()
             await asyncio.Event().wait()
 
         tasks.keep(loop, 'loop', 7)
         await asyncio.wait_for(done.wait(), 10)
         await tasks.close()
-        assert turns == [7, 7, 7]
+        assert iterations == [7, 7, 7]
         assert tasks.failures == 2
 
     asyncio.run(case())
 
 
-def test_handler_that_fails_does_not_make_the_process_deaf() -> None:
+def test_node_still_receives_after_a_handler_failed() -> None:
     async def case() -> None:
-        heard: list[int] = []
+        received: list[int] = []
         twice = asyncio.Event()
 
         def handler(envelope) -> None:
-            heard.append(envelope.message.have_revision)
-            if len(heard) == 1:
+            received.append(envelope.message.have_revision)
+            if len(received) == 1:
                 raise KeyError('a fault of the handler')
             twice.set()
 
@@ -50,7 +50,7 @@
             for number in range(2):
                 one.send(two.address, ConfigPull(number))
             await asyncio.wait_for(twice.wait(), 10)
-            assert heard == [0, 1]
+            assert received == [0, 1]
         finally:
             await one.close()
             await two.close()
@@ -58,23 +58,23 @@
     asyncio.run(case())
 
 
-def test_task_that_loses_a_cancellation_is_cancelled_again() -> None:
+def test_task_that_swallows_a_cancellation_is_cancelled_again() -> None:
     async def case() -> None:
         tasks = TaskSet()
-        lost: list[bool] = []
+        swallowed: list[bool] = []
 
         async def loop() -> None:
             while True:
                 try:
                     await asyncio.sleep(3600)
                 except asyncio.CancelledError:
-                    if lost:
+                    if swallowed:
                         raise
-                    lost.append(True)
+                    swallowed.append(True)
 
         tasks.spawn(loop(), 'loop')
         await asyncio.sleep(0)
         await asyncio.wait_for(tasks.close(), 10)
-        assert lost == [True]
+        assert swallowed == [True]
 
     asyncio.run(case())
