--- a/limeshelf/account/__init__.py
+++ b/limeshelf/account/__init__.py
@@ -1,1 +1,1 @@
-"""Says from the gateways' logs how calls were served, and what the rest was lost to."""
+"""Analyses gateway logs: how calls ended, and why calls were not served in time."""
--- a/limeshelf/account/calls.py
+++ b/limeshelf/account/calls.py
@@ -1,8 +1,8 @@
-"""What became of one call, by its lines in the logs.
+"""The outcome of one call, derived from its log lines.
 
-Owns the rule that turns the lines of a call into its ending and into what it was lost to.
-Relies on the events ``attempt``, ``refused_overloaded``, ``refused_no_replica``, ``refused``
-and ``failed``; one line of them is enough.
+Owns the rules that derive how a call ended and why it was not served in time. Uses the events
+``attempt``, ``refused_overloaded``, ``refused_no_replica``, ``refused`` and ``failed``; one of
+these lines is sufficient.
 """
 
 from __future__ import annotations
@@ -15,13 +15,13 @@
 if TYPE_CHECKING:
     from limeshelf.account.lines import LogEvent
 
-#: Events that tell of one call.
+#: Events about a single call.
 CALL_EVENTS = frozenset(
     {'attempt', 'refused_overloaded', 'refused_no_replica', 'refused', 'failed', 'invalid'}
 )
-#: Refusals of calls that no route or limit allows; nobody owes them an answer.
-NOT_OWED = frozenset({'unknown_route'})
-#: Statuses from here on are the replica's own failures.
+#: Reasons of refusals that are the fault of the caller; such calls are not counted.
+CALLER_FAULTS = frozenset({'unknown_route'})
+#: Lowest status that reports a failure of the replica.
 STATUS_SERVER_ERROR = 500
 
 
@@ -35,7 +35,7 @@
 
 
 class Cause(enum.StrEnum):
-    """What a call that was not served in time was lost to."""
+    """Why a call was not served in time."""
 
     NONE = ''
     MODEL_ABSENT = 'no replica held the model'
@@ -65,13 +65,13 @@
 
 @attrs.define(slots=True)
 class CallRecord:
-    """What the lines of one call say; times in milliseconds unless the name says otherwise.
+    """The data of one call, from its log lines.
 
-    :ivar at_s: wall clock of its first line.
-    :ivar waited_ms: from its arrival to its last send, or to its refusal.
-    :ivar objective_ms: within which its first event or answer is in time; 0 if unknown.
-    :ivar returned: the gateway took it for the next try of a caller refused before.
-    :ivar retry_after_s: time to come back that its refusal stated.
+    :ivar at_s: wall clock time of its first line.
+    :ivar waited_ms: time from its arrival to its last send, or to its refusal.
+    :ivar objective_ms: latency objective for its first event or answer; 0 if unknown.
+    :ivar returned: whether the gateway assumed it to be a retry of a refused call.
+    :ivar retry_after_s: retry delay that its refusal stated.
     """
 
     call_id: str
@@ -98,7 +98,7 @@
     returned: bool = False
     retry_after_s: float | None = None
 
-    def take(self, event: LogEvent) -> None:
+    def add_event(self, event: LogEvent) -> None:
         """Add one line of the call."""
         fields = event.fields
         self.at_s = min(self.at_s, event.at_s)
@@ -110,7 +110,7 @@
         self.waited_ms = max(self.waited_ms, fields.get('waited_ms') or 0)
         self.returned = self.returned or bool(fields.get('returned'))
         if event.name == 'attempt':
-            self._take_attempt(event)
+            self._add_attempt(event)
         elif event.name == 'refused_overloaded':
             self.overloaded = True
         elif event.name == 'refused_no_replica':
@@ -122,7 +122,7 @@
         elif event.name == 'failed':
             self.status = int(fields.get('status') or 0)
 
-    def _take_attempt(self, event: LogEvent) -> None:
+    def _add_attempt(self, event: LogEvent) -> None:
         fields = event.fields
         self.attempts += 1
         self.replica = str(fields.get('replica') or '')
@@ -133,29 +133,29 @@
         self.pause_ms = fields.get('pause_ms') or 0
 
     @property
-    def is_owed(self) -> bool:
-        """Return whether the call could expect an answer."""
-        return self.refusal not in NOT_OWED
+    def is_counted(self) -> bool:
+        """Return whether the call is counted: not if it was refused by the caller's own fault."""
+        return self.refusal not in CALLER_FAULTS
 
     @property
     def ending(self) -> Ending:
         """Return how the call ended."""
-        return self._judge()[0]
+        return self._classify()[0]
 
     @property
     def cause(self) -> Cause:
-        """Return what it was lost to; :attr:`Cause.NONE` if it was served in time."""
-        return self._judge()[1]
+        """Return why it was not served in time; :attr:`Cause.NONE` if it was."""
+        return self._classify()[1]
 
-    def _judge(self) -> tuple[Ending, Cause]:
+    def _classify(self) -> tuple[Ending, Cause]:
         if self.refusal:
             return Ending.REFUSED, self._refusal_cause()
         if self.result == 'Delivered':
-            return self._judge_answer()
+            return self._classify_answer()
         if self.result == 'WholeAnswer':
             if self.status >= STATUS_SERVER_ERROR:
                 return Ending.FAILED, Cause.REPLICA_FAILED
-            return self._judge_answer()
+            return self._classify_answer()
         if self.detail == 'time_over':
             return Ending.FAILED, Cause.NO_TIME
         if self.result == 'Broken':
@@ -169,10 +169,10 @@
             return Cause.ADAPTER_ABSENT
         return _REFUSAL_CAUSES.get(self.refusal, Cause.OTHER)
 
-    def _judge_answer(self) -> tuple[Ending, Cause]:
+    def _classify_answer(self) -> tuple[Ending, Cause]:
         if self.objective_ms and self.waited_ms + self.first_ms > self.objective_ms:
-            mostly_waited = self.waited_ms > self.first_ms
-            return Ending.LATE, Cause.WAITED if mostly_waited else Cause.SLOW_FIRST
+            waited_longer = self.waited_ms > self.first_ms
+            return Ending.LATE, Cause.WAITED if waited_longer else Cause.SLOW_FIRST
         if self.pause_limit_ms and self.pause_ms > self.pause_limit_ms:
             return Ending.LATE, Cause.PAUSED
         return Ending.IN_TIME, Cause.NONE
--- a/limeshelf/account/compare.py
+++ b/limeshelf/account/compare.py
@@ -1,7 +1,7 @@
-"""Two sets of runs side by side, with confidence intervals over the runs of each.
+"""Compares two sets of runs, with confidence intervals over the runs of each set.
 
-A run is a file, or a directory whose files belong together. Relies on scipy, which the extra
-``account`` installs.
+A run is a log file, or a directory of log files. Requires scipy, which the extra ``account``
+installs.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
     from limeshelf.account.worths import Worths
 
-#: Probability with which an interval holds the mean.
+#: Confidence level of the intervals.
 CONFIDENCE = 0.95
 
 
@@ -32,7 +32,7 @@
 class Interval:
     """A mean over runs and half the width of its confidence interval.
 
-    :param half: not a number with one run.
+    :param half: half the width; not a number if there is only one run.
     """
 
     mean: float
@@ -45,9 +45,9 @@
         mean = statistics.fmean(values)
         if len(values) < 2:
             return cls(mean, math.nan, len(values))
-        error = statistics.stdev(values) / math.sqrt(len(values))
-        factor = float(stats.t.ppf((1 + CONFIDENCE) / 2, len(values) - 1))
-        return cls(mean, factor * error, len(values))
+        standard_error = statistics.stdev(values) / math.sqrt(len(values))
+        t_quantile = float(stats.t.ppf((1 + CONFIDENCE) / 2, len(values) - 1))
+        return cls(mean, t_quantile * standard_error, len(values))
 
     def __str__(self) -> str:
         return f'{self.mean:.3f}' if math.isnan(self.half) else f'{self.mean:.3f} ±{self.half:.3f}'
@@ -60,9 +60,9 @@
     'late': lambda summary: summary.total.share(Ending.LATE),
     'refused': lambda summary: summary.total.share(Ending.REFUSED),
     'failed': lambda summary: summary.total.share(Ending.FAILED),
-    'lost again': lambda summary: summary.total.returned_lost / max(1, summary.total.asked),
+    'lost again': lambda summary: summary.total.lost_retries / max(1, summary.total.asked),
     'held in vain, s a call': lambda summary: (
-        summary.total.held_in_vain_s / max(1, summary.total.asked)
+        summary.total.wasted_wait_s / max(1, summary.total.asked)
     ),
 }
 
@@ -88,7 +88,7 @@
 
 
 def compare_lines(before: list[CallSummary], after: list[CallSummary]) -> list[str]:
-    """Return both sets side by side, a line for each figure."""
+    """Return a table that compares both sets, with one line for each figure."""
     lines = [f'{"":24} {"A":>16} {"B":>16} {"B - A":>8}']
     for name, figure in _FIGURES.items():
         first = Interval.of([figure(summary) for summary in before])
--- a/limeshelf/account/lines.py
+++ b/limeshelf/account/lines.py
@@ -1,7 +1,7 @@
 """Reads events from the log lines of gateways.
 
-Owns nothing but the count of lines that hold no event. A line may have anything before its
-JSON, as log shippers add; files may be rotated, cut or out of order. Relies on msgspec.
+Owns only the counts of read and unreadable lines. A line may have any prefix before its JSON, as
+log shippers add one; files may be rotated, truncated or out of order.
 """
 
 from __future__ import annotations
@@ -15,9 +15,9 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable, Iterator
 
-#: Stands for standard input among the inputs.
+#: Name of standard input among the inputs.
 STDIN = '-'
-#: A longer line is no event of a gateway; the rest of it is skipped.
+#: Maximum length of a line; a longer one cannot be an event and is skipped.
 MAX_LINE_BYTES = 1 << 16
 
 _decode = msgspec.json.Decoder(dict[str, Any]).decode
@@ -29,8 +29,8 @@
 
     :param at_s: wall clock, in seconds since the epoch.
     :param instance: the gateway that wrote it.
-    :param name: what happened.
-    :param fields: what else the line says.
+    :param name: name of the event.
+    :param fields: remaining fields of the line.
     """
 
     at_s: float
@@ -41,11 +41,11 @@
 
 @attrs.define
 class LogReader:
-    """Reads events one by one, whatever else the input holds.
+    """Reads events one by one and skips all other lines.
 
-    :param on_progress: called with the bytes of each line that was read.
-    :ivar events: lines that held an event.
-    :ivar unreadable: lines that held none.
+    :param on_progress: called with the length of each line read, in bytes.
+    :ivar events: number of lines with an event.
+    :ivar unreadable: number of other lines, except blank ones.
     """
 
     on_progress: Callable[[int], None] = lambda size_bytes: None
@@ -54,13 +54,13 @@
 
     def read(self, stream: IO[bytes]) -> Iterator[LogEvent]:
         """Yield the events of a binary stream in the order of its lines."""
-        in_long_line = False
+        skips_long_line = False
         while line := stream.readline(MAX_LINE_BYTES):
             self.on_progress(len(line))
-            goes_on = not line.endswith(b'\n') and len(line) == MAX_LINE_BYTES
-            if goes_on or in_long_line:
-                self.unreadable += not in_long_line
-                in_long_line = goes_on
+            is_truncated = not line.endswith(b'\n') and len(line) == MAX_LINE_BYTES
+            if is_truncated or skips_long_line:
+                self.unreadable += not skips_long_line
+                skips_long_line = is_truncated
                 continue
             event = parse_line(line)
             if event is None:
@@ -84,7 +84,7 @@
 
 
 def parse_line(line: bytes) -> LogEvent | None:
-    """Return the event of a line, or ``None`` if it holds none."""
+    """Return the event of a line, or ``None`` if it contains none."""
     start = line.find(b'{"')
     if start < 0:
         return None
--- a/limeshelf/account/plot.py
+++ b/limeshelf/account/plot.py
@@ -1,6 +1,6 @@
-"""Draws how calls ended over time, with the spans marked, and what they waited for.
+"""Plots how calls ended over time, how long they waited, and the spans.
 
-Relies on matplotlib, which the extra ``account`` installs.
+Requires matplotlib, which the extra ``account`` installs.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
     from limeshelf.account.summary import CallSummary
 
-#: Inches of the drawing.
+#: Width and height of the plot.
 SIZE_INCHES = (11.0, 7.0)
 _COLOURS = {
     Ending.IN_TIME: '#4c9f70',
@@ -28,14 +28,14 @@
     Ending.REFUSED: '#c1666b',
     Ending.FAILED: '#48466d',
 }
-#: Spans drawn as marks, each on a line of its own below the curves.
-_MARKED = tuple(SpanKind)
+#: Kinds of spans drawn as bars, each in its own row below the curves.
+_SPAN_ROWS = tuple(SpanKind)
 
 
 def draw(summary: CallSummary, path: Path) -> None:
-    """Write the drawing of a closed summary; the name's suffix gives the format.
+    """Write the plot of a closed summary; the suffix of the file name determines the format.
 
-    :raises ValueError: no format has that suffix.
+    :raises ValueError: the suffix belongs to no supported format.
     :raises OSError: the file cannot be written.
     """
     mpl.use('Agg')
@@ -74,12 +74,12 @@
 
 
 def _draw_spans(summary: CallSummary, begin_s: float, axes: Axes) -> None:
-    for row, kind in enumerate(_MARKED):
+    for row, kind in enumerate(_SPAN_ROWS):
         bars = [
             (span.begin_s - begin_s, max(0.05, span.end_s - span.begin_s))
             for span in summary.spans.close()
             if span.kind is kind
         ]
         axes.broken_barh(bars, (row - 0.4, 0.8))
-    axes.set_yticks(range(len(_MARKED)), list(_MARKED), fontsize='x-small')
+    axes.set_yticks(range(len(_SPAN_ROWS)), list(_SPAN_ROWS), fontsize='x-small')
     axes.set_xlabel('seconds since the first call')
--- a/limeshelf/account/report.py
+++ b/limeshelf/account/report.py
@@ -1,4 +1,4 @@
-"""A summary as text, for the terminal."""
+"""Formats a summary as text for the terminal."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
     from limeshelf.account.lines import LogReader
     from limeshelf.account.summary import CallSummary, Tally
 
-#: Models shown, those that lost most first.
+#: Maximum number of models shown, those with the largest loss first.
 SHOWN_MODELS = 12
-#: Windows shown, the worst first.
+#: Maximum number of time windows shown, the worst first.
 SHOWN_WINDOWS = 8
 
 _COLUMNS = ('asked', 'in time', 'late', 'refused', 'failed', 'worth', 'strict')
@@ -26,9 +26,9 @@
     """Return the report of a closed summary."""
     lines = [f'{reader.events} events, {reader.unreadable} lines without one', '']
     lines += ['what the rest was lost to, by worth']
-    for cause, summed in summary.ranked_causes():
-        within = ', '.join(f'{kind} {count}' for kind, count in summed.within.most_common(3))
-        lines.append(f'  {summed.worth:9.1f}  {summed.calls:6} calls  {cause}')
+    for cause, cause_sum in summary.ranked_causes():
+        within = ', '.join(f'{kind} {count}' for kind, count in cause_sum.within.most_common(3))
+        lines.append(f'  {cause_sum.worth:9.1f}  {cause_sum.calls:6} calls  {cause}')
         if within:
             lines.append(f'{"":25}within: {within}')
     lines += ['', _HEAD, _row('all', summary.total)]
@@ -40,8 +40,8 @@
     total = summary.total
     lines += [
         '',
-        f'held in vain {total.held_in_vain_s:.1f} s; lost again after a refusal '
-        f'{total.returned_lost} calls',
+        f'held in vain {total.wasted_wait_s:.1f} s; lost again after a refusal '
+        f'{total.lost_retries} calls',
     ]
     return lines
 
--- a/limeshelf/account/story.py
+++ b/limeshelf/account/story.py
@@ -1,4 +1,4 @@
-"""The whole story of one call, over all gateways, in order of time."""
+"""The trace of one call: its events at all gateways, in order of time."""
 
 from __future__ import annotations
 
@@ -13,24 +13,24 @@
 
 
 def story_of(call_id: str, events: Iterable[LogEvent]) -> list[LogEvent]:
-    """Return the events of a call by their time."""
-    own = [event for event in events if event.fields.get('request') == call_id]
-    return sorted(own, key=lambda event: event.at_s)
+    """Return the events of a call in order of time."""
+    of_call = [event for event in events if event.fields.get('request') == call_id]
+    return sorted(of_call, key=lambda event: event.at_s)
 
 
 def story_lines(events: list[LogEvent]) -> list[str]:
-    """Return a story as text: a line for each decision with its inputs, then the ending."""
+    """Return a trace as text: one line for each event with its fields, then the ending."""
     if not events:
         return []
     record = CallRecord(str(events[0].fields.get('request')), events[0].at_s)
     lines = []
     for event in events:
-        record.take(event)
+        record.add_event(event)
         since_ms = (event.at_s - events[0].at_s) * 1000
-        inputs = ' '.join(
+        field_text = ' '.join(
             f'{name}={value}' for name, value in event.fields.items() if name != 'request'
         )
-        lines.append(f'{since_ms:9.1f} ms  {event.instance}  {event.name}  {inputs}')
+        lines.append(f'{since_ms:9.1f} ms  {event.instance}  {event.name}  {field_text}')
     lines.append(_ending_line(record))
     return lines
 
--- a/limeshelf/account/summary.py
+++ b/limeshelf/account/summary.py
@@ -1,7 +1,7 @@
-"""Sums up what became of all calls, and what the rest was lost to.
+"""Sums up how calls ended, and why calls were not served in time.
 
-Owns the records of the calls that are still open, bounded in number, and the sums of the
-closed ones. Relies on :mod:`~limeshelf.account.calls` for a call's ending.
+Owns the records of the open calls, limited in number, and the sums of the closed ones. The
+ending of a call is derived by :mod:`~limeshelf.account.calls`.
 """
 
 from __future__ import annotations
@@ -13,28 +13,34 @@
 
 from limeshelf.account.calls import CALL_EVENTS, CallRecord, Cause, Ending
 from limeshelf.account.spans import SpanKind, Spans
-from limeshelf.account.worths import Worths, held_in_vain_share
+from limeshelf.account.worths import Worths, wasted_wait_share
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
     from limeshelf.account.lines import LogEvent
 
-#: Calls kept open while their lines come in; beyond, the oldest are closed. A record takes
-#: about half a kilobyte.
+#: Maximum number of open calls, whose lines are still being read; beyond it, the oldest are
+#: closed. A record takes about half a kilobyte.
 MAX_OPEN_CALLS = 200_000
-#: Lost calls whose surroundings are kept; beyond, only their sums are.
+#: Maximum number of lost calls kept to find the spans that affect them; further ones are only
+#: summed up.
 MAX_LOST_CALLS = 100_000
 
 
 @attrs.define
 class Tally:
-    """What became of some calls; worths in the units of the routes."""
+    """Counts of the endings of some calls, and their worth in the units of the routes.
+
+    :ivar lost_retries: calls that were lost although they were retries of refused calls.
+    :ivar wasted_wait_s: time that calls waited without ever being sent.
+    :ivar owed: worth if all calls had been in time.
+    """
 
     asked: int = 0
     endings: Counter[Ending] = attrs.field(factory=Counter)
-    returned_lost: int = 0
-    held_in_vain_s: float = 0.0
+    lost_retries: int = 0
+    wasted_wait_s: float = 0.0
     owed: float = 0.0
     earned: float = 0.0
     earned_strictly: float = 0.0
@@ -49,28 +55,28 @@
         self.earned_strictly += worths.earned_strictly(call)
         lost = ending in (Ending.REFUSED, Ending.FAILED)
         if lost and call.returned:
-            self.returned_lost += 1
-        if held_in_vain_share(call):
-            self.held_in_vain_s += call.waited_ms / 1000
+            self.lost_retries += 1
+        if wasted_wait_share(call):
+            self.wasted_wait_s += call.waited_ms / 1000
 
     def share(self, ending: Ending) -> float:
-        """Return the share of the calls that ended so."""
+        """Return the share of the calls with an ending."""
         return self.endings[ending] / self.asked if self.asked else 0.0
 
     @property
     def worth_share(self) -> float:
-        """Return the share of the worth owed that was earned, by the plain count."""
+        """Return the earned share of the owed worth, by the plain count."""
         return self.earned / self.owed if self.owed else 0.0
 
     @property
     def strict_share(self) -> float:
-        """Return the share of the worth owed that was earned, by the strict count."""
+        """Return the earned share of the owed worth, by the strict count."""
         return self.earned_strictly / self.owed if self.owed else 0.0
 
 
 @attrs.frozen
 class LostCall:
-    """A call that was not served in time, with what is needed to say why."""
+    """A call that was not served in time, with the cause and the lost worth."""
 
     call: CallRecord
     cause: Cause
@@ -79,10 +85,10 @@
 
 @attrs.define
 class CauseSum:
-    """What one cause took.
+    """The losses due to one cause.
 
-    :ivar worth: lost to it, by the plain count.
-    :ivar within: calls lost to it by the kind of span they lie in.
+    :ivar worth: lost worth, by the plain count.
+    :ivar within: number of lost calls by the kind of span that affected them.
     """
 
     calls: int = 0
@@ -92,9 +98,9 @@
 
 @attrs.define
 class CallSummary:
-    """Takes events and sums them up; ask it only after :meth:`close`.
+    """Sums up the calls of all events; to be queried only after :meth:`close`.
 
-    :param window_s: length of the moments in which calls are summed up.
+    :param window_s: length of the time windows in which calls are summed up.
     """
 
     worths: Worths = attrs.field(factory=Worths)
@@ -112,14 +118,14 @@
     _centres: dict[str, str] = attrs.field(factory=dict)
 
     def take_all(self, events: Iterable[LogEvent]) -> None:
-        """Take all events and close."""
+        """Add all events and close the summary."""
         for event in events:
-            self.take(event)
+            self.add_event(event)
         self.close()
 
-    def take(self, event: LogEvent) -> None:
-        """Take one event; those of a call may come in any order."""
-        self.spans.take(event)
+    def add_event(self, event: LogEvent) -> None:
+        """Add one event; the events of a call may come in any order."""
+        self.spans.add_event(event)
         if event.name == 'started':
             self._centres[event.instance] = str(event.fields.get('data_centre') or '')
         call_id = event.fields.get('request')
@@ -130,18 +136,18 @@
             call = self._open[call_id] = CallRecord(call_id, event.at_s)
             if len(self._open) > MAX_OPEN_CALLS:
                 self._count(self._open.popitem(last=False)[1])
-        call.take(event)
+        call.add_event(event)
 
     def close(self) -> None:
-        """Count the calls that are still open, and find what surrounds the lost ones."""
+        """Count the open calls, and find the spans that affected the lost ones."""
         while self._open:
             self._count(self._open.popitem(last=False)[1])
         self.spans.close()
         for lost in self._lost:
-            self.causes[lost.cause].within.update(self.spans.around(lost.call))
+            self.causes[lost.cause].within.update(self.spans.kinds_affecting(lost.call))
 
     def _count(self, call: CallRecord) -> None:
-        if not call.is_owed:
+        if not call.is_counted:
             return
         window = int(call.at_s // self.window_s)
         centre = self._centres.get(call.instance, '')
@@ -159,12 +165,12 @@
         waits_s = self.waits_s.setdefault(window, {})
         waits_s[cause] = waits_s.get(cause, 0.0) + call.waited_ms / 1000
         worth = self.worths.of(call).worth - self.worths.earned(call)
-        summed = self.causes.setdefault(cause, CauseSum())
-        summed.calls += 1
-        summed.worth += worth
+        cause_sum = self.causes.setdefault(cause, CauseSum())
+        cause_sum.calls += 1
+        cause_sum.worth += worth
         if len(self._lost) < MAX_LOST_CALLS:
             self._lost.append(LostCall(call, cause, worth))
 
     def ranked_causes(self) -> list[tuple[Cause, CauseSum]]:
-        """Return the causes, the one that took most worth first."""
+        """Return the causes, the one with the largest lost worth first."""
         return sorted(self.causes.items(), key=lambda item: -item[1].worth)
--- a/limeshelf/account/worths.py
+++ b/limeshelf/account/worths.py
@@ -1,8 +1,9 @@
-"""What calls are worth, and how that is counted.
+"""The worth of calls, counted in two ways.
 
-Owns two ways of counting. The plain one: in time earns the worth, late a share of it. The
-strict one counts from a caller's first try: a later try that is in time counts as late, one
-that fails again costs, and time for which a call was held in vain costs by its length.
+By the plain count, an answer in time earns the worth of the call, and a late one a share of it.
+The strict count starts from a caller's first try: a retry that is in time counts as late, a retry
+that fails again costs a share of the worth, and so does time for which a call waited without
+ever being sent.
 """
 
 from __future__ import annotations
@@ -20,24 +21,24 @@
 
     from limeshelf.account.calls import CallRecord
 
-#: Worth of a call whose route is not named.
-PLAIN_WORTH = 1.0
-#: Share of its worth that a late answer earns where nothing else is said.
+#: Worth of a call whose route is not listed.
+DEFAULT_WORTH = 1.0
+#: Default share of its worth that a late answer earns.
 LATE_SHARE = 0.1
-#: Share of its worth that a try costs which fails after an earlier refusal.
-FAILED_AGAIN_SHARE = 0.3
+#: Share of its worth that a retry costs if it fails after an earlier refusal.
+FAILED_RETRY_SHARE = 0.3
 
 
 @attrs.frozen
 class RouteWorth:
-    """What a call of a route is worth.
+    """The worth of a call of one route.
 
-    :param worth: of an answer in time.
-    :param late: of a late one.
+    :param worth: worth of an answer in time.
+    :param late: worth of a late answer.
     """
 
-    worth: float = PLAIN_WORTH
-    late: float = PLAIN_WORTH * LATE_SHARE
+    worth: float = DEFAULT_WORTH
+    late: float = DEFAULT_WORTH * LATE_SHARE
 
 
 @attrs.frozen
@@ -50,8 +51,8 @@
     def from_file(cls, path: Path) -> Worths:
         """Read ``{"ROUTE": {"worth": 2.0, "late": 0.2}}``.
 
-        :raises InvalidDocument: it is no such document.
-        :raises OSError: it cannot be read.
+        :raises InvalidDocument: the file has another structure.
+        :raises OSError: the file cannot be read.
         """
         try:
             by_route = msgspec.json.decode(path.read_bytes(), type=dict[str, RouteWorth])
@@ -60,31 +61,31 @@
         return cls(by_route)
 
     def of(self, call: CallRecord) -> RouteWorth:
-        """Return what a call is worth."""
+        """Return the worth of a call."""
         return self.by_route.get(call.route, RouteWorth())
 
     def earned(self, call: CallRecord) -> float:
-        """Return what a call earned by the plain count."""
+        """Return the worth that a call earned, by the plain count."""
         worth = self.of(call)
         if call.ending is Ending.IN_TIME:
             return worth.worth
         return worth.late if call.ending is Ending.LATE else 0.0
 
     def earned_strictly(self, call: CallRecord) -> float:
-        """Return what a call earned by the strict count; below zero where it cost more."""
+        """Return the worth that a call earned, by the strict count; may be negative."""
         worth = self.of(call)
         if call.ending is Ending.IN_TIME:
             return worth.late if call.returned else worth.worth
         if call.ending is Ending.LATE:
             return worth.late
-        lost = FAILED_AGAIN_SHARE * worth.worth if call.returned else 0.0
-        return -lost - held_in_vain_share(call) * worth.worth
+        retry_cost = FAILED_RETRY_SHARE * worth.worth if call.returned else 0.0
+        return -retry_cost - wasted_wait_share(call) * worth.worth
 
 
-def held_in_vain_share(call: CallRecord) -> float:
-    """Return the share of a call's worth that its time held in vain costs, 0 to 1.
+def wasted_wait_share(call: CallRecord) -> float:
+    """Return the share of a call's worth that its wait costs if it was never sent, 0 to 1.
 
-    Without steps: in proportion to the objective, or to a second where none is known.
+    The share is the ratio of the wait to the objective, or to one second if none is known.
     """
     if call.ending in (Ending.IN_TIME, Ending.LATE) or call.attempts:
         return 0.0
--- a/tests/account/test_command.py
+++ b/tests/account/test_command.py
@@ -1,4 +1,4 @@
-"""``limeshelf account`` on lines of played gateways and on broken input."""
+"""``limeshelf account`` with recorded gateway logs and with invalid input."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from limeshelf.standalone.programs.cli import app
 
-#: Lines of seven gateways from three moments of a played day, one of them a start.
+#: Lines of seven gateways from three periods of a recorded test run, one of them a start.
 RECORDED = Path(__file__).parent / 'recorded' / 'gateways.txt'
 
 
@@ -18,7 +18,7 @@
     return CliRunner().invoke(app, ['account', *map(str, arguments)], input=stdin)
 
 
-def test_summary_ranks_what_calls_were_lost_to() -> None:
+def test_summary_ranks_causes_by_lost_worth() -> None:
     result = run('summary', RECORDED)
     assert result.exit_code == 0
     lines = result.output.splitlines()
@@ -44,7 +44,7 @@
     assert 'worths.json' in result.output
 
 
-def test_story_of_a_call_is_in_order_of_time_and_ends_with_its_ending() -> None:
+def test_trace_of_a_call_is_in_order_of_time_and_ends_with_its_ending() -> None:
     refused = next(
         line for line in RECORDED.read_text().splitlines() if '"refused_no_replica"' in line
     )
@@ -57,7 +57,7 @@
     assert 'told to come back after' in lines[-1]
 
 
-def test_call_that_no_line_tells_of_is_said_so() -> None:
+def test_unknown_call_is_reported() -> None:
     result = run('call', 'c-unheard-of', RECORDED)
     assert result.exit_code != 0
     assert 'c-unheard-of' in result.output
@@ -71,25 +71,25 @@
     assert '2 lines without one' in result.output
 
 
-def test_file_that_is_not_there_is_said_so(tmp_path: Path) -> None:
+def test_missing_file_is_reported(tmp_path: Path) -> None:
     result = run('summary', tmp_path / 'none.log')
     assert result.exit_code != 0
     assert 'none.log' in result.output
 
 
 @pytest.mark.parametrize('suffix', ['svg', 'png'])
-def test_drawing_is_written(tmp_path: Path, suffix: str) -> None:
-    drawing = tmp_path / f'day.{suffix}'
-    assert run('plot', drawing, RECORDED).exit_code == 0
-    assert drawing.stat().st_size > 1000
+def test_plot_is_written(tmp_path: Path, suffix: str) -> None:
+    plot = tmp_path / f'day.{suffix}'
+    assert run('plot', plot, RECORDED).exit_code == 0
+    assert plot.stat().st_size > 1000
 
 
-def test_drawing_of_unknown_format_is_refused(tmp_path: Path) -> None:
+def test_plot_of_unknown_format_is_rejected(tmp_path: Path) -> None:
     result = run('plot', tmp_path / 'day.unknown', RECORDED)
     assert result.exit_code != 0
 
 
-def test_runs_side_by_side(tmp_path: Path) -> None:
+def test_comparison_of_runs(tmp_path: Path) -> None:
     run_directory = tmp_path / 'run'
     run_directory.mkdir()
     lines = RECORDED.read_bytes().splitlines(keepends=True)
@@ -98,6 +98,6 @@
     result = run('compare', '--a', RECORDED, '--a', RECORDED, '--b', run_directory)
     assert result.exit_code == 0
     worth = next(line for line in result.output.splitlines() if line.startswith('worth '))
-    # Two runs that are alike leave an interval of no width; a directory is one run.
+    # Two identical runs give an interval of zero width; a directory is one run.
     assert '±0.000' in worth
     assert worth.endswith('+0.000')
--- a/tests/account/test_lines.py
+++ b/tests/account/test_lines.py
@@ -1,4 +1,4 @@
-"""Log lines are read whatever stands around them, and what is no event is counted."""
+"""Events are read despite prefixes and other lines, and lines without an event are counted."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     assert (reader.events, reader.unreadable) == (1, 4)
 
 
-def test_line_without_an_end_is_cut_and_the_next_is_read() -> None:
+def test_overlong_line_is_skipped_and_the_next_is_read() -> None:
     data = b'{"' + b'x' * (3 * MAX_LINE_BYTES) + b'\n' + LINE
     events, reader = read(data)
     assert events == [EVENT]
@@ -40,7 +40,7 @@
 
 @given(st.lists(st.binary(max_size=80), max_size=8))
 def test_no_input_is_fatal(noise: list[bytes]) -> None:
-    """Whatever stands between, each whole line is found."""
+    """Each complete line is found between arbitrary bytes."""
     lines = [piece.replace(b'\n', b' ').replace(b'{', b'(') for piece in noise]
     data = b'\n'.join(part for piece in lines for part in (piece, LINE))
     events, _ = read(data)
@@ -55,8 +55,8 @@
     )
 )
 def test_any_json_is_an_event_or_none(value: object) -> None:
-    found = parse_line(json.dumps(value).encode())
-    assert found is None or isinstance(found, LogEvent)
+    event = parse_line(json.dumps(value).encode())
+    assert event is None or isinstance(event, LogEvent)
 
 
 def test_progress_covers_every_byte() -> None:
--- a/tests/account/test_summary.py
+++ b/tests/account/test_summary.py
@@ -1,4 +1,4 @@
-"""What became of calls and what the rest was lost to, by lines in any order."""
+"""Endings of calls and causes of losses, from lines in any order."""
 
 from __future__ import annotations
 
@@ -48,10 +48,10 @@
     ]
 
 
-def judged(*events: LogEvent) -> tuple[Ending, Cause]:
+def ending_and_cause(*events: LogEvent) -> tuple[Ending, Cause]:
     record = CallRecord('c', events[0].at_s)
     for one in events:
-        record.take(one)
+        record.add_event(one)
     return record.ending, record.cause
 
 
@@ -81,12 +81,12 @@
     ],
 )
 def test_ending_and_cause_of_a_call(events: list[LogEvent], ending: Ending, cause: Cause) -> None:
-    assert judged(*events) == (ending, cause)
+    assert ending_and_cause(*events) == (ending, cause)
 
 
-def test_first_answer_that_broke_counts_as_nothing_once_another_is_whole() -> None:
+def test_broken_answer_is_ignored_if_a_later_one_is_complete() -> None:
     broken = attempt('c', result='Broken', detail='silent')
-    assert judged(broken, attempt('c', 10.2)) == (Ending.IN_TIME, Cause.NONE)
+    assert ending_and_cause(broken, attempt('c', 10.2)) == (Ending.IN_TIME, Cause.NONE)
 
 
 def mixed_events() -> list[LogEvent]:
@@ -103,57 +103,59 @@
 
 
 def summarized(events: list[LogEvent], worths: Worths | None = None) -> CallSummary:
-    made = CallSummary(worths or Worths())
-    made.take_all(events)
-    return made
+    summary = CallSummary(worths or Worths())
+    summary.take_all(events)
+    return summary
 
 
 def test_sums_and_causes() -> None:
     worths = Worths({'r': RouteWorth(2.0, 0.5)})
-    made = summarized(mixed_events(), worths)
-    total = made.total
+    summary = summarized(mixed_events(), worths)
+    total = summary.total
     assert total.asked == 4
     assert dict(total.endings) == {Ending.IN_TIME: 1, Ending.LATE: 1, Ending.REFUSED: 2}
     assert (total.owed, total.earned) == (8.0, 2.5)
-    assert total.returned_lost == 1
-    # Held half of the objective in vain, and refused again.
+    assert total.lost_retries == 1
+    # One call waited half of its objective without being sent; one was refused again.
     assert total.earned_strictly == pytest.approx(2.5 - 0.5 * 2.0 - 0.3 * 2.0)
-    assert total.held_in_vain_s == pytest.approx(0.2)
-    ranked = [(cause, summed.calls, summed.worth) for cause, summed in made.ranked_causes()]
+    assert total.wasted_wait_s == pytest.approx(0.2)
+    ranked = [
+        (cause, cause_sum.calls, cause_sum.worth) for cause, cause_sum in summary.ranked_causes()
+    ]
     assert ranked == [
         (Cause.MODEL_ABSENT, 1, 2.0),
         (Cause.NO_ROOM, 1, 2.0),
         (Cause.WAITED, 1, 1.5),
     ]
-    assert set(made.by_centre) == {'z1'}
+    assert set(summary.by_centre) == {'z1'}
 
 
-def test_causes_name_the_spans_in_which_calls_were_lost() -> None:
-    made = summarized(mixed_events())
-    assert made.causes[Cause.MODEL_ABSENT].within == {SpanKind.STORE_LOAD: 1}
-    assert made.causes[Cause.NO_ROOM].within == {}
+def test_causes_list_the_spans_in_which_calls_were_lost() -> None:
+    summary = summarized(mixed_events())
+    assert summary.causes[Cause.MODEL_ABSENT].within == {SpanKind.STORE_LOAD: 1}
+    assert summary.causes[Cause.NO_ROOM].within == {}
 
 
 @given(st.randoms(use_true_random=False))
-def test_sequence_of_the_lines_changes_nothing(order: random.Random) -> None:
+def test_order_of_the_lines_has_no_effect(order: random.Random) -> None:
     events = mixed_events()
     order.shuffle(events)
-    made, expected = summarized(events), summarized(mixed_events())
-    assert made.total.endings == expected.total.endings
-    assert made.total.earned_strictly == pytest.approx(expected.total.earned_strictly)
-    assert made.causes == expected.causes
+    summary, expected = summarized(events), summarized(mixed_events())
+    assert summary.total.endings == expected.total.endings
+    assert summary.total.earned_strictly == pytest.approx(expected.total.earned_strictly)
+    assert summary.causes == expected.causes
 
 
-def test_later_try_in_time_counts_as_late_in_the_strict_count() -> None:
-    made = summarized([attempt('c-1', returned=True)])
-    assert (made.total.earned, made.total.earned_strictly) == (1.0, 0.1)
+def test_retry_in_time_counts_as_late_in_the_strict_count() -> None:
+    summary = summarized([attempt('c-1', returned=True)])
+    assert (summary.total.earned, summary.total.earned_strictly) == (1.0, 0.1)
 
 
-def test_open_calls_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_number_of_open_calls_is_limited(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(module, 'MAX_OPEN_CALLS', 3)
-    made = CallSummary()
+    summary = CallSummary()
     for n in range(10):
-        made.take(attempt(f'c-{n}'))
-    assert len(made._open) == 3
-    made.close()
-    assert made.total.asked == 10
+        summary.add_event(attempt(f'c-{n}'))
+    assert len(summary._open) == 3
+    summary.close()
+    assert summary.total.asked == 10
