--- a/tests/account/test_starved.py
+++ b/tests/account/test_starved.py
@@ -1,4 +1,4 @@
-"""What was never served, or late, and what the leader did for it, by lines in any order."""
+"""Keys that were served late or never, and the leader's actions, from lines in any order."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 from typer.testing import CliRunner
 
 from limeshelf.account.lines import LogEvent, LogReader
-from limeshelf.account.starved import UNSERVED_LIFE_S, AskedKey, StarvedKeys
-from limeshelf.account.starved_report import SHOWN_DEEDS, starved_lines
+from limeshelf.account.starved import UNSERVED_LIFE_S, DemandKey, StarvedKeys
+from limeshelf.account.starved_report import SHOWN_ACTIONS, starved_lines
 from limeshelf.demand import meter
 from limeshelf.standalone.programs.cli import app
 
 if TYPE_CHECKING:
     from pathlib import Path
 
-MODEL = AskedKey('m')
-ADAPTER = AskedKey('m', 'a1')
+MODEL = DemandKey('m')
+ADAPTER = DemandKey('m', 'a1')
 
 
 def event(name: str, at_s: float, **fields: Any) -> LogEvent:
@@ -42,28 +42,28 @@
     return [refusal(at_s, **changes) for at_s in moments_s]
 
 
-def taken(*events: LogEvent) -> StarvedKeys:
-    made = StarvedKeys()
-    made.take_all(events)
-    return made
+def collected(*events: LogEvent) -> StarvedKeys:
+    starved = StarvedKeys()
+    starved.take_all(events)
+    return starved
 
 
-def never_served(*events: LogEvent) -> list[AskedKey]:
-    return [key for key, _ in taken(*events).never_served()]
+def never_served(*events: LogEvent) -> list[DemandKey]:
+    return [key for key, _ in collected(*events).never_served()]
 
 
 @pytest.mark.parametrize(
-    ('moments_s', 'is_named'),
+    ('moments_s', 'is_reported'),
     [
         ((0.0, 2.0, 4.0, 8.0), True),
         ((0.0, 2.0, 4.0, 7.9), False),
         ((0.0, 4.0, 9.0), False),
     ],
 )
-def test_four_calls_over_eight_seconds_are_named(
-    moments_s: tuple[float, ...], is_named: bool
+def test_four_calls_over_eight_seconds_are_reported(
+    moments_s: tuple[float, ...], is_reported: bool
 ) -> None:
-    assert never_served(*refusals(*moments_s)) == ([MODEL] if is_named else [])
+    assert never_served(*refusals(*moments_s)) == ([MODEL] if is_reported else [])
 
 
 def test_lines_of_one_call_are_one_call() -> None:
@@ -81,34 +81,34 @@
         ({'result': 'NeverRan', 'detail': '503', 'status': 503}, False),
     ],
 )
-def test_answers_that_serve(answer: dict[str, Any], is_served: bool) -> None:
-    named = never_served(*refusals(0.0, 4.0, 6.0, 9.0), attempt(5.0, **answer))
-    assert named == ([] if is_served else [MODEL])
+def test_answers_that_count_as_served(answer: dict[str, Any], is_served: bool) -> None:
+    reported = never_served(*refusals(0.0, 4.0, 6.0, 9.0), attempt(5.0, **answer))
+    assert reported == ([] if is_served else [MODEL])
 
 
 def test_model_is_served_by_a_call_for_an_adapter_and_not_the_other_way_round() -> None:
-    asked = refusals(0.0, 4.0, 6.0, 9.0, adapter='a1')
-    assert never_served(*asked) == [MODEL, ADAPTER]
-    assert never_served(*asked, attempt(5.0, adapter='a2')) == [ADAPTER]
-    assert never_served(*asked, attempt(5.0)) == [ADAPTER]
+    requested = refusals(0.0, 4.0, 6.0, 9.0, adapter='a1')
+    assert never_served(*requested) == [MODEL, ADAPTER]
+    assert never_served(*requested, attempt(5.0, adapter='a2')) == [ADAPTER]
+    assert never_served(*requested, attempt(5.0)) == [ADAPTER]
 
 
-def test_what_callers_were_told_is_counted_by_event() -> None:
+def test_failures_are_counted_by_event() -> None:
     events = refusals(0.0, 4.0, 6.0, adapter='a1', model_held=True)
     events += [refusal(9.0, 'refused_overloaded', adapter='a1', expected_wait_ms=500)]
     events += [attempt(9.5, adapter='a1', result='Broken', detail='silent')]
-    demanded = dict(taken(*events).never_served())[ADAPTER]
-    told = {name: (one.lines, one.waits_s) for name, one in demanded.told.items()}
-    assert told == {
+    demand = dict(collected(*events).never_served())[ADAPTER]
+    failures = {name: (one.lines, one.waits_s) for name, one in demand.failures.items()}
+    assert failures == {
         'refused_no_replica': (3, [2.0, 2.0, 2.0]),
         'refused_overloaded': (1, [0.5]),
         'attempt Broken silent': (1, []),
     }
-    assert demanded.held == 3
+    assert demand.refused_with_model == 3
 
 
-def test_deeds_of_the_leader_are_those_of_the_key_and_what_took_it_away() -> None:
-    made = taken(
+def test_actions_for_a_key_include_its_evictions() -> None:
+    starved = collected(
         event('move', 1.0, model='m', evicted=['x']),
         event('adapter_move', 2.0, model='m', adapter='a1', evicted='m/a2'),
         event('order', 3.0, model='m', adapter='a1', kind='load'),
@@ -120,16 +120,16 @@
         event('order', 7.0, model='z', adapter='a1', kind='load'),
     )
 
-    def moments(key: AskedKey) -> list[float]:
-        return [deed.at_s for deed in made.deeds_for(key)]
+    def times(key: DemandKey) -> list[float]:
+        return [action.at_s for action in starved.actions_for(key)]
 
-    assert moments(MODEL) == [1.0, 3.5, 4.5, 5.0]
-    assert moments(ADAPTER) == [1.0, 2.0, 3.0, 4.0, 4.5, 5.0, 6.0]
-    assert moments(AskedKey('x')) == [1.0, 5.0]
+    assert times(MODEL) == [1.0, 3.5, 4.5, 5.0]
+    assert times(ADAPTER) == [1.0, 2.0, 3.0, 4.0, 4.5, 5.0, 6.0]
+    assert times(DemandKey('x')) == [1.0, 5.0]
 
 
 def longest_wait_s(*events: LogEvent) -> float:
-    ((_, one),) = taken(*events).served_late()
+    ((_, one),) = collected(*events).served_late()
     return one.longest_wait_s
 
 
@@ -140,24 +140,24 @@
     assert longest_wait_s(served, attempt(4.0), attempt(7.0), attempt(9.0)) == 0.0
 
 
-def test_time_without_an_answer_begins_anew_once_nobody_asks() -> None:
+def test_wait_ends_after_a_time_without_calls() -> None:
     early, late = refusals(0.0, 4.0, 7.0), refusals(60.0, 62.0)
     assert longest_wait_s(*early, *late, attempt(63.0)) == 7.0
 
 
-def test_logs_forget_a_wait_when_the_leader_does() -> None:
+def test_wait_ends_after_the_same_time_as_at_the_leader() -> None:
     assert UNSERVED_LIFE_S == meter.UNSERVED_LIFE_S
 
 
-def test_call_asks_when_it_comes_in_and_is_served_when_its_answer_begins() -> None:
+def test_wait_lasts_from_the_arrival_to_the_begin_of_the_answer() -> None:
     events = refusals(9.0, 9.5, 10.0, waited_ms=500)
     answer = attempt(30.0, waited_ms=5000, took_ms=20_000, first_ms=2000)
-    # The first came in at 5 s, and its answer began at 12 s.
+    # The answered call arrived at 5 s, and its answer began at 12 s.
     assert longest_wait_s(*events, answer, attempt(31.0)) == pytest.approx(7.0)
 
 
 @given(st.randoms(use_true_random=False))
-def test_sequence_of_the_lines_changes_nothing(order: random.Random) -> None:
+def test_order_of_the_lines_has_no_effect(order: random.Random) -> None:
     events = [
         *refusals(0.0, 4.0, 6.0, 9.0, adapter='a1'),
         *refusals(1.0, 20.0, model='n'),
@@ -166,26 +166,26 @@
         event('move', 3.0, model='m', evicted=['n']),
         event('order', 3.2, model='m', adapter='a1', kind='load'),
     ]
-    expected = starved_lines(taken(*events), LogReader(events=10))
+    expected = starved_lines(collected(*events), LogReader(events=10))
     order.shuffle(events)
-    assert starved_lines(taken(*events), LogReader(events=10)) == expected
+    assert starved_lines(collected(*events), LogReader(events=10)) == expected
 
 
-def test_report_says_where_nothing_was_done_and_bounds_what_was() -> None:
+def test_report_states_missing_actions_and_limits_the_shown_ones() -> None:
     quiet = refusals(10.0, 14.0, 16.0, 19.0, model='n')
-    orders = [event('order', 10.0 + n, model='m', kind='load') for n in range(SHOWN_DEEDS + 3)]
-    made = taken(*quiet, *refusals(10.0, 14.0, 16.0, 19.0), *orders)
-    lines = starved_lines(made, LogReader(events=4))
+    orders = [event('order', 10.0 + n, model='m', kind='load') for n in range(SHOWN_ACTIONS + 3)]
+    starved = collected(*quiet, *refusals(10.0, 14.0, 16.0, 19.0), *orders)
+    lines = starved_lines(starved, LogReader(events=4))
     assert 'n: 4 calls from 0.0 to 9.0' in lines
     assert lines.count('  the leader did nothing for it') == 1
     assert '  and 3 lines more of the leader' in lines
-    told = '  told     4 refused_no_replica, expected wait 2.0 to 2.0 s, median 2.0 s'
-    assert lines.count(told) == 2
+    failures = '  told     4 refused_no_replica, expected wait 2.0 to 2.0 s, median 2.0 s'
+    assert lines.count(failures) == 2
 
 
-def test_report_warns_of_lines_that_were_dropped() -> None:
-    made = taken(*refusals(0.0, 4.0, 6.0, 9.0), event('lines_dropped', 9.0, count=7))
-    assert any('7 lines were dropped' in line for line in starved_lines(made, LogReader()))
+def test_report_warns_of_dropped_lines() -> None:
+    starved = collected(*refusals(0.0, 4.0, 6.0, 9.0), event('lines_dropped', 9.0, count=7))
+    assert any('7 lines were dropped' in line for line in starved_lines(starved, LogReader()))
 
 
 def test_command_reads_files_and_standard_input(tmp_path: Path) -> None:
@@ -204,7 +204,7 @@
     assert piped.output == result.output
 
 
-def test_nothing_starved_is_said_so() -> None:
+def test_report_without_starved_keys() -> None:
     result = CliRunner().invoke(app, ['account', 'starved'], input='')
     assert result.exit_code == 0
     assert result.output.splitlines().count('  none') == 2
