--- a/limeshelf/errors.py
+++ b/limeshelf/errors.py
@@ -1,4 +1,4 @@
-"""Typed failures and tagged outcomes shared by every package."""
+"""Exceptions and request outcomes shared by all packages."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class RefusalReason(enum.StrEnum):
-    """Why a request was not run."""
+    """Why a request did not run."""
 
     BAD_REQUEST = 'bad_request'
     UNKNOWN_MODEL = 'unknown_model'
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True)
 class Completed:
-    """The whole answer reached the caller's instance."""
+    """The complete answer reached the instance that serves the caller."""
 
 
 @dataclass(frozen=True)
@@ -57,9 +57,9 @@
     """The upstream never received the request; repeating it is safe.
 
     :param reason: why it was refused.
-    :param retry_after_s: when to come back, in seconds; ``None`` where coming
-        back with the same request is not worth it.
-    :param detail: one sentence for people.
+    :param retry_after_s: retry delay in seconds; ``None`` if a retry of the same request is
+        pointless.
+    :param detail: human-readable explanation, one sentence.
     """
 
     reason: RefusalReason
@@ -80,7 +80,7 @@
 
 @dataclass(eq=False)
 class LimeshelfError(Exception):
-    """Base of all typed failures."""
+    """Base class of the project's exceptions."""
 
     def __str__(self) -> str:
         return ', '.join(f'{name}={value!r}' for name, value in vars(self).items())
@@ -88,14 +88,14 @@
 
 @dataclass(eq=False)
 class RequestNotRun(LimeshelfError):
-    """Carries a :class:`NotRun` outcome up to the HTTP layer."""
+    """Passes a :class:`NotRun` outcome to the HTTP layer."""
 
     outcome: NotRun
 
 
 @dataclass(eq=False)
 class RequestInDoubt(LimeshelfError):
-    """Carries a :class:`MayHaveRun` outcome up to the HTTP layer."""
+    """Passes a :class:`MayHaveRun` outcome to the HTTP layer."""
 
     outcome: MayHaveRun
 
@@ -104,8 +104,8 @@
 class InvalidRequest(LimeshelfError):
     """A caller's request is malformed.
 
-    :param field_name: path of the offending field in the request.
-    :param problem: what is wrong with it.
+    :param field_name: path of the invalid field in the request.
+    :param problem: description of the error.
     :param status: HTTP status code, 400 to 499.
     """
 
@@ -132,12 +132,12 @@
 
 @dataclass(eq=False)
 class SendWithheld(LimeshelfError):
-    """A call was not sent after all; no byte of it left this process."""
+    """A call was cancelled before its send; no byte of it left this process."""
 
 
 @dataclass(eq=False)
 class ExchangeBroken(LimeshelfError):
-    """The exchange ended after bytes may have left and before a whole answer."""
+    """The exchange ended after bytes may have been sent and before the answer was complete."""
 
     upstream_id: str
     reason: DoubtReason
@@ -145,24 +145,24 @@
 
 @dataclass(eq=False)
 class PlatformUnavailable(LimeshelfError):
-    """A platform service was not reached; the operation had no effect."""
+    """A platform service was unreachable; the operation had no effect."""
 
     service: str
 
 
 @dataclass(eq=False)
 class PlatformUnknown(LimeshelfError):
-    """A platform operation was sent, and its effect is unknown."""
+    """A platform operation was sent, but its effect is unknown."""
 
     service: str
 
 
 @dataclass(frozen=True)
 class Problem:
-    """One fault of a JSON document.
+    """One error in a JSON document.
 
-    :param path: place in the document, in dotted form.
-    :param message: what is wrong, with the expected type or unit.
+    :param path: location in the document, in dotted form.
+    :param message: description of the error, with the expected type or unit.
     """
 
     path: str
@@ -171,14 +171,14 @@
 
 @dataclass(eq=False)
 class InvalidDocument(LimeshelfError):
-    """A settings file or a configuration has faults; all are listed."""
+    """A settings file or a configuration is invalid; lists all errors."""
 
     problems: list[Problem] = field(default_factory=list)
 
 
 @dataclass(eq=False)
 class UnknownName(LimeshelfError):
-    """A registry has no entry of that name."""
+    """A registry has no entry of that name, or has it already on registration."""
 
     registry: str
     name: str
@@ -187,7 +187,7 @@
 
 @dataclass(eq=False)
 class StaleRevision(LimeshelfError):
-    """An update does not extend the revision in force."""
+    """An update is not based on the revision in force."""
 
     have: int
     based_on: int
--- a/limeshelf/registry.py
+++ b/limeshelf/registry.py
@@ -1,4 +1,4 @@
-"""Named registries filled by decorators; all extension goes through them."""
+"""Named registries of implementations, the extension points of the project."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 class Registry(Generic[T]):
     """Maps names to implementations of one kind.
 
-    Built-in and outside implementations register in the same way::
+    Built-in and external implementations register in the same way::
 
         @placement_policies.register('greedy')
         class Greedy: ...
 
-    :param kind: what the entries are, used in error messages.
+    :param kind: kind of the entries, used in error messages.
     """
 
     def __init__(self, kind: str) -> None:
@@ -37,13 +37,19 @@
         return add
 
     def add_entry(self, name: str, entry: type[T]) -> None:
-        """Add *entry* under *name*; a name is given once only."""
+        """Add *entry* under *name*.
+
+        :raises UnknownName: the name is already registered.
+        """
         if name in self._entries:
             raise UnknownName(self.kind, f'{name} (registered twice)', self.names())
         self._entries[name] = entry
 
     def get(self, name: str) -> type[T]:
-        """Return the entry called *name*, or raise :exc:`UnknownName`."""
+        """Return the entry called *name*.
+
+        :raises UnknownName: there is no such entry.
+        """
         try:
             return self._entries[name]
         except KeyError:
