--- a/benchmarks/organisations.py
+++ b/benchmarks/organisations.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING
 
 from limeshelf.organisations.access import AccessRule, check_access
-from limeshelf.organisations.limiter import Limiter, LimitQuestion
+from limeshelf.organisations.limiter import Limiter, LimitRequest
 from limeshelf.organisations.limits import LimitRule
 from limeshelf.organisations.organisation import UsageLimit, digest_of
 from limeshelf.platform.configuration import read_config
@@ -83,11 +83,11 @@
     limit = UsageLimit(2.7e6, 2.7e6, in_tokens=True)
     for number in range(GATEWAYS):
         used = {f'organisation-{one}': 100 for one in range(50)}
-        limiter.take_report(f'g-{number}', 1, 1000.0, used, 1000.0)
+        limiter.record_report(f'g-{number}', 1, 1000.0, used, 1000.0)
 
     def decide() -> None:
         for number in range(CALLS // 10):
-            question = LimitQuestion('g-1', f'organisation-{number % 50}', limit, 1, GATEWAYS)
+            question = LimitRequest('g-1', f'organisation-{number % 50}', limit, 1, GATEWAYS)
             limiter.decide(question, 1000.0)
 
     print(f'limit: {best_s(decide) / (CALLS // 10) * 1e6:.1f} us a call, {GATEWAYS} gateways')
--- a/limeshelf/gateway/state.py
+++ b/limeshelf/gateway/state.py
@@ -62,7 +62,7 @@
         """Count an attempt that begins now."""
         self.sends += 1
         if self.reservation is not None:
-            self.reservation.note_sent()
+            self.reservation.record_sent()
         self.waited_s = self.since_arrival_s
 
     def note_result(self, result: Result) -> None:
@@ -75,7 +75,7 @@
             else:
                 self.refusals += 1
             if self.reservation is not None:
-                self.reservation.note_not_run()
+                self.reservation.record_not_run()
         elif not isinstance(result, Delivered):
             self.runs += 1
 
--- a/limeshelf/membership/limit_exchange.py
+++ b/limeshelf/membership/limit_exchange.py
@@ -16,9 +16,9 @@
 from limeshelf.membership.member import LOCAL
 from limeshelf.membership.messages import LimitQuery, LimitVerdict
 from limeshelf.metrics.event_log import log_change
-from limeshelf.organisations.limiter import Decision, Limiter, LimitQuestion, Ruling
-from limeshelf.organisations.pace import Paces
-from limeshelf.organisations.usage import UsageLedger
+from limeshelf.organisations.limiter import Decision, Limiter, LimitRequest, Ruling
+from limeshelf.organisations.token_buckets import TokenBuckets
+from limeshelf.organisations.usage import GatewayUsage
 from limeshelf.peers.questions import AVOID_S, Questions
 from limeshelf.util.clock import MS_PER_S, boottime_s
 from limeshelf.util.identifiers import new_id
@@ -65,9 +65,9 @@
         self._members = members
         self._in_force = in_force
         self._rule = rule
-        self._ledger = UsageLedger(rule.window_s)
+        self._ledger = GatewayUsage(rule.window_s)
         self._limiter: Limiter | None = None
-        self._paces = Paces(rule)
+        self._paces = TokenBuckets(rule)
         self._questions: Questions[Decision] = Questions(node, _log_silent)
         self._refused: dict[str, _Refused] = {}
         #: Whether no limiter decided on the latest call, and when one last did.
@@ -82,7 +82,9 @@
     def report(self) -> dict[str, int]:
         """Return what counts for this gateway, by organisation, to be sent to the limiters."""
         since_s = boottime_s() - self._answered_s
-        return self._ledger.report(holds_claims=self._is_unheard and since_s < self._rule.window_s)
+        return self._ledger.report(
+            keeps_previous=self._is_unheard and since_s < self._rule.window_s
+        )
 
     def check_role(self, used: dict[str, int]) -> None:
         """Be a limiter from now on, or no longer, and report to it.
@@ -96,13 +98,13 @@
         if self._limiter is None:
             self._limiter = Limiter(self._rule, now_s)
         own = self._members.own.address
-        self._limiter.take_report(own, self.started_ms, self._age_s(), used, now_s)
+        self._limiter.record_report(own, self.started_ms, self._age_s(), used, now_s)
 
     def take_report(self, digest: GatewayDigest) -> None:
         """Take what a gateway of this data centre says that it uses."""
         if self._limiter is not None and digest.started_ms:
             age_s = (digest.number - digest.started_ms) / MS_PER_S
-            self._limiter.take_report(
+            self._limiter.record_report(
                 digest.address, digest.started_ms, age_s, digest.usage, boottime_s()
             )
 
@@ -120,17 +122,17 @@
             self._note_refused(organisation, amount, decision)
             return decision
         if decision.ruling is Ruling.WITHIN:
-            self._ledger.note_granted(organisation, amount)
+            self._ledger.record_grant(organisation, amount)
         elif not self._may_use(organisation, limit, amount):
             return decision
-        return self._ledger.of(organisation).reserve(amount)
+        return self._ledger.window_of(organisation).reserve(amount)
 
     def _may_use(self, organisation: str, limit: UsageLimit, amount: int) -> bool:
         """Return whether a call may run that no limiter decides on."""
         if not self._members.are_listed:
             return False
-        own_part = self._rule.of_gateway(limit, self._gateways(), self._age_s())
-        return self._ledger.may_use(organisation, amount, own_part)
+        own_part = self._rule.gateway_quota(limit, self._gateways(), self._age_s())
+        return self._ledger.may_use_without_limiter(organisation, amount, own_part)
 
     def _refused_lately(self, organisation: str, amount: int) -> Decision | None:
         refused = self._refused.get(organisation)
@@ -183,11 +185,11 @@
         wait_s = self._paces.wait_s(organisation, limit, amount, now_s)
         if wait_s:
             return Decision(Ruling.OVER, wait_s)
-        question = LimitQuestion(gateway, organisation, limit, amount, self._gateways())
+        question = LimitRequest(gateway, organisation, limit, amount, self._gateways())
         is_first = self._members.is_first_relay
         decision = self._limiter.decide(question, now_s, is_first=is_first)
         if decision.ruling is Ruling.WITHIN:
-            self._paces.take(organisation, amount)
+            self._paces.deduct(organisation, amount)
         return decision
 
     async def _ask(self, address: str, organisation: str, amount: int) -> Decision | None:
--- a/limeshelf/organisations/limiter.py
+++ b/limeshelf/organisations/limiter.py
@@ -109,7 +109,7 @@
 
 
 @attrs.frozen
-class LimitQuestion:
+class LimitRequest:
     """A request to admit a call whose organisation has a limit.
 
     :param gateway: peer address of the gateway that received the call.
@@ -138,7 +138,7 @@
         self._refreshed_s = -math.inf
         self._reporting = 0
 
-    def take_report(
+    def record_report(
         self, gateway: str, started_ms: int, age_s: float, used: dict[str, int], now_s: float
     ) -> None:
         """Record the usage that a gateway reports.
@@ -161,30 +161,30 @@
         record.granted = {}
         record.reported_s = now_s
 
-    def decide(self, question: LimitQuestion, now_s: float, *, is_first: bool = True) -> Decision:
+    def decide(self, request: LimitRequest, now_s: float, *, is_first: bool = True) -> Decision:
         """Decide on one call and, if it is within the limit, count it from now on.
 
         :param is_first: whether this is the first limiter of the data centre; the second is asked
             only by gateways that get no answer from the first.
         """
         self._refresh(now_s)
-        if self._reporting < MIN_REPORTING_SHARE * question.gateways:
+        if self._reporting < MIN_REPORTING_SHARE * request.gateways:
             return Decision(Ruling.UNKNOWN)
-        centre_quota = self._quotas.quota(question.organisation, question.limit, now_s)
+        centre_quota = self._quotas.quota(request.organisation, request.limit, now_s)
         quota = centre_quota * (1 - SECOND_SHARE) if is_first else centre_quota
-        used = self._usage_including(question, now_s)
+        used = self._usage_including(request, now_s)
         if used <= quota and not is_first:
             granted_since_report = sum(
-                record.granted.get(question.organisation, 0) for record in self._records()
+                record.granted.get(request.organisation, 0) for record in self._records()
             )
-            if granted_since_report + question.amount > centre_quota * SECOND_SHARE:
+            if granted_since_report + request.amount > centre_quota * SECOND_SHARE:
                 return Decision(Ruling.UNKNOWN)
         if used > quota:
             # Assumes that the current usage leaves the window at an even rate.
-            share = (used - quota) / max(1.0, used - question.amount)
+            share = (used - quota) / max(1.0, used - request.amount)
             return Decision(Ruling.OVER, min(1.0, share) * self._rule.window_s)
-        granted = self._record_of(question.gateway, now_s).granted
-        granted[question.organisation] = granted.get(question.organisation, 0) + question.amount
+        granted = self._record_of(request.gateway, now_s).granted
+        granted[request.organisation] = granted.get(request.organisation, 0) + request.amount
         return Decision(Ruling.WITHIN)
 
     def _records(self) -> Iterable[_Gateway]:
@@ -215,18 +215,18 @@
             now_s - record.reported_s < REPORTING_WITHIN_S for record in self._records()
         )
 
-    def _usage_including(self, question: LimitQuestion, now_s: float) -> float:
+    def _usage_including(self, request: LimitRequest, now_s: float) -> float:
         """Return the counted usage of the data centre, including the call in question."""
-        self._record_of(question.gateway, now_s)
-        gateways = max(question.gateways, len(self._gateways))
-        own_quota = self._rule.of_gateway(question.limit, gateways)
-        equal_share = self._rule.of_centre(question.limit) / gateways
+        self._record_of(request.gateway, now_s)
+        gateways = max(request.gateways, len(self._gateways))
+        own_quota = self._rule.gateway_quota(request.limit, gateways)
+        equal_share = self._rule.centre_quota(request.limit) / gateways
         used = 0.0
         for gateway, record in self._gateways.items():
             unknown_share = self._unknown_share(record.known_since_s, now_s)
-            amount = record.amount(question.organisation)
-            if gateway == question.gateway:
-                amount += question.amount
+            amount = record.amount(request.organisation)
+            if gateway == request.gateway:
+                amount += request.amount
             used += max(own_quota * (1 - unknown_share), amount) + equal_share * unknown_share
         # A gateway without a record may use its own quota, and may have used more.
         unknown_share = self._unknown_share(self._listening_since_s, now_s)
--- a/limeshelf/organisations/limits.py
+++ b/limeshelf/organisations/limits.py
@@ -44,21 +44,23 @@
     slack: float
     centres: int
 
-    def of_centre(self, limit: UsageLimit) -> float:
+    def centre_quota(self, limit: UsageLimit) -> float:
         """Return the units of a limit that a data centre may use in any window."""
         allowed = limit.per_s * self.window_s + limit.burst
         tolerated = allowed * (1 + self.overrun) + self.slack
         return USED_SHARE * tolerated / max(1, self.centres)
 
-    def pace_per_s(self, limit: UsageLimit) -> float:
+    def centre_rate_per_s(self, limit: UsageLimit) -> float:
         """Return the sustained rate at which a data centre may use a limit, in units a second."""
         return USED_SHARE * limit.per_s * (1 + self.overrun) / max(1, self.centres)
 
-    def pace_burst(self, limit: UsageLimit) -> float:
+    def centre_burst(self, limit: UsageLimit) -> float:
         """Return the units that a data centre may use at once beyond the sustained rate."""
-        return self.of_centre(limit) - self.window_s * self.pace_per_s(limit)
+        return self.centre_quota(limit) - self.window_s * self.centre_rate_per_s(limit)
 
-    def of_gateway(self, limit: UsageLimit, gateways: int, age_s: float = float('inf')) -> float:
+    def gateway_quota(
+        self, limit: UsageLimit, gateways: int, age_s: float = float('inf')
+    ) -> float:
         """Return the units that a gateway may use in any window without asking the limiter.
 
         :param gateways: number of gateways in its data centre.
@@ -66,4 +68,4 @@
             predecessor may have used the quota in the same window.
         """
         known_share = min(1.0, age_s / self.window_s)
-        return known_share * OWN_SHARE * self.of_centre(limit) / max(1, gateways)
+        return known_share * OWN_SHARE * self.centre_quota(limit) / max(1, gateways)
--- a/limeshelf/organisations/pace.py
+++ b/limeshelf/organisations/token_buckets.py
@@ -18,12 +18,12 @@
 
 #: The capacity of a bucket is at least what the rate allows in this time, whatever burst the
 #: limit allows, because calls arrive in clusters even at a steady average rate.
-LEAST_BUCKET_S = 3.0
+MIN_BUCKET_S = 3.0
 #: The capacity of a bucket is also at least this many of the largest calls seen, because the
 #: burst of a small limit holds only two or three of them. Under light load 0.016 of the calls
 #: were refused with this minimum and 0.018 without (one run each); the quota of the window
 #: causes most of these refusals.
-LEAST_BUCKET_CALLS = 6
+MIN_BUCKET_CALLS = 6
 
 
 @attrs.define
@@ -39,7 +39,7 @@
     largest: int = 0
 
 
-class Paces:
+class TokenBuckets:
     """The token buckets of a data centre, one for each organisation; initially full."""
 
     def __init__(self, rule: LimitRule) -> None:
@@ -52,11 +52,11 @@
         :param limit: limit in force now; it may have changed since the last call.
         :param amount: cost of the call, in units of the limit.
         """
-        per_s = self._rule.pace_per_s(limit)
+        per_s = self._rule.centre_rate_per_s(limit)
         bucket = self._buckets.get(organisation)
         largest = max(amount, bucket.largest if bucket is not None else 0)
         capacity = max(
-            self._rule.pace_burst(limit), LEAST_BUCKET_S * per_s, LEAST_BUCKET_CALLS * largest
+            self._rule.centre_burst(limit), MIN_BUCKET_S * per_s, MIN_BUCKET_CALLS * largest
         )
         if bucket is None:
             bucket = self._buckets[organisation] = _Bucket(capacity, now_s)
@@ -66,6 +66,6 @@
         bucket.updated_s = now_s
         return max(0.0, (min(float(amount), capacity) - bucket.level) / per_s)
 
-    def take(self, organisation: str, amount: int) -> None:
+    def deduct(self, organisation: str, amount: int) -> None:
         """Deduct the cost of an admitted call; :meth:`wait_s` must have returned 0 for it."""
         self._buckets[organisation].level -= amount
--- a/limeshelf/organisations/usage.py
+++ b/limeshelf/organisations/usage.py
@@ -73,7 +73,7 @@
         self._is_reserved = True
         self._latest: _Run | None = None
 
-    def note_sent(self) -> None:
+    def record_sent(self) -> None:
         """Count a run from now on.
 
         Each further run of the call, such as the resumption of a stream, is counted again.
@@ -83,7 +83,7 @@
             self._window._reserved -= self._amount
         self._latest = self._window._begin_run(self._amount)
 
-    def note_not_run(self) -> None:
+    def record_not_run(self) -> None:
         """Uncount the latest run, because its replica did not run the call."""
         if self._latest is None:
             return
@@ -100,7 +100,7 @@
             self._window._reserved -= self._amount
 
 
-class UsageLedger:
+class GatewayUsage:
     """The usage of all organisations at one gateway."""
 
     def __init__(self, window_s: float) -> None:
@@ -110,36 +110,36 @@
         #: report and the grants since.
         self._counted_by_limiter: dict[str, int] = {}
 
-    def of(self, organisation: str) -> UsageWindow:
+    def window_of(self, organisation: str) -> UsageWindow:
         """Return the usage window of an organisation."""
         window = self._by_name.get(organisation)
         if window is None:
             window = self._by_name[organisation] = UsageWindow(self._window_s)
         return window
 
-    def note_granted(self, organisation: str, amount: int) -> None:
+    def record_grant(self, organisation: str, amount: int) -> None:
         """Record that the limiter has granted a call and counts it from now on."""
         self._counted_by_limiter[organisation] = (
             self._counted_by_limiter.get(organisation, 0) + amount
         )
 
-    def may_use(self, organisation: str, amount: int, own_part: float) -> bool:
+    def may_use_without_limiter(self, organisation: str, amount: int, own_quota: float) -> bool:
         """Return whether a call may run without the decision of a limiter.
 
-        :param own_part: units that this gateway may use without a limiter.
+        :param own_quota: units that this gateway may use without a limiter.
         """
-        allowed = max(own_part, self._counted_by_limiter.get(organisation, 0))
-        return self.of(organisation).used() + amount <= allowed
+        allowed = max(own_quota, self._counted_by_limiter.get(organisation, 0))
+        return self.window_of(organisation).used() + amount <= allowed
 
-    def report(self, *, holds_claims: bool) -> dict[str, int]:
+    def report(self, *, keeps_previous: bool) -> dict[str, int]:
         """Return the units to report to the limiter, by organisation.
 
-        :param holds_claims: whether to report at least as much as before, because no limiter
+        :param keeps_previous: whether to report at least as much as before, because no limiter
             answers. Otherwise the units that a gateway may use would fall with its usage, and
             once cut off it could use nothing until its earlier usage has left the window.
         """
         used = dict(self._in_use())
-        if holds_claims:
+        if keeps_previous:
             names = {*used, *self._counted_by_limiter}
             used = {
                 name: max(used.get(name, 0), self._counted_by_limiter.get(name, 0))
--- a/limeshelf/organisations/window_quotas.py
+++ b/limeshelf/organisations/window_quotas.py
@@ -47,11 +47,11 @@
             history = self._limits[organisation] = _LimitHistory(limit)
         elif history.limit != limit:
             earlier_quota = max(
-                self._rule.of_centre(history.limit), self._earlier_quota(history, now_s)
+                self._rule.centre_quota(history.limit), self._earlier_quota(history, now_s)
             )
             until_s = now_s + self._rule.window_s
             history = self._limits[organisation] = _LimitHistory(limit, earlier_quota, until_s)
-        return max(self._rule.of_centre(limit), self._earlier_quota(history, now_s))
+        return max(self._rule.centre_quota(limit), self._earlier_quota(history, now_s))
 
     def _earlier_quota(self, history: _LimitHistory, now_s: float) -> float:
         return history.earlier_quota if now_s < history.until_s else 0.0
--- a/tests/membership/test_limit_exchange.py
+++ b/tests/membership/test_limit_exchange.py
@@ -117,7 +117,7 @@
 def test_gateway_that_hears_no_limiter_goes_on_with_its_own_part() -> None:
     wire = world()
     wire.silent.update(('g1', 'g2'))
-    own_part = RULE.of_gateway(LIMIT, len(NAMES))
+    own_part = RULE.gateway_quota(LIMIT, len(NAMES))
     amount = int(own_part / 2)
     assert isinstance(reserve(wire, 'g3', amount), Reservation)
     assert isinstance(reserve(wire, 'g3', amount), Reservation)
@@ -131,7 +131,7 @@
     wire.silent.update(('g1', 'g2'))
     young = wire.exchanges['g3']
     young.started_ms += 98_000
-    amount = int(RULE.of_gateway(LIMIT, len(NAMES)) / 2)
+    amount = int(RULE.gateway_quota(LIMIT, len(NAMES)) / 2)
     assert not isinstance(reserve(wire, 'g3', amount), Reservation)
     assert isinstance(reserve(wire, 'g3', amount // 4), Reservation)
 
--- a/tests/organisations/test_limit_machine.py
+++ b/tests/organisations/test_limit_machine.py
@@ -15,16 +15,16 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from limeshelf.organisations.limiter import Limiter, LimitQuestion, Ruling
+from limeshelf.organisations.limiter import Limiter, LimitRequest, Ruling
 from limeshelf.organisations.limits import USED_SHARE, LimitRule
 from limeshelf.organisations.organisation import UsageLimit
-from limeshelf.organisations.usage import Reservation, UsageLedger
+from limeshelf.organisations.usage import GatewayUsage, Reservation
 from limeshelf.util.clock import virtual_clock
 
 WINDOW_S = 8.0
 RULE = LimitRule(window_s=WINDOW_S, overrun=0.1, slack=0.0, centres=1)
 LIMIT = UsageLimit(per_s=1000.0, burst=0.0, in_tokens=True)
-TOLERATED = RULE.of_centre(LIMIT) / USED_SHARE
+TOLERATED = RULE.centre_quota(LIMIT) / USED_SHARE
 GATEWAYS = 5
 #: Cost of a call: 0.02 of the tolerated usage in a window.
 CALL_COST = 170
@@ -34,7 +34,7 @@
 @attrs.define(eq=False)
 class Gateway:
     started_s: float
-    ledger: UsageLedger = attrs.field(factory=lambda: UsageLedger(WINDOW_S))
+    usage: GatewayUsage = attrs.field(factory=lambda: GatewayUsage(WINDOW_S))
     waiting: list[tuple[int, Reservation]] = attrs.field(factory=list)
 
 
@@ -61,11 +61,11 @@
 
     def report(self, number: int) -> None:
         gateway = self.gateways[number]
-        used = gateway.ledger.report(holds_claims=number in self.cut_off)
+        used = gateway.usage.report(keeps_previous=number in self.cut_off)
         if number in self.cut_off:
             return
         for limiter in self.limiters:
-            limiter.take_report(
+            limiter.record_report(
                 str(number),
                 int(gateway.started_s * 1000),
                 self.now.now_s - gateway.started_s,
@@ -89,19 +89,19 @@
 
     def one_call(self, number: int, which: int, amount: int, waits: bool) -> None:
         gateway = self.gateways[number]
-        window = gateway.ledger.of('acme')
+        window = gateway.usage.window_of('acme')
         if number in self.cut_off:
             age_s = self.now.now_s - gateway.started_s
-            own_part = RULE.of_gateway(LIMIT, GATEWAYS, age_s)
-            if not gateway.ledger.may_use('acme', amount, own_part):
+            own_quota = RULE.gateway_quota(LIMIT, GATEWAYS, age_s)
+            if not gateway.usage.may_use_without_limiter('acme', amount, own_quota):
                 return
         else:
-            question = LimitQuestion(str(number), 'acme', LIMIT, amount, GATEWAYS)
+            request = LimitRequest(str(number), 'acme', LIMIT, amount, GATEWAYS)
             limiter = self.limiters[which]
-            decision = limiter.decide(question, self.now.now_s, is_first=which == 0)
+            decision = limiter.decide(request, self.now.now_s, is_first=which == 0)
             if decision.ruling is not Ruling.WITHIN:
                 return
-            gateway.ledger.note_granted('acme', amount)
+            gateway.usage.record_grant('acme', amount)
         reservation = window.reserve(amount)
         if waits:
             gateway.waiting.append((amount, reservation))
@@ -109,7 +109,7 @@
             self.run_call(amount, reservation)
 
     def run_call(self, amount: int, reservation: Reservation) -> None:
-        reservation.note_sent()
+        reservation.record_sent()
         reservation.close()
         self.runs.append((self.now.now_s, amount))
 
--- a/tests/organisations/test_limit_methods.py
+++ b/tests/organisations/test_limit_methods.py
@@ -25,10 +25,10 @@
 import attrs
 import pytest
 
-from limeshelf.organisations.limiter import Limiter, LimitQuestion, Ruling
+from limeshelf.organisations.limiter import Limiter, LimitRequest, Ruling
 from limeshelf.organisations.limits import USED_SHARE, LimitRule
 from limeshelf.organisations.organisation import UsageLimit
-from limeshelf.organisations.pace import Paces
+from limeshelf.organisations.token_buckets import TokenBuckets
 from limeshelf.organisations.usage import UsageWindow
 from limeshelf.util.clock import VirtualClock, virtual_clock
 
@@ -60,7 +60,7 @@
 
     def admit(self, centre: int, gateway: int) -> bool:
         window = self.windows.setdefault((centre, gateway), UsageWindow(WINDOW_S))
-        quota = RULE.of_centre(self.limit) / GATEWAYS
+        quota = RULE.centre_quota(self.limit) / GATEWAYS
         return use(window) if window.used() + CALL_TOKENS <= quota else False
 
     def report(self) -> None:
@@ -80,7 +80,7 @@
     def admit(self, centre: int, gateway: int) -> bool:
         assert self.clock is not None
         key = (centre, gateway)
-        allowed = 3 * RULE.of_centre(self.limit)
+        allowed = 3 * RULE.centre_quota(self.limit)
         if self.known + self.own.get(key, 0) + CALL_TOKENS > allowed:
             return False
         self.own[key] = self.own.get(key, 0) + CALL_TOKENS
@@ -101,20 +101,22 @@
 
     limit: UsageLimit
     limiters: list[Limiter] = attrs.field(factory=list)
-    paces: list[Paces] = attrs.field(factory=lambda: [Paces(RULE) for _ in CENTRE_SHARES])
+    buckets: list[TokenBuckets] = attrs.field(
+        factory=lambda: [TokenBuckets(RULE) for _ in CENTRE_SHARES]
+    )
     windows: dict[tuple[int, int], UsageWindow] = attrs.field(factory=dict)
     clock: VirtualClock | None = None
 
     def admit(self, centre: int, gateway: int) -> bool:
         assert self.clock is not None
         now_s = self.clock.now_s
-        if self.paces[centre].wait_s('acme', self.limit, CALL_TOKENS, now_s):
+        if self.buckets[centre].wait_s('acme', self.limit, CALL_TOKENS, now_s):
             return False
-        question = LimitQuestion(str(gateway), 'acme', self.limit, CALL_TOKENS, GATEWAYS)
-        decision = self.limiters[centre].decide(question, now_s)
+        request = LimitRequest(str(gateway), 'acme', self.limit, CALL_TOKENS, GATEWAYS)
+        decision = self.limiters[centre].decide(request, now_s)
         if decision.ruling is not Ruling.WITHIN:
             return False
-        self.paces[centre].take('acme', CALL_TOKENS)
+        self.buckets[centre].deduct('acme', CALL_TOKENS)
         return use(self.windows[centre, gateway])
 
     def report(self) -> None:
@@ -126,12 +128,12 @@
             for gateway in range(GATEWAYS):
                 window = self.windows.setdefault((centre, gateway), UsageWindow(WINDOW_S))
                 used = {'acme': window.used()}
-                limiter.take_report(str(gateway), 1, 100.0, used, now_s)
+                limiter.record_report(str(gateway), 1, 100.0, used, now_s)
 
 
 def use(window: UsageWindow) -> bool:
     call = window.reserve(CALL_TOKENS)
-    call.note_sent()
+    call.record_sent()
     call.close()
     return True
 
@@ -171,7 +173,7 @@
 
 def simulate(method: Method, usual_per_s: float, limit: UsageLimit, seed: int) -> SimulationResult:
     generator = random.Random(seed)
-    tolerated = 3 * RULE.of_centre(limit) / USED_SHARE
+    tolerated = 3 * RULE.centre_quota(limit) / USED_SHARE
     bucket = LimitBucket(limit, limit.burst)
     result = SimulationResult()
     runs: list[float] = []
--- a/tests/organisations/test_usage.py
+++ b/tests/organisations/test_usage.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from limeshelf.organisations.usage import LATE_ARRIVAL_S, UsageLedger, UsageWindow
+from limeshelf.organisations.usage import LATE_ARRIVAL_S, GatewayUsage, UsageWindow
 from limeshelf.util.clock import virtual_clock
 
 WINDOW_S = 8.0
@@ -14,7 +14,7 @@
         call = window.reserve(100)
         clock.advance(20.0)
         assert window.used() == 100
-        call.note_sent()
+        call.record_sent()
         call.close()
         clock.advance(WINDOW_S)
         assert window.used() == 100
@@ -34,10 +34,10 @@
     with virtual_clock() as clock:
         window = UsageWindow(WINDOW_S)
         call = window.reserve(100)
-        call.note_sent()
-        call.note_not_run()
+        call.record_sent()
+        call.record_not_run()
         assert window.used() == 100
-        call.note_sent()
+        call.record_sent()
         call.close()
         assert window.used() == 100
         clock.advance(WINDOW_S + 1.0)
@@ -47,8 +47,8 @@
 def test_call_that_ends_without_a_run_is_not_counted() -> None:
     window = UsageWindow(WINDOW_S)
     call = window.reserve(100)
-    call.note_sent()
-    call.note_not_run()
+    call.record_sent()
+    call.record_not_run()
     call.close()
     assert window.used() == 0
 
@@ -56,64 +56,64 @@
 def test_further_run_counts_again() -> None:
     window = UsageWindow(WINDOW_S)
     call = window.reserve(100)
-    call.note_sent()
-    call.note_sent()
+    call.record_sent()
+    call.record_sent()
     call.close()
     assert window.used() == 200
 
 
 def test_report_contains_only_organisations_with_usage() -> None:
     with virtual_clock() as clock:
-        ledger = UsageLedger(WINDOW_S)
-        call = ledger.of('one').reserve(100)
-        ledger.of('other')
-        call.note_sent()
+        usage = GatewayUsage(WINDOW_S)
+        call = usage.window_of('one').reserve(100)
+        usage.window_of('other')
+        call.record_sent()
         call.close()
-        assert ledger.report(holds_claims=False) == {'one': 100}
+        assert usage.report(keeps_previous=False) == {'one': 100}
         clock.advance(WINDOW_S + 1.0)
-        assert ledger.report(holds_claims=False) == {}
+        assert usage.report(keeps_previous=False) == {}
 
 
 def test_reservation_outlives_the_window() -> None:
     with virtual_clock() as clock:
-        ledger = UsageLedger(WINDOW_S)
-        call = ledger.of('one').reserve(100)
+        usage = GatewayUsage(WINDOW_S)
+        call = usage.window_of('one').reserve(100)
         clock.advance(WINDOW_S + 1.0)
-        assert ledger.report(holds_claims=False) == {'one': 100}
-        call.note_sent()
-        assert ledger.report(holds_claims=False) == {'one': 100}
+        assert usage.report(keeps_previous=False) == {'one': 100}
+        call.record_sent()
+        assert usage.report(keeps_previous=False) == {'one': 100}
 
 
 def test_gateway_without_a_limiter_continues_at_its_previous_rate() -> None:
     """Guards against refusing all calls until the earlier usage has left the window."""
     with virtual_clock() as clock:
-        ledger = UsageLedger(WINDOW_S)
+        usage = GatewayUsage(WINDOW_S)
         for _ in range(8):
-            call = ledger.of('one').reserve(100)
-            ledger.note_granted('one', 100)
-            call.note_sent()
+            call = usage.window_of('one').reserve(100)
+            usage.record_grant('one', 100)
+            call.record_sent()
             call.close()
             clock.advance(1.0)
-            ledger.report(holds_claims=False)
-        assert not ledger.may_use('one', 100, own_part=50.0)
+            usage.report(keeps_previous=False)
+        assert not usage.may_use_without_limiter('one', 100, own_quota=50.0)
         for _ in range(5):
             clock.advance(1.0)
-            ledger.report(holds_claims=True)
-            assert ledger.may_use('one', 100, own_part=50.0)
-            call = ledger.of('one').reserve(100)
-            call.note_sent()
+            usage.report(keeps_previous=True)
+            assert usage.may_use_without_limiter('one', 100, own_quota=50.0)
+            call = usage.window_of('one').reserve(100)
+            call.record_sent()
             call.close()
-            assert ledger.report(holds_claims=True) == {'one': 800}
+            assert usage.report(keeps_previous=True) == {'one': 800}
 
 
 def test_allowance_falls_with_usage_while_a_limiter_answers() -> None:
     with virtual_clock() as clock:
-        ledger = UsageLedger(WINDOW_S)
-        call = ledger.of('one').reserve(100)
-        ledger.note_granted('one', 100)
-        call.note_sent()
+        usage = GatewayUsage(WINDOW_S)
+        call = usage.window_of('one').reserve(100)
+        usage.record_grant('one', 100)
+        call.record_sent()
         call.close()
         clock.advance(WINDOW_S + 1.0)
-        assert ledger.report(holds_claims=False) == {}
-        assert ledger.report(holds_claims=True) == {}
-        assert not ledger.may_use('one', 100, own_part=50.0)
+        assert usage.report(keeps_previous=False) == {}
+        assert usage.report(keeps_previous=True) == {}
+        assert not usage.may_use_without_limiter('one', 100, own_quota=50.0)
