--- a/limeshelf/peers/node.py
+++ b/limeshelf/peers/node.py
@@ -78,7 +78,7 @@
         self._server = await asyncio.start_server(self._accept, self._host, self._port)
         port = self._server.sockets[0].getsockname()[1]
         self.address = f'{self._host}:{port}'
-        self._tasks.keep(self._dispatch_arrived, 'peer-dispatch')
+        self._tasks.supervise(self._dispatch_arrived, 'peer-dispatch')
 
     async def close(self) -> None:
         """Close all connections."""
--- a/limeshelf/programs/gateway.py
+++ b/limeshelf/programs/gateway.py
@@ -78,25 +78,25 @@
     def _start_tasks(self) -> None:
         components = self.components
         for follower in components.followers:
-            self.tasks.keep(follower.run, f'follow-{follower.copy.table}')
-        self.tasks.keep(components.digests.run, 'digests')
-        self.tasks.keep(components.states.run, 'states')
-        self.tasks.keep(components.rows.run, 'rows')
-        self.tasks.keep(components.suspension.run, 'suspension')
-        self.tasks.keep(components.crashes.run, 'crashes')
-        self.tasks.keep(components.notice_exchange.run, 'notices')
-        self.tasks.keep(components.end_watch.run, 'replica-ends')
-        self.tasks.keep(components.quarantine_keeper.run, 'quarantine')
-        self.tasks.keep(components.registration.keep_row, 'register', components.store)
-        self.tasks.keep(components.dispatch.run, 'dispatch')
-        self.tasks.keep(self._lead, 'lead')
-        self.tasks.keep(components.placement.run, 'placement')
-        self.tasks.keep(components.pool.sweep, 'sweep', components.directory)
-        self.tasks.keep(components.pool.probe, 'probe', components.directory)
-        self.tasks.keep(self._become_ready, 'ready')
+            self.tasks.supervise(follower.run, f'follow-{follower.copy.table}')
+        self.tasks.supervise(components.digests.run, 'digests')
+        self.tasks.supervise(components.states.run, 'states')
+        self.tasks.supervise(components.rows.run, 'rows')
+        self.tasks.supervise(components.suspension.run, 'suspension')
+        self.tasks.supervise(components.crashes.run, 'crashes')
+        self.tasks.supervise(components.notice_exchange.run, 'notices')
+        self.tasks.supervise(components.end_watch.run, 'replica-ends')
+        self.tasks.supervise(components.quarantine_keeper.run, 'quarantine')
+        self.tasks.supervise(components.registration.keep_row, 'register', components.store)
+        self.tasks.supervise(components.dispatch.run, 'dispatch')
+        self.tasks.supervise(self._lead, 'lead')
+        self.tasks.supervise(components.placement.run, 'placement')
+        self.tasks.supervise(components.pool.sweep, 'sweep', components.directory)
+        self.tasks.supervise(components.pool.probe, 'probe', components.directory)
+        self.tasks.supervise(self._become_ready, 'ready')
         if self.settings_path is not None:
             self.watch = SettingsWatch(self.settings_path, self.settings, self._take_settings)
-            self.tasks.keep(self.watch.run, 'settings')
+            self.tasks.supervise(self.watch.run, 'settings')
 
     def _take_settings(self, settings: GatewaySettings) -> None:
         self.settings = settings
--- a/limeshelf/standalone/membership/watch.py
+++ b/limeshelf/standalone/membership/watch.py
@@ -74,9 +74,9 @@
 
     def start(self) -> None:
         """Start to assign, watch and share."""
-        self._tasks.keep(self._assign, 'watch-assign')
-        self._tasks.keep(self._share, 'watch-share')
-        self._tasks.keep(self._share_remote, 'watch-share-remote')
+        self._tasks.supervise(self._assign, 'watch-assign')
+        self._tasks.supervise(self._share, 'watch-share')
+        self._tasks.supervise(self._share_remote, 'watch-share-remote')
 
     async def close(self) -> None:
         """Stop watching."""
@@ -93,7 +93,7 @@
             for upstream_id in set(self._watched) - ours:
                 self._watched.pop(upstream_id).cancel()
             for upstream_id in ours - set(self._watched):
-                task = self._tasks.keep(self._watch, f'watch-{upstream_id}', upstream_id)
+                task = self._tasks.supervise(self._watch, f'watch-{upstream_id}', upstream_id)
                 self._watched[upstream_id] = task
             await asyncio.sleep(jittered_s(self._report_s))
 
--- a/limeshelf/standalone/placement/placer.py
+++ b/limeshelf/standalone/placement/placer.py
@@ -88,8 +88,8 @@
 
     def start(self) -> None:
         """Start the lease task and the placement loop."""
-        self._tasks.keep(self._keep_lease, 'lease')
-        self._tasks.keep(self._run, 'placement')
+        self._tasks.supervise(self._keep_lease, 'lease')
+        self._tasks.supervise(self._run, 'placement')
 
     async def close(self) -> None:
         """Stop, and give the lease back."""
@@ -144,7 +144,7 @@
             self._metrics,
         )
         self.workers[upstream_id] = worker
-        self.worker_tasks[upstream_id] = self._tasks.keep(worker.run, f'engine-{upstream_id}')
+        self.worker_tasks[upstream_id] = self._tasks.supervise(worker.run, f'engine-{upstream_id}')
 
     async def _decide(self) -> None:
         now_s = boottime_s()
--- a/limeshelf/standalone/programs/admin.py
+++ b/limeshelf/standalone/programs/admin.py
@@ -52,7 +52,7 @@
         rpc_port = await self.server.start(settings.listen_host)
         peer_port = int(process.node.address.rsplit(':')[-1])
         self.announce(rpc_port=rpc_port, peer_port=peer_port)
-        process.tasks.keep(self._follow, 'follow')
+        process.tasks.supervise(self._follow, 'follow')
 
     async def _follow(self) -> None:
         await self.process.synchronise()
--- a/limeshelf/standalone/programs/entry.py
+++ b/limeshelf/standalone/programs/entry.py
@@ -57,7 +57,7 @@
             settings.listen_host, settings.entry.http_port, tls_context
         )
         if tls is not None and tls_context is not None:
-            self.process.tasks.keep(follow_files, 'tls', tls_context, tls)
+            self.process.tasks.supervise(follow_files, 'tls', tls_context, tls)
         self.watch = UpstreamWatch(
             self.process.processes,
             self.process.upstreams,
@@ -69,7 +69,7 @@
         self._start_sending()
         peer_port = int(self.process.node.address.rsplit(':')[-1])
         self.announce(http_port=http_port, peer_port=peer_port)
-        self.process.tasks.keep(self._serve, 'serve')
+        self.process.tasks.supervise(self._serve, 'serve')
 
     def _make_context(self) -> EntryContext:
         process = self.process
@@ -91,8 +91,8 @@
         reach = ReachSender(process.processes, process.node)
         process.node.add_handler(Reach, reach.relay)
         process.node.add_handler(SamplesQuery, self._answer_samples)
-        process.tasks.keep(reach.run, 'reach')
-        process.tasks.keep(self.shared.demand.run, 'demand', process.processes, process.node)
+        process.tasks.supervise(reach.run, 'reach')
+        process.tasks.supervise(self.shared.demand.run, 'demand', process.processes, process.node)
 
     def _answer_samples(self, envelope: Envelope) -> None:
         query: SamplesQuery = envelope.message
--- a/limeshelf/standalone/programs/placer.py
+++ b/limeshelf/standalone/programs/placer.py
@@ -53,7 +53,7 @@
         process.node.add_handler(Demand, self._take_demand)
         peer_port = int(process.node.address.rsplit(':')[-1])
         self.announce(peer_port=peer_port)
-        process.tasks.keep(self._place, 'place')
+        process.tasks.supervise(self._place, 'place')
 
     def _take_demand(self, envelope: Envelope) -> None:
         self.placer.demand.take(envelope.message, boottime_s())
--- a/limeshelf/standalone/programs/process.py
+++ b/limeshelf/standalone/programs/process.py
@@ -85,14 +85,14 @@
         self.node.add_handler(ExplainQuery, self._explain)
         await self.node.start()
         self._set_own(address=self.node.address)
-        self.tasks.keep(self._beat, 'heartbeat')
-        self.tasks.keep(self.metrics.run, 'metrics')
+        self.tasks.supervise(self._beat, 'heartbeat')
+        self.tasks.supervise(self.metrics.run, 'metrics')
         self.config.add_listener(lambda catalog: self._set_own(revision=catalog.revision))
 
     async def synchronise(self) -> None:
         """Return when the highest revision within reach is in force."""
         await self.sync.start()
-        self.tasks.keep(self.sync.run, 'revision-sync')
+        self.tasks.supervise(self.sync.run, 'revision-sync')
 
     def set_serving(self, serving: bool) -> None:
         """Tell the peers whether this process serves."""
--- a/limeshelf/util/tasks.py
+++ b/limeshelf/util/tasks.py
@@ -44,7 +44,7 @@
         task.add_done_callback(self._on_done)
         return task
 
-    def keep(
+    def supervise(
         self, function: Callable[..., Coroutine[Any, Any, None]], name: str, *arguments: Any
     ) -> asyncio.Task[Any]:
         """Run *function* as a task, and restart it whenever it fails.
--- a/tests/crashes/test_end_watch.py
+++ b/tests/crashes/test_end_watch.py
@@ -63,7 +63,7 @@
     host, port = listener.sockets[0].getsockname()
     directory, suspects, tasks = ReplicaDirectory(lambda *_: None), Suspects(), TaskSet()
     watch = EndWatch(directory, suspects, tasks)
-    tasks.keep(watch.run, 'watch')
+    tasks.supervise(watch.run, 'watch')
     yield World(directory, suspects, watch, listener, f'{host}:{port}')
     await tasks.close()
     listener.close()
--- a/tests/util/test_tasks.py
+++ b/tests/util/test_tasks.py
@@ -22,7 +22,7 @@
             done.set()
             await asyncio.Event().wait()
 
-        tasks.keep(loop, 'loop', 7)
+        tasks.supervise(loop, 'loop', 7)
         await asyncio.wait_for(done.wait(), 10)
         await tasks.close()
         assert iterations == [7, 7, 7]
