--- a/limeshelf/crashes/rows.py
+++ b/limeshelf/crashes/rows.py
@@ -10,7 +10,7 @@
 
 from limeshelf.calls.fingerprint import Fingerprint
 from limeshelf.crashes.suspects import ReplicaEnd, SuspectState, ToldEnd
-from limeshelf.util.decoding import UNREADABLE
+from limeshelf.util.decoding import DECODE_ERRORS
 
 #: Its rows are called by the fingerprints of calls.
 QUARANTINE_TABLE = 'quarantine'
@@ -47,7 +47,7 @@
     """Return what a row says; ``None`` if it is not a gateway's."""
     try:
         said = _values.decode(value)
-    except UNREADABLE:
+    except DECODE_ERRORS:
         return None
     told = (
         ToldEnd(ReplicaEnd(end.replica_id, end.born_ms), end.cleared, end.coincident)
--- a/limeshelf/lease/row.py
+++ b/limeshelf/lease/row.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from limeshelf.errors import InvalidDocument, Problem
-from limeshelf.util.decoding import UNREADABLE
+from limeshelf.util.decoding import DECODE_ERRORS
 
 if TYPE_CHECKING:
     from limeshelf.feeds.position import Position
@@ -61,7 +61,7 @@
         return None
     try:
         return _values.decode(row.value)
-    except UNREADABLE as error:
+    except DECODE_ERRORS as error:
         raise InvalidDocument([Problem(LEASE_KEY, str(error))]) from None
 
 
--- a/limeshelf/membership/registration.py
+++ b/limeshelf/membership/registration.py
@@ -19,7 +19,7 @@
 from limeshelf.membership.messages import GatewayLeaving
 from limeshelf.metrics.event_log import log_change
 from limeshelf.util.backoff import full_jitter_s
-from limeshelf.util.decoding import UNREADABLE
+from limeshelf.util.decoding import DECODE_ERRORS
 
 if TYPE_CHECKING:
     from limeshelf.feeds.position import Position
@@ -44,7 +44,7 @@
     """Return what a row says; ``None`` if it is not a gateway's."""
     try:
         member = _values.decode(value)
-    except UNREADABLE:
+    except DECODE_ERRORS:
         return None
     host, _, port = member.address.rpartition(':')
     return member if host and port.isascii() and port.isdigit() else None
--- a/limeshelf/peers/codec.py
+++ b/limeshelf/peers/codec.py
@@ -13,7 +13,7 @@
 
 from limeshelf.peers.framing import MAX_FRAME_BYTES, MalformedMessage
 from limeshelf.peers.messages import kind_of, message_kinds
-from limeshelf.util.decoding import UNREADABLE
+from limeshelf.util.decoding import DECODE_ERRORS
 
 
 @attrs.frozen
@@ -57,6 +57,6 @@
         if kind is None:
             raise MalformedMessage
         message = msgspec.msgpack.decode(frame.body, type=kind)
-    except UNREADABLE:
+    except DECODE_ERRORS:
         raise MalformedMessage from None
     return Envelope(frame.sender, frame.data_centre, message)
--- a/limeshelf/platform/configuration.py
+++ b/limeshelf/platform/configuration.py
@@ -22,7 +22,7 @@
 )
 from limeshelf.errors import InvalidDocument, Problem
 from limeshelf.platform.organisations import OrganisationEntry, read_organisations
-from limeshelf.util.decoding import UNREADABLE
+from limeshelf.util.decoding import DECODE_ERRORS
 
 if TYPE_CHECKING:
     from limeshelf.feeds.return_rule import Newness
@@ -136,7 +136,7 @@
     """Return how new the configuration in a row is: the operator's version."""
     try:
         return (_versioned.decode(value).version,)
-    except UNREADABLE:
+    except DECODE_ERRORS:
         return ()
 
 
@@ -149,7 +149,7 @@
     """
     try:
         document = _configs.decode(value)
-    except UNREADABLE as error:
+    except DECODE_ERRORS as error:
         raise InvalidDocument([Problem(CONFIG_KEY, str(error))]) from None
     limits = document.limits
     return ServingConfig(
--- a/limeshelf/platform/replicas.py
+++ b/limeshelf/platform/replicas.py
@@ -13,7 +13,7 @@
 
 from limeshelf.errors import InvalidDocument, Problem
 from limeshelf.replicas.record import Holding, ReplicaRecord, ReplicaReport
-from limeshelf.util.decoding import UNREADABLE
+from limeshelf.util.decoding import DECODE_ERRORS
 
 if TYPE_CHECKING:
     from limeshelf.feeds.return_rule import Newness
@@ -165,7 +165,7 @@
     """
     try:
         entry = _entries.decode(value)
-    except UNREADABLE as error:
+    except DECODE_ERRORS as error:
         raise InvalidDocument([Problem(replica_id, str(error))]) from None
     _check(replica_id, entry)
     return ReplicaRecord(
@@ -187,7 +187,7 @@
     try:
         beat = _beats.decode(value)
         return (_born_ms(beat.born) or 0, beat.seq_no)
-    except (*UNREADABLE, InvalidDocument):
+    except (*DECODE_ERRORS, InvalidDocument):
         return ()
 
 
@@ -198,7 +198,7 @@
     """
     try:
         report = _reports.decode(value)
-    except UNREADABLE as error:
+    except DECODE_ERRORS as error:
         raise InvalidDocument([Problem('report', str(error))]) from None
     copies = report.available or _Copies()
     return ReplicaReport(
--- a/limeshelf/platform/store_forms.py
+++ b/limeshelf/platform/store_forms.py
@@ -14,7 +14,7 @@
 from limeshelf.feeds.position import Position
 from limeshelf.feeds.rows import ConditionFailed, HistoryGone, Row
 from limeshelf.metrics.event_log import log_change
-from limeshelf.util.decoding import UNREADABLE
+from limeshelf.util.decoding import DECODE_ERRORS
 
 #: Name of the store in errors and log lines.
 STORE = 'store'
@@ -108,7 +108,7 @@
 def _decode(body: bytes) -> StoreAnswer:
     try:
         return _answers.decode(body)
-    except UNREADABLE:
+    except DECODE_ERRORS:
         raise PlatformUnknown(STORE) from None
 
 
@@ -126,7 +126,7 @@
     """
     try:
         row = _row_decoder.decode(encoded)
-    except UNREADABLE as error:
+    except DECODE_ERRORS as error:
         log_change('row_unreadable', table=table, problem=str(error))
         return None
     try:
--- a/limeshelf/util/decoding.py
+++ b/limeshelf/util/decoding.py
@@ -6,4 +6,4 @@
 
 #: Exceptions of a decoder for invalid documents, which include text that is not UTF-8 and
 #: excessive nesting (tests/platform/test_foreign_rows.py generates arbitrary input).
-UNREADABLE = (msgspec.MsgspecError, UnicodeDecodeError, RecursionError)
+DECODE_ERRORS = (msgspec.MsgspecError, UnicodeDecodeError, RecursionError)
