--- a/limeshelf/errors.py
+++ b/limeshelf/errors.py
@@ -28,7 +28,7 @@
     QUARANTINED = 'quarantined'
 
 
-class DoubtReason(enum.StrEnum):
+class MayHaveRunReason(enum.StrEnum):
     """Why it is unknown whether a request ran."""
 
     CONNECTION_LOST = 'connection_lost'
@@ -71,7 +71,7 @@
 class MayHaveRun:
     """The upstream may have run the request; repeating it is not safe."""
 
-    reason: DoubtReason
+    reason: MayHaveRunReason
     detail: str = ''
 
 
@@ -94,7 +94,7 @@
 
 
 @dataclass(eq=False)
-class RequestInDoubt(LimeshelfError):
+class RequestMayHaveRun(LimeshelfError):
     """Passes a :class:`MayHaveRun` outcome to the HTTP layer."""
 
     outcome: MayHaveRun
@@ -140,7 +140,7 @@
     """The exchange ended after bytes may have been sent and before the answer was complete."""
 
     upstream_id: str
-    reason: DoubtReason
+    reason: MayHaveRunReason
 
 
 @dataclass(eq=False)
--- a/limeshelf/standalone/entry/answers.py
+++ b/limeshelf/standalone/entry/answers.py
@@ -17,7 +17,7 @@
     NotRun,
     OutcomeKind,
     RefusalReason,
-    RequestInDoubt,
+    RequestMayHaveRun,
     RequestNotRun,
 )
 from limeshelf.standalone.entry.headers import (
@@ -82,7 +82,7 @@
 
 
 def error_answer(
-    error: InvalidRequest | RequestNotRun | RequestInDoubt, request_id: str, revision: int
+    error: InvalidRequest | RequestNotRun | RequestMayHaveRun, request_id: str, revision: int
 ) -> web.Response:
     """Return the whole answer to a request that ended with *error*."""
     if isinstance(error, InvalidRequest):
--- a/limeshelf/standalone/entry/claimed.py
+++ b/limeshelf/standalone/entry/claimed.py
@@ -12,12 +12,12 @@
 from aiohttp import web
 
 from limeshelf.errors import (
-    DoubtReason,
     MayHaveRun,
+    MayHaveRunReason,
     NotRun,
     OutcomeKind,
     RefusalReason,
-    RequestInDoubt,
+    RequestMayHaveRun,
     RequestNotRun,
 )
 from limeshelf.standalone.claims.keeper import (
@@ -55,7 +55,7 @@
 
         :param body: the whole body; it is part of what tells two calls apart.
         :raises RequestNotRun: the call did not run.
-        :raises RequestInDoubt: it may have run, for this request or an earlier one.
+        :raises RequestMayHaveRun: it may have run, for this request or an earlier one.
         """
         call = prepared.call
         fingerprint = fingerprint_of(call.method, call.path_and_query, body)
@@ -151,8 +151,8 @@
 def _repeated(claim: ClaimedBefore, prepared: PreparedCall) -> web.Response:
     kept = claim.answer
     if kept is None:
-        raise RequestInDoubt(
-            MayHaveRun(DoubtReason.CLAIM_UNSETTLED, 'the first call has no known answer yet')
+        raise RequestMayHaveRun(
+            MayHaveRun(MayHaveRunReason.CLAIM_UNSETTLED, 'the first call has no known answer yet')
         )
     answer = web.Response(
         status=kept.status,
--- a/limeshelf/standalone/entry/model_attempts.py
+++ b/limeshelf/standalone/entry/model_attempts.py
@@ -11,12 +11,12 @@
 from typing import TYPE_CHECKING, NoReturn
 
 from limeshelf.errors import (
-    DoubtReason,
     ExchangeBroken,
     MayHaveRun,
+    MayHaveRunReason,
     NotRun,
     RefusalReason,
-    RequestInDoubt,
+    RequestMayHaveRun,
     RequestNotRun,
     UpstreamRefused,
     UpstreamUnreachable,
@@ -76,7 +76,7 @@
         """Yield checked lines of the answer, each token once and in order.
 
         :raises RequestNotRun: no upstream ran it.
-        :raises RequestInDoubt: it may have run, and its answer is not whole.
+        :raises RequestMayHaveRun: it may have run, and its answer is not whole.
         """
         self._context.budget(self._target.deployment.name).note_first_attempt()
         while True:
@@ -201,7 +201,7 @@
         # is resumed there (test_broken_stream_is_resumed_at_the_next_token).
         self._broken_ids.add(candidate.upstream_id)
         if not self._target.deployment.repeatable:
-            raise RequestInDoubt(MayHaveRun(broken.reason))
+            raise RequestMayHaveRun(MayHaveRun(broken.reason))
         self._check_retry(RefusalReason.UPSTREAM_UNREACHABLE)
 
     def _check_retry(self, reason: RefusalReason, retry_after_s: float | None = None) -> None:
@@ -220,5 +220,5 @@
         """Raise the final outcome: may have run if the answer of any replica broke."""
         self._context.demand.refused(self._target.item.item_id)
         if self._broken_ids:
-            raise RequestInDoubt(MayHaveRun(DoubtReason.ANSWER_CUT))
+            raise RequestMayHaveRun(MayHaveRun(MayHaveRunReason.ANSWER_CUT))
         raise RequestNotRun(NotRun(reason, retry_after_s))
--- a/limeshelf/standalone/entry/models.py
+++ b/limeshelf/standalone/entry/models.py
@@ -14,13 +14,13 @@
 from aiohttp import web
 
 from limeshelf.errors import (
-    DoubtReason,
     InvalidRequest,
     MayHaveRun,
+    MayHaveRunReason,
     NotRun,
     OutcomeKind,
     RefusalReason,
-    RequestInDoubt,
+    RequestMayHaveRun,
     RequestNotRun,
 )
 from limeshelf.standalone.entry.answers import error_answer, tag
@@ -89,7 +89,7 @@
         except InvalidRequest as error:
             self._context.metrics.count('entry.invalid')
             return error_answer(error, request_id, catalog.revision)
-        except (RequestNotRun, RequestInDoubt) as error:
+        except (RequestNotRun, RequestMayHaveRun) as error:
             return error_answer(error, request_id, catalog.revision)
 
     async def _serve(
@@ -121,7 +121,7 @@
                     texts += [line.text for line in batch if not line.finish]
                     finish = batch[-1].finish
         except TimeoutError:
-            raise RequestInDoubt(MayHaveRun(DoubtReason.ANSWER_TIMEOUT)) from None
+            raise RequestMayHaveRun(MayHaveRun(MayHaveRunReason.ANSWER_TIMEOUT)) from None
         body = whole_body(request, ''.join(texts), finish, len(texts))
         answer = web.Response(body=body, content_type='application/json')
         answer.headers[OUTCOME_HEADER] = OutcomeKind.COMPLETED.value
@@ -140,11 +140,11 @@
             async with asyncio.timeout(request.deadline_s):
                 await _write_events(http, answer, writer, attempts)
         except TimeoutError:
-            outcome = MayHaveRun(DoubtReason.ANSWER_TIMEOUT)
+            outcome = MayHaveRun(MayHaveRunReason.ANSWER_TIMEOUT)
             if not answer.prepared:
-                raise RequestInDoubt(outcome) from None
+                raise RequestMayHaveRun(outcome) from None
             await answer.write(writer.error_event(outcome))
-        except (RequestNotRun, RequestInDoubt) as error:
+        except (RequestNotRun, RequestMayHaveRun) as error:
             if not answer.prepared:
                 raise
             self._context.metrics.count('entry.streams_broken')
--- a/limeshelf/standalone/entry/plain.py
+++ b/limeshelf/standalone/entry/plain.py
@@ -16,7 +16,7 @@
     NotRun,
     OutcomeKind,
     RefusalReason,
-    RequestInDoubt,
+    RequestMayHaveRun,
     RequestNotRun,
 )
 from limeshelf.standalone.entry.answers import error_answer, tag
@@ -62,7 +62,7 @@
             route = _route_of(http, catalog)
             self._context.metrics.count('entry.plain_requests')
             return await self._serve(http, request_id, catalog, route)
-        except (InvalidRequest, RequestNotRun, RequestInDoubt) as error:
+        except (InvalidRequest, RequestNotRun, RequestMayHaveRun) as error:
             return error_answer(error, request_id, catalog.revision)
 
     async def _serve(
--- a/limeshelf/standalone/entry/plain_attempts.py
+++ b/limeshelf/standalone/entry/plain_attempts.py
@@ -15,7 +15,7 @@
     MayHaveRun,
     NotRun,
     RefusalReason,
-    RequestInDoubt,
+    RequestMayHaveRun,
     RequestNotRun,
     UpstreamRefused,
     UpstreamUnreachable,
@@ -83,7 +83,7 @@
         """Return what *receiver* made of the answer.
 
         :raises RequestNotRun: no replica ran the call.
-        :raises RequestInDoubt: one may have run it, and its answer is not whole.
+        :raises RequestMayHaveRun: one may have run it, and its answer is not whole.
         """
         context, prepared = self._context, self._prepared
         context.budget(prepared.route.name).note_first_attempt()
@@ -103,7 +103,7 @@
                     self._log_cut(candidate, broken)
                     return partial
                 if not prepared.repeatable:
-                    raise RequestInDoubt(MayHaveRun(broken.reason)) from None
+                    raise RequestMayHaveRun(MayHaveRun(broken.reason)) from None
                 self._note_failure(candidate, broken)
             finally:
                 context.loads.ended(candidate.upstream_id)
@@ -166,7 +166,7 @@
             self._context.metrics.count('entry.retries')
             return
         if isinstance(error, ExchangeBroken):
-            raise RequestInDoubt(MayHaveRun(error.reason))
+            raise RequestMayHaveRun(MayHaveRun(error.reason))
         raise RequestNotRun(NotRun(reason, NOT_READY_RETRY_S))
 
     def _pass_over(self, candidate: Candidate, error: Exception) -> RefusalReason:
--- a/limeshelf/standalone/upstreams/engine.py
+++ b/limeshelf/standalone/upstreams/engine.py
@@ -13,7 +13,7 @@
 import aiohttp
 import msgspec
 
-from limeshelf.errors import DoubtReason, ExchangeBroken
+from limeshelf.errors import ExchangeBroken, MayHaveRunReason
 from limeshelf.standalone.upstreams.http import CLIENT_ERRORS, failure_of, refusal_of
 from limeshelf.standalone.upstreams.messages import (
     EngineReport,
@@ -82,7 +82,7 @@
         if refusal is not None:
             raise refusal
         if answer.status != HTTPStatus.OK:
-            raise ExchangeBroken(self.upstream_id, DoubtReason.ANSWER_CUT)
+            raise ExchangeBroken(self.upstream_id, MayHaveRunReason.ANSWER_CUT)
 
     async def _batches(
         self, answer: aiohttp.ClientResponse, request: GenerateRequest
@@ -93,14 +93,14 @@
         while True:
             data = await answer.content.readany()
             if not data:
-                raise ExchangeBroken(self.upstream_id, DoubtReason.ANSWER_CUT)
+                raise ExchangeBroken(self.upstream_id, MayHaveRunReason.ANSWER_CUT)
             whole, newline, rest = (rest + data).rpartition(b'\n')
             if not newline:
                 continue
             batch = self._decode_lines(whole)
             for line in batch:
                 if line.exchange_id != request.exchange_id or line.index != expected:
-                    raise ExchangeBroken(self.upstream_id, DoubtReason.ANSWER_FOREIGN)
+                    raise ExchangeBroken(self.upstream_id, MayHaveRunReason.ANSWER_FOREIGN)
                 expected += 0 if line.finish else 1
             yield batch
 
@@ -108,7 +108,7 @@
         try:
             return self._lines.decode_lines(data)
         except msgspec.MsgspecError:
-            raise ExchangeBroken(self.upstream_id, DoubtReason.ANSWER_FOREIGN) from None
+            raise ExchangeBroken(self.upstream_id, MayHaveRunReason.ANSWER_FOREIGN) from None
 
     async def _exchange(self, method: str, path: str, body: Any, timeout_s: float) -> bytes:
         data = None if body is None else msgspec.json.encode(body)
@@ -126,4 +126,4 @@
         try:
             return msgspec.json.decode(body, type=kind)
         except msgspec.MsgspecError:
-            raise ExchangeBroken(self.upstream_id, DoubtReason.ANSWER_FOREIGN) from None
+            raise ExchangeBroken(self.upstream_id, MayHaveRunReason.ANSWER_FOREIGN) from None
--- a/limeshelf/standalone/upstreams/http.py
+++ b/limeshelf/standalone/upstreams/http.py
@@ -11,7 +11,7 @@
 
 import aiohttp
 
-from limeshelf.errors import DoubtReason, ExchangeBroken, UpstreamRefused, UpstreamUnreachable
+from limeshelf.errors import ExchangeBroken, MayHaveRunReason, UpstreamRefused, UpstreamUnreachable
 from limeshelf.util.http import without_silent_retry
 
 if TYPE_CHECKING:
@@ -51,8 +51,8 @@
     if isinstance(error, aiohttp.ClientConnectorError | aiohttp.ConnectionTimeoutError):
         return UpstreamUnreachable(upstream_id)
     if isinstance(error, TimeoutError):
-        return ExchangeBroken(upstream_id, DoubtReason.ANSWER_TIMEOUT)
-    return ExchangeBroken(upstream_id, DoubtReason.CONNECTION_LOST)
+        return ExchangeBroken(upstream_id, MayHaveRunReason.ANSWER_TIMEOUT)
+    return ExchangeBroken(upstream_id, MayHaveRunReason.CONNECTION_LOST)
 
 
 def refusal_of(headers: CIMultiDictProxy[str], upstream_id: str) -> UpstreamRefused | None:
--- a/limeshelf/standalone/upstreams/plain.py
+++ b/limeshelf/standalone/upstreams/plain.py
@@ -15,7 +15,7 @@
 import msgspec
 from yarl import URL
 
-from limeshelf.errors import DoubtReason, ExchangeBroken
+from limeshelf.errors import ExchangeBroken, MayHaveRunReason
 from limeshelf.standalone.upstreams.http import CLIENT_ERRORS, failure_of, refusal_of
 from limeshelf.standalone.upstreams.messages import PlainReport
 
@@ -111,7 +111,7 @@
             ):
                 return msgspec.json.decode(await answer.read(), type=PlainReport)
         except msgspec.MsgspecError:
-            raise ExchangeBroken(self.upstream_id, DoubtReason.ANSWER_FOREIGN) from None
+            raise ExchangeBroken(self.upstream_id, MayHaveRunReason.ANSWER_FOREIGN) from None
         except CLIENT_ERRORS as error:
             raise failure_of(error, self.upstream_id) from None
 
--- a/tests/forms/test_http.py
+++ b/tests/forms/test_http.py
@@ -14,9 +14,9 @@
 from typing import Any
 
 from limeshelf.errors import (
-    DoubtReason,
     InvalidRequest,
     MayHaveRun,
+    MayHaveRunReason,
     NotRun,
     OutcomeKind,
     RefusalReason,
@@ -43,7 +43,7 @@
     outcomes: list[Any] = [NotRun(RefusalReason('overloaded'), 2.5)]
     for detail, retry_after_s in (('', None), ('A sentence.', 0.2)):
         outcomes += [NotRun(reason, retry_after_s, detail) for reason in RefusalReason]
-        outcomes += [MayHaveRun(reason, detail) for reason in DoubtReason]
+        outcomes += [MayHaveRun(reason, detail) for reason in MayHaveRunReason]
     found = []
     for outcome in outcomes:
         answer = tag(outcome_answer(outcome, 'req-i-1'), 'req-i-1', 7)
--- a/tests/standalone/upstreams/test_http.py
+++ b/tests/standalone/upstreams/test_http.py
@@ -6,18 +6,18 @@
 import pytest
 from multidict import CIMultiDict, CIMultiDictProxy
 
-from limeshelf.errors import DoubtReason, ExchangeBroken, UpstreamUnreachable
+from limeshelf.errors import ExchangeBroken, MayHaveRunReason, UpstreamUnreachable
 from limeshelf.standalone.upstreams.http import CLIENT_ERRORS, failure_of, refusal_of
 
 
 @pytest.mark.parametrize(
     ('error', 'reason'),
     [
-        (TimeoutError(), DoubtReason.ANSWER_TIMEOUT),
-        (aiohttp.SocketTimeoutError(), DoubtReason.ANSWER_TIMEOUT),
-        (ConnectionResetError(), DoubtReason.CONNECTION_LOST),
-        (aiohttp.ServerDisconnectedError(), DoubtReason.CONNECTION_LOST),
-        (aiohttp.ClientPayloadError(), DoubtReason.CONNECTION_LOST),
+        (TimeoutError(), MayHaveRunReason.ANSWER_TIMEOUT),
+        (aiohttp.SocketTimeoutError(), MayHaveRunReason.ANSWER_TIMEOUT),
+        (ConnectionResetError(), MayHaveRunReason.CONNECTION_LOST),
+        (aiohttp.ServerDisconnectedError(), MayHaveRunReason.CONNECTION_LOST),
+        (aiohttp.ClientPayloadError(), MayHaveRunReason.CONNECTION_LOST),
     ],
 )
 def test_error_after_the_connection_stood_leaves_it_open_whether_it_ran(error, reason) -> None:
--- a/tests/support/engine.py
+++ b/tests/support/engine.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from limeshelf.errors import DoubtReason, ExchangeBroken, UpstreamUnreachable
+from limeshelf.errors import ExchangeBroken, MayHaveRunReason, UpstreamUnreachable
 from limeshelf.standalone.upstreams.messages import (
     EngineReport,
     HeldItem,
@@ -115,15 +115,15 @@
             raise UpstreamUnreachable(self.upstream_id)
         fault, engine.next_order = engine.next_order, ''
         if fault == 'lost':
-            raise ExchangeBroken(self.upstream_id, DoubtReason.ANSWER_TIMEOUT)
+            raise ExchangeBroken(self.upstream_id, MayHaveRunReason.ANSWER_TIMEOUT)
         if fault == 'transit':
             engine.transit.append(order)
-            raise ExchangeBroken(self.upstream_id, DoubtReason.ANSWER_TIMEOUT)
+            raise ExchangeBroken(self.upstream_id, MayHaveRunReason.ANSWER_TIMEOUT)
         refusal = engine.take(order)
         if fault == 'doubled':
             engine.transit.append(order)
         if fault == 'answer lost':
-            raise ExchangeBroken(self.upstream_id, DoubtReason.CONNECTION_LOST)
+            raise ExchangeBroken(self.upstream_id, MayHaveRunReason.CONNECTION_LOST)
         return OrderAnswer(refusal, engine.make_report())
 
 
