--- a/limeshelf/metrics/prometheus.py
+++ b/limeshelf/metrics/prometheus.py
@@ -129,7 +129,7 @@
         """
         self._notices.labels(statement).inc()
 
-    def observe_return(self, table: str, era: int) -> None:
+    def observe_era_change(self, table: str, era: int) -> None:
         """Count a switch of the copy of *table* to a later era of the store."""
         self._returns.labels(table).inc()
         self._era.set(era)
--- a/limeshelf/programs/followed_tables.py
+++ b/limeshelf/programs/followed_tables.py
@@ -177,7 +177,7 @@
     )
     for copy in copies:
         copy.return_listeners.append(
-            lambda copy: metrics.observe_return(copy.table, copy.position.era)
+            lambda copy: metrics.observe_era_change(copy.table, copy.position.era)
         )
     (_, _, members, quarantine) = copies
     members.return_listeners.append(registration.note_return)
