--- a/benchmarks/account.py
+++ b/benchmarks/account.py
@@ -40,7 +40,7 @@
         began_s = time.perf_counter()
         summary = CallSummary()
         with path.open('rb') as stream:
-            summary.take_all(LogReader().read(stream))
+            summary.add_all(LogReader().read(stream))
         took_s = time.perf_counter() - began_s
     peak_mb = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
     verdict = 'within' if took_s < AIM_S and peak_mb < AIM_MB else 'beyond'
--- a/limeshelf/account/compare.py
+++ b/limeshelf/account/compare.py
@@ -83,7 +83,7 @@
     :raises OSError: a file cannot be read.
     """
     summary = CallSummary(worths)
-    summary.take_all(LogReader().read_files(files, stdin))
+    summary.add_all(LogReader().read_files(files, stdin))
     return summary
 
 
--- a/limeshelf/account/starved.py
+++ b/limeshelf/account/starved.py
@@ -126,7 +126,7 @@
     _keys: dict[DemandKey, KeyDemand] = attrs.field(factory=dict)
     _actions: dict[DemandKey, list[LogEvent]] = attrs.field(factory=dict)
 
-    def take_all(self, events: Iterable[LogEvent]) -> None:
+    def add_all(self, events: Iterable[LogEvent]) -> None:
         """Add all events."""
         for event in events:
             self.add_event(event)
--- a/limeshelf/account/summary.py
+++ b/limeshelf/account/summary.py
@@ -117,7 +117,7 @@
     _lost: list[LostCall] = attrs.field(factory=list)
     _centres: dict[str, str] = attrs.field(factory=dict)
 
-    def take_all(self, events: Iterable[LogEvent]) -> None:
+    def add_all(self, events: Iterable[LogEvent]) -> None:
         """Add all events and close the summary."""
         for event in events:
             self.add_event(event)
--- a/limeshelf/account/story.py
+++ b/limeshelf/account/trace.py
@@ -12,13 +12,13 @@
     from limeshelf.account.lines import LogEvent
 
 
-def story_of(call_id: str, events: Iterable[LogEvent]) -> list[LogEvent]:
+def call_events(call_id: str, events: Iterable[LogEvent]) -> list[LogEvent]:
     """Return the events of a call in order of time."""
     of_call = [event for event in events if event.fields.get('request') == call_id]
     return sorted(of_call, key=lambda event: event.at_s)
 
 
-def story_lines(events: list[LogEvent]) -> list[str]:
+def trace_lines(events: list[LogEvent]) -> list[str]:
     """Return a trace as text: one line for each event with its fields, then the ending."""
     if not events:
         return []
--- a/limeshelf/standalone/programs/cli_account.py
+++ b/limeshelf/standalone/programs/cli_account.py
@@ -19,8 +19,8 @@
 from limeshelf.account.report import report_lines
 from limeshelf.account.starved import StarvedKeys
 from limeshelf.account.starved_report import starved_lines
-from limeshelf.account.story import story_lines, story_of
 from limeshelf.account.summary import CallSummary
+from limeshelf.account.trace import call_events, trace_lines
 from limeshelf.account.worths import Worths
 from limeshelf.errors import InvalidDocument
 from limeshelf.standalone.programs.cli_common import EXIT_INVALID, EXIT_NOT_FOUND
@@ -54,7 +54,9 @@
 ) -> None:
     """Tell the whole story of one call over all gateways, in order of time."""
     with _reading(files) as reader:
-        lines = story_lines(story_of(call_id, reader.read_files(_inputs(files), sys.stdin.buffer)))
+        lines = trace_lines(
+            call_events(call_id, reader.read_files(_inputs(files), sys.stdin.buffer))
+        )
     if not lines:
         sys.stderr.write(f'no line tells of {call_id!r}\n')
         raise typer.Exit(EXIT_NOT_FOUND)
@@ -71,7 +73,7 @@
     """Count how calls ended, and rank what the rest was lost to by its worth."""
     with _reading(files) as reader:
         made = CallSummary(_worths(worth), window_s)
-        made.take_all(reader.read_files(_inputs(files), sys.stdin.buffer))
+        made.add_all(reader.read_files(_inputs(files), sys.stdin.buffer))
     for line in report_lines(made, reader):
         print_line(line)
 
@@ -81,7 +83,7 @@
     """Name what was asked for and never served, and what the leader did for it."""
     with _reading(files) as reader:
         made = StarvedKeys()
-        made.take_all(reader.read_files(_inputs(files), sys.stdin.buffer))
+        made.add_all(reader.read_files(_inputs(files), sys.stdin.buffer))
     for line in starved_lines(made, reader):
         print_line(line)
 
@@ -98,7 +100,7 @@
         from limeshelf.account.plot import draw
     with _reading(files) as reader:
         made = CallSummary(_worths(worth), window_s)
-        made.take_all(reader.read_files(_inputs(files), sys.stdin.buffer))
+        made.add_all(reader.read_files(_inputs(files), sys.stdin.buffer))
     try:
         draw(made, output)
     except (OSError, ValueError) as error:
--- a/tests/account/test_starved.py
+++ b/tests/account/test_starved.py
@@ -44,7 +44,7 @@
 
 def collected(*events: LogEvent) -> StarvedKeys:
     starved = StarvedKeys()
-    starved.take_all(events)
+    starved.add_all(events)
     return starved
 
 
--- a/tests/account/test_summary.py
+++ b/tests/account/test_summary.py
@@ -104,7 +104,7 @@
 
 def summarized(events: list[LogEvent], worths: Worths | None = None) -> CallSummary:
     summary = CallSummary(worths or Worths())
-    summary.take_all(events)
+    summary.add_all(events)
     return summary
 
 
