--- a/limeshelf/organisations/limiter.py
+++ b/limeshelf/organisations/limiter.py
@@ -8,7 +8,7 @@
 * A gateway may use its own quota without asking, so at least that much is counted for it.
 * A gateway that no longer reports is counted with its last report until the window has passed.
 * A process that has just started may have had a predecessor that used some of the quota. If
-  this limiter received no reports of it, an equal share of the data centre's quota is counted,
+  this limiter received no reports of it, an equal part of the data centre's quota is counted,
   which shrinks as the window passes. The limit thus holds also when all processes start at
   once, while calls at the usual rate are served from the start.
 
@@ -165,7 +165,7 @@
         """Decide on one call and, if it is within the limit, count it from now on.
 
         :param is_first: whether this is the first limiter of the data centre; the second is asked
-            only by gateways that get no answer from the first.
+            only by gateways that get no decision from the first.
         """
         self._refresh(now_s)
         if self._reporting < MIN_REPORTING_SHARE * request.gateways:
@@ -220,19 +220,19 @@
         self._record_of(request.gateway, now_s)
         gateways = max(request.gateways, len(self._gateways))
         own_quota = self._rule.gateway_quota(request.limit, gateways)
-        equal_share = self._rule.centre_quota(request.limit) / gateways
+        equal_quota = self._rule.centre_quota(request.limit) / gateways
         used = 0.0
         for gateway, record in self._gateways.items():
             unknown_share = self._unknown_share(record.known_since_s, now_s)
             amount = record.amount(request.organisation)
             if gateway == request.gateway:
                 amount += request.amount
-            used += max(own_quota * (1 - unknown_share), amount) + equal_share * unknown_share
+            used += max(own_quota * (1 - unknown_share), amount) + equal_quota * unknown_share
         # A gateway without a record may use its own quota, and may have used more.
         unknown_share = self._unknown_share(self._listening_since_s, now_s)
         gateways_without_record = gateways - len(self._gateways)
         return used + gateways_without_record * (
-            own_quota * (1 - unknown_share) + equal_share * unknown_share
+            own_quota * (1 - unknown_share) + equal_quota * unknown_share
         )
 
     def _unknown_share(self, known_since_s: float, now_s: float) -> float:
