--- a/limeshelf/crashes/rows.py
+++ b/limeshelf/crashes/rows.py
@@ -10,7 +10,7 @@
 
 from limeshelf.calls.fingerprint import Fingerprint
 from limeshelf.crashes.suspects import CallCrash, ReplicaCrash, SuspectState
-from limeshelf.util.decoding import UNREADABLE
+from limeshelf.util.decoding import DECODE_ERRORS
 
 #: The keys of its rows are the fingerprints of calls.
 QUARANTINE_TABLE = 'quarantine'
@@ -49,7 +49,7 @@
     """Decode the row of a suspect; ``None`` if it is invalid."""
     try:
         decoded = _values.decode(value)
-    except UNREADABLE:
+    except DECODE_ERRORS:
         return None
     crashes = (
         CallCrash(ReplicaCrash(row.replica_id, row.born_ms), row.cleared, row.coincident)
--- a/limeshelf/membership/limit_exchange.py
+++ b/limeshelf/membership/limit_exchange.py
@@ -18,9 +18,9 @@
 from limeshelf.membership.member import LOCAL
 from limeshelf.membership.messages import LimitQuery, LimitVerdict
 from limeshelf.metrics.event_log import log_change
-from limeshelf.organisations.limiter import Decision, Limiter, LimitQuestion, Ruling
-from limeshelf.organisations.pace import Paces
-from limeshelf.organisations.usage import UsageLedger
+from limeshelf.organisations.limiter import Decision, Limiter, LimitRequest, Ruling
+from limeshelf.organisations.token_buckets import TokenBuckets
+from limeshelf.organisations.usage import GatewayUsage
 from limeshelf.peers.query_client import AVOID_S, QueryClient
 from limeshelf.util.clock import MS_PER_S, boottime_s
 from limeshelf.util.identifiers import new_id
@@ -68,9 +68,9 @@
         self._members = members
         self._in_force = in_force
         self._rule = rule
-        self._ledger = UsageLedger(rule.window_s)
+        self._ledger = GatewayUsage(rule.window_s)
         self._limiter: Limiter | None = None
-        self._paces = Paces(rule)
+        self._paces = TokenBuckets(rule)
         self._query_client: QueryClient[Decision] = QueryClient(node, _log_unanswered)
         self._refusals: dict[str, _Refusal] = {}
         #: Whether no limiter decided on the latest call, and when a limiter last did.
@@ -86,7 +86,7 @@
         """Return the usage that counts for this gateway, by organisation, for the limiters."""
         since_s = boottime_s() - self._last_decision_s
         return self._ledger.report(
-            holds_claims=self._is_limiter_unavailable and since_s < self._rule.window_s
+            keeps_previous=self._is_limiter_unavailable and since_s < self._rule.window_s
         )
 
     def update_role(self, used: dict[str, int]) -> None:
@@ -101,13 +101,13 @@
         if self._limiter is None:
             self._limiter = Limiter(self._rule, now_s)
         own = self._members.own.address
-        self._limiter.take_report(own, self.started_ms, self._age_s(), used, now_s)
+        self._limiter.record_report(own, self.started_ms, self._age_s(), used, now_s)
 
     def add_report(self, digest: GatewayDigest) -> None:
         """Add the usage report of a gateway of this data centre, if this gateway is a limiter."""
         if self._limiter is not None and digest.started_ms:
             age_s = (digest.number - digest.started_ms) / MS_PER_S
-            self._limiter.take_report(
+            self._limiter.record_report(
                 digest.address, digest.started_ms, age_s, digest.usage, boottime_s()
             )
 
@@ -125,17 +125,17 @@
             self._cache_refusal(organisation, amount, decision)
             return decision
         if decision.ruling is Ruling.WITHIN:
-            self._ledger.note_granted(organisation, amount)
+            self._ledger.record_grant(organisation, amount)
         elif not self._fits_own_share(organisation, limit, amount):
             return decision
-        return self._ledger.of(organisation).reserve(amount)
+        return self._ledger.window_of(organisation).reserve(amount)
 
     def _fits_own_share(self, organisation: str, limit: UsageLimit, amount: int) -> bool:
         """Return whether a call without a limiter's decision fits this gateway's own share."""
         if not self._members.has_member_rows:
             return False
-        own_share = self._rule.of_gateway(limit, self._gateway_count(), self._age_s())
-        return self._ledger.may_use(organisation, amount, own_share)
+        own_share = self._rule.gateway_quota(limit, self._gateway_count(), self._age_s())
+        return self._ledger.may_use_without_limiter(organisation, amount, own_share)
 
     def _cached_refusal(self, organisation: str, amount: int) -> Decision | None:
         refusal = self._refusals.get(organisation)
@@ -190,11 +190,11 @@
         wait_s = self._paces.wait_s(organisation, limit, amount, now_s)
         if wait_s:
             return Decision(Ruling.OVER, wait_s)
-        question = LimitQuestion(gateway, organisation, limit, amount, self._gateway_count())
+        question = LimitRequest(gateway, organisation, limit, amount, self._gateway_count())
         is_first = self._members.is_first_relay
         decision = self._limiter.decide(question, now_s, is_first=is_first)
         if decision.ruling is Ruling.WITHIN:
-            self._paces.take(organisation, amount)
+            self._paces.deduct(organisation, amount)
         return decision
 
     async def _query_limiter(
--- a/limeshelf/peers/codec.py
+++ b/limeshelf/peers/codec.py
@@ -13,7 +13,7 @@
 
 from limeshelf.peers.framing import MAX_FRAME_BYTES, MalformedMessage
 from limeshelf.peers.messages import kind_of, message_classes
-from limeshelf.util.decoding import UNREADABLE
+from limeshelf.util.decoding import DECODE_ERRORS
 
 
 @attrs.frozen
@@ -60,6 +60,6 @@
         if message_class is None:
             raise MalformedMessage
         message = msgspec.msgpack.decode(frame.body, type=message_class)
-    except UNREADABLE:
+    except DECODE_ERRORS:
         raise MalformedMessage from None
     return Envelope(frame.sender, frame.data_centre, message)
--- a/limeshelf/platform/configuration.py
+++ b/limeshelf/platform/configuration.py
@@ -22,7 +22,7 @@
 )
 from limeshelf.errors import InvalidDocument, Problem
 from limeshelf.platform.organisations import OrganisationEntry, read_organisations
-from limeshelf.util.decoding import UNREADABLE
+from limeshelf.util.decoding import DECODE_ERRORS
 
 if TYPE_CHECKING:
     from limeshelf.feeds.restore_rule import WriterVersion
@@ -136,7 +136,7 @@
     """Return the sort key of a configuration by age: the operator's version."""
     try:
         return (_version_decoder.decode(value).version,)
-    except UNREADABLE:
+    except DECODE_ERRORS:
         return ()
 
 
@@ -149,7 +149,7 @@
     """
     try:
         document = _config_decoder.decode(value)
-    except UNREADABLE as error:
+    except DECODE_ERRORS as error:
         raise InvalidDocument([Problem(CONFIG_KEY, str(error))]) from None
     limits = document.limits
     return ServingConfig(
--- a/limeshelf/platform/replicas.py
+++ b/limeshelf/platform/replicas.py
@@ -13,7 +13,7 @@
 
 from limeshelf.errors import InvalidDocument, Problem
 from limeshelf.replicas.record import Holding, ReplicaRecord, ReplicaReport
-from limeshelf.util.decoding import UNREADABLE
+from limeshelf.util.decoding import DECODE_ERRORS
 
 if TYPE_CHECKING:
     from limeshelf.feeds.restore_rule import WriterVersion
@@ -168,7 +168,7 @@
     """
     try:
         row = _row_decoder.decode(value)
-    except UNREADABLE as error:
+    except DECODE_ERRORS as error:
         raise InvalidDocument([Problem(replica_id, str(error))]) from None
     _check_row(replica_id, row)
     return ReplicaRecord(
@@ -190,7 +190,7 @@
     try:
         age = _row_age_decoder.decode(value)
         return (_born_ms(age.born) or 0, age.seq_no)
-    except (*UNREADABLE, InvalidDocument):
+    except (*DECODE_ERRORS, InvalidDocument):
         return ()
 
 
@@ -201,7 +201,7 @@
     """
     try:
         report = _report_decoder.decode(value)
-    except UNREADABLE as error:
+    except DECODE_ERRORS as error:
         raise InvalidDocument([Problem('report', str(error))]) from None
     copies = report.available or _LocalCopies()
     return ReplicaReport(
--- a/limeshelf/programs/followed_tables.py
+++ b/limeshelf/programs/followed_tables.py
@@ -180,7 +180,7 @@
     )
     for copy in copies:
         copy.restore_listeners.append(
-            lambda copy: metrics.observe_return(copy.table, copy.position.era)
+            lambda copy: metrics.observe_era_change(copy.table, copy.position.era)
         )
     (_, _, members, quarantine) = copies
     members.restore_listeners.append(registration.rewrite_if_lost)
--- a/tests/membership/test_limit_exchange.py
+++ b/tests/membership/test_limit_exchange.py
@@ -117,7 +117,7 @@
 def test_gateway_without_a_limiter_uses_its_own_share() -> None:
     wire = make_wire()
     wire.silent.update(('g1', 'g2'))
-    own_share = RULE.of_gateway(LIMIT, len(NAMES))
+    own_share = RULE.gateway_quota(LIMIT, len(NAMES))
     amount = int(own_share / 2)
     assert isinstance(reserve(wire, 'g3', amount), Reservation)
     assert isinstance(reserve(wire, 'g3', amount), Reservation)
@@ -131,7 +131,7 @@
     wire.silent.update(('g1', 'g2'))
     recently_started = wire.exchanges['g3']
     recently_started.started_ms += 98_000
-    amount = int(RULE.of_gateway(LIMIT, len(NAMES)) / 2)
+    amount = int(RULE.gateway_quota(LIMIT, len(NAMES)) / 2)
     assert not isinstance(reserve(wire, 'g3', amount), Reservation)
     assert isinstance(reserve(wire, 'g3', amount // 4), Reservation)
 
