--- a/limeshelf/account/starved.py
+++ b/limeshelf/account/starved.py
@@ -22,8 +22,8 @@
 #: Minimum time between its first and its last call for it to be reported.
 MIN_SPAN_S = 8.0
 #: Time without a request after which no caller is assumed to wait any longer; equal to the time
-#: that the leader uses (:data:`limeshelf.demand.meter.UNSERVED_LIFE_S`).
-UNSERVED_LIFE_S = 30.0
+#: that the leader uses (:data:`limeshelf.demand.meter.UNSERVED_EXPIRY_S`).
+UNSERVED_EXPIRY_S = 30.0
 #: Lowest status of answers that do not prove that the model was served.
 STATUS_CLIENT_ERROR = 400
 
@@ -94,7 +94,7 @@
 class _Wait:
     """Measures the longest time without an answer.
 
-    A wait ends with an answer, or after :data:`UNSERVED_LIFE_S` without a call.
+    A wait ends with an answer, or after :data:`UNSERVED_EXPIRY_S` without a call.
     """
 
     longest_s: float = 0.0
@@ -102,7 +102,7 @@
     _latest_s: float = 0.0
 
     def add_event(self, at_s: float, served: bool) -> None:
-        if self._began_s is not None and at_s - self._latest_s > UNSERVED_LIFE_S:
+        if self._began_s is not None and at_s - self._latest_s > UNSERVED_EXPIRY_S:
             self._began_s = None
         if self._began_s is not None:
             self.longest_s = max(self.longest_s, at_s - self._began_s)
--- a/tests/account/test_starved.py
+++ b/tests/account/test_starved.py
@@ -12,7 +12,7 @@
 from typer.testing import CliRunner
 
 from limeshelf.account.lines import LogEvent, LogReader
-from limeshelf.account.starved import UNSERVED_LIFE_S, DemandKey, StarvedKeys
+from limeshelf.account.starved import UNSERVED_EXPIRY_S, DemandKey, StarvedKeys
 from limeshelf.account.starved_report import SHOWN_ACTIONS, starved_lines
 from limeshelf.demand import meter
 from limeshelf.standalone.programs.cli import app
@@ -146,7 +146,7 @@
 
 
 def test_wait_ends_after_the_same_time_as_at_the_leader() -> None:
-    assert UNSERVED_LIFE_S == meter.UNSERVED_LIFE_S
+    assert UNSERVED_EXPIRY_S == meter.UNSERVED_EXPIRY_S
 
 
 def test_wait_lasts_from_the_arrival_to_the_begin_of_the_answer() -> None:
--- a/tests/crashes/test_crash_detector.py
+++ b/tests/crashes/test_crash_detector.py
@@ -63,7 +63,7 @@
     host, port = listener.sockets[0].getsockname()
     directory, suspects, tasks = ReplicaDirectory(lambda *_: None), Suspects(), TaskSet()
     detector = CrashDetector(directory, suspects, tasks)
-    tasks.keep(detector.run, 'watch')
+    tasks.supervise(detector.run, 'watch')
     yield World(directory, suspects, detector, listener, f'{host}:{port}')
     await tasks.close()
     listener.close()
