--- a/Makefile
+++ b/Makefile
@@ -42,7 +42,7 @@
 soak: $(STAMP)  ## Run real gateways under seeded random faults (SOAK_ARGS="--seed 1 --seeds 5").
 	$(PY) -m tests.platform_soak $(SOAK_ARGS)
 
-entrysoak: $(STAMP)  ## The same for the programs on our own wire (SOAK_ARGS="--seed 1 --seconds 60").
+entrysoak: $(STAMP)  ## The same for the programs on our native protocol (SOAK_ARGS="--seed 1 --seconds 60").
 	$(PY) -m tests.soak $(SOAK_ARGS)
 
 mutate: $(STAMP)  ## Take each mechanism out in turn and show that its test goes red.
