--- a/standins/answers.py
+++ b/standins/answers.py
@@ -1,4 +1,4 @@
-"""The streamed answers of the engine stand-in, and what goes wrong with them."""
+"""Streamed answers of the engine stand-in, and the faults injected into them."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 @attrs.define
 class StreamFaults:
-    """What goes wrong with answers at present, by number of next answers.
+    """Fault switches: for each fault, the number of following answers that it affects.
 
-    :param cut: end without their last lines.
-    :param foreign: carry another request's exchange id from the second line on.
-    :param skipped: leave out a token.
-    :param doubled: send a token twice.
+    :param cut: the answer ends before its last lines.
+    :param foreign: lines from the second on carry another request's exchange id.
+    :param skipped: one token is left out.
+    :param doubled: one token is sent twice.
     """
 
     cut: int = 0
@@ -25,8 +25,8 @@
     skipped: int = 0
     doubled: int = 0
 
-    def take(self) -> str:
-        """Return the fault of the next answer, empty if none; count it down."""
+    def next_fault(self) -> str:
+        """Return the name of the fault for the next answer, or an empty string; count it down."""
         for name in ('cut', 'foreign', 'skipped', 'doubled'):
             left = getattr(self, name)
             if left > 0:
@@ -36,29 +36,29 @@
 
 
 def token_text(caller: str, prompt: str, index: int) -> str:
-    """Return the token that every engine gives at *index*: an oracle's answer."""
+    """Return the token at *index*; equal on all engines, so that tests can check answers."""
     return f'{caller}.{zlib.crc32(prompt.encode()):08x}.{index} '
 
 
-def answer_lines(order: GenerateRequest, start: int, stop: int, fault: str) -> bytes:
-    """Return the lines of the tokens from *start* to before *stop*, with the fault."""
+def answer_lines(generation: GenerateRequest, start: int, stop: int, fault: str) -> bytes:
+    """Return the lines of the tokens from *start* up to, not including, *stop*, with *fault*."""
     lines = []
     for index in range(start, stop):
-        is_second = index == order.start_index + 1
+        is_second = index == generation.start_index + 1
         if fault == 'skipped' and is_second:
             continue
-        is_foreign = fault == 'foreign' and index > order.start_index
+        is_foreign = fault == 'foreign' and index > generation.start_index
         line = {
-            'exchange_id': 'x-of-somebody-else' if is_foreign else order.exchange_id,
+            'exchange_id': 'x-of-somebody-else' if is_foreign else generation.exchange_id,
             'index': index,
-            'text': token_text(order.caller, order.prompt, index),
+            'text': token_text(generation.caller, generation.prompt, index),
         }
         encoded = msgspec.json.encode(line) + b'\n'
         lines += [encoded, encoded] if fault == 'doubled' and is_second else [encoded]
     return b''.join(lines)
 
 
-def last_line(order: GenerateRequest) -> bytes:
-    """Return the line that ends a whole answer."""
-    end = {'exchange_id': order.exchange_id, 'index': order.max_tokens, 'finish': 'stop'}
+def last_line(generation: GenerateRequest) -> bytes:
+    """Return the line that ends a complete answer."""
+    end = {'exchange_id': generation.exchange_id, 'index': generation.max_tokens, 'finish': 'stop'}
     return msgspec.json.encode(end) + b'\n'
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -1,6 +1,6 @@
-"""Stand-in for a model engine: memory, fenced orders, reports and the HTTP paths.
+"""Stand-in for a model engine: memory, fenced orders, reports and the HTTP handlers.
 
-:mod:`standins.slots` lets requests generate, :mod:`standins.answers` makes what they get.
+:mod:`standins.slots` limits concurrent requests, :mod:`standins.answers` builds answers.
 """
 
 from __future__ import annotations
@@ -27,18 +27,18 @@
 from standins.faults import add_faults, drop, refuse, set_switches
 from standins.slots import Slots
 
-#: Requests kept in the record. Chosen, not measured.
-KEPT_RUNS = 50_000
+#: The newest requests that the record holds.
+MAX_RECORDED_RUNS = 50_000
 
 
 @attrs.define
 class EngineModel:
-    """How fast and how large the engine is.
+    """Speed and capacity of the engine.
 
-    :param slots: requests that generate at one time.
-    :param first_token_s: time from a slot to the first token.
+    :param slots: requests that are generated at the same time.
+    :param first_token_s: time from being granted a slot to the first token.
     :param token_s: time between tokens; 0 sends them in batches.
-    :param load_s: time that a load takes.
+    :param load_s: duration of a load.
     :param lag_s: age of the reports.
     """
 
@@ -54,11 +54,11 @@
 
 @attrs.define
 class OrderFaults:
-    """What goes wrong with orders at present, by number of next orders.
+    """Fault switches: for each fault, the number of following orders that it affects.
 
-    :param lost: have no effect and no answer.
-    :param late: take effect after *late_s*, without an answer.
-    :param doubled: take effect once more after *late_s*.
+    :param lost: the order has no effect and gets no answer.
+    :param late: the order takes effect after *late_s* and gets no answer.
+    :param doubled: the order takes effect again after *late_s*.
     """
 
     lost: int = 0
@@ -68,7 +68,7 @@
 
 
 class Engine:
-    """One engine and the records that tests read."""
+    """One engine with the records that tests check."""
 
     def __init__(self, model: EngineModel) -> None:
         self.model = model
@@ -100,7 +100,7 @@
         return sum(item.total_bytes for item in self.items.values())
 
     def report(self) -> EngineReport:
-        """Return the state at this moment."""
+        """Return a report of the current state."""
         self.sequence += 1
         return EngineReport(
             self.boot_id,
@@ -116,7 +116,7 @@
         )
 
     def lagged_report(self) -> EngineReport:
-        """Return a state that is as old as the lag says."""
+        """Return the report from *lag_s* ago, or the oldest one there is."""
         now_s = time.monotonic()
         self.reports.append((now_s, self.report()))
         old = [entry for entry in self.reports if entry[0] <= now_s - self.model.lag_s]
@@ -127,8 +127,8 @@
 
     # Orders.
 
-    def take_order(self, order: Order) -> OrderAnswer:
-        """Check and carry out an order."""
+    def apply_order(self, order: Order) -> OrderAnswer:
+        """Check an order, record it, and carry it out unless it is refused."""
         refusal = self._refusal(order)
         self.orders.append(
             {
@@ -198,7 +198,7 @@
         task.add_done_callback(self._tasks.discard)
 
     async def handle_order(self, request: web.Request) -> web.Response:
-        """Take an order over HTTP, with the faults of orders."""
+        """Handle an order sent over HTTP, with injected faults."""
         order = msgspec.json.decode(await request.read(), type=Order)
         faults = self.order_faults
         if order.action is not OrderAction.FENCE:
@@ -207,104 +207,106 @@
                 return drop(request)
             if faults.late > 0:
                 faults.late -= 1
-                self._spawn(self._late(order, faults.late_s))
+                self._spawn(self._apply_late(order, faults.late_s))
                 return drop(request)
             if faults.doubled > 0:
                 faults.doubled -= 1
-                self._spawn(self._late(order, faults.late_s))
-        answer = self.take_order(order)
+                self._spawn(self._apply_late(order, faults.late_s))
+        answer = self.apply_order(order)
         return web.Response(body=msgspec.json.encode(answer))
 
-    async def _late(self, order: Order, late_s: float) -> None:
+    async def _apply_late(self, order: Order, late_s: float) -> None:
         await asyncio.sleep(late_s)
-        self.take_order(order)
+        self.apply_order(order)
 
     async def handle_report(self, request: web.Request) -> web.Response:
-        """Return the lagged report."""
+        """Return the report delayed by the lag."""
         return web.Response(body=msgspec.json.encode(self.lagged_report()))
 
     # Requests.
 
     async def handle_generate(self, request: web.Request) -> web.StreamResponse:
-        """Generate tokens, each in a line of its own."""
-        order = msgspec.json.decode(await request.read(), type=GenerateRequest)
+        """Stream generated tokens, one JSON line for each."""
+        generation = msgspec.json.decode(await request.read(), type=GenerateRequest)
         if self.leaving:
             return refuse(leaving=True)
-        held = self.items.get(order.item_id)
+        held = self.items.get(generation.item_id)
         if held is None or held.state is not ItemState.READY:
             return refuse(leaving=False)
-        self.in_use[order.item_id] = self.in_use.get(order.item_id, 0) + 1
-        self._record(order)
+        self.in_use[generation.item_id] = self.in_use.get(generation.item_id, 0) + 1
+        self._record(generation)
         try:
-            await self.slots.take(order.priority, self.model.slots)
+            await self.slots.acquire(generation.priority, self.model.slots)
             try:
-                return await self._generate(request, order)
+                return await self._generate(request, generation)
             finally:
-                self.slots.give_back()
+                self.slots.release()
         finally:
-            self.in_use[order.item_id] = max(0, self.in_use.get(order.item_id, 0) - 1)
+            self.in_use[generation.item_id] = max(0, self.in_use.get(generation.item_id, 0) - 1)
 
-    def _record(self, order: GenerateRequest) -> None:
+    def _record(self, generation: GenerateRequest) -> None:
         self.runs.append(
             {
                 'at_s': time.monotonic(),
-                'exchange': order.exchange_id,
-                'caller': order.caller,
-                'item': order.item_id,
-                'prompt': order.prompt[:64],
-                'start': order.start_index,
-                'priority': order.priority,
+                'exchange': generation.exchange_id,
+                'caller': generation.caller,
+                'item': generation.item_id,
+                'prompt': generation.prompt[:64],
+                'start': generation.start_index,
+                'priority': generation.priority,
             }
         )
-        del self.runs[:-KEPT_RUNS]
+        del self.runs[:-MAX_RECORDED_RUNS]
 
-    async def _generate(self, request: web.Request, order: GenerateRequest) -> web.StreamResponse:
+    async def _generate(
+        self, request: web.Request, generation: GenerateRequest
+    ) -> web.StreamResponse:
         boot_id = self.boot_id
-        fault = self.stream_faults.take()
+        fault = self.stream_faults.next_fault()
         answer = web.StreamResponse()
         await answer.prepare(request)
         await asyncio.sleep(self.model.first_token_s)
         step = max(1, self.model.tokens_per_write)
-        for start in range(order.start_index, order.max_tokens, step):
-            if self.boot_id != boot_id or (fault == 'cut' and start > order.start_index + 1):
+        for start in range(generation.start_index, generation.max_tokens, step):
+            if self.boot_id != boot_id or (fault == 'cut' and start > generation.start_index + 1):
                 drop(request)
                 return answer
-            stop = min(start + step, order.max_tokens)
-            await answer.write(answer_lines(order, start, stop, fault))
+            stop = min(start + step, generation.max_tokens)
+            await answer.write(answer_lines(generation, start, stop, fault))
             if self.model.token_s:
                 await asyncio.sleep(self.model.token_s)
-        await answer.write(last_line(order))
+        await answer.write(last_line(generation))
         await answer.write_eof()
         return answer
 
     # Control.
 
     async def handle_leave(self, request: web.Request) -> web.Response:
-        """Start to leave: refuse new work, let running work end."""
+        """Start draining: refuse new requests, let running ones finish."""
         self.leaving = True
         self.left_at_s = time.monotonic()
         return web.Response()
 
     async def handle_restart(self, request: web.Request) -> web.Response:
-        """Forget everything, as a restarted engine does."""
+        """Discard all state except the records, as a restarted engine does."""
         self._boot()
         self.leaving = False
         return web.Response()
 
     async def handle_order_faults(self, request: web.Request) -> web.Response:
-        """Set faults of orders."""
+        """Set the fault switches for orders."""
         return await set_switches(request, self.order_faults)
 
     async def handle_stream_faults(self, request: web.Request) -> web.Response:
-        """Set faults of answers."""
+        """Set the fault switches for answers."""
         return await set_switches(request, self.stream_faults)
 
     async def handle_model(self, request: web.Request) -> web.Response:
-        """Change speeds and sizes."""
+        """Change the speed and capacity of the engine."""
         return await set_switches(request, self.model)
 
     async def handle_record(self, request: web.Request) -> web.Response:
-        """Return what tests check."""
+        """Return the records that tests check."""
         record = {
             'overcommits': self.overcommits,
             'items': [msgspec.to_builtins(item) for item in self.items.values()],
@@ -316,7 +318,7 @@
 
 
 def engine_app(engine: Engine) -> web.Application:
-    """Return the app of one engine."""
+    """Return the web application of one engine."""
     app = web.Application(client_max_size=64 << 20)
     add_faults(app)
     app.router.add_get('/report', engine.handle_report)
--- a/standins/slots.py
+++ b/standins/slots.py
@@ -1,4 +1,4 @@
-"""The slots of the engine stand-in: how many requests generate at one time."""
+"""Limit on the requests that the engine stand-in generates at the same time."""
 
 from __future__ import annotations
 
@@ -8,40 +8,40 @@
 
 
 class Slots:
-    """Gives slots by priority, and by arrival among equals."""
+    """Grants slots in order of priority; equal priorities in order of arrival."""
 
     def __init__(self) -> None:
-        self._numbers = itertools.count()
+        self._arrival_numbers = itertools.count()
         self.reset()
 
     def reset(self) -> None:
-        """Forget who holds and who waits, as a restart does."""
+        """Discard running and waiting requests, as a restart does."""
         self.running = 0
         self.queue: list[tuple[int, int, asyncio.Future]] = []
 
-    async def take(self, priority: int, slots: int) -> None:
-        """Return with a slot; the lower *priority* goes first.
+    async def acquire(self, priority: int, slots: int) -> None:
+        """Wait for a free slot and occupy it; a lower *priority* is served first.
 
-        :param slots: slots there are at present.
+        :param slots: current number of slots.
         """
         if self.running < slots:
             self.running += 1
             return
-        turn = asyncio.get_running_loop().create_future()
-        heapq.heappush(self.queue, (priority, next(self._numbers), turn))
+        waiter = asyncio.get_running_loop().create_future()
+        heapq.heappush(self.queue, (priority, next(self._arrival_numbers), waiter))
         try:
-            await turn
+            await waiter
         except asyncio.CancelledError:
-            if turn.done() and not turn.cancelled():
-                self.give_back()
+            if waiter.done() and not waiter.cancelled():
+                self.release()
             raise
 
-    def give_back(self) -> None:
-        """Pass a slot on to the next that waits."""
+    def release(self) -> None:
+        """Free a slot and grant it to the next waiting request."""
         self.running = max(0, self.running - 1)
         while self.queue:
-            _, _, turn = heapq.heappop(self.queue)
-            if not turn.done():
+            _, _, waiter = heapq.heappop(self.queue)
+            if not waiter.done():
                 self.running += 1
-                turn.set_result(None)
+                waiter.set_result(None)
                 return
