--- a/standins/plain.py
+++ b/standins/plain.py
@@ -1,4 +1,4 @@
-"""Stand-in for a plain service: runs each call it gets and records it."""
+"""Stand-in for a plain service: echoes each call and records it."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 import msgspec
 from aiohttp import web
 
-from standins.faults import add_faults, drop, refuse, set_switches, strikes
+from standins.faults import add_faults, consume_fault, drop, refuse, set_switches
 
 
 @attrs.define
 class CallFaults:
-    """What goes wrong with calls at present, by number of next calls.
+    """Fault switches: for each fault, the number of following calls that it affects.
 
     :param die_before: the connection is dropped before the call runs.
-    :param die_after: the call runs, and then the connection is dropped.
-    :param cut: half of the answer's body is sent.
-    :param busy: refused as not run.
-    :param call_s: time that each call takes.
+    :param die_after: the connection is dropped after the call has run.
+    :param cut: only the first half of the answer's body is sent.
+    :param busy: the call is refused as not run.
+    :param call_s: duration of each call.
     """
 
     die_before: int = 0
@@ -45,7 +45,7 @@
         self.running = 0
 
     async def handle_report(self, request: web.Request) -> web.Response:
-        """Return the report."""
+        """Return a report of the current state."""
         self.sequence += 1
         return web.json_response(
             {
@@ -57,11 +57,11 @@
         )
 
     async def handle_call(self, request: web.Request) -> web.StreamResponse:
-        """Run a call and echo it."""
+        """Run a call and answer with an echo of it."""
         body = await request.read()
-        if self.leaving or strikes(self.faults, 'busy'):
+        if self.leaving or consume_fault(self.faults, 'busy'):
             return refuse(self.leaving)
-        if strikes(self.faults, 'die_before'):
+        if consume_fault(self.faults, 'die_before'):
             return drop(request)
         self.running += 1
         try:
@@ -69,7 +69,7 @@
             await asyncio.sleep(self.faults.call_s)
         finally:
             self.running -= 1
-        if strikes(self.faults, 'die_after'):
+        if consume_fault(self.faults, 'die_after'):
             return drop(request)
         answer = {
             'service': self.name,
@@ -79,7 +79,7 @@
             'caller': request.headers.get('X-Caller', ''),
             'echo': body.decode(errors='replace'),
         }
-        if strikes(self.faults, 'cut'):
+        if consume_fault(self.faults, 'cut'):
             return await self._cut(request, msgspec.json.encode(answer))
         return web.json_response(answer)
 
@@ -104,30 +104,30 @@
         return answer
 
     async def handle_leave(self, request: web.Request) -> web.Response:
-        """Start to leave."""
+        """Start draining: refuse new calls."""
         self.leaving = True
         self.left_at_s = time.monotonic()
         return web.Response()
 
     async def handle_restart(self, request: web.Request) -> web.Response:
-        """Come back with a new boot id."""
+        """Simulate a restart: serve again under a new boot id."""
         self.leaving = False
         self.boot_id = secrets.token_hex(6)
         self.sequence = 0
         return web.Response()
 
     async def handle_faults(self, request: web.Request) -> web.Response:
-        """Set faults of calls."""
+        """Set the fault switches for calls."""
         return await set_switches(request, self.faults)
 
     async def handle_record(self, request: web.Request) -> web.Response:
-        """Return what tests check."""
+        """Return the records that tests check."""
         record = {'runs': self.runs, 'left_at_s': self.left_at_s}
         return web.Response(body=msgspec.json.encode(record))
 
 
 def plain_app(service: PlainService) -> web.Application:
-    """Return the app of one replica."""
+    """Return the web application of one replica."""
     app = web.Application(client_max_size=64 << 20)
     add_faults(app)
     app.router.add_get('/report', service.handle_report)
