--- a/standins/calls.py
+++ b/standins/calls.py
@@ -1,4 +1,4 @@
-"""JSON calls to stand-ins and programs, and waiting for what they show."""
+"""Blocking JSON calls to stand-ins and programs, and waiting for a condition."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def post(url: str, body: Any, method: str = 'POST') -> Any:
-    """Send JSON to a stand-in; return its JSON answer, if it has one."""
+    """Send JSON to a stand-in; return its JSON answer, or ``None`` if the body is empty."""
     data = json.dumps(body).encode()
     request = urllib.request.Request(url, data=data, method=method)
     with urllib.request.urlopen(request, timeout=10) as answer:
@@ -18,13 +18,16 @@
 
 
 def get(url: str) -> Any:
-    """Return JSON from a stand-in or a program."""
+    """Fetch JSON from a stand-in or a program."""
     with urllib.request.urlopen(url, timeout=10) as answer:
         return json.loads(answer.read())
 
 
 def wait_until(check, limit_s: float = 20.0, pause_s: float = 0.05) -> float:
-    """Wait until *check* returns a true value; return the seconds that took."""
+    """Poll *check* until it returns a true value; return the seconds waited.
+
+    :raises TimeoutError: if it does not within *limit_s*.
+    """
     started_s = time.monotonic()
     while True:
         try:
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -15,20 +15,20 @@
 
 @attrs.define
 class StoredRow:
-    """A stored row; the version outlives a deletion."""
+    """A stored row; its version keeps counting after a deletion."""
 
     version: int = 0
     value: dict | None = None
 
 
 class Table:
-    """Rows with versions; all writes of a transaction or none."""
+    """Versioned rows with atomic conditional transactions."""
 
     def __init__(self) -> None:
         self.rows: dict[str, StoredRow] = {}
 
     def add_routes(self, app: CentreRouter) -> None:
-        """Add the service's paths."""
+        """Add the routes of this service."""
         app.router.add_get('/rows', self.scan)
         app.router.add_get('/rows/{key}', self.read)
         app.router.add_post('/transact', self.transact)
@@ -49,7 +49,7 @@
         return web.json_response([self._row(k) for k in keys if self.rows[k].value is not None])
 
     async def transact(self, request: web.Request) -> web.Response:
-        """Check all conditions, then write all rows."""
+        """Write all rows if all conditions hold; otherwise return the rows that differ."""
         body = msgspec.json.decode(await request.read())
         failed = [
             self._row(condition['key'])
@@ -68,13 +68,13 @@
 
 
 class Objects:
-    """Whole values under keys."""
+    """Object store: whole values by key."""
 
     def __init__(self) -> None:
         self.values: dict[str, bytes] = {}
 
     def add_routes(self, app: CentreRouter) -> None:
-        """Add the service's paths."""
+        """Add the routes of this service."""
         app.router.add_put('/objects/{key}', self.put)
         app.router.add_get('/objects/{key}', self.get)
 
@@ -90,13 +90,13 @@
 
 
 class Weights:
-    """Manifests of weights; each item is found, with a size set or none."""
+    """Weight store: manifests of the items whose size has been set."""
 
     def __init__(self) -> None:
         self.sizes: dict[str, int] = {}
 
     def add_routes(self, app: CentreRouter) -> None:
-        """Add the service's paths."""
+        """Add the routes of this service."""
         app.router.add_get('/manifests/{item}', self.manifest)
         app.router.add_post('/_weights', self.set_sizes)
 
@@ -114,36 +114,36 @@
 
 
 class Instances:
-    """The instance list; changes show after a lag."""
+    """The instance list; changes become visible after a lag."""
 
     def __init__(self, lag_s: float) -> None:
         self.lag_s = lag_s
-        self.shown: dict[str, dict] = {}
+        self.visible: dict[str, dict] = {}
 
     def add_routes(self, app: CentreRouter) -> None:
-        """Add the service's paths."""
+        """Add the routes of this service."""
         app.router.add_get('/instances', self.list)
         app.router.add_put('/_instances/{id}', self.put)
         app.router.add_delete('/_instances/{id}', self.delete)
 
     async def list(self, request: web.Request) -> web.Response:
-        """Return the list as it shows."""
-        return web.json_response(list(self.shown.values()))
+        """Return the visible list."""
+        return web.json_response(list(self.visible.values()))
 
     async def put(self, request: web.Request) -> web.Response:
-        """Set one line; it shows after the lag."""
-        line = msgspec.json.decode(await request.read(), type=Listed)
-        plain = msgspec.to_builtins(line)
-        self._later(lambda: self.shown.__setitem__(line.instance_id, plain))
+        """Set one entry; it becomes visible after the lag."""
+        entry = msgspec.json.decode(await request.read(), type=Listed)
+        plain = msgspec.to_builtins(entry)
+        self._apply_after_lag(lambda: self.visible.__setitem__(entry.instance_id, plain))
         return web.Response()
 
     async def delete(self, request: web.Request) -> web.Response:
-        """Remove one line; it goes after the lag."""
+        """Remove one entry; it disappears after the lag."""
         instance_id = request.match_info['id']
-        self._later(lambda: self.shown.pop(instance_id, None))
+        self._apply_after_lag(lambda: self.visible.pop(instance_id, None))
         return web.Response()
 
-    def _later(self, change) -> None:
+    def _apply_after_lag(self, change) -> None:
         if self.lag_s <= 0:
             change()
         else:
@@ -151,7 +151,7 @@
 
 
 class CentreRouter:
-    """Adds each path twice: bare, and under the data centre that it is called from."""
+    """Adds each path twice: as it is, and prefixed with the data centre of the client."""
 
     def __init__(self, app: web.Application) -> None:
         self.router = self
@@ -179,7 +179,7 @@
 
 
 def platform_app(lag_s: float = 0.0) -> web.Application:
-    """Return an app with all four services under one listener."""
+    """Return a web application that serves all four services."""
     app = web.Application(client_max_size=64 << 20)
     add_faults(app)
     for service in (Table(), Objects(), Weights(), Instances(lag_s)):
