--- a/standins/__main__.py
+++ b/standins/__main__.py
@@ -13,9 +13,9 @@
 from aiohttp import web
 
 from standins.engine import Engine, EngineModel, engine_app
-from standins.gate import gate_app
 from standins.plain import PlainService, plain_app
 from standins.platform import platform_app
+from standins.relay import relay_app
 
 program = typer.Typer(no_args_is_help=True, pretty_exceptions_enable=False)
 Port = Annotated[int, typer.Option(help='TCP port; 0 lets the system choose.')]
@@ -50,7 +50,7 @@
 @program.command()
 def gate(port: Port = 0) -> None:
     """Run TCP relays that can be cut."""
-    _run(gate_app(), port)
+    _run(relay_app(), port)
 
 
 @program.command()
