--- a/standins/launcher.py
+++ b/standins/launcher.py
@@ -1,6 +1,6 @@
-"""A whole system of the own wire on this machine, for demo, tests and benchmarks.
+"""Launches a standalone system on this machine, for the demo, tests and benchmarks.
 
-Owns the stand-ins and the limeshelf programs that it starts, each a process of its own.
+Owns the stand-ins and the limeshelf programs that it starts, each in its own process.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 import attrs
 
 from standins.calls import get, post
-from standins.processes import HOST, STOP_LIMIT_S, Started
+from standins.processes import HOST, STOP_TIMEOUT_S, ChildProcess
 
 GIB = 1 << 30
 PROGRAMS = ('entry', 'placer', 'admin')
@@ -31,7 +31,7 @@
     instance_id: str
     data_centre: str
     settings_file: Path
-    programs: dict[str, Started]
+    programs: dict[str, ChildProcess]
 
     @property
     def url(self) -> str:
@@ -46,17 +46,18 @@
 
 @attrs.define
 class ListedUpstream:
-    """A stand-in of an upstream and its line in the instance list."""
+    """The stand-in of an upstream and its entry in the instance list."""
 
     upstream_id: str
-    started: Started
+    started: ChildProcess
     line: dict[str, Any]
 
 
 class System:
     """A platform, upstreams and entry instances on this machine.
 
-    :param settings: changes to the settings of all instances, by dotted name.
+    :param settings: overrides for the settings of all instances, by dotted name.
+    :param lag_s: delay after which changes of the instance list become visible.
     :param gates: whether the data centres reach each other's entry instances
         through relays that can be cut.
     """
@@ -68,38 +69,38 @@
         gates: bool = False,
     ) -> None:
         self.folder = Path(tempfile.mkdtemp(prefix='limeshelf-'))
-        self._all: list[Started] = []
+        self._children: list[ChildProcess] = []
         self.platform = self._start(
             'platform', '-m', 'standins', 'platform', '--lag-s', str(lag_s)
         )
         self.gate = self._start('gate', '-m', 'standins', 'gate') if gates else None
-        self._gate_ports: dict[str, list[int]] = {}
+        self._relay_ports: dict[str, list[int]] = {}
         self.upstreams: dict[str, ListedUpstream] = {}
         self.instances: dict[str, Instance] = {}
-        self._changes = settings or {}
+        self._overrides = settings or {}
 
     def __enter__(self) -> System:
         """Return the system."""
         return self
 
     def __exit__(self, *_: object) -> None:
-        """Stop everything."""
+        """Stop all processes."""
         self.close()
 
-    def _start(self, name: str, *arguments: str) -> Started:
-        started = Started.launch(self.folder, name, *arguments)
-        self._all.append(started)
-        return started
+    def _start(self, name: str, *arguments: str) -> ChildProcess:
+        child = ChildProcess.launch(self.folder, name, *arguments)
+        self._children.append(child)
+        return child
 
     def start_upstreams(
         self, engines: dict[str, list[dict[str, Any]]], plain: dict[str, list[str]]
     ) -> None:
         """Start engines (options by data centre) and plain services (names by data centre)."""
-        pending: list[tuple[Started, dict[str, Any]]] = []
+        pending: list[tuple[ChildProcess, dict[str, Any]]] = []
         for data_centre, rows in engines.items():
             for number, options in enumerate(rows):
                 name = f'{data_centre}-engine{number}'
-                started = self._start(
+                child = self._start(
                     name, '-m', 'standins', 'engine', name, *_as_arguments(options)
                 )
                 line = {
@@ -109,23 +110,23 @@
                     'capacity_bytes': options.get('capacity_bytes', 80 * GIB),
                     'checks_fence': options.get('checks_fence', True),
                 }
-                pending.append((started, line))
+                pending.append((child, line))
         for data_centre, services in plain.items():
             for number, service in enumerate(services):
                 name = f'{data_centre}-{service}{number}'
-                started = self._start(name, '-m', 'standins', 'plain', name)
+                child = self._start(name, '-m', 'standins', 'plain', name)
                 line = {
                     'instance_id': name,
                     'kind': 'plain',
                     'data_centre': data_centre,
                     'service': service,
                 }
-                pending.append((started, line))
+                pending.append((child, line))
         self._await_platform()
-        for started, line in pending:
-            started.await_ports()
-            line['address'] = started.address('http_port')
-            self.upstreams[started.name] = ListedUpstream(started.name, started, line)
+        for child, line in pending:
+            child.await_ports()
+            line['address'] = child.address('http_port')
+            self.upstreams[child.name] = ListedUpstream(child.name, child, line)
             self.list_instance(line)
 
     def _await_platform(self) -> None:
@@ -133,23 +134,23 @@
             self.platform.await_ports()
 
     def start_instances(self, counts: dict[str, int]) -> None:
-        """Start entry instances, a number by data centre, and list them."""
+        """Start the given number of entry instances in each data centre and list them."""
         self._await_platform()
-        made = []
+        launched = []
         for data_centre, count in counts.items():
             for _ in range(count):
                 number = len([i for i in self.instances.values() if i.data_centre == data_centre])
                 instance_id = f'{data_centre}-{number}'
-                made.append(self.launch(instance_id, data_centre))
-        for instance in made:
+                launched.append(self.launch(instance_id, data_centre))
+        for instance in launched:
             self.await_started(instance)
-        for instance in made:
+        for instance in launched:
             self.list_entry(instance)
 
     def launch(
         self, instance_id: str, data_centre: str, seeds: list[str] | None = None
     ) -> Instance:
-        """Start the processes of one instance without waiting for them."""
+        """Start the processes of one instance without waiting until they listen."""
         path = self.folder / f'{instance_id}.json'
         path.write_text(json.dumps(self.settings(instance_id, data_centre, seeds or [])))
         programs = {
@@ -162,11 +163,11 @@
 
     def await_started(self, instance: Instance) -> None:
         """Wait until all processes of *instance* listen."""
-        for started in instance.programs.values():
-            started.await_ports()
+        for child in instance.programs.values():
+            child.await_ports()
 
     def list_entry(self, instance: Instance, state: str = 'live') -> None:
-        """Put an entry instance into the instance list."""
+        """Add an entry instance to the instance list, or update it."""
         self.list_instance(
             {
                 'instance_id': instance.instance_id,
@@ -174,27 +175,27 @@
                 'data_centre': instance.data_centre,
                 'state': state,
                 'peer_addresses': {
-                    name: self._listed_address(instance, started)
-                    for name, started in instance.programs.items()
+                    name: self._listed_address(instance, child)
+                    for name, child in instance.programs.items()
                 },
             }
         )
 
-    def _listed_address(self, instance: Instance, started: Started) -> str:
-        """Return the address that other data centres use: a relay's, if there are relays."""
-        address = started.address('peer_port')
+    def _listed_address(self, instance: Instance, child: ChildProcess) -> str:
+        """Return the address for other data centres: that of a new relay if relays are used."""
+        address = child.address('peer_port')
         if self.gate is None:
             return address
         if not self.gate.ports:
             self.gate.await_ports()
         port = post(f'{self.gate.http}/_open', {'target': address})['port']
-        self._gate_ports.setdefault(instance.data_centre, []).append(port)
+        self._relay_ports.setdefault(instance.data_centre, []).append(port)
         return f'{HOST}:{port}'
 
     def cut_peers(self, cut: bool) -> None:
-        """Cut the data centres off from each other, or end that."""
+        """Cut the links between the data centres, or restore them."""
         assert self.gate is not None
-        for ports in self._gate_ports.values():
+        for ports in self._relay_ports.values():
             post(f'{self.gate.http}/_cut', {'ports': ports, 'cut': cut})
 
     def settings(self, instance_id: str, data_centre: str, seeds: list[str]) -> dict[str, Any]:
@@ -213,7 +214,7 @@
             'placer': {'loads_per_s': 20.0, 'max_loads': 20},
             'peers': {'seeds': seeds},
         }
-        for dotted, value in self._changes.items():
+        for dotted, value in self._overrides.items():
             place = document
             *sections, last = dotted.split('.')
             for section in sections:
@@ -222,31 +223,31 @@
         return document
 
     def list_instance(self, line: dict[str, Any]) -> None:
-        """Put a line into the instance list."""
+        """Add an entry to the instance list, or update it."""
         post(f'{self.platform.http}/_instances/{line["instance_id"]}', line, 'PUT')
 
     def unlist(self, instance_id: str) -> None:
-        """Remove a line from the instance list."""
+        """Remove an entry from the instance list."""
         post(f'{self.platform.http}/_instances/{instance_id}', None, 'DELETE')
 
     def record(self, upstream_id: str) -> dict[str, Any]:
-        """Return the record of an upstream."""
+        """Return the records that the stand-in of an upstream keeps."""
         return get(f'{self.upstreams[upstream_id].started.http}/_record')
 
     def fault(self, target: str, path: str, **values: Any) -> None:
         """Set fault switches of an upstream, or of the platform."""
-        started = self.platform if target == 'platform' else self.upstreams[target].started
-        post(f'{started.http}/{path}', values)
+        child = self.platform if target == 'platform' else self.upstreams[target].started
+        post(f'{child.http}/{path}', values)
 
     def close(self) -> None:
-        """End every process that was started here, by its id."""
-        for started in self._all:
-            started.signal(signal.SIGCONT)
-            started.signal(signal.SIGKILL)
-        for started in self._all:
-            started.process.wait(STOP_LIMIT_S)
-            if started.process.stdout is not None:
-                started.process.stdout.close()
+        """Kill all processes that this system started, by their ids."""
+        for child in self._children:
+            child.signal(signal.SIGCONT)
+            child.signal(signal.SIGKILL)
+        for child in self._children:
+            child.process.wait(STOP_TIMEOUT_S)
+            if child.process.stdout is not None:
+                child.process.stdout.close()
 
 
 def _as_arguments(options: dict[str, Any]) -> list[str]:
--- a/standins/processes.py
+++ b/standins/processes.py
@@ -1,4 +1,4 @@
-"""One process that a test, the demo or a measurement started, ended by its id."""
+"""A child process started by a test, the demo or a benchmark, and signalled by its id."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 import attrs
 
 HOST = '127.0.0.1'
-#: Time that a process has to print its ports. Chosen, not measured.
-START_LIMIT_S = 30.0
-#: Time that a process has to end after a signal. Chosen, not measured.
-STOP_LIMIT_S = 20.0
+#: Time within which a process must print its ports.
+START_TIMEOUT_S = 30.0
+#: Time within which a process must exit after a signal.
+STOP_TIMEOUT_S = 20.0
 
 
 @attrs.define
-class Started:
-    """A running process and the ports it printed."""
+class ChildProcess:
+    """A child process, the ports that it printed and its log file."""
 
     name: str
     process: subprocess.Popen[str]
@@ -40,26 +40,26 @@
         return f'{HOST}:{self.ports[port_name]}'
 
     def signal(self, number: int) -> None:
-        """Send a signal to this process, by its id."""
+        """Send a signal unless the process has exited."""
         if self.process.poll() is None:
             os.kill(self.process.pid, number)
 
     def kill(self) -> None:
-        """Kill it and wait for its end."""
+        """Kill the process and wait until it has exited."""
         self.signal(signal.SIGKILL)
-        self.process.wait(STOP_LIMIT_S)
+        self.process.wait(STOP_TIMEOUT_S)
 
     def stop(self) -> int:
-        """Stop it as planned; return its exit code."""
+        """Send SIGTERM, wait until the process has exited and return its exit code."""
         self.signal(signal.SIGTERM)
-        return self.process.wait(STOP_LIMIT_S)
+        return self.process.wait(STOP_TIMEOUT_S)
 
     def log(self) -> str:
-        """Return what it wrote to standard error."""
+        """Return what the process has written to standard error."""
         return self.log_path.read_text(errors='replace')
 
     @classmethod
-    def launch(cls, folder: Path, name: str, *arguments: str) -> Started:
+    def launch(cls, folder: Path, name: str, *arguments: str) -> ChildProcess:
         """Start Python with *arguments*; its standard error goes to a file in *folder*."""
         log_path = folder / f'{name}-{time.monotonic_ns()}.log'
         with log_path.open('w') as log:
@@ -73,13 +73,13 @@
         return cls(name, process, {}, log_path)
 
     def await_ports(self) -> None:
-        """Wait for the line with its ports.
+        """Wait for the line on standard output that states the ports.
 
-        :raises SystemExit: with its log, when it does not start.
+        :raises SystemExit: with the log, if the line does not come in time.
         """
         stdout = self.process.stdout
         assert stdout is not None
-        readable, _, _ = select.select([stdout], [], [], START_LIMIT_S)
+        readable, _, _ = select.select([stdout], [], [], START_TIMEOUT_S)
         line = stdout.readline() if readable else ''
         if not line:
             raise SystemExit(f'{self.name} did not start:\n{self.log()}')
