--- a/standins/users_platform/replica.py
+++ b/standins/users_platform/replica.py
@@ -1,4 +1,4 @@
-"""A stand-in for a replica on the platform: calls, streams, orders and reports."""
+"""Stand-in for a replica of the users' platform: calls, streams, orders and reports."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-#: Adapters are named so; an order about another one is not taken, fence and all.
-KNOWN_ADAPTER = re.compile(r'a\d+')
-#: What an event without an end sends before it stands still.
+#: Valid names of adapters; an order with another name is refused, and its fence ignored.
+VALID_ADAPTER = re.compile(r'a\d+')
+#: Size of the unterminated event that ``ENDLESS_EVENT`` sends before the stream stalls.
 ENDLESS_EVENT_BYTES = 2 << 20
-#: Status of an answer that turns a call away for want of room.
+#: Status with which a replica without capacity refuses a call.
 STATUS_FULL = 503
 
 
-#: From the answer to an order to the begin of its load, in seconds.
-LOAD_BEGINS_S = 0.05
+#: Time from the answer to an order until its load begins.
+LOAD_START_DELAY_S = 0.05
 
 
 class Fault(enum.StrEnum):
-    """What a replica does to the calls it gets."""
+    """Faults that a replica injects into its answers to calls."""
 
     NONE = 'none'
     FULL = 'full'
@@ -47,9 +47,9 @@
 
 @attrs.define
 class Seen:
-    """A call as it arrived.
+    """A call as it was received.
 
-    :ivar at_s: on the clock of the loop.
+    :ivar at_s: time of arrival on the clock of the event loop.
     """
 
     call_id: str
@@ -62,7 +62,7 @@
 
 @attrs.define
 class Ordered:
-    """An order as it arrived, with the status that it got."""
+    """An order as it was received, with the status of its answer."""
 
     op: str
     model: str
@@ -75,12 +75,12 @@
 
 @attrs.define
 class Needs:
-    """What a replica states in the heads of its answers.
+    """Notices that a replica sends in the headers of its answers.
 
-    :ivar rate_per_s: calls a second that it takes from all gateways, as text.
-    :ivar leaving: it is to get no more calls.
-    :ivar rest_s: for which a gateway that it turns away is to send nothing, as text.
-    :ivar to_callers_alone: whether reports and answers to orders state nothing of it.
+    :ivar rate_per_s: calls a second that it accepts from all gateways together, as text.
+    :ivar leaving: whether it asks for no further calls.
+    :ivar rest_s: seconds for which a gateway that it refused must send no calls, as text.
+    :ivar to_callers_alone: whether reports and answers to orders carry no notices.
     """
 
     rate_per_s: str | None = None
@@ -89,7 +89,7 @@
     to_callers_alone: bool = False
 
     def headers(self, status: int) -> dict[str, str]:
-        """Return the headers that state it in an answer with a status."""
+        """Return the headers with these notices for an answer with *status*."""
         headers = {}
         if self.rate_per_s is not None:
             headers['Server-Limit'] = self.rate_per_s
@@ -102,9 +102,9 @@
 
 @attrs.define
 class Stated:
-    """What a replica stated to the gateway that sent a call.
+    """Notices that a replica sent with its answer to a call.
 
-    :ivar at_s: when it began its answer, on the clock of the loop.
+    :ivar at_s: time at which the answer began, on the clock of the event loop.
     """
 
     call_id: str
@@ -114,14 +114,14 @@
 
 
 def _reset(transport: asyncio.Transport) -> None:
-    """End a connection by a reset, as a crash does, not in order."""
+    """Close a connection with a TCP reset, as a crash does."""
     raw = transport.get_extra_info('socket')
     raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack('ii', 1, 0))
     transport.abort()
 
 
 def _answer_headers(call_id: str, fault: Fault) -> dict[str, str]:
-    """Return the headers of an answer, wrong in the way that *fault* says."""
+    """Return the headers of an answer, with the error that *fault* injects."""
     headers = {'Limeshelf-Attempt-Id': call_id, 'Limeshelf-Server-Stamp': f's.{call_id}'}
     if fault is Fault.FOREIGN:
         headers['Limeshelf-Attempt-Id'] = 'another'
@@ -133,24 +133,24 @@
 
 
 class ReplicaStandIn:
-    """A replica, which may start again under its id.
-
-    :param replica_id: calls that expect another one get 421.
-    :param events: events of a whole stream.
-    :ivar born_ms: time of its start that it states; ``None`` states none.
-    :ivar starts: how often it has started again.
-    :ivar restarted_s: when, on the clock of the loop.
-    :ivar deadly_text: it ends as soon as it begins to run a call with this in its body.
-    :ivar deadly_model: it ends as soon as it begins to load it.
-    :ivar on_end: called when that has happened.
-    :ivar needs: what it states in all its answers.
-    :ivar stated: what it has stated in answers to calls.
+    """A replica that can crash and restart under the same id.
+
+    :param replica_id: calls that expect another id are answered with 421.
+    :param events: number of events in a complete stream.
+    :ivar born_ms: start time in its row and reports; ``None`` leaves it out.
+    :ivar starts: number of restarts.
+    :ivar restarted_s: times of the restarts on the clock of the event loop.
+    :ivar deadly_text: the replica crashes when it runs a call whose body contains this.
+    :ivar deadly_model: the replica crashes when it begins to load this model.
+    :ivar on_end: called after either of these crashes.
+    :ivar needs: notices that it sends with its answers.
+    :ivar stated: notices that it has sent with answers to calls.
     """
 
     def __init__(self, replica_id: str, models: list[str] | None = None, events: int = 5) -> None:
         self.replica_id = replica_id
         self.fault = Fault.NONE
-        #: The fault strikes only this many calls; ``None`` for all.
+        #: Number of following calls that the fault affects; ``None`` for all.
         self.fault_calls: int | None = None
         self.models: dict[str, list[str]] = {name: [] for name in models or []}
         self.events = events
@@ -164,7 +164,7 @@
         self.order_fault = Fault.NONE
         self.order_late_s = 0.0
         self.abandoned = 0
-        #: The most models and adapters that it ever held or loaded at once.
+        #: Highest number of models and adapters held or being loaded at the same time.
         self.most_models = len(self.models)
         self.most_adapters = 0
         self.address = ''
@@ -173,7 +173,7 @@
         self.restarted_s: list[float] = []
         self.deadly_text: bytes | None = None
         self.deadly_model = ''
-        self._endings: set[asyncio.Task[None]] = set()
+        self._crash_tasks: set[asyncio.Task[None]] = set()
         self.on_end: Callable[[ReplicaStandIn], None] = lambda replica: None
         self.needs = Needs()
         self.stated: list[Stated] = []
@@ -182,7 +182,7 @@
         self._runner: web.ServerRunner | None = None
 
     async def start(self, port: int = 0) -> str:
-        """Listen on loopback and return the address."""
+        """Start listening on the loopback interface and return the address."""
         server = web.Server(self._handle, handler_cancellation=True)
         self._runner = web.ServerRunner(server, shutdown_timeout=0.1)
         await self._runner.setup()
@@ -192,20 +192,20 @@
 
     async def close(self) -> None:
         """Stop listening."""
-        for ending in self._endings:
-            ending.cancel()
+        for crash_task in self._crash_tasks:
+            crash_task.cancel()
         if self._runner is not None:
             await self._runner.cleanup()
 
     async def end(self) -> None:
-        """Crash with all that runs here; connects are refused from now on."""
+        """Crash: reset all connections, and refuse new ones from now on."""
         assert self._runner is not None
         for site in list(self._runner.sites):
             await site.stop()
         self._reset_all()
 
-    async def _end_under_load(self) -> None:
-        await asyncio.sleep(LOAD_BEGINS_S)
+    async def _crash_while_loading(self) -> None:
+        await asyncio.sleep(LOAD_START_DELAY_S)
         await self.end()
         self.on_end(self)
 
@@ -216,9 +216,10 @@
                 _reset(connection.transport)
 
     async def restart(self, born_ms: int | None, beat: int) -> None:
-        """Crash with all that runs here, and start again empty under the same id and address.
+        """Crash, and restart without models under the same id and address.
 
-        :param beat: number of heartbeats until now; they count from the beginning.
+        :param born_ms: start time to report from now on.
+        :param beat: number of heartbeats so far; the count restarts from here.
         """
         self._reset_all()
         self.models = {}
@@ -231,11 +232,11 @@
         self.restarted_s.append(asyncio.get_running_loop().time())
 
     def next_start_s(self, at_s: float) -> float:
-        """Return when it next starts again after a moment; infinite where it does not."""
+        """Return the time of the first restart after *at_s*; infinity if there is none."""
         return next((one for one in self.restarted_s if one > at_s), float('inf'))
 
     def row(self, service: str, state: str = 'ready', beat: int = 1) -> dict[str, Any]:
-        """Return the replica's entry for the store."""
+        """Return the row of the replica in the store."""
         return {
             'Service': service,
             'Address': self.address,
@@ -245,10 +246,10 @@
             'State': state,
             'SeqNo': beat - self._first_beat,
             'Models': self._models(),
-            **self._stated_start(),
+            **self._start_fields(),
         }
 
-    def _stated_start(self) -> dict[str, Any]:
+    def _start_fields(self) -> dict[str, Any]:
         return {} if self.born_ms is None else {'born': self.born_ms}
 
     def _models(self) -> list[dict[str, Any]]:
@@ -274,7 +275,7 @@
                 'Models': self._models(),
                 'IsBusy': self._busy,
                 'SeqNo': self.order_number,
-                **self._stated_start(),
+                **self._start_fields(),
             },
             headers=self._order_headers(200),
         )
@@ -292,7 +293,7 @@
         return web.Response(status=status, headers=self._order_headers(status))
 
     def _carry_out(self, body: dict[str, Any]) -> int:
-        status = self._take_order(body)
+        status = self._apply_order(body)
         self.orders.append(
             Ordered(
                 body['Op'],
@@ -306,8 +307,8 @@
         )
         return status
 
-    def _take_order(self, body: dict[str, Any]) -> int:
-        if not KNOWN_ADAPTER.fullmatch(body.get('Adapter') or 'a1'):
+    def _apply_order(self, body: dict[str, Any]) -> int:
+        if not VALID_ADAPTER.fullmatch(body.get('Adapter') or 'a1'):
             return 400
         if body['FencingToken'] < self.highest_fence:
             return 412
@@ -324,7 +325,9 @@
             return 400
         self.order_number += 1
         if model == self.deadly_model and not adapter:
-            self._endings.add(asyncio.get_running_loop().create_task(self._end_under_load()))
+            self._crash_tasks.add(
+                asyncio.get_running_loop().create_task(self._crash_while_loading())
+            )
             return 202
         if adapter:
             self.models[model].append(adapter)
@@ -334,12 +337,14 @@
         self.most_models = max(self.most_models, len({*self.models, model}))
         if self.load_s:
             self._busy = True
-            asyncio.get_running_loop().call_later(self.load_s, self._loaded, model, self.starts)
+            asyncio.get_running_loop().call_later(
+                self.load_s, self._finish_load, model, self.starts
+            )
         else:
             self.models[model] = []
         return 202
 
-    def _loaded(self, model: str, start: int) -> None:
+    def _finish_load(self, model: str, start: int) -> None:
         if start != self.starts:
             return
         self._busy = False
@@ -361,18 +366,18 @@
         headers = {
             'Limeshelf-Not-Executed': '1',
             'Limeshelf-Attempt-Id': call_id,
-            **self._state(call_id, status),
+            **self._notice_headers(call_id, status),
         }
         return web.Response(status=status, headers=headers)
 
-    def _state(self, call_id: str, status: int) -> dict[str, str]:
-        """Note what it states in an answer to a call; return the headers that say so."""
+    def _notice_headers(self, call_id: str, status: int) -> dict[str, str]:
+        """Return the headers with the notices for an answer to a call, and record the notices."""
         headers = self.needs.headers(status)
         if headers:
             self.stated.append(Stated(call_id, attrs.evolve(self.needs), status))
         return headers
 
-    def _struck(self) -> Fault:
+    def _next_fault(self) -> Fault:
         if self.fault_calls is None:
             return self.fault
         if self.fault_calls <= 0:
@@ -391,7 +396,7 @@
         )
         if missing:
             return self._refusal(421, call_id)
-        fault = self._struck()
+        fault = self._next_fault()
         if fault is Fault.FULL:
             return self._refusal(503, call_id)
         self.runs.append(call_id)
@@ -414,7 +419,7 @@
         if fault is Fault.RESET_FIRST:
             _reset(request.transport)
             return web.Response()
-        headers = {**_answer_headers(call_id, fault), **self._state(call_id, 200)}
+        headers = {**_answer_headers(call_id, fault), **self._notice_headers(call_id, 200)}
         if fault is Fault.ERROR:
             return web.Response(status=500, headers=headers, body=b'failed')
         if fault is Fault.RESET_UNFRAMED:
--- a/standins/users_platform/store.py
+++ b/standins/users_platform/store.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's metadata store: rows, conditions, and their feed."""
+"""Stand-in for the platform's metadata store: rows, conditional writes and the change feed."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 @attrs.define
 class StoreFaults:
-    """Switches for what goes wrong.
+    """Fault switches of the store.
 
-    :ivar status: answer every call with this status and do nothing.
-    :ivar silent: take calls and never answer.
-    :ivar lose_answers: do writing calls and close without an answer.
-    :ivar late_s: do writing calls this much later, without an answer.
+    :ivar status: answer every call with this status without carrying it out; 0 is off.
+    :ivar silent: accept calls and never answer.
+    :ivar lose_answers: apply transactions and close the connection without an answer.
+    :ivar late_s: apply transactions after this delay and never answer; 0 is off.
     """
 
     status: int = 0
@@ -36,10 +36,10 @@
 
 
 @attrs.frozen
-class _Copy:
-    """The rows as of one version.
+class _Snapshot:
+    """A snapshot of all rows as of one version.
 
-    :ivar taken_s: on the steady clock.
+    :ivar taken_s: time at which it was made, on the monotonic clock.
     """
 
     version: int
@@ -47,31 +47,31 @@
     tables: dict[str, dict[str, _Row]]
 
 
-#: Copies that are kept, the newest ones.
-KEPT_COPIES = 2000
+#: Number of newest snapshots that are kept.
+MAX_SNAPSHOTS = 2000
 
 
 class StoreStandIn:
     """Keeps rows in memory and answers as the platform's store does.
 
-    :ivar era: rises by one when the store comes back from an older copy; ``None`` for a store
-        that states none.
-    :ivar calls: answered, or refused.
+    :ivar era: increases by one when the store is restored from a snapshot; ``None`` if the
+        store sends no era.
+    :ivar calls: number of calls received.
     """
 
     def __init__(self, era: int | None = None) -> None:
         self.faults = StoreFaults()
         self.era = era
         self.calls = 0
-        self._copies: collections.deque[_Copy] = collections.deque(maxlen=KEPT_COPIES)
+        self._snapshots: collections.deque[_Snapshot] = collections.deque(maxlen=MAX_SNAPSHOTS)
         self._version = 0
         self._tables: dict[str, dict[str, _Row]] = {}
-        self._oldest = 0
+        self._oldest_version = 0
         self._changed = asyncio.Event()
         self._runner: web.ServerRunner | None = None
 
     async def start(self, port: int = 0) -> str:
-        """Listen on loopback and return the address."""
+        """Start listening on the loopback interface and return the address."""
         self._runner = web.ServerRunner(web.Server(self._handle), shutdown_timeout=0.1)
         await self._runner.setup()
         await web.TCPSite(self._runner, '127.0.0.1', port).start()
@@ -83,19 +83,19 @@
             await self._runner.cleanup()
 
     def put(self, table: str, key: str, value: str) -> int:
-        """Write a row as the operator or a replica does; *value* is base64."""
-        self._keep_copy()
+        """Write a row unconditionally and return the new version; *value* is base64."""
+        self._add_snapshot()
         self._version += 1
         self._tables.setdefault(table, {})[key] = _Row(key, value, self._version)
-        self._wake()
+        self._notify_feeds()
         return self._version
 
     def drop(self, table: str, key: str) -> None:
-        """Delete a row."""
-        self._keep_copy()
+        """Delete a row; the feed reports the deletion."""
+        self._add_snapshot()
         self._version += 1
         self._tables.setdefault(table, {})[key] = _Row(key, '', self._version, gone=True)
-        self._wake()
+        self._notify_feeds()
 
     @property
     def version(self) -> int:
@@ -103,41 +103,41 @@
         return self._version
 
     def rows(self, table: str) -> list[dict[str, Any]]:
-        """Return the rows of a table as they are sent."""
+        """Return the rows of a table in their JSON form."""
         return [_as_json(row) for row in self._tables.get(table, {}).values() if not row.gone]
 
-    def _keep_copy(self) -> None:
+    def _add_snapshot(self) -> None:
         tables = {table: dict(rows) for table, rows in self._tables.items()}
-        self._copies.append(_Copy(self._version, time.monotonic(), tables))
+        self._snapshots.append(_Snapshot(self._version, time.monotonic(), tables))
 
     def return_to(self, version: int) -> None:
-        """Come back from the copy of a version; what was written since is lost.
+        """Restore the store from a snapshot; later writes are lost.
 
-        :param version: or the newest kept one before it.
+        :param version: the newest snapshot that is not newer is used, or else the oldest one.
         """
         assert self.era is not None
-        self._keep_copy()
-        copies = [copy for copy in self._copies if copy.version <= version]
-        copy = copies[-1] if copies else self._copies[0]
-        self._tables = {table: dict(rows) for table, rows in copy.tables.items()}
-        self._version = copy.version
-        self._oldest = min(self._oldest, copy.version)
-        self._copies = collections.deque(copies, maxlen=KEPT_COPIES)
+        self._add_snapshot()
+        snapshots = [snapshot for snapshot in self._snapshots if snapshot.version <= version]
+        snapshot = snapshots[-1] if snapshots else self._snapshots[0]
+        self._tables = {table: dict(rows) for table, rows in snapshot.tables.items()}
+        self._version = snapshot.version
+        self._oldest_version = min(self._oldest_version, snapshot.version)
+        self._snapshots = collections.deque(snapshots, maxlen=MAX_SNAPSHOTS)
         self.era += 1
-        self._wake()
+        self._notify_feeds()
 
     def return_from(self, age_s: float) -> None:
-        """Come back from a copy that was taken some seconds ago."""
+        """Restore the store from the newest snapshot that is at least *age_s* old."""
         taken_s = time.monotonic() - age_s
-        older = [copy.version for copy in self._copies if copy.taken_s <= taken_s]
+        older = [snapshot.version for snapshot in self._snapshots if snapshot.taken_s <= taken_s]
         self.return_to(max(older, default=0))
 
     def forget_history(self) -> None:
-        """Keep the rows but none of their changes."""
-        self._oldest = self._version
-        self._wake()
+        """Discard the change history but keep the rows; older feed positions get 410."""
+        self._oldest_version = self._version
+        self._notify_feeds()
 
-    def _wake(self) -> None:
+    def _notify_feeds(self) -> None:
         self._changed.set()
         self._changed = asyncio.Event()
 
@@ -177,12 +177,12 @@
     async def _feed(self, request: web.BaseRequest) -> web.Response:
         table = request.query['table']
         after = int(request.query['after'])
-        ends = time.monotonic() + int(request.query.get('WaitMs', '0')) / 1000
+        deadline_s = time.monotonic() + int(request.query.get('WaitMs', '0')) / 1000
         while True:
-            if not self._oldest <= after <= self._version:
+            if not self._oldest_version <= after <= self._version:
                 return web.json_response({}, status=410)
             rows = [row for row in self._tables.get(table, {}).values() if row.version > after]
-            left_s = ends - time.monotonic()
+            left_s = deadline_s - time.monotonic()
             if rows or left_s <= 0:
                 return self._answer(sorted(rows, key=lambda row: row.version))
             try:
