--- a/demo/__init__.py
+++ b/demo/__init__.py
@@ -1,1 +1,1 @@
-"""A whole system on one machine, used once and then left up."""
+"""Demo: a complete standalone system on one machine, exercised once and left running."""
--- a/demo/configuration.py
+++ b/demo/configuration.py
@@ -1,4 +1,4 @@
-"""A configuration like that of a logistics firm: 15 models with 75 adapters."""
+"""Configuration of the demo, modelled on a logistics company: 15 models, 75 adapters."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def configuration(models: int = MODELS, adapters: int = ADAPTERS) -> dict[str, Any]:
-    """Return the document as plain JSON."""
+    """Return the configuration document as JSON types."""
     deployments = []
     for number in range(models):
         kind, priority_class = KINDS[number % len(KINDS)]
--- a/demo/steps.py
+++ b/demo/steps.py
@@ -1,4 +1,4 @@
-"""The steps of the demo; each returns what it showed or raises StepFailed."""
+"""Steps of the demo; each returns a summary of its result, or raises ``StepFailed``."""
 
 from __future__ import annotations
 
@@ -24,20 +24,20 @@
 if TYPE_CHECKING:
     from standins.launcher import System
 
-#: Streams at one time. Chosen, not measured.
+#: Number of concurrent streams.
 STREAMS = 40
-#: All models are ready within this time after the configuration. Chosen, not measured.
+#: Time within which all models must be ready after the configuration is applied.
 READY_LIMIT_S = 60.0
 
 
 class StepFailed(Exception):
-    """A step did not show what it should."""
+    """A step did not give the expected result."""
 
 
-def check(holds: bool, what: str) -> None:
-    """Raise unless *holds*."""
+def check(holds: bool, message: str) -> None:
+    """Raise ``StepFailed`` with the text *message* unless *holds*."""
     if not holds:
-        raise StepFailed(what)
+        raise StepFailed(message)
 
 
 @attrs.frozen
@@ -47,57 +47,63 @@
     address: str
 
     def run(self, *arguments: str) -> Any:
-        """Return the JSON reply of a command that succeeds."""
+        """Run a command and return its JSON reply.
+
+        :raises StepFailed: if the command fails.
+        """
         command = [
             sys.executable,
             '-c',
             'from limeshelf.standalone.programs.cli import main; main()',
         ]
-        done = subprocess.run(
+        result = subprocess.run(
             [*command, '--address', self.address, '--json', *arguments],
             capture_output=True,
             text=True,
             timeout=30,
         )
-        check(done.returncode == 0, f'limeshelf {" ".join(arguments)}: {done.stdout}{done.stderr}')
-        return json.loads(done.stdout)
+        check(
+            result.returncode == 0,
+            f'limeshelf {" ".join(arguments)}: {result.stdout}{result.stderr}',
+        )
+        return json.loads(result.stdout)
 
 
 def apply_configuration(system: System, cli: Cli) -> str:
-    """Apply the configuration and wait until every process has it."""
+    """Apply the configuration and wait until it is in force in every process."""
     path = system.folder / 'configuration.json'
     path.write_text(json.dumps(configuration(), indent=1))
     revision = int(cli.run('apply', str(path), '--note', 'demo')['revision'])
 
-    def reached() -> bool:
+    def in_force() -> bool:
         rows = cli.run('status')['processes']
         expected = 3 * len(system.instances)
         return len(rows) == expected and all(int(r['revision']) == revision for r in rows)
 
-    seconds = wait_until(reached, 10)
+    seconds = wait_until(in_force, 10)
     return (
         f'revision {revision} in force at {3 * len(system.instances)} processes, {seconds:.1f} s'
     )
 
 
 def await_models(system: System) -> str:
-    """Wait until every model and adapter is ready by every instance's view."""
-    wanted = MODELS * (1 + ADAPTERS)
+    """Wait until every instance lists every model and adapter as ready."""
+    expected_items = MODELS * (1 + ADAPTERS)
 
     def ready() -> bool:
         lists = [get(f'{i.url}/v1/models')['data'] for i in system.instances.values()]
-        return all(len(rows) == wanted and all(r['ready'] for r in rows) for rows in lists)
+        return all(len(rows) == expected_items and all(r['ready'] for r in rows) for rows in lists)
 
     seconds = wait_until(ready, READY_LIMIT_S, pause_s=0.2)
     engines = [u for u in system.upstreams.values() if u.line['kind'] == 'engine']
     for engine in engines:
         record = system.record(engine.upstream_id)
         check(not record['overcommits'], f'{engine.upstream_id} was overcommitted')
-    return f'{wanted} items ready on {len(engines)} engines after {seconds:.1f} s'
+    return f'{expected_items} items ready on {len(engines)} engines after {seconds:.1f} s'
 
 
 async def stream_one(session: aiohttp.ClientSession, url: str, caller: str, model: str) -> int:
-    """Stream one answer and check every token of it; return their number."""
+    """Stream one answer, check each of its tokens, and return their number."""
     body = {
         'model': model,
         'stream': True,
@@ -133,7 +139,7 @@
 
 
 def stream_answers(system: System) -> str:
-    """Stream answers at one time, each checked token by token."""
+    """Stream answers concurrently and check each token."""
     tokens = asyncio.run(_stream_many(system))
     return f"{STREAMS} streams at one time, {tokens} tokens, each the caller's own"
 
@@ -149,7 +155,7 @@
 
 
 def book_slot(system: System) -> str:
-    """Book a slot, and send the same call again to another instance."""
+    """Book a slot, then repeat the call, with the same key, at another instance."""
     first_url, second_url = [i.url for i in system.instances.values()][:2]
     first = asyncio.run(_book(first_url, 'slot-9'))
     second = asyncio.run(_book(second_url, 'slot-9'))
@@ -169,21 +175,21 @@
 def swap_policy(system: System, cli: Cli) -> str:
     """Swap the routing policy while streams run."""
 
-    async def both() -> int:
+    async def swap_while_streaming() -> int:
         streams = asyncio.ensure_future(_stream_many(system))
         await asyncio.to_thread(cli.run, 'policy', 'swap', 'routing', 'near-prefix')
         return await streams
 
-    tokens = asyncio.run(both())
+    tokens = asyncio.run(swap_while_streaming())
     return f'swapped under {STREAMS} streams; {tokens} tokens arrived, none refused'
 
 
 def stop_instance(system: System) -> str:
-    """Stop one instance as planned while it streams; nothing is cut off."""
+    """Stop an instance gracefully while it streams; no stream is cut off."""
     instance = list(system.instances.values())[-1]
     code: list[int] = []
 
-    async def both() -> int:
+    async def stop_while_streaming() -> int:
         async with aiohttp.ClientSession() as session:
             streams = [
                 asyncio.ensure_future(
@@ -195,7 +201,7 @@
             code.append(await asyncio.to_thread(instance.programs['entry'].stop))
             return sum(await asyncio.gather(*streams))
 
-    tokens = asyncio.run(both())
+    tokens = asyncio.run(stop_while_streaming())
     check(code == [0], f'exit code {code}')
     for name in ('placer', 'admin'):
         check(instance.programs[name].stop() == 0, f'{name} did not stop cleanly')
