--- a/demo/__main__.py
+++ b/demo/__main__.py
@@ -1,6 +1,6 @@
-"""``make demo``: starts the own wire's programs, walks through the steps, leaves them up.
+"""``make demo``: starts a standalone system, runs the demo's steps and leaves it running.
 
-The only place where a newcomer sees the whole system answer on one machine (README).
+Shows new users the complete system on one machine; the README refers to it.
 """
 
 from __future__ import annotations
