--- a/benchmarks/verdicts.py
+++ b/benchmarks/verdicts.py
@@ -1,8 +1,8 @@
-"""What the days of the journal came to, by site.
+"""Summary of the verdicts on the simulated days in the journal, by site.
 
 ``python -m benchmarks.verdicts [--since TIME] [--days] [ENTRY...]``. A day that was given up
-has no verdict: it is neither kept nor broken, and a hunt did not hunt on it. An entry whose
-run did not finish has no days; its site is read from its arguments.
+has no verdict: it counts neither as passed nor as failed, nor as hunted. An entry whose run
+did not finish has no days; its site is taken from its arguments.
 """
 
 from __future__ import annotations
@@ -23,20 +23,20 @@
     from collections.abc import Iterable, Sequence
 
 JOURNAL = Path(__file__).parents[1] / 'journal'
-#: Status of the command if an entry cannot be read, or there is none.
-EXIT_UNREAD = 1
+#: Exit status if an entry cannot be read or there are no entries.
+EXIT_UNREADABLE = 1
 _GIVEN_UP = re.compile(r'given up at ([\d.]+) s')
 
 
 @attrs.frozen
 class Day:
-    """One day that was played.
+    """The result of one simulated day.
 
-    :param rules: how often each rule was broken.
-    :param short: texts of the floors that were missed.
-    :param gate: whether it passed.
-    :param fault: why it did not come to its end, if so.
-    :param figure: worth earned, as a share of what was owed.
+    :param rules: number of violations of each rule.
+    :param short: texts of the floors (minimum values) that were missed.
+    :param gate: whether the day passed.
+    :param fault: reason why the day was not completed, if any.
+    :param figure: worth earned, as a fraction of the worth owed.
     """
 
     name: str
@@ -50,7 +50,7 @@
 
     @property
     def given_up_s(self) -> float | None:
-        """Return the moment of the day at which it was given up; ``None`` if it was not."""
+        """Return the time in the day at which it was given up; ``None`` if it was not."""
         found = _GIVEN_UP.search(self.fault or '')
         return float(found[1]) if found else None
 
@@ -61,7 +61,7 @@
 
     @property
     def missed(self) -> list[str]:
-        """Return the texts of the floors that were missed; having been given up is none."""
+        """Return the texts of the missed floors, without the one that says it was given up."""
         return [text for text in self.short if not _GIVEN_UP.search(text)]
 
 
@@ -69,8 +69,8 @@
 class Entry:
     """One entry of the journal.
 
-    :param at: when it began and ended; the end is empty if its run did not finish.
-    :param argv: arguments; the file of the site stands first.
+    :param at: start and end times; the end is empty if the run did not finish.
+    :param argv: arguments of the run; the site's file comes first.
     """
 
     id: str
@@ -87,18 +87,18 @@
 
     @property
     def site_name(self) -> str:
-        """Return the site, also of a run that did not finish."""
+        """Return the name of the site, or for an unfinished run, of the file in its arguments."""
         files = (Path(text).stem for text in self.argv if text.endswith('.toml'))
         return self.site or next(files, '(unknown)')
 
     @property
     def has_ended(self) -> bool:
-        """Return whether its run finished, whatever became of its days."""
+        """Return whether the run finished, regardless of the results of its days."""
         return bool(self.at[1])
 
     @property
     def is_ended_score(self) -> bool:
-        """Return whether it is a score to which no day that was given up belongs."""
+        """Return whether this is a finished score run none of whose days was given up."""
         whole = bool(self.days) and all(day.is_ended for day in self.days)
         return self.cmd == 'score' and self.score is not None and self.has_ended and whole
 
@@ -107,7 +107,7 @@
 class FloorMiss:
     """A floor that a day missed.
 
-    :param amount: by how much; ``None`` where the text tells no number.
+    :param amount: difference from the floor; ``None`` if the text contains none.
     """
 
     name: str
@@ -115,70 +115,72 @@
 
 
 @attrs.frozen
-class FloorForm:
-    """How the text of a floor reads.
+class FloorPattern:
+    """Pattern for the text of a missed floor.
 
-    :param name: of the floor, with the groups of *pattern* filled in.
-    :param begin: the amount is what it lies below *end*.
+    :param name: format of the floor's name, filled in from the groups of *pattern*.
+    :param subtrahend: group subtracted from the group *minuend* to give the amount; 0 if empty.
     """
 
     pattern: re.Pattern[str]
     name: str
-    begin: str = ''
-    end: str = ''
+    subtrahend: str = ''
+    minuend: str = ''
 
     def read(self, text: str) -> FloorMiss | None:
-        """Return what a text says, or ``None`` if it is of another form."""
+        """Parse a text; return ``None`` if it does not match."""
         found = self.pattern.fullmatch(text)
         if found is None:
             return None
         groups = found.groupdict()
-        below = float(groups.get(self.begin, 0.0))
-        return FloorMiss(self.name.format(**groups), float(groups[self.end]) - below)
+        below = float(groups.get(self.subtrahend, 0.0))
+        return FloorMiss(self.name.format(**groups), float(groups[self.minuend]) - below)
 
 
 _NUMBER = r'\d+(?:\.\d+)?'
-FLOOR_FORMS = (
-    FloorForm(
+FLOOR_PATTERNS = (
+    FloorPattern(
         re.compile(rf'(?P<missed>{_NUMBER}) of {_NUMBER} (?P<what>.+) were never served'),
         '{what}: never served',
-        end='missed',
+        minuend='missed',
     ),
-    FloorForm(
+    FloorPattern(
         re.compile(
             rf'(?P<earned>{_NUMBER}) of the (?P<what>.+) was earned; '
             rf'the floor is (?P<floor>{_NUMBER})'
         ),
         '{what}: below the floor',
-        begin='earned',
-        end='floor',
+        subtrahend='earned',
+        minuend='floor',
     ),
-    FloorForm(
+    FloorPattern(
         re.compile(
             rf'of the (?P<what>.+) (?P<part>{_NUMBER}) were served, of all (?P<all>{_NUMBER})'
         ),
         '{what}: below all',
-        begin='part',
-        end='all',
+        subtrahend='part',
+        minuend='all',
     ),
 )
 
 
 def floor_miss(text: str) -> FloorMiss:
-    """Return what a text says of a missed floor; one of unknown form is its own name."""
-    misses = (form.read(text) for form in FLOOR_FORMS)
+    """Parse the text of a missed floor; a text that matches no pattern becomes the name."""
+    misses = (pattern.read(text) for pattern in FLOOR_PATTERNS)
     return next((miss for miss in misses if miss is not None), FloorMiss(text, None))
 
 
 @attrs.define
 class SiteVerdicts:
-    """What the days of one site came to.
-
-    :ivar endless: entries whose run did not finish.
-    :ivar hunted: days of hunts that have a verdict.
-    :ivar unhunted: days of hunts that were given up.
-    :ivar rules: days on which each rule was broken.
-    :ivar floors: by how much each floor was missed, a day an item.
+    """Sums over the entries and days of one site.
+
+    :ivar endless: number of entries whose run did not finish.
+    :ivar ended: number of days that have a verdict.
+    :ivar hunted: number of days of hunts that have a verdict.
+    :ivar unhunted: number of days of hunts that were given up.
+    :ivar ended_scores: number of finished score runs none of whose days was given up.
+    :ivar rules: number of days on which each rule was broken.
+    :ivar floors: amounts by which each floor was missed, one for each day.
     """
 
     entries: int = 0
@@ -194,16 +196,16 @@
     rules: Counter[str] = attrs.field(factory=Counter)
     floors: dict[str, list[float | None]] = attrs.field(factory=dict)
 
-    def take(self, entry: Entry) -> None:
-        """Count an entry and its days."""
+    def add_entry(self, entry: Entry) -> None:
+        """Add an entry and its days to the sums."""
         self.entries += 1
         self.endless += not entry.has_ended
         self.ended_scores += entry.is_ended_score
         self.days += len(entry.days)
         for day in entry.days:
-            self._take_day(day, is_hunt=entry.cmd == 'hunt')
+            self._add_day(day, is_hunt=entry.cmd == 'hunt')
 
-    def _take_day(self, day: Day, *, is_hunt: bool) -> None:
+    def _add_day(self, day: Day, *, is_hunt: bool) -> None:
         if not day.is_ended:
             self.given_up += 1
             self.unhunted += is_hunt
@@ -232,15 +234,15 @@
 
 
 def by_site(entries: Iterable[Entry]) -> dict[str, SiteVerdicts]:
-    """Sum up entries by site, in order of the sites' names."""
+    """Sum up entries by site; the result is sorted by site name."""
     sites: dict[str, SiteVerdicts] = {}
     for entry in entries:
-        sites.setdefault(entry.site_name, SiteVerdicts()).take(entry)
+        sites.setdefault(entry.site_name, SiteVerdicts()).add_entry(entry)
     return dict(sorted(sites.items()))
 
 
 def read_entries(paths: Iterable[Path]) -> list[Entry]:
-    """Read entries, in order; a file that holds none is named on standard error."""
+    """Read entries in order; files that cannot be read are reported on standard error."""
     entries = []
     for path in paths:
         try:
@@ -251,17 +253,17 @@
 
 
 def chosen_paths(directory: Path, names: Sequence[str], since: str = '') -> list[Path]:
-    """Return the files of entries, the oldest first.
+    """Return the files of the selected entries, oldest first.
 
-    :param names: ids, names or paths of entries; all of the directory if empty.
-    :param since: beginning of a time as in their names, also with dashes and colons.
+    :param names: ids, names or paths of entries; all entries in the directory if empty.
+    :param since: earliest time, or its first digits, with or without dashes and colons.
     """
     since = re.sub('[-:]', '', since).rstrip('Z')
     paths = sorted(directory.glob('*.json'))
     if names:
-        wanted = {Path(name).stem for name in names}
-        paths = [path for path in paths if wanted & _names_of(path)]
-        for name in sorted(wanted.difference(*map(_names_of, paths))):
+        selected = {Path(name).stem for name in names}
+        paths = [path for path in paths if selected & _names_of(path)]
+        for name in sorted(selected.difference(*map(_names_of, paths))):
             sys.stderr.write(f'no entry {name!r}\n')
     return [path for path in paths if path.stem >= since]
 
@@ -271,7 +273,7 @@
 
 
 def print_sites(sites: dict[str, SiteVerdicts]) -> None:
-    """Print a line a site, then what its days broke, and the sites without a score."""
+    """Print a row for each site, the broken rules and floors, and the sites without a score."""
     headings = [column.replace('_', ' ') for column in SITE_COLUMNS]
     rows = [
         [name, *(getattr(one, column) for column in SITE_COLUMNS)] for name, one in sites.items()
@@ -279,8 +281,8 @@
     print_table(['site', *headings], rows)
     print_line('')
     print_table(['site', 'broken', 'days', 'by'], _broken_rows(sites))
-    without = [name for name, one in sites.items() if not one.ended_scores]
-    print_line(f'\nno ended score: {", ".join(without) or "none"}')
+    unscored = [name for name, one in sites.items() if not one.ended_scores]
+    print_line(f'\nno ended score: {", ".join(unscored) or "none"}')
 
 
 def _broken_rows(sites: dict[str, SiteVerdicts]) -> list[list[object]]:
@@ -298,15 +300,15 @@
 
 
 def print_days(entries: Iterable[Entry]) -> None:
-    """Print a line a day, with what it broke; entries without an end have one line."""
+    """Print a row for each day with what it broke; unfinished entries get one row."""
     rows: list[list[object]] = []
     for entry in entries:
         head = [entry.id, entry.cmd, entry.site_name]
         if not entry.has_ended:
             rows.append([*head, '', 'no end', '', '', '', entry.why])
         for day in entry.days:
-            walls = [f'{day.figure:.3f}', f'{day.wall_s:.0f}', f'{day.cpu_s:.0f}']
-            rows.append([*head, day.name, _verdict(day), *walls, _broken_text(day)])
+            figures = [f'{day.figure:.3f}', f'{day.wall_s:.0f}', f'{day.cpu_s:.0f}']
+            rows.append([*head, day.name, _verdict(day), *figures, _broken_text(day)])
     titles = ('entry', 'command', 'site', 'day', 'verdict', 'figure', 'wall s', 'cpu s', 'broken')
     print_table(titles, rows)
 
@@ -323,7 +325,7 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Print the verdicts; return the status of the command."""
+    """Print the verdicts; return the exit status."""
     parser = argparse.ArgumentParser(prog='benchmarks.verdicts', description=__doc__)
     parser.add_argument('entries', nargs='*', metavar='ENTRY', help='id, name or path')
     parser.add_argument('--since', default='', help='entries from this time on: 20261203T1200')
@@ -336,7 +338,7 @@
         print_days(entries)
     else:
         print_sites(by_site(entries))
-    return 0 if entries and len(entries) == len(paths) else EXIT_UNREAD
+    return 0 if entries and len(entries) == len(paths) else EXIT_UNREADABLE
 
 
 if __name__ == '__main__':
