--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -1,4 +1,4 @@
-"""Straight lines through measured points, with their residuals."""
+"""Linear fits through measured points, with their residuals."""
 
 from __future__ import annotations
 
@@ -14,35 +14,43 @@
 
 @attrs.frozen
 class Slope:
-    """Cost against size: ``cost = base + each * size``.
+    """A linear fit of cost against size: ``cost = base + per_unit * size``.
 
-    :param residual: largest distance of a point from the line, as a share of
+    :param residual: largest distance of a point from the line, as a fraction of
         the largest cost.
     """
 
-    what: str
+    label: str
     size_unit: str
     cost_unit: str
     points: list[tuple[float, float]]
     base: float
-    each: float
+    per_unit: float
     residual: float
 
     @classmethod
-    def through(
-        cls, what: str, size_unit: str, cost_unit: str, points: list[tuple[float, float]]
+    def fit(
+        cls, label: str, size_unit: str, cost_unit: str, points: list[tuple[float, float]]
     ) -> Slope:
-        """Fit the line by least squares."""
+        """Fit a line to points of (size, cost) by least squares."""
         sizes, costs = zip(*points, strict=True)
-        each, base = statistics.linear_regression(sizes, costs)
-        off = max(abs(cost - base - each * size) for size, cost in points)
-        return cls(what, size_unit, cost_unit, points, base, each, off / max(map(abs, costs)))
+        per_unit, base = statistics.linear_regression(sizes, costs)
+        deviation = max(abs(cost - base - per_unit * size) for size, cost in points)
+        return cls(
+            label,
+            size_unit,
+            cost_unit,
+            points,
+            base,
+            per_unit,
+            deviation / max(map(abs, costs)),
+        )
 
     def row(self) -> str:
         """Return the slope as a row of a Markdown table."""
         points = ', '.join(f'{size:g}: {cost:.4g}' for size, cost in self.points)
         return (
-            f'| {self.what} | {points} | {self.base:.3g} + {self.each:.3g} a {self.size_unit}'
+            f'| {self.label} | {points} | {self.base:.3g} + {self.per_unit:.3g} a {self.size_unit}'
             f' {self.cost_unit} | {self.residual:.0%} |'
         )
 
