--- a/benchmarks/client.py
+++ b/benchmarks/client.py
@@ -1,6 +1,6 @@
-"""A load-generating process for ``make bench``: closed loop, or open loop by rate.
+"""Load generator process for ``make bench``: closed loop, or open loop at a fixed rate.
 
-Unlike :mod:`tests.support.load` it keeps no history: it is to cost little itself.
+Unlike :mod:`tests.support.load` it keeps no history, so that its own cost is low.
 """
 
 from __future__ import annotations
@@ -25,24 +25,24 @@
 
 
 class Client:
-    """Sends one kind of request again and again."""
+    """Sends requests of one kind and counts the answers."""
 
     def __init__(self, url: str, kind: str, tokens: int) -> None:
-        through = kind.startswith('through')
-        self.path = url + ('/v1/chat/completions' if through else '/v1/generate')
-        base = {**(CHAT if through else DIRECT), 'max_tokens': tokens}
+        is_proxied = kind.startswith('through')
+        self.path = url + ('/v1/chat/completions' if is_proxied else '/v1/generate')
+        base = {**(CHAT if is_proxied else DIRECT), 'max_tokens': tokens}
         if kind == 'through-stream':
             base['stream'] = True
         self.body = json.dumps(base).encode()
         if kind.endswith('plain'):
-            self.path = url + ('/booking/echo' if through else '/echo')
+            self.path = url + ('/booking/echo' if is_proxied else '/echo')
             self.body = b'{"a": 1}'
         self.first_s: list[float] = []
         self.done = 0
         self.failed = 0
 
-    async def once(self, session: aiohttp.ClientSession) -> None:
-        """Send one request and note the time to its first byte."""
+    async def send_one(self, session: aiohttp.ClientSession) -> None:
+        """Send one request and record the time to its first byte."""
         started_s = time.perf_counter()
         async with session.post(self.path, data=self.body) as answer:
             await answer.content.readany()
@@ -51,40 +51,40 @@
             self.done += 1
             self.failed += answer.status != 200
 
-    async def closed(self, session, concurrency: int, seconds: float) -> None:
-        """Keep a number of requests in flight."""
+    async def run_closed_loop(self, session, concurrency: int, seconds: float) -> None:
+        """Closed loop: keep *concurrency* requests in flight."""
         end_s = time.perf_counter() + seconds
 
-        async def one() -> None:
+        async def send_until_end() -> None:
             while time.perf_counter() < end_s:
-                await self.once(session)
+                await self.send_one(session)
 
-        await asyncio.gather(*(one() for _ in range(concurrency)))
+        await asyncio.gather(*(send_until_end() for _ in range(concurrency)))
 
-    async def open(self, session, rate_per_s: float, seconds: float) -> None:
-        """Start requests at a rate, whatever becomes of them."""
+    async def run_open_loop(self, session, rate_per_s: float, seconds: float) -> None:
+        """Open loop: start requests at a fixed rate, without waiting for answers."""
         tasks = []
         started_s = time.perf_counter()
         for number in range(int(rate_per_s * seconds)):
             due_s = started_s + number / rate_per_s
             await asyncio.sleep(max(0.0, due_s - time.perf_counter()))
-            tasks.append(asyncio.ensure_future(self.once(session)))
+            tasks.append(asyncio.ensure_future(self.send_one(session)))
         await asyncio.gather(*tasks)
 
 
 async def run(arguments: argparse.Namespace) -> None:
-    """Send and print the result as one line of JSON."""
+    """Send one request to warm up, then measure; print the result as one line of JSON."""
     client = Client(arguments.url, arguments.kind, arguments.tokens)
     connector = aiohttp.TCPConnector(limit=0)
     async with aiohttp.ClientSession(connector=connector) as session:
-        await client.once(session)
+        await client.send_one(session)
         client.first_s.clear()
         client.done = client.failed = 0
         started_s = time.perf_counter()
         if arguments.rate:
-            await client.open(session, arguments.rate, arguments.seconds)
+            await client.run_open_loop(session, arguments.rate, arguments.seconds)
         else:
-            await client.closed(session, arguments.concurrency, arguments.seconds)
+            await client.run_closed_loop(session, arguments.concurrency, arguments.seconds)
         took_s = time.perf_counter() - started_s
     result = {
         'done': client.done,
@@ -96,7 +96,7 @@
 
 
 def main() -> None:
-    """Run the client."""
+    """Run the load generator."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('url')
     parser.add_argument('kind')
--- a/benchmarks/path.py
+++ b/benchmarks/path.py
@@ -1,7 +1,7 @@
-"""``make bench``: the own entry program against a direct connection to the stand-in.
+"""``make bench``: requests through the entry program compared with direct ones to a stand-in.
 
-The only source of requests and tokens a core of an entry program, and of the time it
-adds, for docs/CAPACITY.md; the users' bench plays the gateway.
+Measures requests and tokens per core of an entry program, and its added latency, for
+docs/CAPACITY.md; the gateway is measured by the users' bench.
 """
 
 from __future__ import annotations
@@ -9,21 +9,22 @@
 import json
 import time
 
-from benchmarks.processes import cpu_s, quantile, resident_bytes, results, start_client
+from benchmarks.processes import combined_results, cpu_s, quantile, resident_bytes, start_client
 from standins.calls import get, post, wait_until
 from standins.launcher import GIB, System
 
-#: Load-generating processes: enough that they are not the limit. Chosen, not measured.
+#: Number of load generator processes; enough that they are not the bottleneck.
 CLIENTS = 3
-#: Length of each measurement, and of the watch of idle programs. Chosen, not measured.
-SECONDS = 4.0
-IDLE_S = 10.0
-#: Tokens of each answer where tokens are counted. Chosen, not measured.
+#: Duration of each measurement.
+DURATION_S = 4.0
+#: Time for which programs are measured without load.
+IDLE_DURATION_S = 10.0
+#: Length of each answer in the measurements of tokens.
 STREAM_TOKENS = 200
 
 
 class MeasuredPath:
-    """One entry instance before one engine and one plain service."""
+    """An entry instance in front of one engine and one plain service."""
 
     def __init__(self, system: System) -> None:
         engine = {'first_token_s': 0.0, 'token_s': 0.0, 'slots': 1000}
@@ -50,36 +51,36 @@
         wait_until(lambda: get(f'{self.instance.url}/v1/models')['data'][0]['ready'])
 
     def url(self, kind: str) -> str:
-        """Return where requests of a kind go."""
+        """Return the base URL for requests of a kind."""
         if kind.startswith('through'):
             return self.instance.url
         return self.plain.http if kind.endswith('plain') else self.engine.http
 
     def load(self, kind: str, **options: float) -> dict:
-        """Run clients; return their results and the entry's processor seconds."""
+        """Run the load generators; return their results and the processor time of the entry."""
         before_s = cpu_s(self.entry.process.pid)
         clients = [start_client(self.url(kind), kind, **options) for _ in range(CLIENTS)]
-        found = results(clients)
+        found = combined_results(clients)
         found['entry_cpu_s'] = cpu_s(self.entry.process.pid) - before_s
         return found
 
 
-def idle(system: System, path: MeasuredPath) -> None:
-    """Print what each program takes while nothing is asked of it."""
+def print_idle_cost(system: System, path: MeasuredPath) -> None:
+    """Print the memory and processor time of each program without load."""
     print('\nidle          resident MB  % of a core')
     programs = path.instance.programs
     before = {name: cpu_s(started.process.pid) for name, started in programs.items()}
-    time.sleep(IDLE_S)
+    time.sleep(IDLE_DURATION_S)
     for name, started in programs.items():
-        used = (cpu_s(started.process.pid) - before[name]) / IDLE_S
+        used = (cpu_s(started.process.pid) - before[name]) / IDLE_DURATION_S
         resident = resident_bytes(started.process.pid) / 1e6
         print(f'{name:<14}{resident:>11.1f}{used * 100:>13.2f}')
 
 
-def rates(
+def print_rates(
     path: MeasuredPath, what: str, kinds: tuple[str, str], unit: int, **options: float
 ) -> float:
-    """Print highest rates direct and through; return the one through."""
+    """Print the highest rates, direct and through the entry; return the latter."""
     direct = path.load(kinds[0], **options)
     through = path.load(kinds[1], **options)
     per_cpu_s = through['done'] * unit / through['entry_cpu_s']
@@ -90,13 +91,13 @@
     return through['per_s']
 
 
-def latency(path: MeasuredPath, rate_per_s: float) -> None:
-    """Print the added time to the first byte, at a rate."""
+def print_latency(path: MeasuredPath, rate_per_s: float) -> None:
+    """Print the time to the first byte that the entry adds at a request rate."""
     print(f'\ntime to first byte at {rate_per_s:.0f} requests a second, in ms')
     print(f'{"":<12}{"median":>8}{"p99":>8}')
     found = {}
     for kind in ('direct-stream', 'through-stream'):
-        found[kind] = path.load(kind, rate=rate_per_s / CLIENTS, seconds=SECONDS)['first_s']
+        found[kind] = path.load(kind, rate=rate_per_s / CLIENTS, seconds=DURATION_S)['first_s']
     rows = {
         name: [quantile(found[kind], share) * 1e3 for share in (0.5, 0.99)]
         for name, kind in (('direct', 'direct-stream'), ('through', 'through-stream'))
@@ -107,24 +108,28 @@
 
 
 def main() -> None:
-    """Measure and print."""
+    """Run all measurements and print their results."""
     with System({'entry.max_streams_per_upstream': 1000}) as system:
         path = MeasuredPath(system)
         heading = ('direct/s', 'through/s', 'share', 'through/entry core')
         print(f'{"highest rates":<26}{heading[0]:>10}{heading[1]:>10}', end='')
         print(f'{heading[2]:>8}{"per entry core":>16}{"failed":>8}')
-        options = {'concurrency': 32, 'seconds': SECONDS}
-        rates(path, 'plain JSON requests', ('direct-plain', 'through-plain'), 1, **options)
-        best = rates(
+        options = {'concurrency': 32, 'seconds': DURATION_S}
+        print_rates(path, 'plain JSON requests', ('direct-plain', 'through-plain'), 1, **options)
+        best = print_rates(
             path, 'model requests, streamed', ('direct-stream', 'through-stream'), 1, **options
         )
         kinds = ('direct-stream', 'through-stream')
-        rates(path, 'tokens, one a write', kinds, STREAM_TOKENS, tokens=STREAM_TOKENS, **options)
+        print_rates(
+            path, 'tokens, one a write', kinds, STREAM_TOKENS, tokens=STREAM_TOKENS, **options
+        )
         post(f'{path.engine.http}/_model', {'tokens_per_write': 8})
-        rates(path, 'tokens, eight a write', kinds, STREAM_TOKENS, tokens=STREAM_TOKENS, **options)
+        print_rates(
+            path, 'tokens, eight a write', kinds, STREAM_TOKENS, tokens=STREAM_TOKENS, **options
+        )
         post(f'{path.engine.http}/_model', {'tokens_per_write': 1})
-        latency(path, best / 2)
-        idle(system, path)
+        print_latency(path, best / 2)
+        print_idle_cost(system, path)
 
 
 if __name__ == '__main__':
--- a/benchmarks/processes.py
+++ b/benchmarks/processes.py
@@ -1,4 +1,4 @@
-"""Processor time and memory of a process, and runs of the load-generating client."""
+"""Processor time and memory of processes, and runs of the load generator."""
 
 from __future__ import annotations
 
@@ -12,27 +12,27 @@
 
 
 def cpu_s(pid: int) -> float:
-    """Return the processor seconds that a process has used."""
+    """Return the processor time, user and system, that a process has used."""
     with open(f'/proc/{pid}/stat') as file:
         fields = file.read().rsplit(')', 1)[1].split()
     return (int(fields[11]) + int(fields[12])) / TICKS_PER_S
 
 
 def resident_bytes(pid: int) -> int:
-    """Return the resident memory of a process."""
+    """Return the resident set size of a process."""
     with open(f'/proc/{pid}/statm') as file:
         return int(file.read().split()[1]) * os.sysconf('SC_PAGE_SIZE')
 
 
 def start_client(url: str, kind: str, **options: float) -> subprocess.Popen[str]:
-    """Start a client process."""
+    """Start a load generator process (:mod:`benchmarks.client`)."""
     arguments = [part for name, value in options.items() for part in (f'--{name}', str(value))]
     command = [sys.executable, '-m', 'benchmarks.client', url, kind, *arguments]
     return subprocess.Popen(command, stdout=subprocess.PIPE, text=True)
 
 
-def results(clients: list[subprocess.Popen[str]]) -> dict[str, Any]:
-    """Wait for client processes and add their results up."""
+def combined_results(clients: list[subprocess.Popen[str]]) -> dict[str, Any]:
+    """Wait for load generator processes and combine their results."""
     outputs = [client.communicate(timeout=120)[0] for client in clients]
     rows = [json.loads(output) for output in outputs]
     return {
@@ -44,5 +44,5 @@
 
 
 def quantile(values: list[float], share: float) -> float:
-    """Return the value below which *share* of sorted *values* lie."""
+    """Return the quantile *share*, from 0 to 1, of sorted *values*."""
     return values[min(len(values) - 1, int(share * len(values)))]
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -1,7 +1,7 @@
-"""``make recovery``: how long the own wire's programs take to recover, under load.
+"""``make recovery``: recovery times of the standalone programs under load.
 
-The only source of the times themselves, for docs/CAPACITY.md; the features hold limits,
-and the users' bench times the gateway.
+Measures the times for docs/CAPACITY.md; the features only check upper limits, and the
+gateway is measured by the users' bench.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class Recovery:
-    """A system under load whose failures are timed."""
+    """A system under load, with timed failures."""
 
     def __init__(self) -> None:
         self.world = World(set())
@@ -28,8 +28,8 @@
         self.world.await_ready()
         self.load = Load(self.system, MODELS)
 
-    def lost(self, since: int) -> str:
-        """Return what became of the calls noted since."""
+    def outcomes_since(self, since: int) -> str:
+        """Return the outcomes of the calls from index *since* of the history, as text."""
         outcomes: dict[str, int] = {}
         for call in self.load.history[since:]:
             name = f'{call.kind} {call.outcome}'
@@ -37,40 +37,42 @@
         return ', '.join(f'{count} {name}' for name, count in sorted(outcomes.items()))
 
     def lease(self) -> dict[str, Any]:
-        """Return the lease row of the data centre x."""
+        """Return the placer lease row of data centre x."""
         return get(f'{self.system.platform.http}/rows/lease%2Fplacer%2Fx')['value']
 
     def leader(self) -> str:
-        """Return the instance whose placer holds the lease of x."""
-        mark = f'state=held epoch={self.lease()["epoch"]}'
+        """Return the id of the instance whose placer holds the lease of data centre x."""
+        log_marker = f'state=held epoch={self.lease()["epoch"]}'
         names = [n for n, i in self.system.instances.items() if i.data_centre == 'x']
-        return next(n for n in names if mark in self.system.instances[n].programs['placer'].log())
+        return next(
+            n for n in names if log_marker in self.system.instances[n].programs['placer'].log()
+        )
 
-    def orders(self) -> int:
-        """Return the orders taken by the engines of x."""
+    def order_count(self) -> int:
+        """Return the number of orders, except fences, received by the engines of x."""
         return sum(
             len([o for o in self.system.record(name)['orders'] if o['action'] != 'fence'])
             for name in self.system.upstreams
             if name.startswith('x-engine')
         )
 
-    def placer_killed(self) -> float:
-        """Kill the leader with work waiting; time until the next order."""
+    def time_placer_kill(self) -> float:
+        """Kill the leader and create work for it; return the seconds until the next order."""
         name = self.leader()
         self.system.instances[name].programs['placer'].kill()
         started_s = time.monotonic()
         for deployment in self.world.document['deployments']:
             deployment['version'] = str(int(deployment['version']) + 1)
         assert self.world.apply('y-0')[0] == 0
-        before = self.orders()
-        wait_until(lambda: self.orders() > before, 30)
+        before = self.order_count()
+        wait_until(lambda: self.order_count() > before, 30)
         took_s = time.monotonic() - started_s
         self.replace(name)
         self.world.await_ready(60)
         return took_s
 
     def replace(self, name: str) -> None:
-        """Put a fresh instance in the place of one."""
+        """Stop an instance and start a new one under its id."""
         instance = self.system.instances[name]
         for started in instance.programs.values():
             if started.process.poll() is None:
@@ -80,8 +82,8 @@
         self.system.list_entry(fresh)
         wait_until(lambda: get(f'{fresh.url}/ready')['phase'] == 'serving')
 
-    def commit(self) -> float:
-        """Commit a change; time until it is in force at every instance."""
+    def time_commit(self) -> float:
+        """Commit a change; return the seconds until it is in force at every instance."""
         first = self.world.document['deployments'][0]
         first['first_token_target_s'] = first.get('first_token_target_s', 1.5) + 0.1
         started_s = time.monotonic()
@@ -91,21 +93,21 @@
         wait_until(lambda: set(self.world.revisions().values()) == {revision}, 20, pause_s=0.005)
         return time.monotonic() - started_s
 
-    def platform_returns(self) -> float:
-        """Take the platform down for 5 s; time from its return to a change in force."""
+    def time_platform_return(self) -> float:
+        """Take the platform down for 5 s; return the seconds from its end to a change in force."""
         self.system.fault('platform', '_faults', down=True)
         time.sleep(5.0)
         self.system.fault('platform', '_faults', down=False)
         started_s = time.monotonic()
         while True:
             try:
-                self.commit()
+                self.time_commit()
                 return time.monotonic() - started_s
             except AssertionError:
                 time.sleep(0.05)
 
-    def engine_killed(self) -> float:
-        """Kill an engine; time until its models are ready elsewhere."""
+    def time_engine_kill(self) -> float:
+        """Kill an engine; return the seconds until its models are ready on other engines."""
         name = 'y-engine1'
         self.system.upstreams[name].started.kill()
         started_s = time.monotonic()
@@ -116,26 +118,26 @@
 
 
 def main() -> None:
-    """Time each failure and print a row for it."""
+    """Measure the recovery from each failure and print a row for it."""
     recovery = Recovery()
     try:
         print(f'{"from":<44}{"seconds":<24}calls meanwhile')
         with recovery.load:
             wait_until(lambda: len(recovery.load.history) > 40)
             rows = {
-                'commit to in force at 4 instances': (recovery.commit, REPEATS),
-                'kill of the leading placer to next order': (recovery.placer_killed, REPEATS),
+                'commit to in force at 4 instances': (recovery.time_commit, REPEATS),
+                'kill of the leading placer to next order': (recovery.time_placer_kill, REPEATS),
                 'return of the platform to a change in force': (
-                    recovery.platform_returns,
+                    recovery.time_platform_return,
                     REPEATS,
                 ),
-                'death of an engine to all models ready': (recovery.engine_killed, 1),
+                'death of an engine to all models ready': (recovery.time_engine_kill, 1),
             }
             for name, (action, repeats) in rows.items():
                 since = len(recovery.load.history)
                 times = [action() for _ in range(repeats)]
-                shown = ' '.join(f'{seconds:.2f}' for seconds in times)
-                print(f'{name:<44}{shown:<24}{recovery.lost(since)}', flush=True)
+                times_text = ' '.join(f'{seconds:.2f}' for seconds in times)
+                print(f'{name:<44}{times_text:<24}{recovery.outcomes_since(since)}', flush=True)
         faults = faults_of(recovery.load.history, key_runs(recovery.system))
         print(f'{len(faults)} faults in the history of {len(recovery.load.history)} calls')
         for fault in faults[:5]:
