--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements; each prints ratios of one run."""
+"""Benchmarks; each prints the figures of one run."""
--- a/benchmarks/account.py
+++ b/benchmarks/account.py
@@ -1,7 +1,7 @@
-"""Time and memory that ``limeshelf account summary`` takes for a million log lines.
+"""Time and peak memory of ``limeshelf account summary`` for a million log lines.
 
-Measured on one core of an eight-core machine: 14.0 s and 236 MB. Aim: under a minute and
-500 MB.
+Measured on one core of an eight-core machine: 14.0 s and 236 MB. Target: under a minute and
+under 500 MB.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 from limeshelf.account.summary import CallSummary
 
 LINES = 1_000_000
-AIM_S = 60.0
-AIM_MB = 500.0
+TARGET_S = 60.0
+TARGET_MB = 500.0
 
 
 def write_lines(path: Path) -> None:
-    """Write lines of calls, half of them refused, as seven gateways write them."""
+    """Write the two log lines of each of half a million refused calls at seven gateways."""
     with path.open('w') as stream:
         for n in range(LINES // 2):
             head = {'at_s': 1.7e9 + n / 500, 'instance': f'g-{n % 7}'}
@@ -33,17 +33,17 @@
 
 
 def main() -> None:
-    """Print the time and the memory at its peak, and whether both are within their aims."""
+    """Print the time and the peak memory, and whether both are within their targets."""
     with tempfile.TemporaryDirectory() as directory:
         path = Path(directory) / 'gateways.log'
         write_lines(path)
-        began_s = time.perf_counter()
+        started_s = time.perf_counter()
         summary = CallSummary()
         with path.open('rb') as stream:
             summary.take_all(LogReader().read(stream))
-        took_s = time.perf_counter() - began_s
+        took_s = time.perf_counter() - started_s
     peak_mb = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
-    verdict = 'within' if took_s < AIM_S and peak_mb < AIM_MB else 'beyond'
+    verdict = 'within' if took_s < TARGET_S and peak_mb < TARGET_MB else 'beyond'
     print(f'{LINES} lines: {took_s:.1f} s, {peak_mb:.0f} MB at the peak, {verdict} the aims')
 
 
--- a/benchmarks/fingerprint.py
+++ b/benchmarks/fingerprint.py
@@ -1,4 +1,4 @@
-"""What the fingerprint of a call costs, by the size of its body."""
+"""Processor time of the fingerprint of a call, by size of its body."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 
 SIZES_BYTES = (0, 3_000, 100_000, 1_000_000)
 ROUNDS = 200
-NEED = ModelNeed('model', 'a1', 1000, 100, 80, ())
+MODEL_NEED = ModelNeed('model', 'a1', 1000, 100, 80, ())
 
 
 def main() -> None:
-    """Print microseconds a call."""
+    """Print the microseconds for each call."""
     for size in SIZES_BYTES:
-        call = Call('id', 'POST', 'h', '/route/x', (), b'x' * size, 0.0, 1.0, NEED, None)
-        began_s = time.perf_counter()
+        call = Call('id', 'POST', 'h', '/route/x', (), b'x' * size, 0.0, 1.0, MODEL_NEED, None)
+        started_s = time.perf_counter()
         for _ in range(ROUNDS):
             fingerprint_of(call)
-        taken_us = (time.perf_counter() - began_s) / ROUNDS * 1e6
-        print(f'{size:>9} bytes: {taken_us:8.1f} us')
+        took_us = (time.perf_counter() - started_s) / ROUNDS * 1e6
+        print(f'{size:>9} bytes: {took_us:8.1f} us')
 
 
 if __name__ == '__main__':
--- a/benchmarks/organisations.py
+++ b/benchmarks/organisations.py
@@ -1,6 +1,7 @@
-"""Measures what organisations cost one process: reading them, keys, limits.
+"""Cost of organisations in one process: reading the configuration, key look-ups, limits.
 
-Prints one line a figure. Run it alone on a machine: ``python -m benchmarks.organisations``.
+Prints one line for each figure. Run ``python -m benchmarks.organisations`` on an otherwise
+idle machine.
 """
 
 from __future__ import annotations
@@ -21,14 +22,14 @@
 
 ORGANISATIONS = 1600
 KEYS_EACH = 10
-#: Gateways of a data centre at the aim: 350 in five.
+#: Gateways in each data centre at the target size: 350 in five data centres.
 GATEWAYS = 70
 REPEATS = 5
 CALLS = 20_000
 
 
 def document() -> bytes:
-    """Return a configuration with many organisations and nothing else."""
+    """Return a configuration that contains only organisations."""
     entries = [
         {
             'Name': f'organisation-{number}',
@@ -44,27 +45,29 @@
     return json.dumps({'Version': 1, 'Routes': [], 'Services': [], 'Tenants': entries}).encode()
 
 
-def best_s(work: Callable[[], object]) -> float:
+def best_s(action: Callable[[], object]) -> float:
     """Return the shortest processor time of several runs, in seconds."""
     times = []
     for _ in range(REPEATS):
-        began_s = time.process_time()
-        work()
-        times.append(time.process_time() - began_s)
+        started_s = time.process_time()
+        action()
+        times.append(time.process_time() - started_s)
     return min(times)
 
 
 def main() -> None:
-    """Measure and print."""
-    row = document()
+    """Run all measurements and print their results."""
+    data = document()
     tracemalloc.start()
-    config = read_config(row)
+    config = read_config(data)
     kept_mb = tracemalloc.get_traced_memory()[0] / 1e6
     tracemalloc.stop()
     organisations = config.organisations
     assert organisations is not None
-    print(f'{ORGANISATIONS} organisations with {KEYS_EACH} keys each: row {len(row) / 1e6:.2f} MB')
-    print(f'new version: {best_s(lambda: read_config(row)) * 1e3:.1f} ms, all of one step')
+    print(
+        f'{ORGANISATIONS} organisations with {KEYS_EACH} keys each: row {len(data) / 1e6:.2f} MB'
+    )
+    print(f'new version: {best_s(lambda: read_config(data)) * 1e3:.1f} ms, all of one step')
     print(f'kept: {kept_mb:.1f} MB')
     rule = AccessRule(5.0)
 
--- a/benchmarks/placement_round.py
+++ b/benchmarks/placement_round.py
@@ -1,7 +1,7 @@
-"""Processor time of one round of the leader on a large deployment.
+"""Processor time of one placement round of the leader on a large deployment.
 
-45 replicas of three models each, 196 models and 419 adapters, demand for 150 models and 250
-adapters; 63 gateways report. Aim: all parts of a round together within 80 ms of processor time.
+45 replicas with three models each, 196 models and 419 adapters, demand for 150 models and 250
+adapters, reported by 63 gateways. Target: at most 80 ms of processor time for a whole round.
 """
 
 from __future__ import annotations
@@ -48,19 +48,19 @@
 SERVICE = 'lm'
 FENCE = 5
 ROUNDS = 20
-AIM_MS = 80.0
+TARGET_MS = 80.0
 
 
 @attrs.define
 class FixedTerm:
-    """A leadership whose term does not change by itself."""
+    """A leadership whose term never changes."""
 
     term: Term = attrs.field(factory=lambda: Term(FENCE, 1e12, 1))
     fence: int = FENCE
 
 
-class World:
-    """A deployment of one service with what its leader knows of it."""
+class Simulation:
+    """A simulated deployment of one service and the state that its leader keeps about it."""
 
     def __init__(self, clock: VirtualClock, seed: int = 1) -> None:
         self._random = random.Random(seed)
@@ -73,11 +73,11 @@
         self.sender = OrderSender(
             unused, self.directory, leadership, 'g-1', GatewayMetrics(), lambda: None
         )
-        self.watch = ReplicaMonitor(self.directory, leadership, self.sender, TaskSet())
+        self.monitor = ReplicaMonitor(self.directory, leadership, self.sender, TaskSet())
         for number in range(REPLICAS):
             self._add_replica(f'r{number}')
         self.demands = self._demands()
-        self._settle()
+        self._warm_up()
 
     def _engine(self) -> EngineSpec:
         names = [f'm{number}' for number in range(MODELS)]
@@ -109,10 +109,10 @@
         )
         self.directory.apply_report(name, ReplicaReport(tuple(held), False, 1, on_disk=disk))
 
-    def _settle(self) -> None:
-        """Let demand be averaged, and reports of all replicas be fresh."""
+    def _warm_up(self) -> None:
+        """Fill the demand averages and make the reports of all replicas fresh."""
         for _ in range(20):
-            self.take_demand()
+            self.report_demand()
             self._clock.advance(0.2)
             self.totals.update_averages()
         for replica in self.directory.all():
@@ -136,16 +136,16 @@
             for key in keys
         ]
 
-    def take_demand(self) -> None:
-        """Let each gateway report some calls more."""
+    def report_demand(self) -> None:
+        """Report further calls from each gateway."""
         for number in range(GATEWAYS):
             for demand in self._random.sample(self.demands, 10):
                 demand.started += 1
                 demand.tokens += 500
                 demand.running = self._random.randrange(2)
                 demand.wanted += self._random.randrange(2)
-            shown = [counts_now(demand) for demand in self.demands]
-            self.totals.add_counters(f'g-{number}', shown)
+            counters = [copy_counters(demand) for demand in self.demands]
+            self.totals.add_counters(f'g-{number}', counters)
 
     def demand(self) -> dict[str, ModelDemand]:
         """Return the demand for each model."""
@@ -154,8 +154,8 @@
         )
 
     def plan_moves(self, copies: list[ReplicaView]) -> int:
-        """Plan all moves of a round; return how many there are."""
-        planner = CopyPlanner(self.engine, self.demand(), self.watch.initial_copies(SERVICE))
+        """Plan and apply all moves of a round; return their number."""
+        planner = CopyPlanner(self.engine, self.demand(), self.monitor.initial_copies(SERVICE))
         moves = 0
         while (move := planner.next_move(copies)) is not None:
             moves += 1
@@ -164,14 +164,14 @@
                     replica.apply_move(move.model, move.evicted)
         return moves
 
-    def look_once_more(self, copies: list[ReplicaView]) -> None:
-        """Plan again after all moves of a round; there is none."""
-        planner = CopyPlanner(self.engine, self.demand(), self.watch.initial_copies(SERVICE))
+    def plan_without_moves(self, copies: list[ReplicaView]) -> None:
+        """Plan again after all moves of a round, which finds no move."""
+        planner = CopyPlanner(self.engine, self.demand(), self.monitor.initial_copies(SERVICE))
         assert planner.next_move(copies) is None
         planner.waiting_models(copies)
 
     def plan_adapters(self) -> int:
-        """Plan the adapters that wait; return how many can come."""
+        """Plan the waiting adapters; return the number that can be placed."""
         planner = AdapterPlanner(SERVICE, self.engine, self.directory, self.totals.latest(), FENCE)
         replicas = self.directory.of_service(SERVICE)
         pending = {replica.replica_id: self.sender.pending(replica) for replica in replicas}
@@ -181,13 +181,13 @@
         return sum(1 for move in moves if move is not None)
 
 
-def counts_now(demand: KeyDemand) -> KeyDemand:
-    """Return the counts as they are now."""
+def copy_counters(demand: KeyDemand) -> KeyDemand:
+    """Return a copy of the current counters."""
     return msgspec.structs.replace(demand)
 
 
 def best_ms(action: Callable[[], object]) -> float:
-    """Return the least processor time of several runs, in milliseconds."""
+    """Return the shortest processor time of several runs, in milliseconds."""
     times = []
     for _ in range(ROUNDS):
         started_s = time.process_time()
@@ -197,25 +197,27 @@
 
 
 def main() -> None:
-    """Print the processor time of each part of a round, and whether it is within its aim."""
+    """Print the processor time of each part of a round, and whether the sum is within target."""
     with virtual_clock() as clock:
-        world = World(clock)
-        moved = world.watch.replica_views(SERVICE)
-        moves = world.plan_moves(moved)
+        simulation = Simulation(clock)
+        moved_replicas = simulation.monitor.replica_views(SERVICE)
+        moves = simulation.plan_moves(moved_replicas)
         parts: dict[str, Callable[[], object]] = {
-            'demand by model': world.demand,
-            'view of the replicas': functools.partial(world.watch.replica_views, SERVICE),
-            'all moves': lambda: world.plan_moves(world.watch.replica_views(SERVICE)),
-            'demand and a look that finds no move': lambda: world.look_once_more(moved),
-            'waiting adapters': world.plan_adapters,
-            'sums of demand': world.totals.update_averages,
+            'demand by model': simulation.demand,
+            'view of the replicas': functools.partial(simulation.monitor.replica_views, SERVICE),
+            'all moves': lambda: simulation.plan_moves(simulation.monitor.replica_views(SERVICE)),
+            'demand and a look that finds no move': lambda: simulation.plan_without_moves(
+                moved_replicas
+            ),
+            'waiting adapters': simulation.plan_adapters,
+            'sums of demand': simulation.totals.update_averages,
         }
         costs = {name: best_ms(part) for name, part in parts.items()}
-        adapters = world.plan_adapters()
+        adapters = simulation.plan_adapters()
     for name, cost in costs.items():
         print(f'{name}: {cost:.2f} ms')
     total_ms = sum(costs.values())
-    verdict = 'within' if total_ms < AIM_MS else 'beyond'
+    verdict = 'within' if total_ms < TARGET_MS else 'beyond'
     print(f'{moves} moves, {adapters} adapters: {total_ms:.1f} ms in all, {verdict} the aim')
 
 
