--- a/benchmarks/path.py
+++ b/benchmarks/path.py
@@ -32,8 +32,8 @@
         system.start_instances({'x': 1})
         self.instance = system.instances['x-0']
         self.entry = self.instance.programs['entry']
-        self.engine = system.upstreams['x-engine0'].started
-        self.plain = system.upstreams['x-booking0'].started
+        self.engine = system.upstreams['x-engine0'].child
+        self.plain = system.upstreams['x-booking0'].child
         document = {
             'deployments': [{'name': 'm0', 'version': '1', 'weights_bytes': GIB}],
             'routes': [{'name': 'b', 'path_prefix': '/booking', 'service': 'booking'}],
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -95,9 +95,9 @@
 
     def time_platform_return(self) -> float:
         """Take the platform down for 5 s; return the seconds from its end to a change in force."""
-        self.system.fault('platform', '_faults', down=True)
+        self.system.set_faults('platform', '_faults', down=True)
         time.sleep(5.0)
-        self.system.fault('platform', '_faults', down=False)
+        self.system.set_faults('platform', '_faults', down=False)
         started_s = time.monotonic()
         while True:
             try:
@@ -109,7 +109,7 @@
     def time_engine_kill(self) -> float:
         """Kill an engine; return the seconds until its models are ready on other engines."""
         name = 'y-engine1'
-        self.system.upstreams[name].started.kill()
+        self.system.upstreams[name].child.kill()
         started_s = time.monotonic()
         self.system.unlist(name)
         del self.system.upstreams[name]
--- a/standins/launcher.py
+++ b/standins/launcher.py
@@ -49,7 +49,7 @@
     """The stand-in of an upstream and its entry in the instance list."""
 
     upstream_id: str
-    started: ChildProcess
+    child: ChildProcess
     line: dict[str, Any]
 
 
@@ -192,7 +192,7 @@
         self._relay_ports.setdefault(instance.data_centre, []).append(port)
         return f'{HOST}:{port}'
 
-    def cut_peers(self, cut: bool) -> None:
+    def set_partitioned(self, cut: bool) -> None:
         """Cut the links between the data centres, or restore them."""
         assert self.gate is not None
         for ports in self._relay_ports.values():
@@ -232,11 +232,11 @@
 
     def record(self, upstream_id: str) -> dict[str, Any]:
         """Return the records that the stand-in of an upstream keeps."""
-        return get(f'{self.upstreams[upstream_id].started.http}/_record')
+        return get(f'{self.upstreams[upstream_id].child.http}/_record')
 
-    def fault(self, target: str, path: str, **values: Any) -> None:
+    def set_faults(self, target: str, path: str, **values: Any) -> None:
         """Set fault switches of an upstream, or of the platform."""
-        child = self.platform if target == 'platform' else self.upstreams[target].started
+        child = self.platform if target == 'platform' else self.upstreams[target].child
         post(f'{child.http}/{path}', values)
 
     def close(self) -> None:
--- a/tests/features/steps/world_steps.py
+++ b/tests/features/steps/world_steps.py
@@ -180,7 +180,7 @@
     engines = [u for u in world.system.upstreams.values() if u.line['kind'] == 'engine']
     for _ in range(3):
         for engine in engines:
-            world.system.fault(
+            world.system.set_faults(
                 engine.upstream_id, '_order_faults', lost=1, late=1, doubled=2, late_s=1.5
             )
         change_versions(world, MODEL_NAMES)
@@ -208,7 +208,7 @@
 @when('engine "{name}" is killed')
 def kill_engine(context, name: str) -> None:
     system = context.world.system
-    system.upstreams[name].started.kill()
+    system.upstreams[name].child.kill()
     system.unlist(name)
     del system.upstreams[name]
 
@@ -217,9 +217,9 @@
 def platform_down(context, seconds: int) -> None:
     system = context.world.system
     context.before = len(context.load.history)
-    system.fault('platform', '_faults', down=True)
+    system.set_faults('platform', '_faults', down=True)
     time.sleep(seconds)
-    system.fault('platform', '_faults', down=False)
+    system.set_faults('platform', '_faults', down=False)
 
 
 @then('every stream was completed')
@@ -270,7 +270,7 @@
 
 @when('{_} "{name}" says that it leaves')
 def leave(context, _: str, name: str) -> None:
-    post(f'{context.world.system.upstreams[name].started.http}/_leave', {})
+    post(f'{context.world.system.upstreams[name].child.http}/_leave', {})
     context.left = name
     time.sleep(4.0)
 
@@ -285,7 +285,7 @@
 
 @when('engine "{name}" restarts')
 def restart(context, name: str) -> None:
-    post(f'{context.world.system.upstreams[name].started.http}/_restart', {})
+    post(f'{context.world.system.upstreams[name].child.http}/_restart', {})
     context.left = name
 
 
@@ -392,9 +392,9 @@
 def lost_answer(context, instance: str) -> None:
     world = context.world
     wait_until(lambda: len(set(world.revisions().values())) == 1)
-    world.system.fault('platform', '_faults', path_prefix='/transact', lose_answers=1)
+    world.system.set_faults('platform', '_faults', path_prefix='/transact', lose_answers=1)
     context.first = make_change(world, next_mark(context), instance, '--operation-id', 'op-lost')
-    world.system.fault('platform', '_faults', path_prefix='/', lose_answers=0)
+    world.system.set_faults('platform', '_faults', path_prefix='/', lose_answers=0)
 
 
 @then('it was applied once, and asking again says so')
@@ -424,20 +424,20 @@
 
 @when('"{centre}" is cut off from the platform and a change is applied at "{instance}"')
 def cut_platform(context, centre: str, instance: str) -> None:
-    context.world.system.fault('platform', '_faults', cut_centres=[centre])
+    context.world.system.set_faults('platform', '_faults', cut_centres=[centre])
     apply_change(context, instance)
 
 
 @then('the platform is reached again')
 def uncut_platform(context) -> None:
-    context.world.system.fault('platform', '_faults', cut_centres=[])
+    context.world.system.set_faults('platform', '_faults', cut_centres=[])
 
 
 @when('"{centre}" is cut off from the platform and the peers and a change is applied at "{at}"')
 def cut_both(context, centre: str, at: str) -> None:
     system = context.world.system
-    system.cut_peers(True)
-    system.fault('platform', '_faults', cut_centres=[centre])
+    system.set_partitioned(True)
+    system.set_faults('platform', '_faults', cut_centres=[centre])
     context.old = context.world.revisions()[f'{centre}-0']
     apply_change(context, at)
     time.sleep(3.0)
@@ -460,8 +460,8 @@
 @then('after the return it is in force at every instance within {seconds:d} seconds')
 def returned(context, seconds: int) -> None:
     system = context.world.system
-    system.cut_peers(False)
-    system.fault('platform', '_faults', cut_centres=[])
+    system.set_partitioned(False)
+    system.set_faults('platform', '_faults', cut_centres=[])
     in_force(context, seconds)
 
 
@@ -469,7 +469,7 @@
 def fresh_start(context, centre: str) -> None:
     system = context.world.system
     context.revision = max(context.world.revisions().values())
-    system.fault('platform', '_faults', down=True)
+    system.set_faults('platform', '_faults', down=True)
     seed = system.instances[f'{centre}-0'].programs['entry'].address('peer_port')
     context.fresh = system.launch(f'{centre}-9', centre, seeds=[seed])
     system.await_started(context.fresh)
@@ -489,7 +489,7 @@
         reply = post(f'{context.fresh.url}/v1/chat/completions', body)
         assert reply['choices'][0]['finish_reason'] == 'stop'
     finally:
-        context.world.system.fault('platform', '_faults', down=False)
+        context.world.system.set_faults('platform', '_faults', down=False)
 
 
 @when('entry processes are killed and replaced {number:d} times')
@@ -511,7 +511,7 @@
     for _ in range(8):
         for name, upstream in system.upstreams.items():
             if upstream.line['kind'] == 'plain':
-                system.fault(
+                system.set_faults(
                     name, '_call_faults', die_before=1, die_after=1, cut=1, busy=1, call_s=0.02
                 )
         time.sleep(0.4)
@@ -521,11 +521,11 @@
 def table_faults(context) -> None:
     system = context.world.system
     for _ in range(4):
-        system.fault('platform', '_faults', path_prefix='/transact', lose_answers=4)
+        system.set_faults('platform', '_faults', path_prefix='/transact', lose_answers=4)
         time.sleep(0.5)
-        system.fault('platform', '_faults', path_prefix='/', down=True, lose_answers=0)
+        system.set_faults('platform', '_faults', path_prefix='/', down=True, lose_answers=0)
         time.sleep(0.5)
-        system.fault('platform', '_faults', down=False)
+        system.set_faults('platform', '_faults', down=False)
         time.sleep(0.3)
 
 
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -82,22 +82,22 @@
     def platform_outage(self) -> str:
         """Take the platform down for a while."""
         seconds = self.random.uniform(0.5, 4.0)
-        self.system.fault('platform', '_faults', down=True)
+        self.system.set_faults('platform', '_faults', down=True)
         time.sleep(seconds)
-        self.system.fault('platform', '_faults', down=False)
+        self.system.set_faults('platform', '_faults', down=False)
         return f'{seconds:.1f} s'
 
     def cut_centre(self) -> str:
         """Cut a data centre off from the platform, the peers, or both."""
         centre = self.random.choice(['x', 'y'])
         peers = self.random.random() < 0.5
-        self.system.fault('platform', '_faults', cut_centres=[centre])
+        self.system.set_faults('platform', '_faults', cut_centres=[centre])
         if peers:
-            self.system.cut_peers(True)
+            self.system.set_partitioned(True)
         time.sleep(self.random.uniform(1.0, 5.0))
-        self.system.fault('platform', '_faults', cut_centres=[])
+        self.system.set_faults('platform', '_faults', cut_centres=[])
         if peers:
-            self.system.cut_peers(False)
+            self.system.set_partitioned(False)
         return f'{centre}, peers too: {peers}'
 
     def wrong_orders(self) -> str:
@@ -105,14 +105,14 @@
         name = self.random.choice(self.engines())
         kind = self.random.choice(['lost', 'late', 'doubled'])
         late_s = self.random.uniform(0.2, 3.0)
-        self.system.fault(name, '_order_faults', late_s=late_s, **{kind: 2})
+        self.system.set_faults(name, '_order_faults', late_s=late_s, **{kind: 2})
         return f'{name} {kind}'
 
     def broken_streams(self) -> str:
         """Break the next answers of an engine."""
         name = self.random.choice(self.engines())
         kind = self.random.choice(['cut', 'foreign', 'skipped', 'doubled'])
-        self.system.fault(name, '_stream_faults', **{kind: 3})
+        self.system.set_faults(name, '_stream_faults', **{kind: 3})
         return f'{name} {kind}'
 
     def broken_calls(self) -> str:
@@ -120,14 +120,14 @@
         kind = self.random.choice(['die_before', 'die_after', 'cut', 'busy'])
         for row in self.system.upstreams.values():
             if row.line['kind'] == 'plain':
-                self.system.fault(row.upstream_id, '_call_faults', **{kind: 3})
+                self.system.set_faults(row.upstream_id, '_call_faults', **{kind: 3})
         return kind
 
     def lost_answers(self) -> str:
         """Lose the answers to the next transactions after their effect."""
-        self.system.fault('platform', '_faults', path_prefix='/transact', lose_answers=3)
+        self.system.set_faults('platform', '_faults', path_prefix='/transact', lose_answers=3)
         time.sleep(0.5)
-        self.system.fault('platform', '_faults', path_prefix='/', lose_answers=0)
+        self.system.set_faults('platform', '_faults', path_prefix='/', lose_answers=0)
         return 'of transactions'
 
     def change_versions(self) -> str:
@@ -153,7 +153,7 @@
     def restart_engine(self) -> str:
         """Restart an engine: it forgets its memory and its fence."""
         name = self.random.choice(self.engines())
-        post(f'{self.system.upstreams[name].started.http}/_restart', {})
+        post(f'{self.system.upstreams[name].child.http}/_restart', {})
         return name
 
     def _instance(self) -> str:
