--- a/standins/users_platform/replica.py
+++ b/standins/users_platform/replica.py
@@ -46,7 +46,7 @@
 
 
 @attrs.define
-class Seen:
+class ReceivedCall:
     """A call as it was received.
 
     :ivar at_s: time of arrival on the clock of the event loop.
@@ -61,7 +61,7 @@
 
 
 @attrs.define
-class Ordered:
+class ReceivedOrder:
     """An order as it was received, with the status of its answer."""
 
     op: str
@@ -74,19 +74,19 @@
 
 
 @attrs.define
-class Needs:
+class ReplicaNotices:
     """Notices that a replica sends in the headers of its answers.
 
     :ivar rate_per_s: calls a second that it accepts from all gateways together, as text.
     :ivar leaving: whether it asks for no further calls.
-    :ivar rest_s: seconds for which a gateway that it refused must send no calls, as text.
-    :ivar to_callers_alone: whether reports and answers to orders carry no notices.
+    :ivar retry_after_s: seconds for which a gateway that it refused must send no calls, as text.
+    :ivar call_answers_only: whether reports and answers to orders carry no notices.
     """
 
     rate_per_s: str | None = None
     leaving: bool = False
-    rest_s: str | None = None
-    to_callers_alone: bool = False
+    retry_after_s: str | None = None
+    call_answers_only: bool = False
 
     def headers(self, status: int) -> dict[str, str]:
         """Return the headers with these notices for an answer with *status*."""
@@ -95,20 +95,20 @@
             headers['Server-Limit'] = self.rate_per_s
         if self.leaving:
             headers['Server-Leaving'] = '1'
-        if self.rest_s is not None and status == STATUS_FULL:
-            headers['Retry-After'] = self.rest_s
+        if self.retry_after_s is not None and status == STATUS_FULL:
+            headers['Retry-After'] = self.retry_after_s
         return headers
 
 
 @attrs.define
-class Stated:
+class SentNotices:
     """Notices that a replica sent with its answer to a call.
 
     :ivar at_s: time at which the answer began, on the clock of the event loop.
     """
 
     call_id: str
-    needs: Needs
+    notices: ReplicaNotices
     status: int
     at_s: float = attrs.field(factory=lambda: asyncio.get_running_loop().time())
 
@@ -138,13 +138,13 @@
     :param replica_id: calls that expect another id are answered with 421.
     :param events: number of events in a complete stream.
     :ivar born_ms: start time in its row and reports; ``None`` leaves it out.
-    :ivar starts: number of restarts.
-    :ivar restarted_s: times of the restarts on the clock of the event loop.
-    :ivar deadly_text: the replica crashes when it runs a call whose body contains this.
-    :ivar deadly_model: the replica crashes when it begins to load this model.
-    :ivar on_end: called after either of these crashes.
-    :ivar needs: notices that it sends with its answers.
-    :ivar stated: notices that it has sent with answers to calls.
+    :ivar restarts: number of restarts.
+    :ivar restart_times_s: times of the restarts on the clock of the event loop.
+    :ivar crash_text: the replica crashes when it runs a call whose body contains this.
+    :ivar crash_model: the replica crashes when it begins to load this model.
+    :ivar on_crash: called after either of these crashes.
+    :ivar notices: notices that it sends with its answers.
+    :ivar sent_notices: notices that it has sent with answers to calls.
     """
 
     def __init__(self, replica_id: str, models: list[str] | None = None, events: int = 5) -> None:
@@ -155,28 +155,28 @@
         self.models: dict[str, list[str]] = {name: [] for name in models or []}
         self.events = events
         self.event_s = 0.0
-        self.seen: list[Seen] = []
+        self.received_calls: list[ReceivedCall] = []
         self.runs: list[str] = []
-        self.orders: list[Ordered] = []
+        self.orders: list[ReceivedOrder] = []
         self.order_number = 0
         self.highest_fence = 0
         self.load_s = 0.0
         self.order_fault = Fault.NONE
-        self.order_late_s = 0.0
+        self.order_delay_s = 0.0
         self.abandoned = 0
         #: Highest number of models and adapters held or being loaded at the same time.
-        self.most_models = len(self.models)
-        self.most_adapters = 0
+        self.peak_models = len(self.models)
+        self.peak_adapters = 0
         self.address = ''
         self.born_ms: int | None = None
-        self.starts = 0
-        self.restarted_s: list[float] = []
-        self.deadly_text: bytes | None = None
-        self.deadly_model = ''
+        self.restarts = 0
+        self.restart_times_s: list[float] = []
+        self.crash_text: bytes | None = None
+        self.crash_model = ''
         self._crash_tasks: set[asyncio.Task[None]] = set()
-        self.on_end: Callable[[ReplicaStandIn], None] = lambda replica: None
-        self.needs = Needs()
-        self.stated: list[Stated] = []
+        self.on_crash: Callable[[ReplicaStandIn], None] = lambda replica: None
+        self.notices = ReplicaNotices()
+        self.sent_notices: list[SentNotices] = []
         self._first_beat = 0
         self._busy = False
         self._runner: web.ServerRunner | None = None
@@ -197,7 +197,7 @@
         if self._runner is not None:
             await self._runner.cleanup()
 
-    async def end(self) -> None:
+    async def crash(self) -> None:
         """Crash: reset all connections, and refuse new ones from now on."""
         assert self._runner is not None
         for site in list(self._runner.sites):
@@ -206,8 +206,8 @@
 
     async def _crash_while_loading(self) -> None:
         await asyncio.sleep(LOAD_START_DELAY_S)
-        await self.end()
-        self.on_end(self)
+        await self.crash()
+        self.on_crash(self)
 
     def _reset_all(self) -> None:
         assert self._runner is not None and self._runner.server is not None
@@ -223,17 +223,17 @@
         """
         self._reset_all()
         self.models = {}
-        self.needs = Needs()
+        self.notices = ReplicaNotices()
         self.order_number = self.highest_fence = 0
         self._busy = False
         self._first_beat = beat
         self.born_ms = born_ms
-        self.starts += 1
-        self.restarted_s.append(asyncio.get_running_loop().time())
+        self.restarts += 1
+        self.restart_times_s.append(asyncio.get_running_loop().time())
 
-    def next_start_s(self, at_s: float) -> float:
+    def next_restart_s(self, at_s: float) -> float:
         """Return the time of the first restart after *at_s*; infinity if there is none."""
-        return next((one for one in self.restarted_s if one > at_s), float('inf'))
+        return next((one for one in self.restart_times_s if one > at_s), float('inf'))
 
     def row(self, service: str, state: str = 'ready', beat: int = 1) -> dict[str, Any]:
         """Return the row of the replica in the store."""
@@ -281,13 +281,13 @@
         )
 
     def _order_headers(self, status: int) -> dict[str, str]:
-        return {} if self.needs.to_callers_alone else self.needs.headers(status)
+        return {} if self.notices.call_answers_only else self.notices.headers(status)
 
     async def _order(self, request: web.BaseRequest) -> web.StreamResponse:
         body = await request.json()
         if self.order_fault is Fault.SILENT:
             loop = asyncio.get_running_loop()
-            loop.call_later(self.order_late_s, self._carry_out, body)
+            loop.call_later(self.order_delay_s, self._carry_out, body)
             await asyncio.sleep(3600)
         status = self._carry_out(body)
         return web.Response(status=status, headers=self._order_headers(status))
@@ -295,7 +295,7 @@
     def _carry_out(self, body: dict[str, Any]) -> int:
         status = self._apply_order(body)
         self.orders.append(
-            Ordered(
+            ReceivedOrder(
                 body['Op'],
                 body['Model'],
                 body.get('Adapter', ''),
@@ -324,7 +324,7 @@
         if adapter and model not in self.models:
             return 400
         self.order_number += 1
-        if model == self.deadly_model and not adapter:
+        if model == self.crash_model and not adapter:
             self._crash_tasks.add(
                 asyncio.get_running_loop().create_task(self._crash_while_loading())
             )
@@ -332,20 +332,20 @@
         if adapter:
             self.models[model].append(adapter)
             held = sum(map(len, self.models.values()))
-            self.most_adapters = max(self.most_adapters, held)
+            self.peak_adapters = max(self.peak_adapters, held)
             return 202
-        self.most_models = max(self.most_models, len({*self.models, model}))
+        self.peak_models = max(self.peak_models, len({*self.models, model}))
         if self.load_s:
             self._busy = True
             asyncio.get_running_loop().call_later(
-                self.load_s, self._finish_load, model, self.starts
+                self.load_s, self._finish_load, model, self.restarts
             )
         else:
             self.models[model] = []
         return 202
 
     def _finish_load(self, model: str, start: int) -> None:
-        if start != self.starts:
+        if start != self.restarts:
             return
         self._busy = False
         self.models[model] = []
@@ -372,9 +372,9 @@
 
     def _notice_headers(self, call_id: str, status: int) -> dict[str, str]:
         """Return the headers with the notices for an answer to a call, and record the notices."""
-        headers = self.needs.headers(status)
+        headers = self.notices.headers(status)
         if headers:
-            self.stated.append(Stated(call_id, attrs.evolve(self.needs), status))
+            self.sent_notices.append(SentNotices(call_id, attrs.evolve(self.notices), status))
         return headers
 
     def _next_fault(self) -> Fault:
@@ -387,8 +387,8 @@
 
     async def _call(self, request: web.BaseRequest, call_id: str) -> web.StreamResponse:
         body = await request.read()
-        self.seen.append(
-            Seen(call_id, request.method, request.raw_path, dict(request.headers), body)
+        self.received_calls.append(
+            ReceivedCall(call_id, request.method, request.raw_path, dict(request.headers), body)
         )
         model, _, adapter = request.headers.get('Limeshelf-Model', '').partition('/')
         missing = model and (
@@ -400,9 +400,9 @@
         if fault is Fault.FULL:
             return self._refusal(503, call_id)
         self.runs.append(call_id)
-        if self.deadly_text is not None and self.deadly_text in body:
-            await self.end()
-            self.on_end(self)
+        if self.crash_text is not None and self.crash_text in body:
+            await self.crash()
+            self.on_crash(self)
             return web.Response()
         try:
             return await self._run(request, call_id, fault, bool(model))
--- a/standins/users_platform/store.py
+++ b/standins/users_platform/store.py
@@ -110,7 +110,7 @@
         tables = {table: dict(rows) for table, rows in self._tables.items()}
         self._snapshots.append(_Snapshot(self._version, time.monotonic(), tables))
 
-    def return_to(self, version: int) -> None:
+    def restore_version(self, version: int) -> None:
         """Restore the store from a snapshot; later writes are lost.
 
         :param version: the newest snapshot that is not newer is used, or else the oldest one.
@@ -126,11 +126,11 @@
         self.era += 1
         self._notify_feeds()
 
-    def return_from(self, age_s: float) -> None:
+    def restore_from_age(self, age_s: float) -> None:
         """Restore the store from the newest snapshot that is at least *age_s* old."""
         taken_s = time.monotonic() - age_s
         older = [snapshot.version for snapshot in self._snapshots if snapshot.taken_s <= taken_s]
-        self.return_to(max(older, default=0))
+        self.restore_version(max(older, default=0))
 
     def forget_history(self) -> None:
         """Discard the change history but keep the rows; older feed positions get 410."""
--- a/tests/gateway/test_crashing_call.py
+++ b/tests/gateway/test_crashing_call.py
@@ -58,7 +58,7 @@
         assert late_crashes(world.ends) <= MAX_LATE_CRASHES
         assert statuses[-1] == 503
 
-    run_fleet(scenario, deadly_text=CRASHING_BODY)
+    run_fleet(scenario, crash_text=CRASHING_BODY)
 
 
 def test_repeatable_call_crashes_no_third_replica_by_itself() -> None:
@@ -66,7 +66,7 @@
         await keep_retrying(world, '/safe/x', for_s=4.0)
         assert 2 <= len(world.ends) <= 3
 
-    run_fleet(scenario, deadly_text=CRASHING_BODY)
+    run_fleet(scenario, crash_text=CRASHING_BODY)
 
 
 def test_quarantine_survives_a_restart_of_all_gateways() -> None:
@@ -83,7 +83,7 @@
         assert set(statuses) == {503}
         assert len(world.ends) == ends
 
-    run_fleet(scenario, deadly_text=CRASHING_BODY)
+    run_fleet(scenario, crash_text=CRASHING_BODY)
 
 
 def test_partitioned_gateways_share_the_quarantine_through_the_store(
@@ -98,7 +98,7 @@
         assert late_crashes(world.ends) == 0
         assert statuses[-1] == 503
 
-    run_fleet(scenario, deadly_text=CRASHING_BODY)
+    run_fleet(scenario, crash_text=CRASHING_BODY)
 
 
 def test_gateways_without_the_store_share_the_quarantine_as_peers() -> None:
@@ -108,7 +108,7 @@
         assert len(world.ends) <= len(CENTRES)
         assert statuses[-1] == 503
 
-    run_fleet(scenario, deadly_text=CRASHING_BODY)
+    run_fleet(scenario, crash_text=CRASHING_BODY)
 
 
 def test_broken_answers_of_live_replicas_quarantine_no_call() -> None:
@@ -149,4 +149,4 @@
         assert len(counts) == len(CENTRES)
         assert statuses.count(200) > 0.8 * len(statuses)
 
-    run_fleet(scenario, deadly_text=CRASHING_BODY)
+    run_fleet(scenario, crash_text=CRASHING_BODY)
--- a/tests/gateway/test_keys.py
+++ b/tests/gateway/test_keys.py
@@ -43,7 +43,9 @@
         await self.until(lambda: in_force.version == version)
 
     def seen(self) -> list[Any]:
-        return [seen for replica in [*self.plain, *self.engines] for seen in replica.seen]
+        return [
+            seen for replica in [*self.plain, *self.engines] for seen in replica.received_calls
+        ]
 
 
 def run(scenario: Any) -> None:
--- a/tests/gateway/test_leaving_replica.py
+++ b/tests/gateway/test_leaving_replica.py
@@ -13,7 +13,7 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from standins.users_platform.replica import Needs
+from standins.users_platform.replica import ReplicaNotices
 from tests.support.fleet import FleetWorld, load, run_fleet
 from tests.support.needs import LEAVING_AFTER_S, arrivals_after_leaving
 
@@ -28,7 +28,7 @@
     """Make one replica of each service announce in its answers, not its row, that it leaves."""
     replicas = [world.plain[0], world.engines[0]]
     for replica in replicas:
-        replica.needs.leaving = True
+        replica.notices.leaving = True
     return replicas
 
 
@@ -48,7 +48,7 @@
             world.announce(replica, beat=9)
         await load_both(world, 2.0)
         for replica in replicas:
-            assert replica.stated
+            assert replica.sent_notices
             assert arrivals_after_leaving(world, replica) == 0
 
     run_fleet(scenario)
@@ -60,9 +60,9 @@
     async def scenario(world: FleetWorld) -> None:
         replica = world.engines[0]
         replica.models.clear()
-        replica.needs = Needs(leaving=True, to_callers_alone=True)
+        replica.notices = ReplicaNotices(leaving=True, call_answers_only=True)
         await load(world, '/stream/x', 0.5)
-        assert {stated.status for stated in replica.stated} == {421}
+        assert {stated.status for stated in replica.sent_notices} == {421}
         replica.models['m1'] = []
         world.announce(replica, beat=9)
         await asyncio.sleep(LEAVING_AFTER_S)
@@ -84,8 +84,8 @@
         await replica.restart(RESTART_MS + 1, beat=2)
         world.announce(replica, beat=3)
         await asyncio.sleep(0.3)
-        before = len(replica.seen)
+        before = len(replica.received_calls)
         await load(world, '/safe/x', 0.5)
-        assert len(replica.seen) > before
+        assert len(replica.received_calls) > before
 
     run_fleet(scenario)
--- a/tests/gateway/test_limits.py
+++ b/tests/gateway/test_limits.py
@@ -44,7 +44,7 @@
         await self.until(lambda: in_force.version == version)
 
     def runs(self) -> int:
-        return sum(len(replica.seen) for replica in self.plain)
+        return sum(len(replica.received_calls) for replica in self.plain)
 
 
 def run(scenario: Any) -> None:
--- a/tests/gateway/test_path.py
+++ b/tests/gateway/test_path.py
@@ -21,7 +21,7 @@
     async def scenario(world: GatewayWorld) -> None:
         answer = await world.call('/unsafe/a%2Fb?q=%20', body=b'payload', X_Own='kept')
         assert answer.status == 200
-        seen = [seen for replica in world.plain for seen in replica.seen]
+        seen = [seen for replica in world.plain for seen in replica.received_calls]
         assert len(seen) == 1
         assert seen[0].target == '/unsafe/a%2Fb?q=%20'
         assert seen[0].body == b'payload'
@@ -163,7 +163,7 @@
         while broken.fault_calls:
             answer = await world.generate('/resume/x')
             assert (answer.status, answer.body) == (200, EVENTS)
-        seen = [seen for replica in world.engines for seen in replica.seen]
+        seen = [seen for replica in world.engines for seen in replica.received_calls]
         named = [{name.lower(): value for name, value in s.headers.items()} for s in seen]
         assert [s['last-event-id'] for s in named if 'last-event-id' in s] == ['2']
 
--- a/tests/gateway/test_paused_replica.py
+++ b/tests/gateway/test_paused_replica.py
@@ -29,7 +29,7 @@
     """Make replicas refuse all calls with a ``Retry-After``."""
     for replica in replicas:
         replica.fault = Fault.FULL
-        replica.needs.rest_s = pause_s
+        replica.notices.retry_after_s = pause_s
 
 
 def test_replicas_that_ask_for_a_pause_get_it() -> None:
@@ -38,7 +38,7 @@
         refuse_all(replicas)
         await asyncio.gather(load(world, '/safe/x', 6.0), load(world, '/stream/x', 6.0))
         for replica in replicas:
-            assert replica.stated
+            assert replica.sent_notices
             assert most_in_a_rest(world, replica) <= TOLERATED_IN_REST
 
     run_fleet(scenario)
@@ -70,7 +70,7 @@
         await load(world, '/stream/x', 0.5)
         for replica in [world.plain[0], *world.engines]:
             replica.fault = Fault.NONE
-            replica.needs.rest_s = None
+            replica.notices.retry_after_s = None
         await asyncio.sleep(0.8)
         runs = len(world.plain[0].runs)
         assert set(await load(world, '/safe/x', 0.5)) == {200}
--- a/tests/gateway/test_rate_limited_replica.py
+++ b/tests/gateway/test_rate_limited_replica.py
@@ -27,14 +27,14 @@
     async def scenario(world: FleetWorld) -> None:
         replicas = [world.plain[0], world.engines[0]]
         for replica in replicas:
-            replica.needs.rate_per_s = str(RATE_PER_S)
+            replica.notices.rate_per_s = str(RATE_PER_S)
         await asyncio.gather(load(world, '/safe/x', LOAD_S), load(world, '/stream/x', LOAD_S))
         for replica in replicas:
-            assert replica.stated
+            assert replica.sent_notices
             assert most_in_window(world, replica) <= tolerated(RATE_PER_S)
             # The rate is still used; a new pacer allows half of it at first.
             assert (
-                len(replica.seen)
+                len(replica.received_calls)
                 >= RATE_PER_S * (LOAD_S - REDUCED_RATE_PERIOD_S / 2) * MIN_USED_SHARE
             )
 
@@ -45,15 +45,15 @@
     async def scenario(world: FleetWorld) -> None:
         replicas = [world.plain[0], world.engines[0]]
         for replica in replicas:
-            replica.needs.rate_per_s = str(RATE_PER_S)
+            replica.notices.rate_per_s = str(RATE_PER_S)
         await asyncio.gather(load(world, '/safe/x', 1.0), load(world, '/stream/x', 1.0))
         for replica in replicas:
-            replica.needs.rate_per_s = None
+            replica.notices.rate_per_s = None
         await asyncio.gather(load(world, '/safe/x', 2.0), load(world, '/stream/x', 2.0))
-        seen = [len(replica.seen) for replica in replicas]
+        seen = [len(replica.received_calls) for replica in replicas]
         await asyncio.gather(load(world, '/safe/x', 2.0), load(world, '/stream/x', 2.0))
         for replica, before in zip(replicas, seen, strict=True):
-            assert len(replica.seen) - before > 2 * RATE_PER_S * 2.0
+            assert len(replica.received_calls) - before > 2 * RATE_PER_S * 2.0
 
     run_fleet(scenario)
 
@@ -61,7 +61,7 @@
 def test_calls_are_refused_at_once_with_the_time_until_the_next_permit() -> None:
     async def scenario(world: FleetWorld) -> None:
         for replica in world.plain:
-            replica.needs.rate_per_s = '0.5'
+            replica.notices.rate_per_s = '0.5'
         await load(world, '/safe/x', 1.0)
         before_s = asyncio.get_running_loop().time()
         answered = await world.call('/safe/x')
@@ -83,7 +83,7 @@
     async def scenario(world: FleetWorld) -> None:
         replicas = [*world.plain, *world.engines]
         for replica in replicas:
-            replica.needs.rate_per_s = '2.3'
+            replica.notices.rate_per_s = '2.3'
         await asyncio.gather(load(world, '/safe/x', 12.0), load(world, '/stream/x', 12.0))
         for replica in replicas:
             assert most_in_window(world, replica) <= tolerated(2.3)
--- a/tests/gateway/test_restarted_replica.py
+++ b/tests/gateway/test_restarted_replica.py
@@ -96,11 +96,11 @@
         await restart(world, crashed, BORN_MS + 1000)
         await world.until(lambda: known(world, crashed.replica_id) is not before)
         assert known(world, crashed.replica_id).order_number is None
-        seen = len(crashed.seen)
+        seen = len(crashed.received_calls)
         answers = [await world.generate() for _ in range(4)]
         assert [answer.status for answer in answers] == [200] * 4
-        assert all(not call.headers.get('Limeshelf-Model') for call in crashed.seen[seen:]) or (
-            'm1' in crashed.models
-        )
+        assert all(
+            not call.headers.get('Limeshelf-Model') for call in crashed.received_calls[seen:]
+        ) or ('m1' in crashed.models)
 
     run(scenario)
--- a/tests/gateway/test_restored_store.py
+++ b/tests/gateway/test_restored_store.py
@@ -49,7 +49,7 @@
 async def restore(world: FleetWorld, version: int, outage_s: float = 0.5) -> None:
     world.store.faults.status = 503
     await asyncio.sleep(outage_s)
-    world.store.return_to(version)
+    world.store.restore_version(version)
     world.store.faults.status = 0
 
 
@@ -135,7 +135,7 @@
     async def scenario(world: FleetWorld) -> None:
         copied = await copy_before_heartbeats(world)
         await asyncio.sleep(0.9)
-        world.store.return_to(copied)
+        world.store.restore_version(copied)
         write_heartbeats(world, 1, first=200)
         await check_changes_are_known(world, 2)
 
--- a/tests/gateway/test_suspended_machine.py
+++ b/tests/gateway/test_suspended_machine.py
@@ -71,7 +71,7 @@
         assert not any(
             'm3' in seen.headers.get('Limeshelf-Model', '')
             for replica in world.engines
-            for seen in replica.seen
+            for seen in replica.received_calls
         )
 
     run(scenario)
--- a/tests/lease/test_returned_store.py
+++ b/tests/lease/test_returned_store.py
@@ -42,7 +42,7 @@
         await first.renew_or_acquire()
         before = first.fence
         assert before > 0
-        store.return_to(0)
+        store.restore_version(0)
         await asyncio.sleep(LEASE_S * 0.4)
         await first.renew_or_acquire()
         assert first.fence > before
@@ -56,7 +56,7 @@
         await first.renew_or_acquire()
         await second.renew_or_acquire()
         before = first.fence
-        store.return_to(0)
+        store.restore_version(0)
         for _ in range(5):
             await second.renew_or_acquire()
             assert second.fence == 0
@@ -74,7 +74,7 @@
     async def scenario(store: StoreStandIn, first: Leadership, second: Leadership) -> None:
         await first.renew_or_acquire()
         await second.renew_or_acquire()
-        store.return_to(0)
+        store.restore_version(0)
         await second.renew_or_acquire()
         await asyncio.sleep(LEASE_S + 0.1)
         assert first.order_time_left_s() == 0.0
@@ -90,7 +90,7 @@
     async def scenario(store: StoreStandIn, first: Leadership, second: Leadership) -> None:
         await first.renew_or_acquire()
         earlier = store.rows(LEASE_TABLE)[0]['Value']
-        store.return_to(0)
+        store.restore_version(0)
         await asyncio.sleep(LEASE_S * 0.4)
         await first.renew_or_acquire()
         taken = first.fence
@@ -109,7 +109,7 @@
     async def scenario(store: StoreStandIn, first: Leadership, second: Leadership) -> None:
         await first.renew_or_acquire()
         version = store.version
-        store.return_to(0)
+        store.restore_version(0)
         other = LeaseValue('g-9', (2 << 32) + 1, 10**12)
         store.put(LEASE_TABLE, LEASE_KEY, base64.b64encode(other.encode()).decode())
         assert store.version == version
--- a/tests/orders/test_sender.py
+++ b/tests/orders/test_sender.py
@@ -141,7 +141,7 @@
     """An unload without an answer is not done until a report no longer lists the model."""
     replica = ReplicaStandIn('e-1', ['m1'])
     replica.order_fault = Fault.SILENT
-    replica.order_late_s = 1.5
+    replica.order_delay_s = 1.5
     there_at_load: list[bool] = []
 
     async def scenario(system: System) -> None:
@@ -213,7 +213,7 @@
 def test_late_load_is_not_carried_out_twice(late_s: float) -> None:
     replica = ReplicaStandIn('e-1', ['m1'])
     replica.order_fault = Fault.SILENT
-    replica.order_late_s = late_s
+    replica.order_delay_s = late_s
 
     async def scenario(system: System) -> None:
         task = asyncio.create_task(
@@ -245,7 +245,7 @@
 def test_unconfirmed_load_keeps_its_room_until_another_order_is_accepted() -> None:
     replica = ReplicaStandIn('e-1', ['m1'])
     replica.order_fault = Fault.SILENT
-    replica.order_late_s = 30.0
+    replica.order_delay_s = 30.0
 
     async def scenario(system: System) -> None:
         pending = system.sender.pending(system.replica)
@@ -338,7 +338,7 @@
 def test_wait_for_an_answer_ends_with_the_lease() -> None:
     replica = ReplicaStandIn('e-1', ['m1'])
     replica.order_fault = Fault.SILENT
-    replica.order_late_s = 30.0
+    replica.order_delay_s = 30.0
 
     async def scenario(system: System) -> None:
         system.leadership.left_s = 0.1
--- a/tests/placement/test_deadly_load.py
+++ b/tests/placement/test_deadly_load.py
@@ -31,4 +31,4 @@
         assert 1 <= len(world.ends) <= ALLOWED
         assert served[-6:].count(200) >= 5
 
-    run_fleet(scenario, deadly_model='m3')
+    run_fleet(scenario, crash_model='m3')
--- a/tests/platform_soak/checks.py
+++ b/tests/platform_soak/checks.py
@@ -41,7 +41,7 @@
 
 
 def _of_keys(replica: ReplicaStandIn, asked_of: dict[str, Asked], keys: Keys) -> Iterator[str]:
-    for seen in replica.seen:
+    for seen in replica.received_calls:
         asked = asked_of.get(seen.call_id)
         if asked is None:
             continue
@@ -62,7 +62,7 @@
     runs = sorted(
         seen.at_s
         for one in replicas
-        for seen in one.seen
+        for seen in one.received_calls
         if seen.headers.get('Limeshelf-Tenant') == LIMITED and seen.call_id in one.runs
     )
     most = LIMIT_PER_S * LIMIT_WINDOW_S + LIMIT_BURST
@@ -95,10 +95,10 @@
 
 def _of_replicas(replicas: list[ReplicaStandIn]) -> Iterator[str]:
     for one in replicas:
-        if one.most_models > MOST_MODELS:
-            yield f'{one.replica_id}: {one.most_models} models at once'
-        if one.most_adapters > MOST_ADAPTERS:
-            yield f'{one.replica_id}: {one.most_adapters} adapters at once'
+        if one.peak_models > MOST_MODELS:
+            yield f'{one.replica_id}: {one.peak_models} models at once'
+        if one.peak_adapters > MOST_ADAPTERS:
+            yield f'{one.replica_id}: {one.peak_adapters} adapters at once'
 
 
 def _of_holders(replicas: list[ReplicaStandIn]) -> Iterator[str]:
--- a/tests/platform_soak/drains.py
+++ b/tests/platform_soak/drains.py
@@ -28,8 +28,8 @@
         replica = of_id[drain.replica_id]
         late = [
             seen
-            for seen in replica.seen
-            if drain.said_s + KNOWN_S < seen.at_s < replica.next_start_s(drain.said_s)
+            for seen in replica.received_calls
+            if drain.said_s + KNOWN_S < seen.at_s < replica.next_restart_s(drain.said_s)
             and watch.is_judged(replica, seen, drain.said_s)
         ]
         if late:
--- a/tests/platform_soak/faults.py
+++ b/tests/platform_soak/faults.py
@@ -213,7 +213,7 @@
     """Let a replica leave orders unanswered and carry them out late."""
     engine = faults.random.choice(faults.world.engines)
     engine.order_fault = Fault.SILENT
-    engine.order_late_s = faults.random.uniform(1.0, 4.0)
+    engine.order_delay_s = faults.random.uniform(1.0, 4.0)
     await faults.for_a_while()
     engine.order_fault = Fault.NONE
 
@@ -258,12 +258,12 @@
     """Let a replica name a rate, or turn all calls away and ask for rest, for a while."""
     replica = faults.random.choice(faults.world.replicas)
     if faults.random.random() < 0.5:
-        replica.needs.rate_per_s = faults.random.choice(['0', '0.3', '2.3', '5', 'nan'])
+        replica.notices.rate_per_s = faults.random.choice(['0', '0.3', '2.3', '5', 'nan'])
     else:
-        replica.needs.rest_s = faults.random.choice(['0.5', '3', '20'])
+        replica.notices.retry_after_s = faults.random.choice(['0.5', '3', '20'])
         replica.fault = Fault.FULL
     await faults.for_long()
-    replica.needs.rate_per_s = replica.needs.rest_s = None
+    replica.notices.rate_per_s = replica.notices.retry_after_s = None
     replica.fault = Fault.NONE
 
 
@@ -286,6 +286,6 @@
     if replica.born_ms is None:
         # A start that states no time cannot be told from the next one.
         await faults.world.restart(replica, 1000)
-    replica.needs.leaving = True
+    replica.notices.leaving = True
     await faults.for_long()
     await faults.world.restart(replica, 1000)
--- a/tests/platform_soak/needs.py
+++ b/tests/platform_soak/needs.py
@@ -20,7 +20,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterator
 
-    from standins.users_platform.replica import ReplicaStandIn, Seen, Stated
+    from standins.users_platform.replica import ReceivedCall, ReplicaStandIn, SentNotices
     from tests.platform_soak.callers import Asked
 
 #: A gateway that was struck, or whose way to the replica was, is judged again after this time, in
@@ -53,7 +53,7 @@
         times = self.struck_s.get(name, [])
         return bisect.bisect(times, end_s) > bisect.bisect(times, begin_s)
 
-    def is_judged(self, replica: ReplicaStandIn, seen: Seen, since_s: float) -> bool:
+    def is_judged(self, replica: ReplicaStandIn, seen: ReceivedCall, since_s: float) -> bool:
         """Return whether a call that came to a replica says something of its gateway."""
         gateway = self.gateway_of(seen.call_id)
         return not (
@@ -71,15 +71,17 @@
 
 
 def _of_rests(replica: ReplicaStandIn, watch: Watch) -> Iterator[str]:
-    for stated in replica.stated:
-        if stated.needs.rest_s is None or stated.status != STATUS_FULL:
+    for stated in replica.sent_notices:
+        if stated.notices.retry_after_s is None or stated.status != STATUS_FULL:
             continue
         gateway = watch.gateway_of(stated.call_id)
         begin_s = stated.at_s + KNOWN_AFTER_S
-        end_s = min(stated.at_s + float(stated.needs.rest_s), replica.next_start_s(stated.at_s))
+        end_s = min(
+            stated.at_s + float(stated.notices.retry_after_s), replica.next_restart_s(stated.at_s)
+        )
         within = [
             seen
-            for seen in replica.seen
+            for seen in replica.received_calls
             if begin_s <= seen.at_s <= end_s
             and watch.gateway_of(seen.call_id) == gateway
             and watch.is_judged(replica, seen, stated.at_s)
@@ -89,12 +91,12 @@
 
 
 def _of_leaving(replica: ReplicaStandIn, watch: Watch) -> Iterator[str]:
-    for stated in _first_of_each_gateway(replica, watch, lambda one: one.needs.leaving):
+    for stated in _first_of_each_gateway(replica, watch, lambda one: one.notices.leaving):
         gateway = watch.gateway_of(stated.call_id)
-        end_s = replica.next_start_s(stated.at_s)
+        end_s = replica.next_restart_s(stated.at_s)
         late = [
             seen
-            for seen in replica.seen
+            for seen in replica.received_calls
             if stated.at_s + LEAVING_AFTER_S < seen.at_s < end_s
             and watch.gateway_of(seen.call_id) == gateway
             and watch.is_judged(replica, seen, stated.at_s)
@@ -106,24 +108,24 @@
 
 def _of_rates(replica: ReplicaStandIn, watch: Watch) -> Iterator[str]:
     """Judge each stretch of time in which all answers name one usable rate."""
-    stretch: list[Stated] = []
-    for stated in [*replica.stated, None]:
-        rate = stated.needs.rate_per_s if stated is not None else None
-        if stretch and rate != stretch[0].needs.rate_per_s:
+    stretch: list[SentNotices] = []
+    for stated in [*replica.sent_notices, None]:
+        rate = stated.notices.rate_per_s if stated is not None else None
+        if stretch and rate != stretch[0].notices.rate_per_s:
             yield from _of_rate(replica, stretch, watch)
             stretch = []
         if stated is not None and rate not in (None, 'nan'):
             stretch.append(stated)
 
 
-def _of_rate(replica: ReplicaStandIn, stretch: list[Stated], watch: Watch) -> Iterator[str]:
-    rate_per_s = float(stretch[0].needs.rate_per_s or 0.0)
+def _of_rate(replica: ReplicaStandIn, stretch: list[SentNotices], watch: Watch) -> Iterator[str]:
+    rate_per_s = float(stretch[0].notices.rate_per_s or 0.0)
     told_s: dict[str, float] = {}
     for stated in stretch:
         told_s.setdefault(watch.gateway_of(stated.call_id), stated.at_s)
     times = [
         seen.at_s
-        for seen in replica.seen
+        for seen in replica.received_calls
         if (at_s := told_s.get(watch.gateway_of(seen.call_id))) is not None
         and at_s + KNOWN_AFTER_S <= seen.at_s <= stretch[-1].at_s
         and watch.is_judged(replica, seen, seen.at_s)
@@ -136,11 +138,11 @@
 
 
 def _first_of_each_gateway(
-    replica: ReplicaStandIn, watch: Watch, states: Callable[[Stated], bool]
-) -> list[Stated]:
-    first: dict[tuple[str, float], Stated] = {}
-    for stated in replica.stated:
+    replica: ReplicaStandIn, watch: Watch, states: Callable[[SentNotices], bool]
+) -> list[SentNotices]:
+    first: dict[tuple[str, float], SentNotices] = {}
+    for stated in replica.sent_notices:
         if states(stated):
-            start_s = replica.next_start_s(stated.at_s)
+            start_s = replica.next_restart_s(stated.at_s)
             first.setdefault((watch.gateway_of(stated.call_id), start_s), stated)
     return list(first.values())
--- a/tests/platform_soak/test_drains.py
+++ b/tests/platform_soak/test_drains.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from standins.users_platform.replica import ReplicaStandIn, Seen
+from standins.users_platform.replica import ReceivedCall, ReplicaStandIn
 from tests.platform_soak.callers import Asked
 from tests.platform_soak.drains import broken_drains
 from tests.platform_soak.needs import Watch
@@ -30,8 +30,8 @@
     seen_s: float, restarted_s: list[float], struck: dict[str, list[float]], is_broken: bool
 ) -> None:
     replica = ReplicaStandIn('r1')
-    replica.restarted_s = restarted_s
-    replica.seen = [Seen('c1', 'POST', '/', {}, b'', at_s=seen_s)]
+    replica.restart_times_s = restarted_s
+    replica.received_calls = [ReceivedCall('c1', 'POST', '/', {}, b'', at_s=seen_s)]
     watch = Watch({'c1': Asked('c1', 'safe', '', gateway='g')}, struck)
     lines = list(broken_drains([Drain('r1', SAID_S)], [replica], watch))
     assert bool(lines) is is_broken
--- a/tests/platform_soak/test_returns.py
+++ b/tests/platform_soak/test_returns.py
@@ -32,7 +32,7 @@
         store = self.world.store
         store.faults.status = 503
         await asyncio.sleep(0.5)
-        store.return_from(COPY_AGE_S)
+        store.restore_from_age(COPY_AGE_S)
         store.faults.status = 0
         self.world.configure()
 
--- a/tests/platform_soak/test_short.py
+++ b/tests/platform_soak/test_short.py
@@ -6,7 +6,13 @@
 
 import pytest
 
-from standins.users_platform.replica import Needs, Ordered, ReplicaStandIn, Seen, Stated
+from standins.users_platform.replica import (
+    ReceivedCall,
+    ReceivedOrder,
+    ReplicaNotices,
+    ReplicaStandIn,
+    SentNotices,
+)
 from tests.platform_soak.callers import Asked
 from tests.platform_soak.checks import broken_promises
 from tests.platform_soak.needs import Watch, broken_needs
@@ -55,25 +61,29 @@
 
 def test_checks_find_overcommitted_replicas_and_shared_fences() -> None:
     right = Asked('c1', 'safe', '', 200, WHOLE, 's.c1')
-    assert any('3 models' in line for line in judged(right, 1, most_models=3))
-    assert any('3 adapters' in line for line in judged(right, 1, most_adapters=3))
+    assert any('3 models' in line for line in judged(right, 1, peak_models=3))
+    assert any('3 adapters' in line for line in judged(right, 1, peak_adapters=3))
     replica = ReplicaStandIn('r1')
-    replica.orders = [Ordered('load', 'm1', '', 0, 4, 202, holder) for holder in ('g1', 'g2')]
+    replica.orders = [
+        ReceivedOrder('load', 'm1', '', 0, 4, 202, holder) for holder in ('g1', 'g2')
+    ]
     assert any('fence 4' in line for line in broken_promises([], [replica]))
 
 
 def test_checks_find_calls_that_a_replica_asked_not_to_get() -> None:
     replica = ReplicaStandIn('r1')
     asked_of = {f'c{n}': Asked(f'c{n}', 'safe', '', gateway='g') for n in range(40)}
-    replica.seen = [Seen(f'c{n}', 'POST', '/', {}, b'', at_s=n * 0.1) for n in range(40)]
+    replica.received_calls = [
+        ReceivedCall(f'c{n}', 'POST', '/', {}, b'', at_s=n * 0.1) for n in range(40)
+    ]
     for needs, status, word in [
-        (Needs(rest_s='3'), 503, 'within its rest'),
-        (Needs(leaving=True), 200, 'knew that it leaves'),
-        (Needs(rate_per_s='0.3'), 200, 'names 0.3'),
+        (ReplicaNotices(retry_after_s='3'), 503, 'within its rest'),
+        (ReplicaNotices(leaving=True), 200, 'knew that it leaves'),
+        (ReplicaNotices(rate_per_s='0.3'), 200, 'names 0.3'),
     ]:
-        replica.stated = [
-            Stated('c0', needs, status, at_s=0.0),
-            Stated('c39', needs, 200, at_s=3.9),
+        replica.sent_notices = [
+            SentNotices('c0', needs, status, at_s=0.0),
+            SentNotices('c39', needs, 200, at_s=3.9),
         ]
         (line,) = broken_needs([replica], Watch(asked_of, {}))
         assert word in line
--- a/tests/platform_soak/world.py
+++ b/tests/platform_soak/world.py
@@ -166,7 +166,7 @@
 
     def return_store(self, age_s: float) -> None:
         """Let the store come back from a copy that was taken some seconds ago."""
-        self.store.return_from(age_s)
+        self.store.restore_from_age(age_s)
         self.keys.doubt(KNOWN_S)
 
     def _confirm_keys(self) -> None:
@@ -203,7 +203,7 @@
         """Note a drain once; one that nobody has confirmed yet counts from when it is."""
         now_s = asyncio.get_running_loop().time()
         of_this = [one.said_s for one in self.drains if one.replica_id == replica.replica_id]
-        if not of_this or replica.next_start_s(of_this[-1]) < now_s:
+        if not of_this or replica.next_restart_s(of_this[-1]) < now_s:
             self.drains.append(Drain(replica.replica_id, now_s))
 
     async def _keep_announcing(self) -> None:
--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -30,8 +30,8 @@
     """Gateways, a store and replicas; use as an asynchronous context.
 
     :param engines: replicas that hold model ``m1``.
-    :param deadly_text: what ends a replica that begins to run a call with it.
-    :param deadly_model: what ends a replica that begins to load it.
+    :param crash_text: a replica crashes when it runs a call whose body contains this.
+    :param crash_model: a replica crashes when it begins to load this model.
     :param centres: data centres of the gateways, in turn.
     :param back_after_s: from the end of a replica to its return under another id, in seconds.
     :ivar ends: when replicas ended, on the clock of the loop.
@@ -41,8 +41,8 @@
     def __init__(
         self,
         engines: int = 4,
-        deadly_text: bytes | None = None,
-        deadly_model: str = '',
+        crash_text: bytes | None = None,
+        crash_model: str = '',
         back_after_s: float = 0.6,
         centres: tuple[str, ...] = CENTRES,
     ) -> None:
@@ -50,8 +50,8 @@
         self.store.era = 1
         self.engines = [ReplicaStandIn(f'e-{number}', ['m1']) for number in range(engines)]
         self.ends: list[float] = []
-        self._deadly_text = deadly_text
-        self._deadly_model = deadly_model
+        self._crash_text = crash_text
+        self._crash_model = crash_model
         self.centres = centres
         self._back_after_s = back_after_s
         self._gateways: dict[int, Gateway] = {}
@@ -136,9 +136,9 @@
         )
 
     async def _start_replica(self, replica: ReplicaStandIn) -> None:
-        replica.deadly_text = self._deadly_text
-        replica.deadly_model = self._deadly_model
-        replica.on_end = self._note_end
+        replica.crash_text = self._crash_text
+        replica.crash_model = self._crash_model
+        replica.on_crash = self._note_end
         await replica.start()
         self.announce(replica)
 
--- a/tests/support/needs.py
+++ b/tests/support/needs.py
@@ -34,7 +34,7 @@
 
 def most_in_window(world: FleetWorld, replica: ReplicaStandIn) -> int:
     """Return the most calls in a window of gateways that knew of a replica's rate."""
-    stated = [one for one in replica.stated if one.needs.rate_per_s is not None]
+    stated = [one for one in replica.sent_notices if one.notices.rate_per_s is not None]
     told_s: dict[int, float] = {}
     for one in stated:
         told_s.setdefault(world.gateway_of[one.call_id], one.at_s)
@@ -56,8 +56,8 @@
 def arrivals_after_leaving(world: FleetWorld, replica: ReplicaStandIn) -> int:
     """Return how many calls came of gateways that long knew that a replica leaves."""
     told_s: dict[int, float] = {}
-    for one in replica.stated:
-        if one.needs.leaving:
+    for one in replica.sent_notices:
+        if one.notices.leaving:
             told_s.setdefault(world.gateway_of[one.call_id], one.at_s)
     return sum(
         number in told_s and at_s > told_s[number] + LEAVING_AFTER_S
@@ -69,16 +69,16 @@
     """Return the most calls of one gateway within a rest that it was asked for."""
     arrivals = list(_arrivals(world, replica))
     most = 0
-    for one in replica.stated:
-        if one.needs.rest_s is None or one.status != STATUS_FULL:
+    for one in replica.sent_notices:
+        if one.notices.retry_after_s is None or one.status != STATUS_FULL:
             continue
         number = world.gateway_of[one.call_id]
-        begin_s, end_s = one.at_s + KNOWN_AFTER_S, one.at_s + float(one.needs.rest_s)
+        begin_s, end_s = one.at_s + KNOWN_AFTER_S, one.at_s + float(one.notices.retry_after_s)
         within = sum(who == number and begin_s <= at_s <= end_s for at_s, who in arrivals)
         most = max(most, within)
     return most
 
 
 def _arrivals(world: FleetWorld, replica: ReplicaStandIn) -> Iterator[tuple[float, int]]:
-    for seen in replica.seen:
+    for seen in replica.received_calls:
         yield seen.at_s, world.gateway_of[seen.call_id]
