--- a/limeshelf/admission/hold_or_refuse.py
+++ b/limeshelf/admission/hold_or_refuse.py
@@ -19,7 +19,8 @@
 if TYPE_CHECKING:
     from limeshelf.calls.routes import Route
 
-#: Interval at which a held call requests a replica again; a change of replicas wakes it earlier.
+#: Interval at which a held call requests a replica again; a change of replicas ends the wait
+#: earlier.
 RECHECK_INTERVAL_S = 0.05
 #: Time allowed for the leader to announce when a missing model will be loaded, and its upper limit
 #: as a share of the objective, which keeps a refusal early.
--- a/limeshelf/admission/retry_after.py
+++ b/limeshelf/admission/retry_after.py
@@ -26,8 +26,8 @@
 #: The configuration and the replicas are received within about a second of the start.
 NOT_READY_RETRY_AFTER_S = 0.5
 
-#: An isolated gateway cannot estimate when its connection returns; another gateway accepts the
-#: call sooner.
+#: An isolated gateway cannot estimate when its connection is restored; another gateway
+#: accepts the call sooner.
 CONFIG_TOO_OLD_RETRY_AFTER_S = 0.3
 
 #: A relay that stopped responding is replaced within 1.2 s, and another gateway may reach one.
--- a/limeshelf/admission/retry_budget.py
+++ b/limeshelf/admission/retry_budget.py
@@ -80,7 +80,7 @@
 
 
 class RetryBudgets:
-    """The budgets of all services, under the rule in force.
+    """The budgets of all services, under the current rule.
 
     :ivar gateways: number of gateways that share each allowance, this one included; ``None`` while
         unknown.
--- a/tests/admission/test_hold_or_refuse.py
+++ b/tests/admission/test_hold_or_refuse.py
@@ -40,8 +40,8 @@
     assert decide(expected_wait_s=0.5) == RefuseUntilReady(0.5, pytest.approx(0.55))
 
 
-def test_returned_caller_is_held_as_long_as_it_waits() -> None:
-    # A held call is refused after 85 % of the caller's patience of four seconds.
+def test_retrying_caller_is_held_until_its_time_out() -> None:
+    # A held call is refused after 85 % of the caller's time-out of four seconds.
     assert isinstance(decide(expected_wait_s=3.1, returned=True), Hold)
     assert isinstance(decide(expected_wait_s=3.2, returned=True), RefuseUntilReady)
 
--- a/tests/admission/test_wait_limits.py
+++ b/tests/admission/test_wait_limits.py
@@ -17,7 +17,7 @@
     assert is_retry(make_route(), budget_s) is returned
 
 
-def test_wait_limits_end_before_the_objective_and_the_patience() -> None:
+def test_wait_limits_end_before_the_objective_and_the_time_out() -> None:
     route = make_route(objective_s=2.0)
     assert hold_left_s(route, 0.2) == pytest.approx(1.0)
     assert route.patience_s == 8.0
