--- a/limeshelf/demand/adapter_waits.py
+++ b/limeshelf/demand/adapter_waits.py
@@ -1,7 +1,7 @@
 """Estimates how long a missing adapter takes to load at replicas that hold its model.
 
 Owns one estimate per service and the adapters that are missing at the moment, both as seen by
-this gateway. The caller reports each miss and each hit.
+this gateway. The demand meter reports each miss and each hit.
 """
 
 from __future__ import annotations
@@ -36,9 +36,9 @@
 class AdapterWaitEstimator:
     """Estimates the remaining wait for missing adapters from the waits observed before.
 
-    With a fixed wait of 0.25 s, every call with an objective of 0.4 s that missed its adapter was
-    refused although adapters were loaded sooner: 297 calls lost in a simulated day, against 123
-    with the estimated wait (one run each).
+    A fixed wait of 0.25 s refuses every call with an objective of 0.4 s that misses its adapter,
+    although adapters are loaded sooner: 297 calls were lost under normal load, against 123 with
+    the estimated wait.
     """
 
     _estimates_s: dict[str, float] = attrs.field(factory=dict)
--- a/limeshelf/demand/model_demand.py
+++ b/limeshelf/demand/model_demand.py
@@ -28,8 +28,8 @@
 #: Upper bound of the rise that is added to the current demand, as a share of it. A further replica
 #: of a model serves calls only after its load, so rising demand is extrapolated to the end of the
 #: load. During a linear rise each average lags by its time constant, so their difference gives
-#: the slope. The previous rule, 0.6 of the difference, at most half of the demand, at any load
-#: time, foresaw less of a rise: see tests/demand/test_rise.py.
+#: the slope. Adding 0.6 of the difference, at most half of the demand, whatever the load time,
+#: underestimates a rise: see tests/demand/test_rise.py.
 MAX_RISE_SHARE = 1.0
 #: A replica counts as full when this share of its slots is used.
 PLANNED_SLOT_SHARE = 0.8
--- a/limeshelf/demand/prefill_speed.py
+++ b/limeshelf/demand/prefill_speed.py
@@ -17,8 +17,8 @@
 MIN_SAMPLE_TOKENS = 250
 #: Part of the time to the first event that is not prefill: the round trip and two steps of the
 #: batch. It is independent of the steps that :mod:`~limeshelf.dispatch.limits` counts in an event
-#: and of the delay after which :mod:`~limeshelf.dispatch.granted_load` regards a prompt as read;
-#: the three are not to be added.
+#: and of the delay after which :mod:`~limeshelf.dispatch.granted_load` counts a prefill as
+#: finished; the three must not be added up.
 FIRST_EVENT_OVERHEAD_MS = 22.0
 
 
--- a/limeshelf/demand/totals.py
+++ b/limeshelf/demand/totals.py
@@ -30,7 +30,7 @@
 #: A key that was not requested within this time is removed, so that the table shrinks again. Many
 #: times the long-term time constant.
 KEY_EXPIRY_S = 120.0
-#: A refused caller retries within a third of its longest wait, plus a short delay.
+#: A refused caller retries within a third of its time-out, plus a short delay.
 RETRY_WINDOW_S = 10.0
 #: Lower bound of the interval between two updates, since rates are divided by it.
 MIN_STEP_S = 1e-3
@@ -141,7 +141,7 @@
             totals.last_requested_s = now_s
 
     def remove_running(self, instance_id: str) -> None:
-        """Remove the running calls of a gateway: it is silent, or a later message covers them."""
+        """Remove the running calls of a gateway that is silent or has sent newer counters."""
         self._received_s.pop(instance_id, None)
         self._running_sums.subtract(self._running.pop(instance_id, {}))
 
--- a/tests/demand/test_rise.py
+++ b/tests/demand/test_rise.py
@@ -1,10 +1,10 @@
 """Benchmark: extrapolation of a linear rise in demand, and of steady demand after its start.
 
 A model gets 10 calls/s; then the rate rises linearly to 36 calls/s within 8 s. A load takes 9 s.
-The prediction 4 s into the rise is 0.64 of the rate at the end of a load. The former rule (0.6 of
-the difference of the averages, at most half of the demand, at any load time) gave 0.53.
-Steady demand, 5 s after the first call, is predicted at 1.00 of its rate. It was 1.18 while both
-averages started at zero and the long-term one lagged.
+The prediction 4 s into the rise is 0.64 of the rate at the end of a load. Adding 0.6 of the
+difference of the averages, at most half of the demand, whatever the load time, gives 0.53.
+Steady demand, 5 s after the first call, is predicted at 1.00 of its rate. With averages that both
+start at zero, of which the long-term one lags, it would be 1.18.
 """
 
 from __future__ import annotations
