--- a/limeshelf/dispatch/dispatcher.py
+++ b/limeshelf/dispatch/dispatcher.py
@@ -1,8 +1,8 @@
 """Grants the replicas of a data centre to model calls, and queues or refuses other calls.
 
 One gateway grants the replicas of a data centre on behalf of all gateways, because gateways that
-choose independently do not see the calls that the others send (score of a quiet-day run: 0.61 with
-independent choice, 1.00 with one dispatcher).
+choose independently do not see the calls that the others send (under normal load, independent
+choice reached 0.61 of the result of one dispatcher).
 
 Owns the queue and the granted requests. After a restart, the queue is rebuilt from the queries
 that gateways send again, and granted requests are known from the loads that gateways report. The
@@ -50,7 +50,7 @@
 class Dispatcher:
     """Grants replicas to the requests of all gateways.
 
-    :param config: returns the configuration in force, ``None`` before the first.
+    :param config: returns the current configuration, ``None`` before the first.
     :param answer: sends a verdict to the gateway at a peer address; the empty address is this
         process.
     :param owner_of: returns the owner of a data centre's replicas; see
@@ -221,15 +221,15 @@
             uncached_tokens,
             prefill_ms=self.speed.prefill_ms(query.key.model, uncached_tokens),
             granted_s=now_s,
-            has_permit=self._try_take_permit(replica, now_s),
+            has_permit=self._try_acquire_permit(replica, now_s),
         )
         load.add(granted)
         self._queue.remove(request.request_id)
         self._granted.add(granted)
         self._send_grant(granted)
 
-    def _try_take_permit(self, replica: Replica, now_s: float) -> bool:
-        """Take a rate permit for a grant; return whether it was needed and issued here."""
+    def _try_acquire_permit(self, replica: Replica, now_s: float) -> bool:
+        """Issue a rate permit with a grant; return whether it was needed and issued here."""
         if replica.backpressure.rate_per_s is None:
             return False
         permit = self._limiters.try_acquire(replica, 0.0, now_s)
--- a/limeshelf/dispatch/exchange.py
+++ b/limeshelf/dispatch/exchange.py
@@ -24,15 +24,15 @@
     from limeshelf.replicas.directory import ReplicaDirectory
 
 #: Interval between passes over the queue while requests wait in it: capacity also becomes free
-#: with time alone. Passes over an empty queue woke each gateway 67 times a second, half of all
-#: wake-ups of an idle gateway.
+#: as time passes, without a message. Passes over an empty queue woke each gateway 67 times a
+#: second, half of all wake-ups of an idle gateway.
 QUEUE_INTERVAL_S = 0.015
 
 
 class DispatchExchange:
     """Sends and receives dispatch messages; those addressed to this process stay local.
 
-    :param config: returns the configuration in force, ``None`` before the first.
+    :param config: returns the current configuration, ``None`` before the first.
     :param owner_of: returns the owner of a data centre's replicas; see
         :class:`~limeshelf.dispatch.owners.OwnerSelector`.
     :param data_centre: of this process.
--- a/limeshelf/dispatch/limits.py
+++ b/limeshelf/dispatch/limits.py
@@ -4,7 +4,7 @@
 is the sum of its decode steps and the prefills between them, whichever step these fall in. So the
 prefill time granted within any window as long as the allowed pause must stay below that pause
 minus the decode steps. Limiting only the prefills in progress at one moment left longer pauses in
-160 of about 560 streams of the quiet-day run; limiting the window left them in 49.
+160 of about 560 streams under normal load; limiting the window left them in 49.
 
 Owns these rules only; :mod:`limeshelf.dispatch.granted_load` keeps the sums.
 """
--- a/limeshelf/dispatch/refusal.py
+++ b/limeshelf/dispatch/refusal.py
@@ -13,7 +13,7 @@
 
 #: Share of the time that replicas spend on prefill while requests wait for them; the rest goes to
 #: the decode steps of running calls. Not the same as ``PLANNED_PREFILL_SHARE`` of the demand,
-#: which sizes the copies of a model for future demand.
+#: which determines how many copies of a model are planned.
 PREFILL_DUTY = 0.65
 #: Share of the time to the objective that a request may wait; the rest is left for the prefill and
 #: the round trip.
--- a/limeshelf/dispatch/requests.py
+++ b/limeshelf/dispatch/requests.py
@@ -1,7 +1,7 @@
 """Queued and granted requests of the dispatcher, and the order in which they are served.
 
-Requests in time come before late ones, which are worth little; then by the priority of the route;
-then the earliest due time first.
+Requests that are not late come before late ones, whose answers have little value. Within both
+groups the priority of the route decides, then the earliest due time.
 
 Owns no state; built from the queries of :mod:`limeshelf.dispatch.messages`.
 """
--- a/limeshelf/dispatch/selector.py
+++ b/limeshelf/dispatch/selector.py
@@ -131,15 +131,15 @@
             return None
         load.expire_prefills(now_s)
         window = self._window(replica, query, engine)
-        read_ms = self._speed.prefill_ms(
+        new_prefill_ms = self._speed.prefill_ms(
             query.key.model, load.cached_blocks.uncached_tokens(query, now_s)
         )
-        if not window.admits(load.prefill_ms_since(now_s - window.span_s), read_ms):
+        if not window.admits(load.prefill_ms_since(now_s - window.span_s), new_prefill_ms):
             return None
         occupancy = self._occupancy(replica, load, engine)
         if not occupancy.admits(query.prompt_tokens + query.likely_tokens):
             return None
-        cost = call_cost(load.total_prefill_ms + read_ms, query.pause_ms, occupancy)
+        cost = call_cost(load.total_prefill_ms + new_prefill_ms, query.pause_ms, occupancy)
         return with_penalties(cost, replica, query.data_centre)
 
     def _occupancy(self, replica: Replica, load: GrantedLoad, engine: EngineSpec) -> Occupancy:
--- a/tests/dispatch/test_dispatcher.py
+++ b/tests/dispatch/test_dispatcher.py
@@ -89,7 +89,7 @@
 def test_prefill_time_in_any_pause_window_stays_below_the_pause(clock: VirtualClock) -> None:
     """Two prefills granted in succession can fall between the same two events of a stream.
 
-    Guards against limiting only the prefills in progress: in the quiet-day run, 160 of 560 streams
+    Guards against limiting only the prefills in progress: under normal load, 160 of 560 streams
     then paused for 311 to 450 ms.
     """
     harness = Harness(clock, 1)
--- a/tests/dispatch/test_granted.py
+++ b/tests/dispatch/test_granted.py
@@ -1,4 +1,4 @@
-"""Granted requests are forgotten when they end, or when they must have removed."""
+"""Granted requests are removed when they end, or when they expire."""
 
 from __future__ import annotations
 
