--- a/limeshelf/placement/adapters.py
+++ b/limeshelf/placement/adapters.py
@@ -1,7 +1,7 @@
 """Chooses the replica that an adapter is loaded on, and the adapter that is evicted there.
 
-Only plans and keeps no state: it reads the replicas' holdings and reports, the orders pending at
-them and the demand for each adapter. The caller sends the orders.
+Only plans and keeps no state: it reads the replicas' holdings and reports, their pending orders
+and the demand for each adapter. The caller sends the orders.
 """
 
 from __future__ import annotations
@@ -31,9 +31,9 @@
 #: An adapter with unserved callers is kept for this long after its last request, or until it
 #: serves a call. It is loaded within fractions of a second, and its callers retry just as quickly.
 ADAPTER_RETRY_WINDOW_S = 5.0
-#: An adapter counts as awaited only once it has gone unserved for longer than the first event of
-#: an answer takes: a busy adapter always has some call that waits for its first event.
-AWAITED_AFTER_S = 1.0
+#: Shortest unserved time after which a retry for an adapter is expected. It is longer than the
+#: first event of an answer takes: a busy adapter always has some call that waits for that.
+ADAPTER_RETRY_EXPECTED_AFTER_S = 1.0
 #: An adapter that goes unserved although one replica holds it is loaded on a second one after this
 #: long. It gets no third place: an adapter that cannot be served would occupy all of them.
 SECOND_PLACE_AFTER_S = 20.0
@@ -206,10 +206,10 @@
         if len(held) + loading < self.engine.adapter_places:
             return AdapterPlace()
         now_s = boottime_s()
-        awaited = [key for key in held if self._is_awaited(key, now_s)]
-        served = [key for key in held if key not in awaited]
+        retryable = [key for key in held if self._may_be_retried(key, now_s)]
+        served = [key for key in held if key not in retryable]
         idle = [key for key in served if self._is_idle(key, now_s)]
-        if not idle and is_overdue and not any(self._is_overdue(key, now_s) for key in awaited):
+        if not idle and is_overdue and not any(self._is_overdue(key, now_s) for key in retryable):
             # One overdue adapter per replica at a time: the previous one has to serve a call or
             # expire.
             idle = served
@@ -222,10 +222,10 @@
         demand = self._demand(key)
         return demand.running, demand.last_requested_s
 
-    def _is_awaited(self, key: ModelKey, now_s: float) -> bool:
+    def _may_be_retried(self, key: ModelKey, now_s: float) -> bool:
         demand = self._demand(key)
         return (
-            demand.unserved_s(now_s) >= AWAITED_AFTER_S
+            demand.unserved_s(now_s) >= ADAPTER_RETRY_EXPECTED_AFTER_S
             and now_s - demand.last_requested_s <= ADAPTER_RETRY_WINDOW_S
         )
 
--- a/limeshelf/placement/copy_values.py
+++ b/limeshelf/placement/copy_values.py
@@ -1,8 +1,8 @@
 """The value of a model copy, in calls per second that are served because it exists.
 
 Answers three questions: what one more copy on a replica gains, what is lost with a copy that is
-evicted, and whether demand is still too low to judge by. Values that do not depend on where
-copies are come from :mod:`~limeshelf.placement.model_values`.
+evicted, and whether demand is still too low to compute values from. Values that do not
+depend on where copies are come from :mod:`~limeshelf.placement.model_values`.
 """
 
 from __future__ import annotations
@@ -35,6 +35,9 @@
 class CopyValues:
     """Computes the value of the copies of one service's models.
 
+    The gain of a copy is the calls per second that are served only if it is loaded; the loss of a
+    copy is the calls per second that are no longer served once it is evicted.
+
     :param initial_copies: copies of each model when the leader first saw the replicas; an
         indication of which models are busy before any call arrives.
     :param starved_s: seconds for which each requested model has had no copy.
@@ -55,7 +58,7 @@
             snapshot.engine, snapshot.demands, initial_copies, starved_s
         )
         self._losses: dict[str, dict[str, float]] = {}
-        #: Whether demand is still too low to judge by.
+        #: Whether demand is still too low to compute values from.
         self.is_low_demand = self._model_values.is_low_demand
 
     def starved_s(self, model: str) -> float:
--- a/limeshelf/placement/model_values.py
+++ b/limeshelf/placement/model_values.py
@@ -21,7 +21,7 @@
 #: Weight of a model's calls per second in the value of its only copy.
 ONLY_COPY_CALLS_FACTOR = 2.0
 #: Upper limit of the long-term call rate in the value of an only copy.
-LASTING_LIMIT_PER_S = 0.5
+LONG_TERM_LIMIT_PER_S = 0.5
 #: Added, in calls per second, while calls wait for a copy.
 WAITING_VALUE_PER_S = 1.0
 #: Added, in calls per second, for each second for which a requested model has had no copy, up to
@@ -35,9 +35,9 @@
 #: Upper limit of that rate. Where few models get most of the calls, a share of the mean would
 #: exceed the demand for most models, and copies without calls would fill all replicas.
 EXPECTED_LIMIT_PER_S = 1.5
-#: A second copy is worth at least this share of a model's calls, because replicas and data centres
-#: fail: when the only copy of the busiest model was cut off, 220 calls were refused until another
-#: one was loaded. The limit keeps it below the value of a model that calls wait for.
+#: The value of a second copy is at least this share of a model's calls, because replicas and data
+#: centres fail: when the only copy of the busiest model was cut off, 220 calls were refused
+#: until another one was loaded. The limit keeps it below the value of a model that calls wait for.
 REDUNDANCY_SHARE = 0.15
 REDUNDANCY_LIMIT_PER_S = 1.5
 #: Calls can wait for a load if their latency objective is at least this many times the load time
@@ -68,7 +68,7 @@
         self._initial_copies = initial_copies
         self._starved_s = starved_s
         calls_per_s = sum(demand.calls_per_s for demand in demands.values())
-        #: Whether demand is still too low to judge by.
+        #: Whether demand is still too low to compute values from.
         self.is_low_demand = calls_per_s < LOW_DEMAND_CALLS_PER_S
         self._latency_tolerant = {
             name: self._compute_latency_tolerant(name) for name in engine.models
@@ -126,7 +126,7 @@
         demand = self._demand(model)
         calls_per_s = max(
             demand.calls_per_s / max(1.0, demand.busy_replicas),
-            min(demand.long_term_calls_per_s, LASTING_LIMIT_PER_S),
+            min(demand.long_term_calls_per_s, LONG_TERM_LIMIT_PER_S),
         )
         if not self._latency_tolerant[model]:
             calls_per_s = max(calls_per_s, self._expected_per_s)
--- a/limeshelf/placement/move_runner.py
+++ b/limeshelf/placement/move_runner.py
@@ -35,8 +35,8 @@
 class MoveRunner:
     """Carries out moves, each in a task of its own.
 
-    :param on_load_start: called when the load of a model starts, so that waiting calls are told
-        when it is expected to be ready.
+    :param on_load_start: called when the load of a model starts, so that the time when it is
+        expected to be ready is announced to waiting calls.
     """
 
     def __init__(
--- a/limeshelf/placement/overdue.py
+++ b/limeshelf/placement/overdue.py
@@ -16,13 +16,14 @@
 #: A model is overdue once it has been requested for this long without any call being served.
 OVERDUE_AFTER_S = 12.0
 #: Net loss, in calls per second, that the load of an overdue model may cause for each second
-#: beyond that. It is unlimited, so that the load happens whatever the existing copies are worth.
+#: beyond that. It has no upper limit, so that the load happens in the end, whatever the value of
+#: the existing copies.
 ALLOWED_LOSS_PER_S_PER_S = 0.5
 #: A model that goes unserved despite one copy (its replica is cut off or full) gets a second one
 #: after this long. It gets no third: a model that cannot be served would occupy all replicas.
 SECOND_COPY_AFTER_S = 30.0
-#: Share of the replicas, at least one, that load overdue models at the same time. It bounds what
-#: the models that are being served give up.
+#: Share of the replicas, at least one, that load overdue models at the same time. It limits how
+#: many copies of served models are evicted for them.
 OVERDUE_REPLICAS_SHARE = 0.2
 
 
@@ -59,8 +60,8 @@
     :param overdue_loads: the running loads of overdue models; while they use their share of the
         replicas, no model is returned.
     """
-    under_way = overdue_loads.count_running(snapshot.replicas) if overdue_loads is not None else 0
-    if under_way >= max(1, int(OVERDUE_REPLICAS_SHARE * len(snapshot.replicas))):
+    running = overdue_loads.count_running(snapshot.replicas) if overdue_loads is not None else 0
+    if running >= max(1, int(OVERDUE_REPLICAS_SHARE * len(snapshot.replicas))):
         return []
     due = [
         name
--- a/limeshelf/placement/planner.py
+++ b/limeshelf/placement/planner.py
@@ -67,8 +67,8 @@
     #: The remaining idle replicas are reserved for models with a higher gain or with
     #: latency-critical calls.
     IDLE_RESERVE = 'withheld'
-    #: All that could be evicted on idle replicas is worth more, or refused callers are expected to
-    #: retry for it.
+    #: All copies that could be evicted on idle replicas have a higher value, or are kept because
+    #: refused callers are expected to retry for them.
     LOWER_VALUE = 'outbid'
     #: No idle replica has the weights locally, and no load from the weight store may start.
     STORE_LIMITED = 'store_limited'
@@ -164,7 +164,7 @@
         *,
         may_prefetch: bool = False,
     ) -> CopyMove | None:
-        """Return the most valuable move that is worth making now, or ``None``.
+        """Return the move to make now, or ``None`` if no move gains more than it costs.
 
         Overdue models come first. The others are tried in descending order of what one more copy
         gains on an idle replica, until a worthwhile move is found.
--- a/limeshelf/placement/prefetch.py
+++ b/limeshelf/placement/prefetch.py
@@ -1,4 +1,4 @@
-"""Loads models whose weights no replica has, as long as that costs callers nothing.
+"""Selects models to load because no replica has their weights, while demand is low.
 
 A load from a replica's memory or disk takes one second, a load from the weight store several.
 Every model is therefore loaded on some replica once, before it is requested. The copy that is
@@ -41,7 +41,7 @@
     ):
         return None
     if any(not one.is_idle and not one.loading for one in snapshot.replicas):
-        # Its contents may not be known yet.
+        # The weights on such a replica may not be known yet.
         return None
     for model in uncached_models(snapshot, barred):
         options = [
--- a/limeshelf/placement/service.py
+++ b/limeshelf/placement/service.py
@@ -55,11 +55,11 @@
 class PlacementService:
     """Places models and adapters while this process holds the lease.
 
-    :param config: returns the configuration in force.
+    :param config: returns the current configuration.
     :param window_s: window in which loads from the weight store are counted.
-    :param read_ms: returns the milliseconds that prefilling tokens of a model takes.
+    :param read_ms: returns the prefill time of a number of tokens for a model, in milliseconds.
     :param on_load_start: called when the load of a model starts.
-    :param lost_loads: tells which loads must not be ordered any more.
+    :param lost_loads: determines which loads must not be ordered any more.
     """
 
     def __init__(
@@ -219,7 +219,7 @@
         return AdapterPlanner(service, engine, self._directory, self.totals.latest(), fence)
 
     def unserved(self, kind: UnservedKind) -> UnservedStats:
-        """Return the unserved keys of a kind; none while another process leads."""
+        """Return the statistics of unserved keys of a kind; empty while another process leads."""
         if not self.may_order():
             return UnservedStats()
         return unserved_stats(kind, self.totals.latest(), boottime_s())
--- a/limeshelf/placement/store_load_limiter.py
+++ b/limeshelf/placement/store_load_limiter.py
@@ -9,8 +9,8 @@
 
 from limeshelf.util.clock import boottime_s
 
-#: Loads above the steady rate that a window may contain. The platform counts a fault from more
-#: than three; checked by tests/placement/test_store_load_limiter.py.
+#: Loads above the steady rate that a window may contain. The platform counts more than three
+#: as a fault; checked by tests/placement/test_store_load_limiter.py.
 BURST_LOADS = 1.5
 
 
--- a/tests/placement/test_adapters.py
+++ b/tests/placement/test_adapters.py
@@ -117,7 +117,7 @@
     assert fleet.plan() is None
 
 
-def test_idle_adapter_that_was_asked_for_longest_ago_is_evicted(fleet: Fleet) -> None:
+def test_idle_adapter_that_was_requested_longest_ago_is_evicted(fleet: Fleet) -> None:
     fleet.add('r1', 'a1', 'a2', 'a3')
     fleet.seen('a1', ago_s=9.0, running=1.0)
     fleet.seen('a2', ago_s=2.0)
@@ -179,7 +179,7 @@
 
 
 def test_overdue_adapter_replaces_one_in_steady_use(fleet: Fleet) -> None:
-    """One of 60 calls for the ninth of nine adapters was served, however long it was requested."""
+    """Otherwise one of 60 calls for the ninth of nine adapters is served."""
     fleet.add('r1', 'a1', 'a2', 'a3')
     fleet.seen('a1', ago_s=0.3, running=2.0)
     fleet.seen('a2', ago_s=0.2)
@@ -201,7 +201,7 @@
     assert fleet.plan() == ('r1', 'a1')
 
 
-def test_awaited_adapter_is_kept_until_its_callers_retry(fleet: Fleet) -> None:
+def test_unserved_adapter_is_kept_until_its_callers_retry(fleet: Fleet) -> None:
     fleet.add('r1', 'a1', 'a2', 'a3')
     fleet.seen('a1', ago_s=0.1)
     fleet.seen('a2', ago_s=0.1)
@@ -256,7 +256,7 @@
     assert planner.plan(ModelKey('lm', 'm1', 'no-such'), fleet.pending) is None
 
 
-def test_busy_adapter_whose_answers_begin_is_not_awaited(fleet: Fleet) -> None:
+def test_busy_adapter_whose_answers_begin_is_not_kept_for_retries(fleet: Fleet) -> None:
     """Otherwise a busy adapter is never evicted: some call always waits for its first event."""
     fleet.add('r1', 'a1', 'a2', 'a3')
     for adapter in ('a1', 'a2', 'a3'):
--- a/tests/placement/test_copy_values.py
+++ b/tests/placement/test_copy_values.py
@@ -69,8 +69,8 @@
     assert few.loss('rare', replicas[0]) == pytest.approx(2 * (0.6 + 2 * 0.3 * (6 + 0) / 2))
 
 
-def test_copy_without_calls_is_worth_less_than_that_of_a_busy_model() -> None:
-    """Where few models got most calls, it was worth more, and waiting models were not loaded."""
+def test_copy_without_calls_has_less_value_than_that_of_a_busy_model() -> None:
+    """If few models get most calls, its value must not keep waiting models from being loaded."""
     replicas = [replica('r1', 'hot', 'small', 'rare')]
     demands = {'hot': busy(60), 'rare': busy(5), 'small': ModelDemand(objective_s=1.0)}
     copy_values = values_of(demands, replicas)
@@ -78,7 +78,7 @@
 
 
 def test_latency_critical_copy_is_not_evicted_for_a_waiting_model() -> None:
-    """Six of ten latency-critical models had no copy left when demand moved to two of them."""
+    """Otherwise six of ten latency-critical models lose their copies when demand moves to two."""
     replicas = [replica('r1', 'hot', 'rare'), replica('r2', 'hot', 'small')]
     demands = {
         'hot': busy(20),
--- a/tests/placement/test_deadly_load.py
+++ b/tests/placement/test_deadly_load.py
@@ -1,8 +1,8 @@
 """A model whose load crashes replicas is not ordered any more after a few crashes.
 
 Calls wait for a model that no replica holds; the leader orders its load; the replica crashes.
-If the leader keeps that result for this replica alone, the next replica gets the order, and so
-on for as long as the model is requested. Each one returns empty, and its running calls break off.
+If the leader blocks the load for this replica alone, it orders it at the next one, and so on for
+as long as the model is requested. Each replica restarts without models, and its calls break off.
 
 With four replicas that crash under the load and return after 0.6 s, 15 crashed in 12 s.
 """
--- a/tests/placement/test_latency_tolerant_service.py
+++ b/tests/placement/test_latency_tolerant_service.py
@@ -6,17 +6,17 @@
 
 from tests.placement.tier_simulation import simulate_day
 
-#: Minimum share of its full score that a class of calls must reach on a fault-free day, and the
+#: Minimum share of its full value that a class of calls must reach without faults, and the
 #: margin by which the test requires more.
 FLOOR_SHARE = 0.44
 MARGIN_SHARE = 0.1
-#: Share of the score for an answer after the objective.
+#: Share of the full value for an answer after the objective.
 LATE_SHARE = 0.1
 SEEDS = range(1, 9)
 
 
 def test_latency_tolerant_calls_are_not_refused_before_a_load_that_would_serve_them() -> None:
-    """0.62 of the first calls were refused, and seven of ten loads came from the weight store."""
+    """Otherwise 0.62 of the first calls are refused, and seven of ten loads use the store."""
     outcomes: Counter[str] = Counter()
     for seed in SEEDS:
         outcomes += simulate_day(seed).outcomes
--- a/tests/placement/test_overdue.py
+++ b/tests/placement/test_overdue.py
@@ -38,7 +38,7 @@
 
 
 def test_model_of_low_value_is_loaded_once_overdue() -> None:
-    """Twenty calls in a minute were refused, and no load was ever ordered."""
+    """Otherwise twenty calls in a minute are refused, and no load is ever ordered."""
     replicas = [replica(f'r{n}', 'hot', 'big') for n in range(3)]
     demands = {'hot': busy(60, replicas=3.0), 'big': busy(40, replicas=3.0)}
     assert plan_move(replicas, **demands, rare=unserved(OVERDUE_AFTER_S)) is None
@@ -79,15 +79,15 @@
 
 
 def test_load_chosen_by_gain_does_not_count_as_overdue_load() -> None:
-    """On six replicas such a load was nearly always running, so overdue models had to wait."""
+    """On six replicas such a load is nearly always running, and overdue models would wait."""
     replicas = [replica(f'r{n}', 'hot') for n in range(6)]
     replicas[0].loading = {'rare'}
     demands = {'rare': unserved(12.0), 'other': unserved(15.0)}
     assert overdue_with(OverdueLoads(), replicas, **demands) == ['other']
 
 
-def test_awaited_copy_is_kept_until_its_callers_retry() -> None:
-    """Otherwise two models would evict each other in turn before either served a call."""
+def test_unserved_copy_is_kept_until_its_callers_retry() -> None:
+    """Otherwise two models would evict each other alternately before either served a call."""
     replicas = [replica('r1', 'big', 'rare')]
     demands = {'big': busy(60, replicas=3.0), 'rare': unserved(15.0), 'hot': unserved(900.0)}
     move = plan_move(replicas, **demands)
@@ -98,8 +98,8 @@
     assert move is None or move.evicted == ()
 
 
-def test_awaited_copy_is_not_evicted_for_a_busier_model() -> None:
-    """It was loaded, evicted for a second copy and reloaded, without serving a call."""
+def test_unserved_copy_is_not_evicted_for_a_busier_model() -> None:
+    """Otherwise it is loaded, evicted for a second copy and reloaded without serving a call."""
     replicas = [replica('r1', 'rare', 'small', 'other')]
     demands = {name: unserved(15.0) for name in ('rare', 'small', 'other')}
     move = plan_move(replicas, **demands, hot=busy(400, replicas=9.0))
--- a/tests/placement/test_planner.py
+++ b/tests/placement/test_planner.py
@@ -34,9 +34,9 @@
 
 
 def test_busy_copy_is_not_evicted_for_a_rarely_called_model() -> None:
-    """Copies of the busiest model were evicted one by one for models with a call now and then.
+    """Otherwise copies of the busiest model are evicted one by one for rarely called models.
 
-    Finally one replica of nine served the busiest model.
+    In the end one replica of nine served the busiest model.
     """
     replicas = [replica('r1', 'hot', 'big'), replica('r2', 'hot', 'small', 'rare')]
     demands = {
@@ -67,7 +67,7 @@
 
 
 def test_starved_model_is_eventually_loaded() -> None:
-    """Four requested models had no copy for 25 s."""
+    """Otherwise four requested models have no copy for 25 s."""
     replicas = [replica('r1', 'hot'), replica('r2', 'hot'), replica('r3', 'big', 'small', 'rare')]
     for busy_replica in replicas[:2]:
         busy_replica.is_idle = False
@@ -261,7 +261,7 @@
 
 
 def test_latency_tolerant_models_leave_replicas_idle() -> None:
-    """All replicas with local weights were busy when demand moved to a latency-critical model."""
+    """Otherwise all replicas with local weights are busy when demand moves to a critical model."""
     replicas = [replica(f'r{n}', 'hot', 'big', is_idle=n > 2) for n in range(4)]
     demands = {'hot': busy(5), 'big': busy(5), 'rare': rare_calls(2.0, call_waits=True)}
     assert planner(**demands).next_move(replicas) is None
@@ -316,7 +316,7 @@
 
 
 def test_local_weights_are_loaded_however_few_replicas_are_idle() -> None:
-    """Loads that take one second were withheld like loads that take six."""
+    """Loads that take one second must not be limited like loads that take six."""
     replicas = [replica('r1', 'hot', 'big')]
     replicas += [occupied(f'r{n}', 1.0, 'other') for n in range(2, 7)]
     demands = {'hot': busy(5), 'big': busy(5), 'rare': rare_calls(2.0, call_waits=True)}
@@ -341,7 +341,7 @@
 
 
 def test_new_replicas_without_local_weights_load_from_the_store_all_at_once() -> None:
-    """When most replicas were new, only a third of them at a time loaded the awaited models."""
+    """Otherwise only a third of them at a time load the requested models if most are new."""
     replicas = [replica(f'r{n}') for n in range(3)]
     for n in (3, 4, 5):
         one = replica(f'r{n}', is_idle=False)
@@ -362,7 +362,7 @@
 
 
 def test_one_model_is_loaded_on_few_replicas_at_the_same_time() -> None:
-    """Four of six replicas loaded the same model; when they were done, few calls asked for it."""
+    """Otherwise four of six replicas load the same model, which few calls request by then."""
     replicas = [replica(f'r{n}', 'big') for n in range(5)]
     for one in replicas:
         one.on_disk = frozenset({'hot'})
--- a/tests/placement/test_prefetch.py
+++ b/tests/placement/test_prefetch.py
@@ -1,4 +1,4 @@
-"""Weights that no replica has are prefetched while that costs callers nothing."""
+"""Weights that no replica has are prefetched while demand is low."""
 
 from __future__ import annotations
 
--- a/tests/placement/test_service.py
+++ b/tests/placement/test_service.py
@@ -121,7 +121,7 @@
     return asyncio.run(run())
 
 
-def test_wanted_adapter_is_loaded_at_once() -> None:
+def test_requested_adapter_is_loaded_at_once() -> None:
     assert orders_for_call(['a1'], 'a2') == [('load', 'a2')]
 
 
@@ -173,7 +173,7 @@
 
 
 def test_many_calls_for_a_model_that_cannot_be_loaded_cause_few_plans() -> None:
-    """Without a minimum interval the leader planned nonstop, and its calls and peers waited."""
+    """Without a minimum interval the leader plans nonstop, and delays calls and peer messages."""
     assert count_rounds(2.0, calls_per_s=200) <= 2.0 / MIN_ROUND_INTERVAL_S + 1
 
 
@@ -229,7 +229,7 @@
 
 
 def test_ready_time_of_a_model_queued_after_another_is_announced_before_its_order() -> None:
-    """A call for the queued model was refused without a planned ready time."""
+    """Otherwise a call for the queued model is refused without an expected ready time."""
     assert announced_ready_s(['m2']).keys() == {'m2'}
     both = announced_ready_s(['m2', 'm3'])
     assert both.keys() == {'m2', 'm3'}
--- a/tests/placement/test_starvation.py
+++ b/tests/placement/test_starvation.py
@@ -25,7 +25,7 @@
 
 
 def test_new_leader_continues_with_its_predecessors_waiting_times() -> None:
-    """Waiting times started at zero, so each change of leader prolonged starvation."""
+    """If they started at zero, each change of leader would prolong starvation."""
     with virtual_clock():
         waiting = {'rare': attrs.evolve(rare_calls(), unserved_s=9.0)}
         assert StarvationTracker().track('lm', waiting, [replica('r1', 'hot')]) == {'rare': 9.0}
--- a/tests/placement/test_unserved.py
+++ b/tests/placement/test_unserved.py
@@ -97,7 +97,7 @@
 
 @pytest.mark.parametrize('pause_s', [0.5, 0.59, 0.7, 1.0])
 def test_ninth_adapter_beside_eight_in_use_is_served_repeatedly(pause_s: float) -> None:
-    """One of its 60 calls was served, however long it was requested."""
+    """Otherwise one of its 60 calls is served."""
     with virtual_clock() as clock:
         simulation = simulate_adapters(clock, pause_s)
         ninth, eight = total_record(simulation, [NINTH]), total_record(simulation, EIGHT)
@@ -179,7 +179,7 @@
 
 @pytest.mark.parametrize('seed', range(1, 7))
 def test_latency_tolerant_models_beside_moving_demand_are_all_served(seed: int) -> None:
-    """6 to 12 of some 20 models were never loaded when a caller asked for them."""
+    """Otherwise 6 to 12 of some 20 models are never loaded when a caller requests them."""
     with virtual_clock() as clock:
         simulation = simulate_models(clock, SIX_REPLICAS, seed)
         simulation.events.run(1.3 * SIX_REPLICAS.bound_s())
@@ -194,8 +194,8 @@
         assert late == {}
 
 
-def test_awaited_copy_is_still_there_when_its_caller_retries() -> None:
-    """12 to 25 copies per simulation were evicted for another model before the caller retried."""
+def test_unserved_copy_is_still_held_when_its_caller_retries() -> None:
+    """Otherwise 12 to 25 copies are evicted for another model before the caller retries."""
     evicted_early = {}
     for seed in range(1, 7):
         with virtual_clock() as clock:
@@ -260,7 +260,7 @@
 def test_models_are_served_within_the_bound_after_faults(
     faults: list[tuple[str, float, float]], seed: int
 ) -> None:
-    """Waiting times were lost when they were kept by one process, or ended with an order."""
+    """Waiting times must survive a change of leader, and must not end with an order."""
     with virtual_clock() as clock:
         simulation = simulate_models(clock, THREE_REPLICAS, seed)
 
@@ -286,7 +286,7 @@
 def test_adapters_are_served_within_the_bound_after_faults(
     faults: list[tuple[str, float, float]], pause_s: float
 ) -> None:
-    """A load request that could not be met at once was not remembered."""
+    """A load request that cannot be met at once must be met later."""
     with virtual_clock() as clock:
         simulation = simulate_adapters(clock, pause_s, 0.0)
 
--- a/tests/placement/tier_simulation.py
+++ b/tests/placement/tier_simulation.py
@@ -115,7 +115,7 @@
                 call, 'in time' if self._waited_s(call) <= call.route.objective_s else 'late'
             )
             return
-        decision = hold_or_refuse(self._absent_model(call))
+        decision = hold_or_refuse(self._call_without_replica(call))
         if isinstance(decision, Hold):
             self.events.after(decision.wait_s, lambda: self._attempt(call))
             return
@@ -129,7 +129,7 @@
     def _waited_s(self, call: Call) -> float:
         return self.events.clock.now_s - call.arrived_s
 
-    def _absent_model(self, call: Call) -> CallWithoutReplica:
+    def _call_without_replica(self, call: Call) -> CallWithoutReplica:
         now_s = self.events.clock.now_s
         ready_times_s = [
             at_s for at_s, model in self.running_loads.values() if model == call.model
@@ -138,12 +138,12 @@
         held = any(call.model in one.serving for one in self.replicas)
         spec = self.engine.models[call.model]
         in_s = None if at_s is None else at_s - now_s
-        outlook = ModelAvailability(held, held, in_s, spec.load_s, 0.0)
+        availability = ModelAvailability(held, held, in_s, spec.load_s, 0.0)
         waited_s = self._waited_s(call)
         left_s = call.route.timeout_s - waited_s
         return CallWithoutReplica(
             route=call.route,
-            expected_wait_s=model_wait_s(outlook),
+            expected_wait_s=model_wait_s(availability),
             waited_s=waited_s,
             left_s=left_s,
             returned=call.is_retry,
@@ -199,7 +199,7 @@
 
 
 def simulate_day(seed: int, seconds: float = 60.0) -> TierSimulation:
-    """Simulate a fault-free day.
+    """Simulate calls without faults.
 
     Latency-critical demand moves among models; each of many latency-tolerant models is rarely
     requested.
