--- a/limeshelf/calls/in_force.py
+++ b/limeshelf/calls/in_force.py
@@ -1,4 +1,4 @@
-"""The operator's configuration in force at this gateway.
+"""The operator's current configuration at this gateway.
 
 Owns the current version. All components that depend on the configuration share one object, so
 that one assignment changes the version in the whole process.
@@ -32,11 +32,11 @@
         return self.config.version if self.config is not None else 0
 
     def get(self) -> ServingConfig | None:
-        """Return the configuration in force."""
+        """Return the current configuration."""
         return self.config
 
     def replace_if_newer(self, config: ServingConfig) -> bool:
-        """Put *config* in force unless it is no newer; return whether it was."""
+        """Make *config* current if it is newer; return whether it is."""
         if self.config is not None and config.version <= self.config.version:
             return False
         self.config = config
--- a/limeshelf/gateway/access.py
+++ b/limeshelf/gateway/access.py
@@ -1,6 +1,6 @@
 """Authorises calls by their keys, and builds the refusals of those that fail the check.
 
-Stateless; applies :mod:`limeshelf.organisations.access` to the configuration in force.
+Stateless; applies :mod:`limeshelf.organisations.access` to the current configuration.
 """
 
 from __future__ import annotations
@@ -27,8 +27,8 @@
 class AccessGuard:
     """Checks the keys of calls.
 
-    :param config_age_s: returns the longest time, in seconds, for which the configuration in
-        force may have been out of date.
+    :param config_age_s: returns the longest time, in seconds, for which the current
+        configuration may have been out of date.
     :param rule: access rule; may be replaced while calls run.
     """
 
--- a/limeshelf/gateway/body.py
+++ b/limeshelf/gateway/body.py
@@ -1,4 +1,4 @@
-"""Reads the body of a caller's request within the limits of the configuration in force.
+"""Reads the body of a caller's request within the limits of the current configuration.
 
 Owns the statuses for exceeded limits; relies on the listener to bound each header field.
 """
--- a/limeshelf/gateway/call_log.py
+++ b/limeshelf/gateway/call_log.py
@@ -103,13 +103,15 @@
     )
 
 
-def log_no_replica(state: CallState, expected_wait_s: float, outlook: CallWaitEstimate) -> None:
+def log_no_replica(
+    state: CallState, expected_wait_s: float, wait_estimate: CallWaitEstimate
+) -> None:
     """Log that no replica holds the model or adapter, or will in time.
 
-    :param outlook: what this gateway knows of the model. The expected wait is a commitment of the
-        leader where a load was announced, and an estimate otherwise.
+    :param wait_estimate: what this gateway knows of the model. The expected wait is a commitment
+        of the leader where a load was announced, and an estimate otherwise.
     """
-    announced_in_s = outlook.announced_in_s
+    announced_in_s = wait_estimate.announced_in_s
     need = state.call.model_need
     log_request(
         'refused_no_replica',
@@ -122,7 +124,7 @@
         waited_ms=int(state.since_arrival_s * 1000),
         objective_ms=int(state.route.objective_s * 1000),
         announced_in_ms=None if announced_in_s is None else int(announced_in_s * 1000),
-        model_held=outlook.model_held,
+        model_held=wait_estimate.model_held,
         returned=state.is_caller_retry,
     )
 
--- a/limeshelf/gateway/connection.py
+++ b/limeshelf/gateway/connection.py
@@ -1,7 +1,7 @@
 """Applies header and idle time-outs to callers' connections.
 
-A connection keeps the limits of the configuration that was in force when it was made. Relies
-on three attributes of the HTTP library's connection that are not documented: ``_waiter``,
+A connection keeps the limits of the configuration that was current when it was made. Relies on
+ three attributes of the HTTP library's connection that are not documented: ``_waiter``,
 ``_request_count`` and ``force_close``; tests/gateway/test_connection.py fails when a release
 drops or renames one.
 """
@@ -93,7 +93,7 @@
 class CallerServer(web.Server):
     """Creates the protocol of each caller's connection.
 
-    :param limits: returns the limits in force.
+    :param limits: returns the current limits.
     :param options: options of each connection, under the library's names.
     """
 
--- a/limeshelf/gateway/frontend.py
+++ b/limeshelf/gateway/frontend.py
@@ -1,6 +1,6 @@
 """HTTP listeners of the gateway: one for calls, one for the load balancer's readiness checks.
 
-Reads each request within the limits in force and passes it to the pipeline as a call;
+Reads each request within the current limits and passes it to the pipeline as a call;
 answers malformed requests itself. Owns the phase of the process and the count of requests
 in flight.
 """
--- a/limeshelf/gateway/pipeline.py
+++ b/limeshelf/gateway/pipeline.py
@@ -4,7 +4,7 @@
 :mod:`~limeshelf.gateway.access` (authorisation), :mod:`~limeshelf.gateway.limits` (rate limits),
 :mod:`~limeshelf.gateway.quarantine` (calls that crash replicas),
 :mod:`~limeshelf.gateway.selection` (choice of the replica),
-:mod:`~limeshelf.admission.absent_model` (no replica holds the model),
+:mod:`~limeshelf.admission.hold_or_refuse` (no replica is available),
 :mod:`~limeshelf.gateway.attempts` (one send), :mod:`~limeshelf.admission.retry_rules` and
 :mod:`~limeshelf.admission.retry_budget` (retries),
 :mod:`~limeshelf.gateway.endings` (how a call ends),
@@ -70,7 +70,7 @@
 
 
 class Pipeline:
-    """Serves calls under the configuration in force."""
+    """Serves calls under the current configuration."""
 
     def __init__(
         self,
@@ -100,7 +100,7 @@
 
     @property
     def config(self) -> ServingConfig | None:
-        """Return the configuration in force; ``None`` before the first."""
+        """Return the current configuration; ``None`` before the first."""
         return self._in_force.config
 
     async def serve(self, call: Call, answer: Answer) -> None:
@@ -214,10 +214,10 @@
                     selection.report_end()
                     return refuse_unavailable(state.progress(), RefusalReason.UPSTREAM_REFUSED)
                 return selection
-            outlook = self._demand.estimate_wait(state.call, state.service)
-            decision = hold_or_refuse(_absent_model(state, outlook))
+            wait_estimate = self._demand.estimate_wait(state.call, state.service)
+            decision = hold_or_refuse(_call_without_replica(state, wait_estimate))
             if isinstance(decision, RefuseUntilReady):
-                return _refuse_no_replica(state, decision, outlook)
+                return _refuse_no_replica(state, decision, wait_estimate)
             await self._hold(state, decision)
 
     def _refuse_overloaded(self, state: CallState, queue_wait_s: float) -> Ending:
@@ -236,14 +236,14 @@
         await self._directory.wait_for_change(hold.wait_s)
 
 
-def _absent_model(state: CallState, outlook: CallWaitEstimate) -> CallWithoutReplica:
+def _call_without_replica(state: CallState, wait_estimate: CallWaitEstimate) -> CallWithoutReplica:
     return CallWithoutReplica(
         route=state.route,
-        expected_wait_s=outlook.wait_s,
+        expected_wait_s=wait_estimate.wait_s,
         waited_s=state.since_arrival_s,
         left_s=state.left_s,
         returned=state.is_caller_retry,
-        announced=outlook.is_announced,
+        announced=wait_estimate.is_announced,
         excluded=bool(state.excluded),
         answer_started=state.answer.started,
     )
@@ -254,9 +254,9 @@
 
 
 def _refuse_no_replica(
-    state: CallState, refusal: RefuseUntilReady, outlook: CallWaitEstimate
+    state: CallState, refusal: RefuseUntilReady, wait_estimate: CallWaitEstimate
 ) -> Ending:
-    log_no_replica(state, refusal.expected_wait_s, outlook)
+    log_no_replica(state, refusal.expected_wait_s, wait_estimate)
     return refuse_unavailable(
         state.progress(), RefusalReason.NO_READY_REPLICA, refusal.retry_after_s
     )
--- a/tests/gateway/test_call_log.py
+++ b/tests/gateway/test_call_log.py
@@ -70,8 +70,8 @@
 def test_refusal_for_lack_of_a_replica_logs_the_bounds_of_the_wait(
     written: dict[str, Any],
 ) -> None:
-    outlook = CallWaitEstimate(0.25, None, is_announced=False, model_held=True)
-    call_log.log_no_replica(waiting_state(0.5), 0.25, outlook)
+    wait_estimate = CallWaitEstimate(0.25, None, is_announced=False, model_held=True)
+    call_log.log_no_replica(waiting_state(0.5), 0.25, wait_estimate)
     check_wait(written, 'refused_no_replica')
     assert written['expected_wait_ms'] == 250
     assert written['announced_in_ms'] is None
@@ -80,8 +80,8 @@
 
 
 def test_refusal_logs_the_time_until_an_announced_load(written: dict[str, Any]) -> None:
-    outlook = CallWaitEstimate(1.5, 1.5, is_announced=True, model_held=False)
-    call_log.log_no_replica(waiting_state(0.5), 1.5, outlook)
+    wait_estimate = CallWaitEstimate(1.5, 1.5, is_announced=True, model_held=False)
+    call_log.log_no_replica(waiting_state(0.5), 1.5, wait_estimate)
     assert written['announced_in_ms'] == 1500
 
 
--- a/tests/gateway/test_crashing_call.py
+++ b/tests/gateway/test_crashing_call.py
@@ -4,11 +4,10 @@
 broken stream, and retries with a new id at another gateway, which sends it to the next replica.
 Eleven replicas of one service crashed within 14 s this way, and most calls of a route failed.
 
-The gateways kept the results of attempts for the replica, and for the call until its end, but
-remembered nothing of the request's content and did not share it. In a simulation, 242 of the 243
-calls that broke off in nine bursts had been sent once, so no single gateway saw the pattern; each
-burst had one request in common. With the three gateways of this test, replicas went on crashing
-for as long as the request was retried.
+A gateway that records results only by replica and by call id cannot recognise the request. In a
+simulation, 242 of the 243 calls that broke off in nine bursts of crashes had been sent once, so no
+single gateway saw the pattern; each burst had one request in common. In this test, replicas then
+crash for as long as the request is retried.
 """
 
 from __future__ import annotations
--- a/tests/gateway/test_keys.py
+++ b/tests/gateway/test_keys.py
@@ -186,7 +186,7 @@
     run(scenario)
 
 
-def test_unreadable_newer_configuration_invalidates_the_keys_of_the_one_in_force() -> None:
+def test_unreadable_newer_configuration_invalidates_the_keys_of_the_current_one() -> None:
     async def scenario(world: KeyWorld) -> None:
         world.store.put('op', 'config', support.encoded({'Version': 3, 'Tenants': 'none'}))
         in_force = world.gateway.components.in_force
--- a/tests/gateway/test_leaving_replica.py
+++ b/tests/gateway/test_leaving_replica.py
@@ -1,11 +1,11 @@
 """A replica whose answers say that it is leaving gets no more calls, whatever its row says.
 
-Guards against gateways that learn of a leaving replica only from its row in the store, and for
-model replicas from the reports that the leader requests. While the store is unreachable, the row
-arrives late (12 s when this was seen), and gateways went on sending calls, for 8 s in a
-simulation, though the answers to calls said that the replica was leaving. What reports had said
-was also lost where the row expired and was written again. In this test, 58 calls came from
-gateways that had received such an answer more than 2 s before.
+Guards against gateways that detect a leaving replica only from its row in the store or, for model
+replicas, from the reports that the leader requests. While the store is unreachable, the row
+arrives late (by 12 s in one outage), and gateways went on sending calls, for 8 s in a simulation,
+though answers to calls said that the replica was leaving. The state from reports was also lost
+when the row expired and was written again. In this test, gateways that had received such an
+answer more than 2 s before then sent 58 calls.
 """
 
 from __future__ import annotations
--- a/tests/gateway/test_paused_replica.py
+++ b/tests/gateway/test_paused_replica.py
@@ -1,11 +1,10 @@
 """A replica that refuses with a ``Retry-After`` gets no call from that gateway until it is over.
 
-Guards against gateways that ignore the ``Retry-After`` of a replica's 503. A refused call went to
-the next replica, and every 50 ms again to those that had refused it, while other calls came too.
-A refusal only added to the cost of a replica, and where all replicas of a service refuse, the
-cheapest still gets the call. In a simulation one replica refused 90 calls of nine gateways in
-6 s, three of one gateway within 0.1 s. In this test, 21 calls of one gateway came within one
-pause of 3 s.
+Guards against gateways that ignore the ``Retry-After`` of a replica's 503. A refusal then only
+raises the cost of a replica, so where all replicas of a service refuse, the cheapest still gets
+each call; a refused call is sent again to the same replicas every 50 ms. In a simulation one
+replica refused 90 calls of nine gateways in 6 s, three of one gateway within 0.1 s. In this test,
+one gateway sent 21 calls within a pause of 3 s.
 """
 
 from __future__ import annotations
--- a/tests/gateway/test_rate_limited_replica.py
+++ b/tests/gateway/test_rate_limited_replica.py
@@ -2,11 +2,10 @@
 
 Guards against gateways that ignore the limit, or that each apply it alone. An overloaded replica
 states in the head of its answers how many calls a second it accepts from all gateways together.
-Gateways read the head only for whether the call had run, nothing counted the calls of all
-gateways, and the replica went on getting several times its limit. In a simulation eight of nine
-gateways went on sending, none of them above the limit by itself. With the three gateways of this
-test, 91 calls came in 4 s where 17 are allowed. A ``replica_rate`` line logs the limit that each
-gateway received.
+If nothing counts the calls of all gateways, the replica gets several times its limit although no
+gateway exceeds the limit by itself: in a simulation, eight of nine gateways went on sending. The
+three gateways of this test sent 91 calls in 4 s where 17 are allowed. A ``replica_rate`` line
+logs the limit that each gateway received.
 """
 
 from __future__ import annotations
@@ -76,8 +75,8 @@
     """Guards against two gateways that issue permits for one replica.
 
     Second relays, which own the replicas of their data centres, lost contact with one another, and
-    each then issued permits for the replicas of the others: 20 calls in 4 s at each, where 18.8
-    are tolerated, and twice the rate for as long as the calls came.
+    each then issued permits for the replicas of the others: each replica got 20 calls in 4 s,
+    where 18.8 are tolerated, and twice its rate for as long as calls arrived.
     """
 
     async def scenario(world: FleetWorld) -> None:
--- a/tests/gateway/test_restored_store.py
+++ b/tests/gateway/test_restored_store.py
@@ -142,7 +142,7 @@
     run_fleet(scenario)
 
 
-def test_confirmed_configuration_that_the_store_has_lost_stays_in_force() -> None:
+def test_confirmed_configuration_that_the_store_has_lost_stays_active() -> None:
     """Also at gateways that start before the operator writes it again."""
 
     async def scenario(world: FleetWorld) -> None:
--- a/tests/gateway/test_selection.py
+++ b/tests/gateway/test_selection.py
@@ -60,7 +60,7 @@
         self.permits = permits
         self.asked: list[str] = []
 
-    async def acquire(self, replica: Replica, patience_s: float) -> RatePermit:
+    async def acquire(self, replica: Replica, max_wait_s: float) -> RatePermit:
         self.asked.append(replica.replica_id)
         return self.permits[replica.replica_id]
 
@@ -107,7 +107,7 @@
 
 
 @in_loop
-async def test_query_has_the_unreachable_replicas_and_the_callers_patience() -> None:
+async def test_query_has_the_unreachable_replicas_and_the_callers_time_out() -> None:
     wire = FakeNode(VerdictKind.REFUSED)
     selector = selector_of(wire)
     replica = selector.directory.get('r1')
@@ -117,7 +117,7 @@
     assert await selector.select(state) == NoCapacity(0.07)
     query = wire.sent[0][1]
     assert query.excluded == ['r1', 'r9']
-    # The caller's patience is four objectives of 1 s; 0.85 of it may be waited.
+    # The caller's time-out is four objectives of 1 s; the call may wait for 0.85 of it.
     assert 3300 <= query.left_ms <= 3400
     assert 900 <= query.objective_ms <= 1000
 
--- a/tests/gateway/test_silent_store.py
+++ b/tests/gateway/test_silent_store.py
@@ -2,7 +2,7 @@
 
 Guards against late effects of a store that accepts calls but does not answer. Each gateway has a
 call to it that ends only by its own time-out; one made right before the end of the outage ends
-well after it. Callers must not notice, and new configurations must be in force in time.
+well after it. Callers must not notice, and new configurations must take effect in time.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from tests.support.fleet import FleetWorld, load, run_fleet
 from tests.support.gateway import PLAIN, configuration, route
 
-#: Time within which a configuration must be in force on all gateways, in seconds.
+#: Time within which a configuration must take effect on all gateways, in seconds.
 IN_FORCE_S = 2.0
 #: Time after the outage within which gateways reach the store again, in seconds.
 REACHED_S = 3.0
