--- a/limeshelf/admission/hold_or_refuse.py
+++ b/limeshelf/admission/hold_or_refuse.py
@@ -14,7 +14,11 @@
 from typing import TYPE_CHECKING
 
 from limeshelf.admission import retry_after
-from limeshelf.admission.wait_limits import announced_left_s, hold_left_s, patience_left_s
+from limeshelf.admission.wait_limits import (
+    announced_left_s,
+    first_event_timeout_left_s,
+    hold_left_s,
+)
 
 if TYPE_CHECKING:
     from limeshelf.calls.routes import Route
@@ -36,7 +40,7 @@
         what the call needs, but refused it.
     :param waited_s: time since the call arrived, in seconds.
     :param left_s: time left for the call, in seconds.
-    :param returned: the caller retries after a refusal.
+    :param is_caller_retry: the caller retries after a refusal.
     :param announced: the leader has announced when the model will be loaded.
     :param excluded: some replicas are excluded because of their answers to this call.
     :param answer_started: part of the answer was already sent to the caller.
@@ -46,7 +50,7 @@
     expected_wait_s: float
     waited_s: float
     left_s: float
-    returned: bool
+    is_caller_retry: bool
     announced: bool
     excluded: bool
     answer_started: bool
@@ -88,8 +92,8 @@
 
 def _max_wait_s(call: CallWithoutReplica) -> float:
     """Return how much longer the call may be held, in seconds."""
-    if call.returned:
-        return patience_left_s(call.route, call.waited_s)
+    if call.is_caller_retry:
+        return first_event_timeout_left_s(call.route, call.waited_s)
     if call.announced and not call.excluded:
         return announced_left_s(call.route, call.waited_s)
     return hold_left_s(call.route, call.waited_s)
--- a/limeshelf/admission/wait_limits.py
+++ b/limeshelf/admission/wait_limits.py
@@ -1,7 +1,7 @@
 """Limits on how long a call may wait for its first byte.
 
 A wait is limited by the objective of the route, after which the answer would be late, and by the
-patience of the caller, after which it gives up. Depends on the route only.
+time-out of the caller for the first event, after which it gives up. Depends on the route only.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 #: If the load time is known, at most this much time is reserved for the answer, however long the
 #: objective is.
 MAX_ANSWER_RESERVE_S = 0.5
-#: Share of the caller's patience after which a held call is refused, so that the refusal arrives
+#: Share of that time-out after which a held call is refused, so that the refusal arrives
 #: before the caller gives up.
-PATIENCE_SHARE = 0.85
+FIRST_EVENT_TIMEOUT_SHARE = 0.85
 #: A caller that allows less than this share of the route's time-out has spent the rest on an
 #: earlier attempt.
-FULL_BUDGET_SHARE = 0.97
+FULL_TIMEOUT_SHARE = 0.97
 
 
 def hold_left_s(route: Route, waited_s: float) -> float:
@@ -36,14 +36,14 @@
     return route.objective_s - answer_s - waited_s
 
 
-def patience_left_s(route: Route, waited_s: float) -> float:
+def first_event_timeout_left_s(route: Route, waited_s: float) -> float:
     """Return how much longer the caller waits for the first byte, in seconds."""
-    return route.patience_s * PATIENCE_SHARE - waited_s
+    return route.first_event_timeout_s * FIRST_EVENT_TIMEOUT_SHARE - waited_s
 
 
-def is_retry(route: Route, budget_s: float | None) -> bool:
+def is_retry(route: Route, caller_timeout_s: float | None) -> bool:
     """Return whether the call is probably a retry after a refusal.
 
-    :param budget_s: time that the caller said it waits, in seconds; ``None`` if it did not say.
+    :param caller_timeout_s: time-out that the caller stated, in seconds; ``None`` without one.
     """
-    return budget_s is not None and budget_s < FULL_BUDGET_SHARE * route.timeout_s
+    return caller_timeout_s is not None and caller_timeout_s < FULL_TIMEOUT_SHARE * route.timeout_s
--- a/limeshelf/calls/in_force.py
+++ b/limeshelf/calls/active_config.py
@@ -15,7 +15,7 @@
 
 
 @attrs.define
-class ConfigInForce:
+class ActiveConfig:
     """The newest configuration read so far; never replaced by an older one.
 
     :ivar config: ``None`` until the first is known.
--- a/limeshelf/calls/routes.py
+++ b/limeshelf/calls/routes.py
@@ -14,9 +14,9 @@
 
 #: Callers abandon a stream after a gap, also before its first event, that is longer than each of:
 #: this time, so many objectives, and so many pauses (the platform's page on requests).
-MIN_PATIENCE_S = 2.0
-PATIENCE_OBJECTIVES = 4
-PATIENCE_PAUSES = 8
+MIN_FIRST_EVENT_TIMEOUT_S = 2.0
+FIRST_EVENT_TIMEOUT_OBJECTIVES = 4
+FIRST_EVENT_TIMEOUT_PAUSES = 8
 #: Pause limit of a route that states none, as in the platform's configuration.
 DEFAULT_PAUSE_S = 0.3
 
@@ -62,12 +62,12 @@
     is_public: bool = False
 
     @property
-    def patience_s(self) -> float:
-        """Return the shortest time that a caller waits for the first event, in seconds."""
+    def first_event_timeout_s(self) -> float:
+        """Return the time after which callers give up waiting for the first event, in seconds."""
         return max(
-            MIN_PATIENCE_S,
-            PATIENCE_OBJECTIVES * self.objective_s,
-            PATIENCE_PAUSES * self.pause_s,
+            MIN_FIRST_EVENT_TIMEOUT_S,
+            FIRST_EVENT_TIMEOUT_OBJECTIVES * self.objective_s,
+            FIRST_EVENT_TIMEOUT_PAUSES * self.pause_s,
         )
 
     @property
--- a/limeshelf/dispatch/client.py
+++ b/limeshelf/dispatch/client.py
@@ -210,5 +210,5 @@
             # The last block ends the prompt, so no other call shares it.
             parts=[SharedPart(part.part_id, part.tokens) for part in need.parts[:-1]],
             excluded=sorted(excluded),
-            returned=request.returned,
+            returned=request.is_caller_retry,
         )
--- a/limeshelf/dispatch/grants.py
+++ b/limeshelf/dispatch/grants.py
@@ -28,7 +28,7 @@
     :param pause_s: longest pause between events within the latency objective.
     :param excluded: ids of replicas that refused or failed this call, or that this gateway cannot
         reach.
-    :param returned: the caller retries after a refusal.
+    :param is_caller_retry: the caller retries after a refusal.
     """
 
     key: ModelKey
@@ -38,7 +38,7 @@
     left_s: float
     pause_s: float
     excluded: frozenset[str]
-    returned: bool
+    is_caller_retry: bool
 
 
 @attrs.frozen
--- a/limeshelf/dispatch/refusal.py
+++ b/limeshelf/dispatch/refusal.py
@@ -29,14 +29,14 @@
     :param holders: number of replicas that may serve it; at least 1.
     :param objective_ms: time left until its first event is late.
     :param left_ms: time left until its caller gives up.
-    :param returned: the caller retries after a refusal.
+    :param is_caller_retry: the caller retries after a refusal.
     """
 
     queued_prefill_ms: float
     holders: int
     objective_ms: int
     left_ms: int
-    returned: bool
+    is_caller_retry: bool
 
 
 @attrs.frozen
@@ -59,7 +59,7 @@
 def estimate_wait(position: QueuePosition) -> WaitEstimate:
     """Return the estimated and the longest allowed wait of a request at its position."""
     max_ms = position.objective_ms * IN_TIME_SHARE
-    if position.returned:
+    if position.is_caller_retry:
         max_ms = position.left_ms
     expected_ms = position.queued_prefill_ms / (position.holders * PREFILL_DUTY)
     return WaitEstimate(expected_ms, max_ms)
--- a/limeshelf/gateway/access.py
+++ b/limeshelf/gateway/access.py
@@ -17,8 +17,8 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
+    from limeshelf.calls.active_config import ActiveConfig
     from limeshelf.calls.call import Call
-    from limeshelf.calls.in_force import ConfigInForce
     from limeshelf.calls.routes import Route
     from limeshelf.organisations.access import AccessRule
 
@@ -32,7 +32,7 @@
     :param rule: access rule; may be replaced while calls run.
     """
 
-    in_force: ConfigInForce
+    active_config: ActiveConfig
     config_age_s: Callable[[], float]
     rule: AccessRule
 
@@ -41,7 +41,7 @@
 
         :param route: route of the call.
         """
-        config = self.in_force.config
+        config = self.active_config.config
         if config is None:
             return Refuse(
                 STATUS_UNAVAILABLE,
--- a/limeshelf/gateway/attempts.py
+++ b/limeshelf/gateway/attempts.py
@@ -25,7 +25,7 @@
 from limeshelf.util.suspension import boot_timeout
 
 if TYPE_CHECKING:
-    from limeshelf.calls.in_force import ConfigInForce
+    from limeshelf.calls.active_config import ActiveConfig
     from limeshelf.calls.wire import CallWire
     from limeshelf.demand.meter import DemandMeter
     from limeshelf.gateway.exchange import AttemptResult
@@ -46,7 +46,7 @@
     wire: CallWire
     directory: ReplicaDirectory
     pool: ConnectionPool
-    in_force: ConfigInForce
+    active_config: ActiveConfig
     quarantine: QuarantineGuard
     notices: NoticeHandler
     demand: DemandMeter
@@ -120,6 +120,6 @@
         if replica.health.awaits_probe:
             self.pool.request_probes()
         load = self.directory.load_of(replica)
-        config = self.in_force.config
+        config = self.active_config.config
         version = config.version if config is not None else None
         log_attempt(state, replica, load, result, suspended, version)
--- a/limeshelf/gateway/final_answer.py
+++ b/limeshelf/gateway/final_answer.py
@@ -19,8 +19,8 @@
 )
 
 if TYPE_CHECKING:
+    from limeshelf.calls.active_config import ActiveConfig
     from limeshelf.calls.call import Call
-    from limeshelf.calls.in_force import ConfigInForce
     from limeshelf.calls.wire import CallWire
     from limeshelf.gateway.answer import Answer
     from limeshelf.gateway.endings import Ending
@@ -32,7 +32,7 @@
     """Sends final answers."""
 
     wire: CallWire
-    in_force: ConfigInForce
+    active_config: ActiveConfig
 
     async def send(
         self,
@@ -65,7 +65,7 @@
 
     @property
     def _version(self) -> int | None:
-        return self.in_force.config.version if self.in_force.config else None
+        return self.active_config.config.version if self.active_config.config else None
 
     async def _send_refusal(self, call: Call, refusal: Refuse, answer: Answer) -> None:
         headers = self.wire.refusal_headers(
--- a/limeshelf/gateway/pipeline.py
+++ b/limeshelf/gateway/pipeline.py
@@ -47,8 +47,8 @@
 
 if TYPE_CHECKING:
     from limeshelf.admission.retry_budget import RetryBudgets
+    from limeshelf.calls.active_config import ActiveConfig
     from limeshelf.calls.call import Call
-    from limeshelf.calls.in_force import ConfigInForce
     from limeshelf.calls.routes import ServingConfig
     from limeshelf.calls.wire import CallWire
     from limeshelf.demand.meter import DemandMeter
@@ -80,7 +80,7 @@
         attempts: AttemptRunner,
         demand: DemandMeter,
         budgets: RetryBudgets,
-        in_force: ConfigInForce,
+        active_config: ActiveConfig,
         access: AccessGuard,
         limits: LimitGuard,
         quarantine: QuarantineGuard,
@@ -90,8 +90,8 @@
         self._attempts = attempts
         self._demand = demand
         self._budgets = budgets
-        self._in_force = in_force
-        self._final_answer = FinalAnswerSender(wire, in_force)
+        self._active_config = active_config
+        self._final_answer = FinalAnswerSender(wire, active_config)
         self._access = access
         self._limits = limits
         self._quarantine = quarantine
@@ -101,7 +101,7 @@
     @property
     def config(self) -> ServingConfig | None:
         """Return the current configuration; ``None`` before the first."""
-        return self._in_force.config
+        return self._active_config.config
 
     async def serve(self, call: Call, answer: Answer) -> None:
         """Forward a call to a replica, and answer the caller."""
@@ -242,7 +242,7 @@
         expected_wait_s=wait_estimate.wait_s,
         waited_s=state.since_arrival_s,
         left_s=state.left_s,
-        returned=state.is_caller_retry,
+        is_caller_retry=state.is_caller_retry,
         announced=wait_estimate.is_announced,
         excluded=bool(state.excluded),
         answer_started=state.answer.started,
--- a/limeshelf/gateway/selection.py
+++ b/limeshelf/gateway/selection.py
@@ -13,7 +13,7 @@
 
 import attrs
 
-from limeshelf.admission.wait_limits import hold_left_s, patience_left_s
+from limeshelf.admission.wait_limits import first_event_timeout_left_s, hold_left_s
 from limeshelf.demand.keys import ModelKey
 from limeshelf.dispatch.grants import GrantRequest, NoCapacity, NoHolder
 
@@ -68,9 +68,9 @@
     """Selects a replica for each attempt of a call."""
 
     directory: ReplicaDirectory
-    chooser: PlainReplicaSelector
+    plain_selector: PlainReplicaSelector
     dispatch: DispatchClient
-    turns: PermitExchange
+    permits: PermitExchange
 
     async def select(self, state: CallState) -> Selection:
         """Return the replica for the next attempt of a call, or why there is none."""
@@ -86,10 +86,12 @@
         """
         excluded = set(state.excluded)
         next_permits_s = []
-        while (chosen := self.chooser.choose(state.service, frozenset(excluded))) is not None:
+        while (
+            chosen := self.plain_selector.choose(state.service, frozenset(excluded))
+        ) is not None:
             if chosen.backpressure.rate_per_s is None:
                 return Selected(chosen, None)
-            permit = await self.turns.acquire(chosen, _permit_wait_limit_s(state))
+            permit = await self.permits.acquire(chosen, _permit_wait_limit_s(state))
             if permit.is_granted:
                 return Selected(chosen, None, has_permit=True)
             excluded.add(chosen.replica_id)
@@ -124,7 +126,7 @@
         if replica.backpressure.rate_per_s is None:
             return False
         try:
-            permit = await self.turns.acquire(replica, _permit_wait_limit_s(state))
+            permit = await self.permits.acquire(replica, _permit_wait_limit_s(state))
         except asyncio.CancelledError:
             grant.report_ended()
             raise
@@ -137,10 +139,10 @@
             need=need,
             priority=state.priority,
             objective_s=state.route.objective_s - waited_s,
-            left_s=min(state.left_s, patience_left_s(state.route, waited_s)),
+            left_s=min(state.left_s, first_event_timeout_left_s(state.route, waited_s)),
             pause_s=state.route.pause_s,
             excluded=frozenset(state.excluded | self._unusable_here(state)),
-            returned=state.is_caller_retry,
+            is_caller_retry=state.is_caller_retry,
         )
 
     def _unusable_here(self, state: CallState) -> set[str]:
@@ -154,5 +156,5 @@
 
 def _permit_wait_limit_s(state: CallState) -> float:
     """Return how long a call can wait for a permit at a replica, in seconds."""
-    wait_left_s = patience_left_s if state.is_caller_retry else hold_left_s
+    wait_left_s = first_event_timeout_left_s if state.is_caller_retry else hold_left_s
     return max(0.0, min(state.left_s, wait_left_s(state.route, state.since_arrival_s)))
--- a/limeshelf/membership/digest_exchange.py
+++ b/limeshelf/membership/digest_exchange.py
@@ -25,7 +25,7 @@
 from limeshelf.util.clock import boottime_s
 
 if TYPE_CHECKING:
-    from limeshelf.calls.in_force import ConfigInForce
+    from limeshelf.calls.active_config import ActiveConfig
     from limeshelf.demand.meter import DemandMeter
     from limeshelf.demand.prefill_speed import PrefillSpeed
     from limeshelf.demand.totals import DemandTotals
@@ -59,7 +59,7 @@
     directory: ReplicaDirectory
     meter: DemandMeter
     totals: DemandTotals
-    in_force: ConfigInForce
+    active_config: ActiveConfig
     dispatchers: Dispatchers
     speed: PrefillSpeed
     limits: LimitExchange
@@ -137,7 +137,7 @@
             own.weight,
             # The number must also increase across restarts of the process.
             int(boottime_s() * 1000),
-            self.in_force.version,
+            self.active_config.version,
             self.leadership.fence,
             loads,
             self.meter.recent(),
--- a/limeshelf/membership/limit_exchange.py
+++ b/limeshelf/membership/limit_exchange.py
@@ -26,7 +26,7 @@
 from limeshelf.util.identifiers import new_id
 
 if TYPE_CHECKING:
-    from limeshelf.calls.in_force import ConfigInForce
+    from limeshelf.calls.active_config import ActiveConfig
     from limeshelf.membership.members import Members
     from limeshelf.membership.messages import GatewayDigest
     from limeshelf.organisations.limits import LimitRule
@@ -57,16 +57,16 @@
 class LimitExchange:
     """Reserves the usage of calls within the limits of their organisations.
 
-    :param in_force: the configuration whose limits apply while this gateway is the limiter.
+    :param active_config: the configuration whose limits apply while this gateway is the limiter.
     """
 
     def __init__(
-        self, node: PeerNode, members: Members, in_force: ConfigInForce, rule: LimitRule
+        self, node: PeerNode, members: Members, active_config: ActiveConfig, rule: LimitRule
     ) -> None:
         self.started_ms = int(boottime_s() * MS_PER_S)
         self._node = node
         self._members = members
-        self._in_force = in_force
+        self._active_config = active_config
         self._rule = rule
         self._ledger = UsageLedger(rule.window_s)
         self._limiter: Limiter | None = None
@@ -180,7 +180,7 @@
         return [limiter for limiter in addresses if not self._query_client.is_avoided(limiter)]
 
     def _decide_locally(self, gateway: str, organisation: str, amount: int) -> Decision:
-        config = self._in_force.config
+        config = self._active_config.config
         organisations = config.organisations if config is not None else None
         limit = organisations.limit_of(organisation) if organisations is not None else None
         if self._limiter is None or limit is None:
--- a/limeshelf/placement/service.py
+++ b/limeshelf/placement/service.py
@@ -57,7 +57,7 @@
 
     :param config: returns the current configuration.
     :param window_s: window in which loads from the weight store are counted.
-    :param read_ms: returns the prefill time of a number of tokens for a model, in milliseconds.
+    :param prefill_ms: returns the prefill time of a number of tokens for a model, in milliseconds.
     :param on_load_start: called when the load of a model starts.
     :param lost_loads: determines which loads must not be ordered any more.
     """
@@ -70,7 +70,7 @@
         tasks: TaskSet,
         config: Callable[[], ServingConfig | None],
         window_s: float,
-        read_ms: Callable[[str, float], float],
+        prefill_ms: Callable[[str, float], float],
         on_load_start: Callable[[], None],
         lost_loads: LostLoads,
     ) -> None:
@@ -79,7 +79,7 @@
         self._leadership = leadership
         self._sender = sender
         self._config = config
-        self._read_ms = read_ms
+        self._prefill_ms = prefill_ms
         self._replica_monitor = ReplicaMonitor(directory, leadership, sender, tasks)
         self._lost_loads = lost_loads
         self._on_load_start = on_load_start
@@ -142,7 +142,7 @@
         if boottime_s() - self._started_s < STARTUP_DISCOVERY_S:
             # Replica records are still arriving.
             return
-        demands = demand_by_model(service, engine, key_totals, self._read_ms)
+        demands = demand_by_model(service, engine, key_totals, self._prefill_ms)
         self._load_unserved_adapters(service, engine)
         views = self._replica_monitor.replica_views(service)
         starved_s = self._starvation.track(service, demands, views)
--- a/limeshelf/programs/components.py
+++ b/limeshelf/programs/components.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING
 
 from limeshelf.admission.retry_budget import RetryBudgets, RetryRule
-from limeshelf.calls.in_force import ConfigInForce
+from limeshelf.calls.active_config import ActiveConfig
 from limeshelf.crashes.crash_detector import CrashDetector
 from limeshelf.crashes.lost_loads import LostLoads
 from limeshelf.crashes.quarantine import Quarantine
@@ -100,7 +100,7 @@
 
     def __init__(self, settings: GatewaySettings, node: PeerNode, tasks: TaskSet) -> None:
         self.node = node
-        self.in_force = ConfigInForce()
+        self.active_config = ActiveConfig()
         self.metrics = GatewayMetrics()
         self.store_clock = StoreClock()
         self.store = StoreClient(
@@ -140,9 +140,14 @@
     def _make_dispatch(self, settings: GatewaySettings) -> None:
         owner_of = self.dispatchers.of_centre
         limiters = ReplicaRateLimiters(owner_of, self.members.centres)
-        self.turns = PermitExchange(self.node, self.directory, self.notices, limiters)
+        self.permits = PermitExchange(self.node, self.directory, self.notices, limiters)
         self.dispatch = DispatchExchange(
-            self.node, self.directory, self.in_force.get, owner_of, settings.data_centre, limiters
+            self.node,
+            self.directory,
+            self.active_config.get,
+            owner_of,
+            settings.data_centre,
+            limiters,
         )
         self.dispatch_client = DispatchClient(
             self.dispatch, self.directory, owner_of, settings.data_centre
@@ -156,7 +161,7 @@
             self.leadership,
             settings.instance_id,
             self.metrics,
-            self.in_force.get,
+            self.active_config.get,
             lambda replica, item: self.lost_loads.record_lost(replica, *item),
         )
         self.placement = PlacementService(
@@ -164,7 +169,7 @@
             self.leadership,
             sender,
             tasks,
-            self.in_force.get,
+            self.active_config.get,
             settings.placement.window_s,
             self.dispatch.dispatcher.speed.prefill_ms,
             self.changes.signal_load,
@@ -189,7 +194,9 @@
         self.wants = ModelRequestExchange(self.node, self.leader, self.placement)
         self.meter = DemandMeter(self.directory, self.wants.request)
         self.registration = Registration(instance_id, self.node, self.members, self.leader)
-        self.limits = LimitExchange(self.node, self.members, self.in_force, limit_rule(settings))
+        self.limits = LimitExchange(
+            self.node, self.members, self.active_config, limit_rule(settings)
+        )
         self.digests = DigestExchange(
             instance_id,
             self.node,
@@ -199,7 +206,7 @@
             self.directory,
             self.meter,
             self.placement.totals,
-            self.in_force,
+            self.active_config,
             self.dispatchers,
             self.dispatch.dispatcher.speed,
             self.limits,
@@ -215,7 +222,7 @@
             self.changes,
         )
         self.rows = RowExchange(self.node, self.members, self.store_clock)
-        config_rows = ConfigRows(self.in_force, self.directory)
+        config_rows = ConfigRows(self.active_config, self.directory)
         self.followers = follow_tables(
             self.store,
             self.rows,
@@ -231,15 +238,17 @@
         wire = PlatformWire()
         self.budgets = RetryBudgets(retry_rule(settings))
         self.pool = ConnectionPool(wire)
-        chooser = PlainReplicaSelector(self.directory, settings.data_centre)
-        selector = ReplicaSelector(self.directory, chooser, self.dispatch_client, self.turns)
-        self.access = AccessGuard(self.in_force, self.config_age_s, access_rule(settings))
+        plain_selector = PlainReplicaSelector(self.directory, settings.data_centre)
+        selector = ReplicaSelector(
+            self.directory, plain_selector, self.dispatch_client, self.permits
+        )
+        self.access = AccessGuard(self.active_config, self.config_age_s, access_rule(settings))
         quarantine = QuarantineGuard(Quarantine(self.suspects), self.crash_detector)
         attempts = AttemptRunner(
             wire,
             self.directory,
             self.pool,
-            self.in_force,
+            self.active_config,
             quarantine,
             self.notices,
             self.meter,
@@ -251,7 +260,7 @@
             attempts,
             self.meter,
             self.budgets,
-            self.in_force,
+            self.active_config,
             self.access,
             LimitGuard(self.limits),
             quarantine,
@@ -269,7 +278,7 @@
 
         In seconds; infinite if a later configuration was received that cannot be read.
         """
-        if self.in_force.is_superseded:
+        if self.active_config.is_superseded:
             return math.inf
         return self.store_clock.age_upper_bound_s(self.rows.copies[CONFIG_TABLE].confirmed_ms)
 
@@ -290,7 +299,7 @@
         self.wants.start()
         self.rows.start()
         self.dispatch.start()
-        self.turns.start()
+        self.permits.start()
         self.notice_exchange.start()
 
     async def close(self) -> None:
--- a/limeshelf/programs/followed_tables.py
+++ b/limeshelf/programs/followed_tables.py
@@ -30,7 +30,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from limeshelf.calls.in_force import ConfigInForce
+    from limeshelf.calls.active_config import ActiveConfig
     from limeshelf.crashes.quarantine_sync import QuarantineSync
     from limeshelf.feeds.rows import Row, RowStore
     from limeshelf.membership.registration import Registration
@@ -98,7 +98,7 @@
     :ivar copy: the local copy of the table; ``None`` before :meth:`open_copy`.
     """
 
-    in_force: ConfigInForce
+    active_config: ActiveConfig
     directory: ReplicaDirectory
     copy: TableCopy | None = None
 
@@ -119,9 +119,9 @@
             config = read_config(row.value)
         except InvalidDocument as error:
             log_change('config_invalid', row_version=row.position.version, problem=str(error))
-            self.in_force.is_superseded = True
+            self.active_config.is_superseded = True
             return False
-        if not self.in_force.replace_if_newer(config):
+        if not self.active_config.replace_if_newer(config):
             return True
         log_change(
             'config',
--- a/limeshelf/programs/gateway.py
+++ b/limeshelf/programs/gateway.py
@@ -114,7 +114,7 @@
 
     async def _become_ready(self) -> None:
         directory = self.components.directory
-        while self.components.in_force.config is None or not directory.all():
+        while self.components.active_config.config is None or not directory.all():
             await directory.wait_for_change(READY_CHECK_S)
         self.components.frontend.set_phase(GatewayPhase.SERVING)
 
--- a/tests/admission/test_hold_or_refuse.py
+++ b/tests/admission/test_hold_or_refuse.py
@@ -23,7 +23,7 @@
         'expected_wait_s': 0.3,
         'waited_s': 0.25,
         'left_s': 9.0,
-        'returned': False,
+        'is_caller_retry': False,
         'announced': True,
         'excluded': False,
         'answer_started': False,
@@ -42,8 +42,8 @@
 
 def test_retrying_caller_is_held_until_its_time_out() -> None:
     # A held call is refused after 85 % of the caller's time-out of four seconds.
-    assert isinstance(decide(expected_wait_s=3.1, returned=True), Hold)
-    assert isinstance(decide(expected_wait_s=3.2, returned=True), RefuseUntilReady)
+    assert isinstance(decide(expected_wait_s=3.1, is_caller_retry=True), Hold)
+    assert isinstance(decide(expected_wait_s=3.2, is_caller_retry=True), RefuseUntilReady)
 
 
 def test_held_until_the_leader_announces_the_load() -> None:
--- a/tests/calls/test_routes.py
+++ b/tests/calls/test_routes.py
@@ -36,12 +36,16 @@
 
 
 @pytest.mark.parametrize(
-    ('objective_s', 'pause_s', 'patience_s'), [(0.1, 0.1, 2.0), (1.0, 0.1, 4.0), (0.1, 0.5, 4.0)]
+    ('objective_s', 'pause_s', 'first_event_timeout_s'),
+    [(0.1, 0.1, 2.0), (1.0, 0.1, 4.0), (0.1, 0.5, 4.0)],
 )
 def test_first_event_timeout_is_the_longest_of_three_times(
-    objective_s: float, pause_s: float, patience_s: float
+    objective_s: float, pause_s: float, first_event_timeout_s: float
 ) -> None:
-    assert make_route(objective_s=objective_s, pause_s=pause_s).patience_s == patience_s
+    assert (
+        make_route(objective_s=objective_s, pause_s=pause_s).first_event_timeout_s
+        == first_event_timeout_s
+    )
 
 
 @pytest.mark.parametrize(
--- a/tests/dispatch/test_refusal.py
+++ b/tests/dispatch/test_refusal.py
@@ -8,7 +8,7 @@
 from limeshelf.dispatch.refusal import QueuePosition, estimate_wait
 
 POSITION = QueuePosition(
-    queued_prefill_ms=650.0, holders=1, objective_ms=1000, left_ms=5000, returned=False
+    queued_prefill_ms=650.0, holders=1, objective_ms=1000, left_ms=5000, is_caller_retry=False
 )
 
 
@@ -27,6 +27,6 @@
 
 
 def test_retried_call_may_wait_until_its_caller_gives_up() -> None:
-    returned = attrs.evolve(POSITION, returned=True)
-    assert not estimate_wait(returned).is_too_long
-    assert estimate_wait(attrs.evolve(returned, queued_prefill_ms=3300.0)).is_too_long
+    retried = attrs.evolve(POSITION, is_caller_retry=True)
+    assert not estimate_wait(retried).is_too_long
+    assert estimate_wait(attrs.evolve(retried, queued_prefill_ms=3300.0)).is_too_long
--- a/tests/forms/test_http.py
+++ b/tests/forms/test_http.py
@@ -146,7 +146,7 @@
         await note_phase(phase)
     await note('draining', '/unsafe/x')
     await note_phase('serving')
-    world.gateway.components.in_force.config = None
+    world.gateway.components.active_config.config = None
     await note('no configuration', '/unsafe/x')
 
 
--- a/tests/gateway/test_keys.py
+++ b/tests/gateway/test_keys.py
@@ -39,8 +39,8 @@
     async def with_organisations(self, version: int, *entries: dict[str, Any]) -> None:
         self.configure(document(version, *entries))
         assert self.gateway is not None
-        in_force = self.gateway.components.in_force
-        await self.until(lambda: in_force.version == version)
+        active_config = self.gateway.components.active_config
+        await self.until(lambda: active_config.version == version)
 
     def seen(self) -> list[Any]:
         return [seen for replica in [*self.plain, *self.engines] for seen in replica.seen]
@@ -189,9 +189,9 @@
 def test_unreadable_newer_configuration_invalidates_the_keys_of_the_current_one() -> None:
     async def scenario(world: KeyWorld) -> None:
         world.store.put('op', 'config', support.encoded({'Version': 3, 'Tenants': 'none'}))
-        in_force = world.gateway.components.in_force
-        await world.until(lambda: in_force.is_superseded)
-        assert in_force.version == 2
+        active_config = world.gateway.components.active_config
+        await world.until(lambda: active_config.is_superseded)
+        assert active_config.version == 2
         assert (await world.call('/safe/x', **WITH_KEY)).status == 503
         assert (await world.call('/open/x')).status == 200
         await world.with_organisations(4, ACME)
--- a/tests/gateway/test_limits.py
+++ b/tests/gateway/test_limits.py
@@ -40,8 +40,8 @@
         routes = (route('safe', 'safe', PLAIN), route('unsafe', 'unsafe', PLAIN))
         self.configure({**configuration(version, *routes), 'Tenants': list(entries)})
         assert self.gateway is not None
-        in_force = self.gateway.components.in_force
-        await self.until(lambda: in_force.version == version)
+        active_config = self.gateway.components.active_config
+        await self.until(lambda: active_config.version == version)
 
     def runs(self) -> int:
         return sum(len(replica.seen) for replica in self.plain)
--- a/tests/gateway/test_restored_store.py
+++ b/tests/gateway/test_restored_store.py
@@ -55,7 +55,7 @@
 
 def all_serve(world: FleetWorld, version: int) -> Callable[[], bool]:
     return lambda: all(
-        world.components(number).in_force.version == version
+        world.components(number).active_config.version == version
         for number in range(len(world.centres))
     )
 
--- a/tests/membership/test_digest_exchange.py
+++ b/tests/membership/test_digest_exchange.py
@@ -7,7 +7,7 @@
 import attrs
 import pytest
 
-from limeshelf.calls.in_force import ConfigInForce
+from limeshelf.calls.active_config import ActiveConfig
 from limeshelf.demand.keys import KeyDemand, ModelKey
 from limeshelf.demand.prefill_speed import PrefillSpeed
 from limeshelf.membership.digest_exchange import DigestExchange
@@ -88,12 +88,12 @@
         'directory': directory,
         'meter': Meter(),
         'totals': Totals(),
-        'in_force': ConfigInForce(),
+        'active_config': ActiveConfig(),
         'dispatchers': Dispatchers(members),
         'speed': PrefillSpeed(),
     }
     node = parts['node']
-    parts['limits'] = LimitExchange(node, members, parts['in_force'], RULE)
+    parts['limits'] = LimitExchange(node, members, parts['active_config'], RULE)
     return DigestExchange(**parts)
 
 
--- a/tests/membership/test_limit_exchange.py
+++ b/tests/membership/test_limit_exchange.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from limeshelf.calls.in_force import ConfigInForce
+from limeshelf.calls.active_config import ActiveConfig
 from limeshelf.calls.routes import ClientLimits, ServingConfig
 from limeshelf.membership.limit_exchange import AVOID_S, LimitExchange
 from limeshelf.membership.member import Member
@@ -55,10 +55,10 @@
         self.wire.deliver(self.address, address, message)
 
 
-def config() -> ConfigInForce:
+def config() -> ActiveConfig:
     limits = ClientLimits(16384, 1 << 20, 3.0, 15.0)
     organisations = Organisations([(Organisation('acme', None, LIMIT), [])])
-    return ConfigInForce(ServingConfig(1, (), {}, limits, organisations))
+    return ActiveConfig(ServingConfig(1, (), {}, limits, organisations))
 
 
 def make_wire() -> Wire:
--- a/tests/placement/tier_simulation.py
+++ b/tests/placement/tier_simulation.py
@@ -146,7 +146,7 @@
             expected_wait_s=model_wait_s(availability),
             waited_s=waited_s,
             left_s=left_s,
-            returned=call.is_retry,
+            is_caller_retry=call.is_retry,
             announced=at_s is not None,
             excluded=False,
             answer_started=False,
--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -107,7 +107,7 @@
         """Return whether each gateway knows the configuration, all replicas and all others."""
         parts = [gateway.components for gateway in self._gateways.values()]
         return all(
-            one.in_force.config is not None
+            one.active_config.config is not None
             and len(one.directory.all()) >= len(self.plain + self.engines)
             and len(one.members.others()) >= len(self.centres) - 1
             for one in parts
