--- a/limeshelf/placement/adapters.py
+++ b/limeshelf/placement/adapters.py
@@ -171,6 +171,7 @@
     def _option(
         self, key: ModelKey, replica: Replica, pending: PendingOrders, is_overdue: bool
     ) -> _Option | None:
+        """Return the move to a replica with its cost; ``None`` if it cannot load it now."""
         loading = _count_loading(replica, pending)
         is_known = pending.is_fresh and pending.is_claimed_under(self.fence)
         if not is_known or pending.expected_models() or loading >= MAX_CONCURRENT_LOADS:
