--- a/limeshelf/admission/hold_or_refuse.py
+++ b/limeshelf/admission/hold_or_refuse.py
@@ -102,7 +102,7 @@
 def _announcement_due(call: CallWithoutReplica) -> bool:
     """Return whether to wait for the leader to announce how long the load takes.
 
-    A call reports its demand to the leader only while it is held, so it is held for a short time.
+    Holding the call reports the missing model to the leader, which then announces the load.
     """
     limit_s = min(ANNOUNCEMENT_TIMEOUT_S, ANNOUNCEMENT_OBJECTIVE_SHARE * call.route.objective_s)
     return not call.announced and call.waited_s < limit_s
--- a/limeshelf/placement/planner.py
+++ b/limeshelf/placement/planner.py
@@ -164,7 +164,7 @@
         *,
         may_prefetch: bool = False,
     ) -> CopyMove | None:
-        """Return the move to make now, or ``None`` if no move gains more than it costs.
+        """Return the best move to make now, or ``None`` if there is none.
 
         Overdue models come first. The others are tried in descending order of what one more copy
         gains on an idle replica, until a worthwhile move is found.
--- a/tests/gateway/test_rate_limited_replica.py
+++ b/tests/gateway/test_rate_limited_replica.py
@@ -75,8 +75,8 @@
     """Guards against two gateways that issue permits for one replica.
 
     Second relays, which own the replicas of their data centres, lost contact with one another, and
-    each then issued permits for the replicas of the others: each replica got 20 calls in 4 s,
-    where 18.8 are tolerated, and twice its rate for as long as calls arrived.
+    each then issued permits for the replicas of the others: 20 calls in 4 s at each,
+    where 18.8 are tolerated, and twice the rate for as long as calls arrived.
     """
 
     async def scenario(world: FleetWorld) -> None:
