--- a/limeshelf/replicas/__init__.py
+++ b/limeshelf/replicas/__init__.py
@@ -5,7 +5,7 @@
   report describes; ``freshness``: which of several rows and reports is used.
 * ``holdings``: removes models and adapters that refusals and orders show to be unloaded.
 * ``notices``: handles rate limits, pauses and leaving announced in response heads;
-  ``backpressure``: the requests of one replica that are in force.
+  ``backpressure``: the currently valid requests of one replica.
 * ``loads``: calls of other gateways in progress at the replicas.
 * ``health``: when a replica is suspended; ``penalties``: cost added for failures and distance.
 * ``connections`` and ``pool``: connections for calls, and probes.
--- a/limeshelf/replicas/backpressure.py
+++ b/limeshelf/replicas/backpressure.py
@@ -22,7 +22,7 @@
 class Backpressure:
     """Requests of one start of a replica to the gateways.
 
-    A rate limit stays in force until a response without one arrives to a call that was sent after
+    A rate limit remains active until a response without one arrives to a call that was sent after
     the limit was last received; only then was the response certainly sent later. The limit does
     not expire while there are no responses, since calls sent at full rate to test it would exceed
     it.
--- a/limeshelf/replicas/pool.py
+++ b/limeshelf/replicas/pool.py
@@ -64,7 +64,7 @@
         return found
 
     async def sweep(self, directory: ReplicaDirectory) -> None:
-        """Close the connections to replicas that are gone, for ever.
+        """Close the connections to replicas that are gone; runs until cancelled.
 
         Calls in progress at a replica that is considered gone may still succeed, so its
         connections stay open until these have ended.
@@ -84,7 +84,7 @@
         self._unreachable.set()
 
     async def probe(self, directory: ReplicaDirectory) -> None:
-        """Probe unreachable replicas until they can be reached again, for ever.
+        """Probe unreachable replicas until they can be reached again; runs until cancelled.
 
         A round ends when all of its probes have ended.
         """
--- a/tests/replicas/test_backpressure.py
+++ b/tests/replicas/test_backpressure.py
@@ -1,4 +1,4 @@
-"""A rate limit stays in force until a response certainly sent later has none."""
+"""A rate limit remains active until a response that was certainly sent later has none."""
 
 from __future__ import annotations
 
