--- a/limeshelf/crashes/__init__.py
+++ b/limeshelf/crashes/__init__.py
@@ -1,4 +1,5 @@
 """Quarantine of calls and loads that are suspected of crashing replicas.
 
-A crash is here any end of a replica that it has not announced, whatever the cause.
+A replica that exits or loses power without having announced that it is leaving has crashed here,
+whatever the cause.
 """
--- a/limeshelf/crashes/crash_detector.py
+++ b/limeshelf/crashes/crash_detector.py
@@ -204,7 +204,7 @@
                 self._suspects.mark_coincident(_crash_of(other.replica))
 
     async def run(self) -> None:
-        """Detect crashes by later starts, for ever."""
+        """Detect crashes by later starts; runs until cancelled."""
         while True:
             await asyncio.sleep(RESTART_CHECK_INTERVAL_S)
             self._check_restarts()
--- a/limeshelf/crashes/quarantine_sync.py
+++ b/limeshelf/crashes/quarantine_sync.py
@@ -30,7 +30,7 @@
 
 #: Maximum number of rows in the table; the row written longest ago is deleted first.
 MAX_ROWS = 500
-#: Longest random delay before a write. If several gateways learn of a second crash at the same
+#: Longest random delay before a write. If several gateways detect a second crash at the same
 #: moment, one writes first and the others find its row.
 WRITE_JITTER_S = 0.2
 #: The same for rows that the store has lost, longer because every gateway knows them.
@@ -102,7 +102,7 @@
             self._has_unwritten.set()
 
     async def run(self) -> None:
-        """Write pending suspects, with retries, for ever."""
+        """Write pending suspects, with retries; runs until cancelled."""
         failures = 0
         while True:
             await self._has_unwritten.wait()
