--- a/limeshelf/orders/order.py
+++ b/limeshelf/orders/order.py
@@ -18,7 +18,7 @@
 
 
 class OrderKind(enum.StrEnum):
-    """What an order tells a replica to do."""
+    """The operation that an order requests from a replica."""
 
     LOAD = 'load'
     UNLOAD = 'unload'
