--- a/limeshelf/lease/leadership.py
+++ b/limeshelf/lease/leadership.py
@@ -3,9 +3,9 @@
 Owns the term of this process. The store's conditional writes allow one writer of the lease row
 at a time; replicas that compare fences refuse the orders of a preceding leader.
 
-When a lease expires, another gateway may acquire it; the term of its holder does not end by that.
-While the store is unreachable the last holder goes on planning, since no other gateway can replace
-it. Whether it also goes on sending orders depends on the replicas:
+When a lease expires, another gateway may acquire it; expiry alone does not end the holder's term.
+While the store is unreachable the last holder continues to plan, since no other gateway can
+replace it. Whether it also continues to send orders depends on the replicas:
 
 * If they compare fences, it does, since no other gateway would place models; the first order of a
   successor to a replica fences it off there.
@@ -85,7 +85,7 @@
     :param holder: name of this instance in the row and in orders.
     :param lease_s: duration of a lease without renewal.
     :param replicas_check_fences: whether replicas refuse an order with a lower fence than
-        one they have seen.
+        one they have received.
     :param clock: gives the time when the store was last restored from a copy.
     """
 
@@ -130,7 +130,7 @@
         return max(0.0, end_s - boottime_s())
 
     def observe_fence(self, fence: int) -> None:
-        """Record a fence that a peer uses or a replica has seen; a higher one ends the term."""
+        """Record a fence of a peer, or one known to a replica; a higher one ends the term."""
         self._highest_fence = max(self._highest_fence, fence)
         if self.term is not None and fence > self.term.fence:
             self.end('superseded')
@@ -153,7 +153,7 @@
             else:
                 return
         except (PlatformUnavailable, PlatformUnknown) as error:
-            # The term goes on (see the module docstring), and the next call tries again. A write
+            # The term continues (see the module docstring), and the next call tries again. A write
             # with unknown effect needs no clean-up: its row names this holder, which may acquire
             # the lease again.
             self._log_store_reachability(error_name=type(error).__name__)
@@ -243,7 +243,7 @@
 
         While the lease of *term* lasts, no other process can hold one. After that another may have
         acquired it by a write that is lost as well, so the reader decides; until it allows the
-        write, *term* goes on as while the store is unreachable.
+        write, *term* continues as while the store is unreachable.
         """
         if view.was_acquired_in_this_era:
             self._end_if_current(term, 'row_taken')
--- a/tests/lease/test_order_time.py
+++ b/tests/lease/test_order_time.py
@@ -170,7 +170,7 @@
         assert leadership.order_time_left_s() > 0
         clock.advance(0.02)
         assert leadership.order_time_left_s() == 0
-        # The term goes on, and orders may be sent again once the lease is renewed.
+        # The term continues, and orders may be sent again once the lease is renewed.
         assert leadership.fence == 1
         store.away = False
         asyncio.run(leadership.renew_or_acquire())
