--- a/limeshelf/membership/broadcast_queue.py
+++ b/limeshelf/membership/broadcast_queue.py
@@ -77,7 +77,7 @@
         self._has_items.set()
 
     async def run(self) -> None:
-        """Send queued items in batches, for ever."""
+        """Send queued items in batches; runs until cancelled."""
         while True:
             await self._has_items.wait()
             await self._wait_for_batch()
--- a/limeshelf/membership/crash_exchange.py
+++ b/limeshelf/membership/crash_exchange.py
@@ -1,7 +1,7 @@
 """Exchanges the calls suspected of crashing replicas with the other gateways.
 
 Suspects are broadcast through :mod:`~limeshelf.membership.broadcast_queue`. A gateway that is cut
-off from all others learns of a call only once the call is quarantined, from its row in the store
+off from all others receives a call only once the call is quarantined, with its row in the store
 (:mod:`limeshelf.crashes.quarantine_sync`).
 """
 
@@ -24,7 +24,7 @@
     from limeshelf.peers.codec import Envelope
     from limeshelf.peers.node import PeerNode
 
-#: Suspects added within this time are sent in one message. When a replica ends, its calls break
+#: Suspects added within this time are sent in one message. When a replica crashes, its calls break
 #: off within 3 ms at all gateways, but a relay receives the reports of the gateways one by one.
 BATCH_WINDOW_S = 0.05
 #: Each suspect takes about 10 bytes in a message.
@@ -61,7 +61,7 @@
             self.suspects.merge(state, NewsSource.PEER)
 
     async def run(self) -> None:
-        """Send queued changes in batches, for ever."""
+        """Send queued changes in batches; runs until cancelled."""
         await self._broadcasts.run()
 
     def _send_to(self, addresses: list[str], states: list[SuspectState]) -> None:
@@ -89,7 +89,7 @@
 
 
 def _states_from_message(message: CrashSuspects) -> Iterator[SuspectState]:
-    """Yield a state for each call and end in the message."""
+    """Yield a state for each call and crash in the message."""
     for group in message.ends:
         crash = ReplicaCrash(group.replica_id, group.born_ms)
         call_crash = CallCrash(crash, group.cleared, group.coincident)
--- a/limeshelf/membership/digest_exchange.py
+++ b/limeshelf/membership/digest_exchange.py
@@ -42,8 +42,8 @@
 DIGEST_INTERVAL_S = 0.25
 #: Number of gateways in a message if the number is unknown.
 UNKNOWN_COUNT = 0
-#: Suffix of the sender's id in the sum of a data centre; it tells the sum from the sender's own
-#: digest.
+#: Suffix of the sender's id in the sum of a data centre; it distinguishes the sum from the
+#: sender's own digest.
 SUM_ID_SUFFIX = '+centre'
 
 
--- a/limeshelf/membership/dispatchers.py
+++ b/limeshelf/membership/dispatchers.py
@@ -66,7 +66,7 @@
         """Return the dispatchers that this gateway announces, by data centre.
 
         Dispatchers forwarded by other relays are excluded: two relays that forward each other's
-        information would keep a dispatcher that no longer exists for ever.
+        information would keep a dispatcher that no longer exists permanently.
         """
         known = {self.members.own.data_centre: self.own_centre_address()}
         for data_centre, announced in self._announced.items():
--- a/limeshelf/membership/leader.py
+++ b/limeshelf/membership/leader.py
@@ -32,8 +32,8 @@
     :ivar last_claim_s: time of its latest claim, on the boot clock; 0 if it has shut down.
     :ivar may_order: whether the leader stated that it may send orders to replicas. A leader that
         is cut off from the store keeps its term but lets others contend. Without this rule no
-        models were placed during an 11 s network partition, and two of five calls at its end
-        found no replica.
+        models were placed during an 11 s network partition, and two of five calls after
+        it found no replica.
     """
 
     members: Members
--- a/limeshelf/membership/messages.py
+++ b/limeshelf/membership/messages.py
@@ -75,7 +75,7 @@
 
     :param weight: spare capacity of the gateway for relaying.
     :param number: increases with each digest; a digest with a lower number is out of date.
-    :param config_version: version of the configuration in force at the gateway.
+    :param config_version: version of the active configuration of the gateway.
     :param fence: fencing token of the lease that the gateway holds; 0 if it holds none.
     :param loads: load on each replica at which the gateway has calls in flight or that it has
         suspended.
@@ -162,14 +162,14 @@
 
 
 class EndedReplica(msgspec.Struct, array_like=True):
-    """The unexpected end of a replica, with the calls that were running there.
+    """The crash of a replica, with the calls that were running there.
 
-    Calls are grouped by end to keep the message small: an end with 50 calls takes 0.5 KB, where
-    listing the ends of each call takes 2.3 KB (tests/membership/test_crash_exchange.py).
+    Calls are grouped by crash to keep the message small: a crash with 50 calls takes 0.5 KB, where
+    listing the crashes of each call takes 2.3 KB (tests/membership/test_crash_exchange.py).
 
     :ivar born_ms: start time of the replica, in milliseconds since 1970; 0 if unknown.
-    :ivar cleared: whether these calls are no longer suspected of having caused the end.
-    :ivar coincident: whether other replicas ended at the same time.
+    :ivar cleared: whether these calls are no longer suspected of having caused the crash.
+    :ivar coincident: whether other replicas crashed at the same time.
     :ivar calls: fingerprints of the calls.
     """
 
@@ -227,7 +227,7 @@
 @add_message('model-wanted')
 @attrs.frozen
 class ModelWanted:
-    """Tells the leader that a call waits because no replica holds its model or adapter."""
+    """Notifies the leader that a call waits because no replica holds its model or adapter."""
 
     key: ModelKey
 
--- a/limeshelf/membership/model_request_exchange.py
+++ b/limeshelf/membership/model_request_exchange.py
@@ -30,7 +30,7 @@
         self.node.add_handler(ModelWanted, self._handle_request)
 
     def request(self, key: ModelKey) -> None:
-        """Tell the leader that a call waits for *key*; do nothing if no leader is known."""
+        """Notify the leader that a call waits for *key*; do nothing if no leader is known."""
         leader = self.leader.current()
         if leader == LOCAL:
             self.placement.request_load(key)
--- a/limeshelf/membership/notice_exchange.py
+++ b/limeshelf/membership/notice_exchange.py
@@ -1,7 +1,7 @@
 """Exchanges the notices of replicas that apply to all gateways: call rate and shutdown.
 
 Notices are broadcast through :mod:`~limeshelf.membership.broadcast_queue`. A gateway that starts
-later has missed them. It learns a replica's notice from the replica's first answer, and sends it
+later has missed them. It receives a replica's notice with the replica's first answer, and sends it
 to the replica's pacer with its request for a turn (:mod:`limeshelf.dispatch.permits`).
 """
 
@@ -25,7 +25,7 @@
     from limeshelf.replicas.notices import NoticeHandler
     from limeshelf.replicas.replica import Replica
 
-#: Age in milliseconds that stands for an answer that was never received.
+#: Age in milliseconds that denotes an answer that was never received.
 NEVER_MS = 1 << 40
 #: Notices that change within this time are sent in one message.
 BATCH_WINDOW_S = 0.01
@@ -68,7 +68,7 @@
                     self.notices.handle_peer_leaving(replica)
 
     async def run(self) -> None:
-        """Send queued notices in batches, for ever."""
+        """Send queued notices in batches; runs until cancelled."""
         await self._broadcasts.run()
 
     def _send_to(self, addresses: list[str], replicas: list[Replica]) -> None:
--- a/limeshelf/membership/receivers.py
+++ b/limeshelf/membership/receivers.py
@@ -52,7 +52,7 @@
     For a data centre without any relay, because all its gateways timed out, the first gateways by
     rank are contacted, and a random one in case those no longer exist. Otherwise two data centres
     separated by a network partition would never send each other a message again: after a
-    partition of 7 s they were still separated at the end of a test run, 28 s later
+    partition of 7 s they were still separated 28 s later
     (tests/membership/test_reconnection_after_partition.py).
     """
     addresses: set[str] = set()
--- a/limeshelf/membership/registration.py
+++ b/limeshelf/membership/registration.py
@@ -83,7 +83,7 @@
                 self._written = await store.write(MEMBER_TABLE, self.instance_id, value, None)
                 return
             except (PlatformUnavailable, PlatformUnknown, ConditionFailed) as error:
-                # Until the row is written, relays learn of this gateway from its digests.
+                # Until the row is written, relays discover this gateway by its digests.
                 attempt += 1
                 if attempt == 1:
                     log_change('member_row_not_written', reason=repr(error))
@@ -109,7 +109,7 @@
             return True
         value = _decode_value(row.value)
         if value is None:
-            # The relays of its data centre still learn of the gateway from its digests.
+            # The relays of its data centre still discover the gateway by its digests.
             log_change('member_row_invalid', key=row.key)
             return False
         self.members.add(value.address, value.data_centre, value.weight)
--- a/limeshelf/membership/row_exchange.py
+++ b/limeshelf/membership/row_exchange.py
@@ -47,7 +47,7 @@
 #: ...and shortest interval.
 MIN_CHECK_INTERVAL_S = 0.02
 #: If the store's clock shows that an update is older than its sender states by more than this, the
-#: update was delayed on its way, and the age by the store's clock counts. Smaller differences lie
+#: update was delayed in transit, and the age by the store's clock counts. Smaller differences lie
 #: within the accuracy to which the two clocks are known.
 CLOCK_TOLERANCE_S = 0.25
 
--- a/limeshelf/membership/state_exchange.py
+++ b/limeshelf/membership/state_exchange.py
@@ -71,7 +71,7 @@
         self.node.add_handler(ReplicaStates, self._handle_states)
 
     async def run(self) -> None:
-        """Send replica states whenever this gateway is the leader, for ever."""
+        """Send replica states whenever this gateway is the leader; runs until cancelled."""
         while True:
             timeout_s = STATES_INTERVAL_S if self.leader.is_self else FOLLOWER_CHECK_INTERVAL_S
             await self.changes.wait(timeout_s, CHANGES_BATCH_WINDOW_S)
--- a/limeshelf/membership/store_polling.py
+++ b/limeshelf/membership/store_polling.py
@@ -46,7 +46,8 @@
     :param order: the gateway's position in the polling order.
     :param is_isolated: whether it has recently received no message from any other gateway. The
         delays exist so that rows polled by the first gateway can arrive. An isolated gateway
-        would wait in vain; late in the order, for longer than a change may take to be in force.
+        would wait in vain: if it is late in the order, for longer than a change may take to become
+        active.
     """
     return 0.0 if is_isolated else min(OVERDUE_LIMIT_S, OVERDUE_STEP_S * order)
 
--- a/tests/membership/test_crash_exchange.py
+++ b/tests/membership/test_crash_exchange.py
@@ -23,8 +23,8 @@
 
 CALL = Fingerprint('00112233445566aa')
 CONTROL_BYTES_PER_S = 4096
-#: Longest delay of a message between gateways, and time within which the calls of a replica that
-#: ends break off at all gateways.
+#: Longest delay of a message between gateways, and time within which the calls of a crashed
+#: replica break off at all gateways.
 MAX_DELAY_S = 0.02
 BREAK_OFF_S = 0.003
 END = ReplicaCrash('i-0123456789', 1_784_591_736_000)
@@ -151,7 +151,7 @@
 
 
 def test_crash_costs_each_of_three_hundred_gateways_few_bytes() -> None:
-    """One end with 50 calls costs the busiest gateway, a relay, 3.4 KB, and most gateways 1.4 KB.
+    """A crash with 50 calls costs the busiest gateway, a relay, 3.4 KB, and most gateways 1.4 KB.
 
     With a batch window of 5 ms it would cost 6.0 KB and 2.1 KB. A gateway may receive 4 KB of
     control traffic per second.
--- a/tests/membership/test_retries_of_all_gateways.py
+++ b/tests/membership/test_retries_of_all_gateways.py
@@ -1,12 +1,12 @@
 """All gateways together stay within the retry limit, also when they are cut off from each other.
 
 The failure: each gateway divided the limit by the number of gateways that were active in its
-view. A gateway that is cut off, or has just started, sees no other and used the whole limit, while
-the gateways it did not see used their shares as well. A service then received 211 retries of 745
-calls in 10 s, where 205 were allowed.
+view. A gateway that is cut off, or has just started, knows no other active one and used the whole
+limit, while the gateways unknown to it used their shares as well. A service then received 211
+retries of 745 calls in 10 s, where 205 were allowed.
 
-It occurred when network partitions separated data centres and then all replicas refused many
-calls: three of four runs with two partitions of 4 s and replicas refusing 60 % for 10 s exceeded
+It occurs when network partitions separate data centres and then all replicas refuse many calls:
+with two partitions of 4 s and replicas that refuse 60 % for 10 s, three of four attempts exceeded
 the limit by 3 to 6 calls; none of six did when data centres exchanged messages again after a
 partition. In this test, nine isolated gateways allowed 491 retries of 1,800 calls (limit 416),
 256 retries of 180 calls (limit 92), and 360 directly after a start.
--- a/tests/membership/test_row_exchange.py
+++ b/tests/membership/test_row_exchange.py
@@ -186,7 +186,7 @@
 
 
 def test_gateways_that_start_together_wait_for_updates_from_the_first() -> None:
-    """Gateways that start together must not each poll the store until they hear of another."""
+    """Gateways that start together must not each poll the store until they know another."""
     with virtual_clock() as clock:
         first, second = exchange('g1', 'g2'), exchange('g2', 'g1')
         assert [gateway.is_due() for gateway in (first, second)] == [True, False]
