--- a/limeshelf/feeds/store_backoff.py
+++ b/limeshelf/feeds/store_backoff.py
@@ -32,7 +32,7 @@
     While the latest call has failed, only one table at a time calls the store, as a probe: with
     three tables that retried independently, 20 gateways sent about 60 calls per second to an
     unavailable store. The store must answer a probe at once: a probe that it held for 8 s
-    blocked all other tables, and configurations came into force up to 8 s late
+    blocked all other tables, and configurations became active up to 8 s late
     (tests/feeds/test_late_configuration.py).
     """
 
--- a/limeshelf/feeds/store_clock.py
+++ b/limeshelf/feeds/store_clock.py
@@ -60,7 +60,7 @@
         self.offset_lower_bound_s = max(self.offset_lower_bound_s, asked_s - store_s)
 
     def advance_era(self, era: int) -> None:
-        """Switch to *era* if it is later; the store's clock may start anew with it."""
+        """Switch to *era* if it is later; the store's clock may then be reset."""
         if self.era is None:
             self.era = era
         if era <= self.era:
--- a/limeshelf/feeds/table_copy.py
+++ b/limeshelf/feeds/table_copy.py
@@ -246,7 +246,7 @@
         if before == BEGINNING:
             return False
         self.position = Position(position.era)
-        # The store's clock may start anew with the era.
+        # The store's clock may be reset with the era.
         self.confirmed_ms = 0
         self._outdated_keys.clear()
         log_change(
--- a/tests/feeds/test_store_clock.py
+++ b/tests/feeds/test_store_clock.py
@@ -39,7 +39,7 @@
 
 
 def test_later_era_resets_the_offset() -> None:
-    """The store's clock may start anew; with the old offset, confirmations would seem too new."""
+    """The store's clock may be reset; with the old offset, confirmations would seem too new."""
     clock = StoreClock()
     clock.advance_era(1)
     clock.record_answer(100.0, 5100.0)
--- a/tests/feeds/test_table_copy.py
+++ b/tests/feeds/test_table_copy.py
@@ -149,7 +149,7 @@
 
 
 def test_confirmations_of_earlier_era_are_discarded() -> None:
-    """The store's clock may have started anew, at a lower time."""
+    """The store's clock may have been reset to a lower time."""
     copy = copy_with_writer_versions()
     copy.record_confirmation(boottime_s(), 900_000)
     copy.apply_full_read(Page((), at(42, 2)))
