--- a/limeshelf/programs/followed_tables.py
+++ b/limeshelf/programs/followed_tables.py
@@ -59,7 +59,7 @@
 #: to crash replicas crashed one through a new gateway in 4 of 8 runs under load, without the
 #: delay in none of 6 (tests/gateway/test_crashing_call.py).
 QUARANTINE_RULE = FollowRule(wait_s=8.0, stale_after_s=12.0)
-#: After the store is restored from an older copy, the latest configuration stays in force and is
+#: After the store is restored from an older copy, the latest configuration stays active and is
 #: passed on to starting gateways until the store has one at least as new, because the operator
 #: has already confirmed it.
 CONFIG_RETURN = RestoreRule(config_newness)
@@ -109,7 +109,7 @@
         return self.copy
 
     def apply_row(self, row: Row) -> bool:
-        """Put the row's configuration in force if it is newer, and wake waiting calls.
+        """Activate the row's configuration if it is newer, and wake waiting calls.
 
         :returns: whether the row could be read.
         """
