--- a/limeshelf/replicas/backpressure.py
+++ b/limeshelf/replicas/backpressure.py
@@ -13,8 +13,8 @@
 
 from limeshelf.util.clock import boottime_s
 
-#: Longer pauses are cut to this. A pause given in a wrong unit by mistake must not take the
-#: replica out of use for good.
+#: Longer pauses are cut to this. A pause given in a wrong unit by mistake must not
+#: exclude the replica from calls permanently.
 MAX_PAUSE_S = 300.0
 
 
--- a/limeshelf/replicas/directory.py
+++ b/limeshelf/replicas/directory.py
@@ -77,8 +77,8 @@
         """Apply a newer row of a replica; return whether it could be decoded.
 
         An invalid row marks its replica as gone until a valid row arrives, with the next
-        heartbeat if the replica is alive. With the last valid row, calls might be sent to another
-        replica that now uses the address.
+        heartbeat if the replica is running. With the last valid row, calls might be sent to
+        another replica that now uses the address.
         """
         if row.gone:
             self._remove(row.key, 'record_dropped')
--- a/limeshelf/replicas/notices.py
+++ b/limeshelf/replicas/notices.py
@@ -2,8 +2,8 @@
 
 All notices are handled here: those in the head of a response to a call, as soon as the head
 arrives (a stream takes seconds more), those in responses to orders and reports, and those from
-peers. Owns only the set of replicas whose unusable notices have been logged; the requests in
-force are kept per start of a replica (:mod:`limeshelf.replicas.backpressure`).
+peers. Owns only the set of replicas whose unusable notices have been logged; the active
+requests are kept per start of a replica (:mod:`limeshelf.replicas.backpressure`).
 """
 
 from __future__ import annotations
--- a/limeshelf/replicas/starts.py
+++ b/limeshelf/replicas/starts.py
@@ -44,7 +44,7 @@
     Used as the key for state of a replica that a restart invalidates. A row that was deleted and
     written again is not a new start.
 
-    :param number: number of earlier starts that this process has seen.
+    :param number: number of earlier starts that this process has detected.
     """
 
     replica_id: str
--- a/tests/replicas/test_backpressure.py
+++ b/tests/replicas/test_backpressure.py
@@ -12,7 +12,7 @@
     assert Backpressure().rate_per_s is None
 
 
-def test_rate_limit_stays_in_force_without_further_responses() -> None:
+def test_rate_limit_remains_active_without_further_responses() -> None:
     backpressure = Backpressure()
     backpressure.record_rate(2.3, received_s=10.0)
     assert backpressure.rate_per_s == 2.3
