--- a/limeshelf/crashes/quarantine.py
+++ b/limeshelf/crashes/quarantine.py
@@ -14,8 +14,8 @@
   day later, unless its suspect was evicted to limit memory.
 
 A call that was interrupted twice within one request of its caller is not sent a third time, also
-after coincident crashes: it could crash one replica after the other within 0.1 s. A run that
-completes at another replica clears the call, whatever the count.
+after coincident crashes: it could crash one replica after the other within 0.1 s. A call
+that completes at another replica is cleared, whatever the count.
 """
 
 from __future__ import annotations
