--- a/limeshelf/orders/order.py
+++ b/limeshelf/orders/order.py
@@ -33,7 +33,7 @@
     #: The replica carries out another order, or the expected order number does not match. Also
     #: used if no answer came.
     BUSY_OR_STALE = 'busy_or_stale'
-    #: The replica has seen a higher fence. Also used if this process may not send orders any more.
+    #: The replica has received a higher fence. Also used if this process may send no more orders.
     FENCED_OFF = 'fenced_off'
     #: Another replica answered at the address.
     GONE = 'gone'
--- a/limeshelf/orders/sender.py
+++ b/limeshelf/orders/sender.py
@@ -80,7 +80,7 @@
     async def poll(self, replica: Replica, past_report_lag: bool = False) -> bool:
         """Fetch a replica's report; return whether it answered.
 
-        A replica that has asked this gateway to pause is not polled.
+        A replica that has requested a pause is not polled.
 
         :param past_report_lag: whether the last order was sent longer ago than reports lag.
         """
