--- a/limeshelf/lease/leadership.py
+++ b/limeshelf/lease/leadership.py
@@ -269,7 +269,7 @@
             return None
 
     async def release(self) -> None:
-        """Release the lease for good, so that a successor need not wait for it to expire."""
+        """Release the lease permanently, so that a successor need not wait for it to expire."""
         self._released = True
         term = self.term
         if term is None:
--- a/limeshelf/lease/row.py
+++ b/limeshelf/lease/row.py
@@ -74,7 +74,7 @@
 
 
 def next_fence(highest_seen: int, value: LeaseValue | None, position: Position) -> int:
-    """Return the fence of a new term: above that of the row, and above any seen elsewhere.
+    """Return the fence of a new term: above that of the row, and above any known otherwise.
 
     If the store has eras, it is also above all fences of earlier eras, and above those of rows
     that a late write from an earlier era has replaced: these were written at earlier positions.
--- a/limeshelf/lease/row_reader.py
+++ b/limeshelf/lease/row_reader.py
@@ -1,7 +1,7 @@
 """Reads the lease row, and decides whether the lease may be acquired.
 
-Owns the times since when an unreadable row has been seen, and since when the current era of the
-store has been known.
+Owns the times since when an unreadable row has been observed, and since when the current era of
+the store has been known.
 """
 
 from __future__ import annotations
