--- a/limeshelf/membership/broadcast_queue.py
+++ b/limeshelf/membership/broadcast_queue.py
@@ -25,7 +25,7 @@
 #: A batch is complete after a pause without new items; the pause is this fraction of the batch
 #: window. A pause that ended late does not count: while the event loop is delayed, items that
 #: have arrived may not have been read yet.
-QUIET_FRACTION = 0.2
+PAUSE_FRACTION = 0.2
 #: Longest wait for a batch, in batch windows.
 MAX_BATCH_WINDOWS = 3
 
@@ -50,7 +50,7 @@
         self._for_other_centres: dict[Hashable, ItemT] = {}
         self._has_items = asyncio.Event()
         # Whether no item was added since the last pause began.
-        self._is_quiet = True
+        self._is_pause_unbroken = True
 
     def publish(self, key: Hashable, item: ItemT) -> None:
         """Queue an item that originates at this gateway.
@@ -73,7 +73,7 @@
         self._mark_pending()
 
     def _mark_pending(self) -> None:
-        self._is_quiet = False
+        self._is_pause_unbroken = False
         self._has_items.set()
 
     async def run(self) -> None:
@@ -86,14 +86,14 @@
 
     async def _wait_for_batch(self) -> None:
         """Wait until the batch is complete, also while the event loop is delayed."""
-        pause_s = QUIET_FRACTION * self._batch_window_s
+        pause_s = PAUSE_FRACTION * self._batch_window_s
         deadline_s = boottime_s() + MAX_BATCH_WINDOWS * self._batch_window_s
         await asyncio.sleep(self._batch_window_s - pause_s)
         while boottime_s() < deadline_s:
-            self._is_quiet = True
+            self._is_pause_unbroken = True
             due_s = boottime_s() + pause_s
             await asyncio.sleep(pause_s)
-            if self._is_quiet and boottime_s() - due_s < pause_s:
+            if self._is_pause_unbroken and boottime_s() - due_s < pause_s:
                 return
 
     def _send(self) -> None:
--- a/limeshelf/membership/crash_exchange.py
+++ b/limeshelf/membership/crash_exchange.py
@@ -77,11 +77,11 @@
         for call_crash in state.call_crashes():
             groups.setdefault(call_crash, []).append(bytes.fromhex(state.fingerprint))
     return CrashSuspects(
-        [_ended_replica(call_crash, calls) for call_crash, calls in groups.items()]
+        [_crashed_replica(call_crash, calls) for call_crash, calls in groups.items()]
     )
 
 
-def _ended_replica(call_crash: CallCrash, calls: list[bytes]) -> EndedReplica:
+def _crashed_replica(call_crash: CallCrash, calls: list[bytes]) -> EndedReplica:
     crash = call_crash.crash
     return EndedReplica(
         crash.replica_id, crash.born_ms, call_crash.is_cleared, call_crash.is_coincident, calls
--- a/limeshelf/membership/dispatchers.py
+++ b/limeshelf/membership/dispatchers.py
@@ -1,4 +1,4 @@
-"""Tracks which gateway is the dispatcher of each data centre; it grants the replicas there.
+"""Tracks which gateway is the dispatcher of each data centre, which grants its replicas to calls.
 
 The dispatcher is the last relay by rank, because the first relay already polls the store, sends
 the sums and forwards replica states. Within a data centre each gateway determines the dispatcher
--- a/limeshelf/membership/gateway_count.py
+++ b/limeshelf/membership/gateway_count.py
@@ -1,6 +1,6 @@
 """Counts the gateways among which limits for the whole deployment are divided.
 
-Owns the highest number of active gateways seen recently.
+Owns the highest number of recently active gateways.
 """
 
 from __future__ import annotations
--- a/limeshelf/membership/liveness.py
+++ b/limeshelf/membership/liveness.py
@@ -10,8 +10,7 @@
 #: A gateway from which no message was received for this long is inactive: it is not counted and
 #: not relied on. Ten digest intervals.
 INACTIVE_AFTER_S = 2.5
-#: Interval between messages to an inactive gateway; they detect that it is reachable
-#: again.
+#: Interval between messages to an inactive gateway; they detect that it is reachable again.
 INACTIVE_RETRY_INTERVAL_S = 2.0
 
 
--- a/limeshelf/membership/notice_exchange.py
+++ b/limeshelf/membership/notice_exchange.py
@@ -2,7 +2,7 @@
 
 Notices are broadcast through :mod:`~limeshelf.membership.broadcast_queue`. A gateway that starts
 later has missed them. It receives a replica's notice with the replica's first answer, and sends it
-to the replica's pacer with its request for a turn (:mod:`limeshelf.dispatch.permits`).
+to the replica's pacer with its request for a permit (:mod:`limeshelf.dispatch.permits`).
 """
 
 from __future__ import annotations
--- a/tests/membership/test_crash_exchange.py
+++ b/tests/membership/test_crash_exchange.py
@@ -27,7 +27,7 @@
 #: replica break off at all gateways.
 MAX_DELAY_S = 0.02
 BREAK_OFF_S = 0.003
-END = ReplicaCrash('i-0123456789', 1_784_591_736_000)
+CRASH = ReplicaCrash('i-0123456789', 1_784_591_736_000)
 
 
 @pytest.fixture(autouse=True)
@@ -110,7 +110,7 @@
     run_virtual(run())
 
 
-def test_all_gateways_learn_of_all_ends_seen_by_any() -> None:
+def test_all_gateways_receive_all_crashes_detected_by_any() -> None:
     network, exchanges = fleet(9, 3)
 
     def scenario() -> None:
@@ -130,7 +130,7 @@
 
     def scenario() -> None:
         for exchange in exchanges:
-            state = SuspectState(CALL, frozenset({END, ReplicaCrash('r')}))
+            state = SuspectState(CALL, frozenset({CRASH, ReplicaCrash('r')}))
             exchange.suspects.merge(state, NewsSource.ROW)
         exchanges[5].suspects.record_completion(CALL)
 
@@ -142,7 +142,7 @@
     network, exchanges = fleet(4, 2)
 
     def scenario() -> None:
-        state = SuspectState(CALL, frozenset({END}))
+        state = SuspectState(CALL, frozenset({CRASH}))
         for exchange in exchanges:
             exchange.suspects.merge(state, NewsSource.ROW)
 
@@ -164,7 +164,7 @@
             fingerprint = Fingerprint(f'{number:016x}')
             suspects = exchanges[6 * number % 300].suspects
             loop.call_later(
-                network.delays.uniform(0.0, BREAK_OFF_S), suspects.record_crash, fingerprint, END
+                network.delays.uniform(0.0, BREAK_OFF_S), suspects.record_crash, fingerprint, CRASH
             )
 
     run_fleet(exchanges, scenario)
--- a/tests/membership/test_members.py
+++ b/tests/membership/test_members.py
@@ -86,11 +86,11 @@
         for view in self.views.values():
             for name in names:
                 view.add(name, 'c1', 1.0)
-        self.dead: set[str] = set()
+        self.stopped: set[str] = set()
 
     def step(self) -> None:
         """Deliver a message from each live relay to all, and from each gateway to its relays."""
-        live = {name: view for name, view in self.views.items() if name not in self.dead}
+        live = {name: view for name, view in self.views.items() if name not in self.stopped}
         for name, view in live.items():
             if view.is_relay:
                 for other in live.values():
@@ -104,7 +104,7 @@
         return {
             tuple(member.address for member in view.own_relays())
             for name, view in self.views.items()
-            if name not in self.dead
+            if name not in self.stopped
         }
 
 
@@ -114,7 +114,7 @@
         for _ in range(8):
             fleet.step()
         assert fleet.relays_seen() == {('g000', 'g001')}
-        fleet.dead = {'g000', 'g001'}
+        fleet.stopped = {'g000', 'g001'}
         for _ in range(12):
             fleet.step()
         assert fleet.relays_seen() == {('g002', 'g003')}
--- a/tests/membership/test_reconnection_after_partition.py
+++ b/tests/membership/test_reconnection_after_partition.py
@@ -3,9 +3,9 @@
 The failure: a partition lasts until each side considers all gateways of the other side timed out
 as relays. Only relays receive messages in another data centre, so neither side sends anything any
 more and the separation outlasts the partition. Gateways then place calls by outdated replica
-states (20 s old were seen), and each gets configuration changes only by polling the store itself.
+states (up to 20 s old), and each gets configuration changes only by polling the store itself.
 
-Seen in three runs with a partition from 8 s to 15 s: until the end at 43 s, ``confirmed_by`` in
+It shows in the event log: for 28 s after each of three partitions of 7 s, ``confirmed_by`` in
 ``table_stale`` and ``table_fresh`` named only the store and the data centre's own gateways, and
 ``report_age_ms`` grew by one second per second.
 """
