--- a/tests/feeds/test_late_configuration.py
+++ b/tests/feeds/test_late_configuration.py
@@ -1,4 +1,4 @@
-"""Configurations must not come into force late because the store holds a call for another table.
+"""Configurations must not become active late because the store holds a call for another table.
 
 Failure: two gateways of one data centre served by configurations that had been replaced 4 to 8 s
 before; one route was refused as unknown, another led to its old service.
@@ -9,10 +9,10 @@
 members table, the store, once available again, held it for 8 s, since nothing changed there, and
 the other tables were blocked until then. The store must therefore answer a probe at once.
 
-Seen in two of three runs with a partition of 7 s during changes of the configuration: the event
-log has ``store_reached`` for the members 8.3 and 8.5 s after the partition ended, and for the
-configuration 19 and 21 ms after that. In the third run the configuration was polled first, 0.9 s
-after the partition.
+Two of three partitions of 7 s during changes of the configuration caused it: the event log has
+``store_reached`` for the members 8.3 and 8.5 s after the partition ended, and for the
+configuration 19 and 21 ms after that. After the third partition the configuration was polled
+first, 0.9 s after its end.
 """
 
 from __future__ import annotations
