--- a/limeshelf/programs/followed_tables.py
+++ b/limeshelf/programs/followed_tables.py
@@ -56,7 +56,7 @@
 #: The quarantined calls rarely change, and peers announce changes at once; the rows serve
 #: gateways that start or are partitioned from all others. A starting gateway therefore reads
 #: them at once: with an initial delay as for the members, a call that all earlier gateways knew
-#: to crash replicas crashed one through a new gateway in 4 of 8 runs under load, without the
+#: to crash replicas crashed one through a new gateway in 4 of 8 trials under load, without the
 #: delay in none of 6 (tests/gateway/test_crashing_call.py).
 QUARANTINE_RULE = FollowRule(wait_s=8.0, stale_after_s=12.0)
 #: After the store is restored from an older copy, the latest configuration stays active and is
