--- a/limeshelf/settings/gateway.py
+++ b/limeshelf/settings/gateway.py
@@ -52,7 +52,7 @@
     :param window_s: window in which loads from the weight store are counted, in
         seconds.
     :param replicas_check_fences: whether replicas refuse an order with a lower fence than
-        one they have seen; if not, a holder sends orders only while its lease is valid.
+        one they have received; if not, a holder sends orders only while its lease is valid.
     :param lease_limit_ms: time within which the platform requires the next lease holder to follow
         the previous one, in milliseconds; 0 for no limit.
     """
