--- a/limeshelf/feeds/store_clock.py
+++ b/limeshelf/feeds/store_clock.py
@@ -40,24 +40,24 @@
     era_changed_s: float = -math.inf
     _offset_upper_bound_s: float = math.inf
 
-    def estimate_answer_s(self, asked_s: float, arrived_s: float, store_s: float) -> float:
+    def estimate_answer_s(self, requested_s: float, arrived_s: float, store_s: float) -> float:
         """Return an estimate of when the store answered, on the boot clock.
 
-        :param asked_s: when the call was sent, on the boot clock.
+        :param requested_s: when the call was sent, on the boot clock.
         :param arrived_s: when its answer arrived, on the boot clock.
         :param store_s: time stated in the answer, on the store's clock.
         """
-        self.record_answer(asked_s, store_s)
+        self.record_answer(requested_s, store_s)
         self._offset_upper_bound_s = min(self._offset_upper_bound_s, arrived_s - store_s)
-        return min(arrived_s, max(asked_s, store_s + self._offset_upper_bound_s))
+        return min(arrived_s, max(requested_s, store_s + self._offset_upper_bound_s))
 
-    def record_answer(self, asked_s: float, store_s: float) -> None:
+    def record_answer(self, requested_s: float, store_s: float) -> None:
         """Update the lower bound of the offset from a call and its answer.
 
-        :param asked_s: when the call was sent, on the boot clock; the answer was given later.
+        :param requested_s: when the call was sent, on the boot clock; the answer was given later.
         :param store_s: upper bound of the store's clock when it answered.
         """
-        self.offset_lower_bound_s = max(self.offset_lower_bound_s, asked_s - store_s)
+        self.offset_lower_bound_s = max(self.offset_lower_bound_s, requested_s - store_s)
 
     def advance_era(self, era: int) -> None:
         """Switch to *era* if it is later; the store's clock may then be reset."""
--- a/limeshelf/membership/row_exchange.py
+++ b/limeshelf/membership/row_exchange.py
@@ -237,5 +237,5 @@
         era = max(0, updates.store_era)
         self.clock.advance_era(era)
         if era == self.clock.era:
-            asked_s = updates.asked_ms / MS_PER_S
-            self.clock.record_answer(asked_s, updates.store_ms / MS_PER_S)
+            requested_s = updates.asked_ms / MS_PER_S
+            self.clock.record_answer(requested_s, updates.store_ms / MS_PER_S)
--- a/limeshelf/orders/pending.py
+++ b/limeshelf/orders/pending.py
@@ -24,7 +24,7 @@
 #: Once this process has sent the replica no order for this long, a report is trusted even if its
 #: order number is lower than expected: an order counted here did not arrive. Reports are 100 to
 #: 200 ms old.
-LAST_ORDER_LAG_S = 0.8
+RECENT_ORDER_S = 0.8
 #: An answered poll of this process counts as fresh for this long. Orders based on state received
 #: from the preceding leader overcommitted memory.
 POLL_FRESH_S = 1.5
@@ -133,9 +133,9 @@
         self._ordered_s = boottime_s()
 
     @property
-    def is_past_report_lag(self) -> bool:
-        """Return whether the last order was sent longer ago than reports lag."""
-        return boottime_s() - self._ordered_s > LAST_ORDER_LAG_S
+    def has_no_recent_orders(self) -> bool:
+        """Return whether the last order is older than the delay of reports."""
+        return boottime_s() - self._ordered_s > RECENT_ORDER_S
 
     # Polls, and the fence that the replica has accepted.
 
--- a/limeshelf/orders/sender.py
+++ b/limeshelf/orders/sender.py
@@ -77,19 +77,20 @@
             self._pending[replica.start] = found
         return found
 
-    async def poll(self, replica: Replica, past_report_lag: bool = False) -> bool:
+    async def poll(self, replica: Replica, no_recent_orders: bool = False) -> bool:
         """Fetch a replica's report; return whether it answered.
 
         A replica that has requested a pause is not polled.
 
-        :param past_report_lag: whether the last order was sent longer ago than reports lag.
+        :param no_recent_orders: whether the caller knows that the last order is older than the
+            delay of reports.
         """
         if replica.backpressure.is_paused:
             # Not a missed poll: a pause is no sign of loss, and orders need a new report anyway.
             return False
         pending = self.pending(replica)
-        past_report_lag = past_report_lag or pending.is_past_report_lag
-        asked_s = boottime_s()
+        no_recent_orders = no_recent_orders or pending.has_no_recent_orders
+        requested_s = boottime_s()
         try:
             report = await self._transport.report(replica.record.address, replica.replica_id)
         except ReplicaUnresponsive:
@@ -100,7 +101,7 @@
                 self._on_load_in_doubt(replica, item)
             return False
         is_current = self._directory.apply_report(
-            replica.replica_id, report, no_recent_orders=past_report_lag, asked_s=asked_s
+            replica.replica_id, report, no_recent_orders=no_recent_orders, requested_s=requested_s
         )
         pending.record_report(report, is_current)
         return True
--- a/limeshelf/orders/task_runner.py
+++ b/limeshelf/orders/task_runner.py
@@ -97,9 +97,9 @@
         deadline_s = boottime_s() + task_timeout_s(task)
         while boottime_s() < deadline_s and replica.takes_calls:
             await asyncio.sleep(report_lag_s(task))
-            # Without past_report_lag=True, a wrongly counted order number would never be corrected
+            # Without no_recent_orders=True, a wrong order number would never be corrected
             # (tests/orders/test_sender.py::test_wrong_order_number_is_corrected).
-            answered = await self._sender.poll(replica, past_report_lag=True)
+            answered = await self._sender.poll(replica, no_recent_orders=True)
             if answered and replica.report and not replica.report.busy:
                 return True
         return False
--- a/limeshelf/replicas/directory.py
+++ b/limeshelf/replicas/directory.py
@@ -208,17 +208,17 @@
         report: ReplicaReport,
         source: StateSource = StateSource.REPORT,
         no_recent_orders: bool = False,
-        asked_s: float | None = None,
+        requested_s: float | None = None,
     ) -> bool:
         """Apply a replica's report to this process or to a peer; return whether it was current.
 
         :param no_recent_orders: see :func:`~limeshelf.replicas.freshness.is_late_report`.
-        :param asked_s: see :meth:`~limeshelf.replicas.starts.KnownStart.compare`.
+        :param requested_s: see :meth:`~limeshelf.replicas.starts.KnownStart.compare`.
         """
         replica = self._replicas.get(replica_id)
         if replica is None:
             return False
-        order = replica.known_start.compare(report.born_ms, boottime_s(), asked_s)
+        order = replica.known_start.compare(report.born_ms, boottime_s(), requested_s)
         if order is StartOrder.EARLIER:
             return False
         if order is StartOrder.LATER:
--- a/limeshelf/replicas/starts.py
+++ b/limeshelf/replicas/starts.py
@@ -66,13 +66,13 @@
     _candidate_since_s: float = 0.0
 
     def compare(
-        self, born_ms: int | None, now_s: float, asked_s: float | None = None
+        self, born_ms: int | None, now_s: float, requested_s: float | None = None
     ) -> StartOrder:
         """Return which start a row or report describes.
 
         :param born_ms: start time in the row or report. The first one received is attributed to
             the known start.
-        :param asked_s: when this process requested the report from the replica; ``None`` for
+        :param requested_s: when this process requested the report from the replica; ``None`` for
             other sources. A response to a request sent after the known start was detected is from
             the start that runs now, whatever its clock shows.
         """
@@ -81,7 +81,9 @@
             if born_ms is not None:
                 self._candidate_born_ms = None
             return StartOrder.SAME
-        if born_ms > self.born_ms or (asked_s is not None and asked_s > self.known_since_s):
+        if born_ms > self.born_ms or (
+            requested_s is not None and requested_s > self.known_since_s
+        ):
             return StartOrder.LATER
         return self._compare_lower(born_ms, now_s)
 
--- a/tests/feeds/test_store_clock.py
+++ b/tests/feeds/test_store_clock.py
@@ -23,12 +23,12 @@
     now_s = 100.0
     shortest_s = 2.0
     for call_latency_s, held_s, answer_latency_s in calls:
-        asked_s = now_s
-        actual_s = asked_s + call_latency_s + held_s
+        requested_s = now_s
+        actual_s = requested_s + call_latency_s + held_s
         now_s = actual_s + answer_latency_s
         shortest_s = min(shortest_s, answer_latency_s)
-        estimated_s = clock.estimate_answer_s(asked_s, now_s, actual_s + AHEAD_S)
-        assert asked_s <= estimated_s <= now_s
+        estimated_s = clock.estimate_answer_s(requested_s, now_s, actual_s + AHEAD_S)
+        assert requested_s <= estimated_s <= now_s
         assert estimated_s <= actual_s + shortest_s + 1e-6
 
 
--- a/tests/replicas/test_starts.py
+++ b/tests/replicas/test_starts.py
@@ -141,8 +141,8 @@
 
 def test_response_to_a_later_request_shows_a_clock_that_was_set_back() -> None:
     start = KnownStart(2000, known_since_s=10.0)
-    assert start.compare(1000, 11.0, asked_s=9.0) is StartOrder.EARLIER
-    assert start.compare(1000, 11.0, asked_s=10.5) is StartOrder.LATER
+    assert start.compare(1000, 11.0, requested_s=9.0) is StartOrder.EARLIER
+    assert start.compare(1000, 11.0, requested_s=10.5) is StartOrder.LATER
 
 
 def test_rows_show_a_clock_that_was_set_back_after_the_longest_delay() -> None:
@@ -207,7 +207,7 @@
         return message
 
     def _deliver(
-        self, message: Message, source: StateSource, asked_s: float | None = None
+        self, message: Message, source: StateSource, requested_s: float | None = None
     ) -> None:
         if source is StateSource.ROW:
             self.directory.apply_row(
@@ -218,7 +218,7 @@
                 'r1',
                 report(message.born_ms, message.count, message.models),
                 source,
-                asked_s=asked_s,
+                requested_s=requested_s,
             )
         self.newest = max(self.newest, message.start)
 
@@ -232,9 +232,9 @@
 
     @rule()
     def report_on_request(self) -> None:
-        asked_s = self.clock.now_s
+        requested_s = self.clock.now_s
         self.clock.advance(0.01)
-        self._deliver(self._create(), StateSource.REPORT, asked_s)
+        self._deliver(self._create(), StateSource.REPORT, requested_s)
 
     @rule()
     def send_with_loss_or_delay(self) -> None:
