--- a/limeshelf/feeds/follower.py
+++ b/limeshelf/feeds/follower.py
@@ -157,6 +157,7 @@
         return page
 
     def _handle_history_gone(self) -> None:
+        """Read the whole table next; if history is missing repeatedly, do so several times."""
         copy = self.copy
         copy.needs_full_read = True
         self._unusable_answers += 1
--- a/limeshelf/feeds/store_clock.py
+++ b/limeshelf/feeds/store_clock.py
@@ -23,7 +23,7 @@
       The store holds a call for changes for up to a second. If an answer counted as given when
       the call was sent, it would seem that much too old: with copies that become stale after
       1.2 s, gateways that rely on another one's answers polled the store themselves all the time
-      (1,822 to 1,958 calls from 20 gateways in each of three runs).
+      (1,822 to 1,958 calls from 20 gateways, measured three times).
     * :meth:`age_upper_bound_s` returns an upper bound of the age of a confirmation. It relies only
       on calls that were sent before the store answered, so neither a message delayed in a buffer
       nor a suspended process makes a confirmation seem newer than it is.
