--- a/limeshelf/lease/row.py
+++ b/limeshelf/lease/row.py
@@ -73,7 +73,7 @@
     return value is None or value.until_ms <= now_ms or value.holder == contender
 
 
-def next_fence(highest_seen: int, value: LeaseValue | None, position: Position) -> int:
+def next_fence(highest_known: int, value: LeaseValue | None, position: Position) -> int:
     """Return the fence of a new term: above that of the row, and above any known otherwise.
 
     If the store has eras, it is also above all fences of earlier eras, and above those of rows
@@ -82,7 +82,7 @@
     :param position: position of the store when the row was read.
     """
     lowest = position.era * FENCES_PER_ERA + position.version if position.era else 0
-    return max(highest_seen, value.fence if value else 0, lowest) + 1
+    return max(highest_known, value.fence if value else 0, lowest) + 1
 
 
 def was_acquired_in(era: int, value: LeaseValue | None) -> bool:
--- a/limeshelf/lease/row_reader.py
+++ b/limeshelf/lease/row_reader.py
@@ -82,7 +82,7 @@
         self._lease_s = lease_s
         self._clock = clock
         self._era: int | None = None
-        self._era_seen_s = 0.0
+        self._era_known_since_s = 0.0
         self._unreadable_position = BEGINNING
         self._unreadable_since_s = 0.0
 
@@ -92,7 +92,7 @@
         page = await self._store.read(LEASE_TABLE)
         if page.position.era != self._era:
             self._era = page.position.era
-            self._era_seen_s = boottime_s()
+            self._era_known_since_s = boottime_s()
         row = find_row(page)
         return LeaseView(requested_s, page, row, self._value_of(row))
 
@@ -109,7 +109,7 @@
         since_s = self._clock.era_changed_s
         if math.isinf(since_s) and value is not None:
             # The time of the restore is unknown; it was before the first read in this era.
-            since_s = self._era_seen_s
+            since_s = self._era_known_since_s
         return boottime_s() - since_s > self._lease_s
 
     def _value_of(self, row: Row | None) -> LeaseValue | None:
