--- a/limeshelf/settings/gateway.py
+++ b/limeshelf/settings/gateway.py
@@ -74,8 +74,8 @@
 class FreshnessSettings:
     """Time within which a change in the store must reach every gateway.
 
-    :param config_ms: time for a change of the configuration, in milliseconds.
-    :param replica_ms: time for the departure of a replica, in milliseconds.
+    :param config_ms: limit for a change of the configuration, in milliseconds.
+    :param replica_ms: limit for a replica that leaves or is gone, in milliseconds.
     """
 
     config_ms: float = 2000.0
@@ -83,12 +83,12 @@
 
     @property
     def config_s(self) -> float:
-        """Return the time for a change of the configuration, in seconds."""
+        """Return the limit for a change of the configuration, in seconds."""
         return self.config_ms / MS_PER_S
 
     @property
     def replica_s(self) -> float:
-        """Return the time for the departure of a replica, in seconds."""
+        """Return the limit for a replica that leaves or is gone, in seconds."""
         return self.replica_ms / MS_PER_S
 
 
