--- a/limeshelf/crashes/crash_detector.py
+++ b/limeshelf/crashes/crash_detector.py
@@ -105,7 +105,7 @@
             self._record_interrupted(fingerprint, replica)
 
     def record_lost_load(self, fingerprint: Fingerprint, replica: Replica) -> None:
-        """Record that a replica does not respond during a load, or does not hold its result."""
+        """Record that a replica does not respond during a load, or lacks the item afterwards."""
         if not _has_announced_leaving(replica):
             self._record_interrupted(fingerprint, replica)
 
--- a/limeshelf/membership/messages.py
+++ b/limeshelf/membership/messages.py
@@ -137,7 +137,7 @@
 @add_message('limit-query')
 @attrs.frozen
 class LimitQuery:
-    """Queries a limiter of the data centre whether a call is within its organisation's limit.
+    """Requests a limiter's decision on whether a call is within its organisation's limit.
 
     :param query_id: chosen by the querying gateway to match the verdict to its query.
     :param amount: usage of the call, in units of the limit.
--- a/limeshelf/membership/row_messages.py
+++ b/limeshelf/membership/row_messages.py
@@ -57,7 +57,7 @@
 @add_message('rows-query')
 @attrs.frozen
 class RowsQuery:
-    """Asks a peer for rows of the store that the sender lacks.
+    """Requests rows of the store that the sender lacks from a peer.
 
     :param versions: by table, the version after which changes are requested.
     :param asked_ms: the sender's boot clock when it sends the query; 0 from a release that
