--- a/limeshelf/membership/relays.py
+++ b/limeshelf/membership/relays.py
@@ -59,5 +59,5 @@
 
 
 def _has_timed_out(member: Member, now_s: float) -> bool:
-    # A gateway that has only just become a relay by rank is not judged yet.
+    # A gateway that has only just become a relay by rank cannot have timed out.
     return bool(member.relay_since_s) and member.since_message_s(now_s) > RELAY_TIMEOUT_S
--- a/tests/lease/test_leadership.py
+++ b/tests/lease/test_leadership.py
@@ -75,7 +75,7 @@
 
 
 def test_renewal_is_one_call() -> None:
-    """A renewal used to take two calls, a read and a write."""
+    """A renewal is one conditional write; a read before it would double the calls."""
 
     async def scenario(store: StoreStandIn, first: Leadership, second: Leadership) -> None:
         await first.renew_or_acquire()
--- a/tests/membership/test_digests.py
+++ b/tests/membership/test_digests.py
@@ -1,4 +1,4 @@
-"""Which digests count, and what their loads come to."""
+"""Which digests are kept, and the sums of their loads."""
 
 from __future__ import annotations
 
--- a/tests/membership/test_model_request_exchange.py
+++ b/tests/membership/test_model_request_exchange.py
@@ -25,7 +25,7 @@
 
 @attrs.define
 class Parts:
-    """Stands in for the node and the placement, and records their calls."""
+    """Replaces the node and the placement, and records calls to them."""
 
     sent: list[tuple[str, Any]] = attrs.field(factory=list)
     wanted: list[ModelKey] = attrs.field(factory=list)
--- a/tests/membership/test_relays.py
+++ b/tests/membership/test_relays.py
@@ -14,7 +14,7 @@
     heavy = Member('heavy', 'c1', 5.0, now_s - RELAY_TIMEOUT_S / 2, relay_since_s=80.0)
     choice = choose_relays([silent, back, heavy, own], own, now_s)
     assert [member.address for member in choice.timed_out] == ['silent']
-    # 'back' has only just become a relay by rank and is not judged yet.
+    # 'back' has only just become a relay by rank and cannot have timed out as a relay yet.
     assert [member.address for member in choice.relays] == ['back', 'heavy']
     assert [member.address for member in choice.standby] == ['own']
 
--- a/tests/orders/test_sender.py
+++ b/tests/orders/test_sender.py
@@ -28,7 +28,7 @@
     name: ModelSpec(name, 70.0, 5.0, 1.0, frozenset({'a1', 'a2'}), 1.0) for name in ('m1', 'm2')
 }
 ENGINE = EngineSpec(8, 1000, 150.0, 2, 1.0, MODELS)
-#: Has memory and places for every load of these tests.
+#: A replica with this configuration has room for every load of these tests.
 ROOMY = attrs.evolve(
     ENGINE,
     capacity_mb=1000.0,
