--- a/limeshelf/crashes/quarantine_sync.py
+++ b/limeshelf/crashes/quarantine_sync.py
@@ -15,7 +15,7 @@
 from limeshelf.calls.fingerprint import Fingerprint
 from limeshelf.crashes.quarantine import is_quarantined
 from limeshelf.crashes.rows import QUARANTINE_TABLE, decode_value, encode_value
-from limeshelf.crashes.suspects import NewsSource
+from limeshelf.crashes.suspects import UpdateSource
 from limeshelf.errors import PlatformUnavailable, PlatformUnknown
 from limeshelf.feeds.position import BEGINNING
 from limeshelf.feeds.rows import ConditionFailed
@@ -73,13 +73,13 @@
             log_change('quarantine_row_invalid', key=row.key)
             return False
         self._rows[row.key] = _KnownRow(state, row.position)
-        self.suspects.merge(state, NewsSource.ROW)
+        self.suspects.merge(state, UpdateSource.ROW)
         return True
 
-    def _on_change(self, state: SuspectState, source: NewsSource) -> None:
+    def _on_change(self, state: SuspectState, source: UpdateSource) -> None:
         fingerprint = state.fingerprint
         is_due = is_quarantined(state) and self.suspects.is_observed_locally(fingerprint)
-        is_own_update = source is NewsSource.OWN and fingerprint in self._rows
+        is_own_update = source is UpdateSource.OWN and fingerprint in self._rows
         if is_due or is_own_update:
             self._unwritten.add(fingerprint)
             self._has_unwritten.set()
--- a/limeshelf/crashes/suspects.py
+++ b/limeshelf/crashes/suspects.py
@@ -25,7 +25,7 @@
 
     from limeshelf.calls.fingerprint import Fingerprint
 
-    Listener = Callable[['SuspectState', 'NewsSource'], None]
+    Listener = Callable[['SuspectState', 'UpdateSource'], None]
 
 #: Maximum number of suspects. Above it, those with the fewest crashes are evicted first, and among
 #: these the oldest. Enough for about ten crashes of replicas with 50 calls each; takes 0.4 MB of
@@ -123,7 +123,7 @@
         )
 
 
-class NewsSource(enum.StrEnum):
+class UpdateSource(enum.StrEnum):
     """Where an update of a suspect was received from."""
 
     #: A call of this gateway.
@@ -185,30 +185,30 @@
     def record_crash(self, fingerprint: Fingerprint, crash: ReplicaCrash) -> None:
         """Record the crash of a replica that was running a call."""
         state = SuspectState(fingerprint, frozenset({crash}))
-        self.merge(state, NewsSource.OWN, is_observed_locally=True)
+        self.merge(state, UpdateSource.OWN, is_observed_locally=True)
 
     def record_completion(self, fingerprint: Fingerprint) -> None:
         """Clear a call that ran to completion, with or without success, and crashed no replica."""
         state = self.state_of(fingerprint)
         if state is not None:
-            self.merge(attrs.evolve(state, cleared=state.crashes), NewsSource.OWN)
+            self.merge(attrs.evolve(state, cleared=state.crashes), UpdateSource.OWN)
 
     def withdraw_crash(self, crash: ReplicaCrash) -> None:
         """Clear a crash for all calls, because the replica has responded."""
         for state in self.states():
             if crash in state.crashes:
                 cleared = state.cleared | {crash}
-                self.merge(attrs.evolve(state, cleared=cleared), NewsSource.OWN)
+                self.merge(attrs.evolve(state, cleared=cleared), UpdateSource.OWN)
 
     def mark_coincident(self, crash: ReplicaCrash) -> None:
         """Mark a crash as coincident with that of another replica."""
         for state in self.states():
             if crash in state.crashes:
                 coincident = state.coincident | {crash}
-                self.merge(attrs.evolve(state, coincident=coincident), NewsSource.OWN)
+                self.merge(attrs.evolve(state, coincident=coincident), UpdateSource.OWN)
 
     def merge(
-        self, received: SuspectState, source: NewsSource, *, is_observed_locally: bool = False
+        self, received: SuspectState, source: UpdateSource, *, is_observed_locally: bool = False
     ) -> None:
         """Merge a state into that of the suspect."""
         suspect = self._by_fingerprint.get(received.fingerprint)
@@ -238,7 +238,7 @@
             del self._by_fingerprint[suspect.state.fingerprint]
 
 
-def _log_crash_count(before: SuspectState, after: SuspectState, source: NewsSource) -> None:
+def _log_crash_count(before: SuspectState, after: SuspectState, source: UpdateSource) -> None:
     """Log changes of the number of crashes, from the second crash on.
 
     A first crash is not logged, since there would be a line for every call at the replica.
--- a/limeshelf/membership/crash_exchange.py
+++ b/limeshelf/membership/crash_exchange.py
@@ -12,9 +12,9 @@
 import attrs
 
 from limeshelf.calls.fingerprint import Fingerprint
-from limeshelf.crashes.suspects import CallCrash, NewsSource, ReplicaCrash, SuspectState
+from limeshelf.crashes.suspects import CallCrash, ReplicaCrash, SuspectState, UpdateSource
 from limeshelf.membership.broadcast_queue import BroadcastQueue
-from limeshelf.membership.messages import CrashSuspects, EndedReplica
+from limeshelf.membership.messages import CrashedReplica, CrashSuspects
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
@@ -49,16 +49,16 @@
         self.suspects.add_listener(self._on_change)
         self.node.add_handler(CrashSuspects, self._handle_suspects)
 
-    def _on_change(self, state: SuspectState, source: NewsSource) -> None:
-        if source is NewsSource.OWN:
+    def _on_change(self, state: SuspectState, source: UpdateSource) -> None:
+        if source is UpdateSource.OWN:
             self._broadcasts.publish(state.fingerprint, state)
-        elif source is NewsSource.PEER:
+        elif source is UpdateSource.PEER:
             self._broadcasts.relay(state.fingerprint, state, self._sender_centre)
 
     def _handle_suspects(self, envelope: Envelope) -> None:
         self._sender_centre = envelope.data_centre
         for state in _states_from_message(envelope.message):
-            self.suspects.merge(state, NewsSource.PEER)
+            self.suspects.merge(state, UpdateSource.PEER)
 
     async def run(self) -> None:
         """Send queued changes in batches; runs until cancelled."""
@@ -81,9 +81,9 @@
     )
 
 
-def _crashed_replica(call_crash: CallCrash, calls: list[bytes]) -> EndedReplica:
+def _crashed_replica(call_crash: CallCrash, calls: list[bytes]) -> CrashedReplica:
     crash = call_crash.crash
-    return EndedReplica(
+    return CrashedReplica(
         crash.replica_id, crash.born_ms, call_crash.is_cleared, call_crash.is_coincident, calls
     )
 
--- a/limeshelf/membership/messages.py
+++ b/limeshelf/membership/messages.py
@@ -161,7 +161,7 @@
     wait_ms: int = 0
 
 
-class EndedReplica(msgspec.Struct, array_like=True):
+class CrashedReplica(msgspec.Struct, array_like=True):
     """The crash of a replica, with the calls that were running there.
 
     Calls are grouped by crash to keep the message small: a crash with 50 calls takes 0.5 KB, where
@@ -185,7 +185,7 @@
 class CrashSuspects:
     """Calls suspected of crashing replicas; only what was new to the sender."""
 
-    ends: list[EndedReplica]
+    ends: list[CrashedReplica]
 
 
 class ReplicaNoticeEntry(msgspec.Struct, array_like=True):
--- a/tests/crashes/test_quarantine_sync.py
+++ b/tests/crashes/test_quarantine_sync.py
@@ -12,7 +12,7 @@
 from limeshelf.crashes import quarantine_sync as sync_module
 from limeshelf.crashes.quarantine_sync import QuarantineSync
 from limeshelf.crashes.rows import QUARANTINE_TABLE, decode_value, encode_value
-from limeshelf.crashes.suspects import NewsSource, ReplicaCrash, Suspects, SuspectState
+from limeshelf.crashes.suspects import ReplicaCrash, Suspects, SuspectState, UpdateSource
 from limeshelf.errors import PlatformUnavailable, PlatformUnknown
 from limeshelf.feeds.position import BEGINNING, Position
 from limeshelf.feeds.rows import ConditionFailed, Page, Row
@@ -94,8 +94,8 @@
         observer.record_crash(CALL, R1)
         assert store.writes == 0
         received = SuspectState(CALL, frozenset({R1, R2}))
-        observer.merge(received, NewsSource.PEER)
-        receiver.merge(received, NewsSource.PEER)
+        observer.merge(received, UpdateSource.PEER)
+        receiver.merge(received, UpdateSource.PEER)
 
     run_syncs(store, observer, receiver, update=update)
     state = stored(store)
--- a/tests/crashes/test_suspects.py
+++ b/tests/crashes/test_suspects.py
@@ -14,10 +14,10 @@
     KEPT_FRACTION,
     MAX_CRASHES_PER_SUSPECT,
     MAX_SUSPECTS,
-    NewsSource,
     ReplicaCrash,
     Suspects,
     SuspectState,
+    UpdateSource,
     count_crashes,
 )
 from limeshelf.util.clock import virtual_clock
@@ -42,7 +42,7 @@
 def merged(received: list[SuspectState]) -> SuspectState | None:
     suspects = Suspects()
     for state in received:
-        suspects.merge(state, NewsSource.PEER)
+        suspects.merge(state, UpdateSource.PEER)
     return suspects.state_of(CALL)
 
 
@@ -79,7 +79,7 @@
     for replica in ('r1', 'r2'):
         suspects.record_crash(CALL, ReplicaCrash(replica))
     suspects.record_completion(CALL)
-    suspects.merge(SuspectState(CALL, frozenset({ReplicaCrash('r1')})), NewsSource.PEER)
+    suspects.merge(SuspectState(CALL, frozenset({ReplicaCrash('r1')})), UpdateSource.PEER)
     state = suspects.state_of(CALL)
     assert state is not None and state.crash_count == 0
     suspects.record_crash(CALL, ReplicaCrash('r3'))
--- a/tests/membership/test_crash_exchange.py
+++ b/tests/membership/test_crash_exchange.py
@@ -11,7 +11,7 @@
 import pytest
 
 from limeshelf.calls.fingerprint import Fingerprint
-from limeshelf.crashes.suspects import NewsSource, ReplicaCrash, Suspects, SuspectState
+from limeshelf.crashes.suspects import ReplicaCrash, Suspects, SuspectState, UpdateSource
 from limeshelf.membership import crash_exchange
 from limeshelf.membership.broadcast_queue import MAX_BATCH_WINDOWS
 from limeshelf.membership.crash_exchange import CrashExchange
@@ -131,7 +131,7 @@
     def scenario() -> None:
         for exchange in exchanges:
             state = SuspectState(CALL, frozenset({CRASH, ReplicaCrash('r')}))
-            exchange.suspects.merge(state, NewsSource.ROW)
+            exchange.suspects.merge(state, UpdateSource.ROW)
         exchanges[5].suspects.record_completion(CALL)
 
     run_fleet(exchanges, scenario)
@@ -144,7 +144,7 @@
     def scenario() -> None:
         state = SuspectState(CALL, frozenset({CRASH}))
         for exchange in exchanges:
-            exchange.suspects.merge(state, NewsSource.ROW)
+            exchange.suspects.merge(state, UpdateSource.ROW)
 
     run_fleet(exchanges, scenario)
     assert network.messages == 0
