--- a/limeshelf/lease/leadership.py
+++ b/limeshelf/lease/leadership.py
@@ -133,9 +133,9 @@
         """Record a fence of a peer, or one known to a replica; a higher one ends the term."""
         self._highest_fence = max(self._highest_fence, fence)
         if self.term is not None and fence > self.term.fence:
-            self.end('superseded')
+            self.end_term('superseded')
 
-    def end(self, cause: str) -> None:
+    def end_term(self, cause: str) -> None:
         """End the term; no order is sent under it any more."""
         if self.term is not None:
             log_change('term_ended', fence=self.term.fence, cause=cause)
@@ -255,7 +255,7 @@
     def _end_if_current(self, term: Term, cause: str) -> None:
         """End *term* if it is still the current one."""
         if self.term is term:
-            self.end(cause)
+            self.end_term(cause)
 
     async def _write(self, fence: int, expected: Position, now_ms: int) -> Position | None:
         """Write the row and return its position; ``None`` if the condition failed.
@@ -274,7 +274,7 @@
         term = self.term
         if term is None:
             return
-        self.end('released')
+        self.end_term('released')
         value = LeaseValue(self._holder, term.fence, 0)
         try:
             await self._store.write(LEASE_TABLE, LEASE_KEY, value.encode(), term.row_position)
--- a/limeshelf/orders/sender.py
+++ b/limeshelf/orders/sender.py
@@ -135,7 +135,7 @@
             outcome=answer.outcome,
         )
         if answer.outcome is OrderOutcome.FENCED_OFF:
-            self._leadership.end('fenced_off')
+            self._leadership.end_term('fenced_off')
         elif answer.outcome in _CLAIM_ACCEPTED:
             self.pending(replica).record_claim(term.fence)
 
@@ -246,7 +246,7 @@
         if unloaded:
             drop_adapter(replica, task.model, task.adapter)
         if outcome is OrderOutcome.FENCED_OFF:
-            self._leadership.end('fenced_off')
+            self._leadership.end_term('fenced_off')
 
 
 def _unloaded_at_once(replica: Replica, task: OrderTask, outcome: OrderOutcome) -> bool:
--- a/tests/gateway/test_unserved_figures.py
+++ b/tests/gateway/test_unserved_figures.py
@@ -34,7 +34,7 @@
         for kind in ('model', 'adapter'):
             assert figures[f'keys{{kind="{kind}"}}'] == 1.0
             assert 12.0 <= figures[f'seconds{{kind="{kind}"}}'] < 22.0
-        parts.leadership.end('test')
+        parts.leadership.end_term('test')
         assert unserved_figures(world) == all_zero
 
     run(scenario)
--- a/tests/lease/test_leadership.py
+++ b/tests/lease/test_leadership.py
@@ -182,7 +182,7 @@
         for _ in range(3):
             await first.renew_or_acquire()
             fence = first.fence
-            first.end('tried')
+            first.end_term('tried')
         store.put(LEASE_TABLE, LEASE_KEY, 'bm8gbGVhc2U=')
         await second.renew_or_acquire()
         await asyncio.sleep(LEASE_S + 0.1)
--- a/tests/orders/test_sender.py
+++ b/tests/orders/test_sender.py
@@ -53,7 +53,7 @@
     term: Term | None = None
     left_s: float = math.inf
 
-    def end(self, cause: str) -> None:
+    def end_term(self, cause: str) -> None:
         self.term = None
 
     def order_time_left_s(self) -> float:
--- a/tests/placement/test_service.py
+++ b/tests/placement/test_service.py
@@ -45,7 +45,7 @@
     def term(self) -> Term | None:
         return Term(self.fence, 1e12, 1) if self.fence else None
 
-    def end(self, cause: str) -> None:
+    def end_term(self, cause: str) -> None:
         self.fence = 0
 
     def order_time_left_s(self) -> float:
