--- a/limeshelf/metrics/prometheus.py
+++ b/limeshelf/metrics/prometheus.py
@@ -130,8 +130,8 @@
         """
         self._notices.labels(statement).inc()
 
-    def observe_return(self, table: str, era: int) -> None:
-        """Count that the copy of *table* went over to a later era of the store."""
+    def observe_restore(self, table: str, era: int) -> None:
+        """Count that the copy of *table* changed to a later era of the restored store."""
         self._returns.labels(table).inc()
         self._era.set(era)
 
--- a/limeshelf/platform/configuration.py
+++ b/limeshelf/platform/configuration.py
@@ -132,7 +132,7 @@
 _version_decoder = msgspec.json.Decoder(_VersionOnly, strict=False)
 
 
-def config_newness(value: bytes) -> WriterVersion:
+def config_writer_version(value: bytes) -> WriterVersion:
     """Return the version that the operator gave a configuration; empty if unreadable."""
     try:
         return (_version_decoder.decode(value).version,)
--- a/limeshelf/platform/replicas.py
+++ b/limeshelf/platform/replicas.py
@@ -185,7 +185,7 @@
     )
 
 
-def record_newness(value: bytes) -> WriterVersion:
+def record_writer_version(value: bytes) -> WriterVersion:
     """Return the start time and heartbeat count of a replica's row; empty if unreadable."""
     try:
         age = _row_age_decoder.decode(value)
--- a/limeshelf/programs/followed_tables.py
+++ b/limeshelf/programs/followed_tables.py
@@ -22,10 +22,10 @@
 from limeshelf.platform.configuration import (
     CONFIG_KEY,
     CONFIG_TABLE,
-    config_newness,
+    config_writer_version,
     read_config,
 )
-from limeshelf.platform.replicas import REPLICA_TABLE, record_newness
+from limeshelf.platform.replicas import REPLICA_TABLE, record_writer_version
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -43,11 +43,11 @@
 #: deployments). A table copy is stale after STALE_SHARE of it: the next gateway then queries
 #: the store, and the rest of the time remains for the request and for passing on its response.
 #: Rows of replicas change all the time, so after a change the next request is delayed by
-#: REPLICA_PACE_SHARE to batch further changes; this delay and the long poll
+#: REPLICA_BATCH_DELAY_SHARE to batch further changes; this delay and the long poll
 #: (REPLICA_WAIT_SHARE) together are shorter than the time after which a copy is stale.
 STALE_SHARE = 0.7
 REPLICA_WAIT_SHARE = 0.4
-REPLICA_PACE_SHARE = 0.22
+REPLICA_BATCH_DELAY_SHARE = 0.22
 CONFIG_WAIT_SHARE = 0.5
 #: Gateways rarely start or stop, and failed ones are detected by missing messages. After a
 #: change the next request is delayed by 1 s: if all gateways start at once, each of their rows
@@ -62,13 +62,13 @@
 #: After the store is restored from an older copy, the latest configuration stays active and is
 #: passed on to starting gateways until the store has one at least as new, because the operator
 #: has already confirmed it.
-CONFIG_RETURN = RestoreRule(config_newness)
+CONFIG_RESTORE = RestoreRule(config_writer_version)
 #: Replicas write their rows with each heartbeat. After a restore, the row of each live replica
 #: that reaches the store is back within this time, in seconds; until then it still gets calls.
-REPLICA_RETURN = RestoreRule(record_newness, retention_s=2.5)
+REPLICA_RESTORE = RestoreRule(record_writer_version, retention_s=2.5)
 #: After a restore, gateways write their own rows again, and failed gateways are detected by
 #: missing messages. Rows of quarantined calls are written again by the gateways that know them.
-OWN_RETURN = RestoreRule(retention_s=10.0)
+OWN_RESTORE = RestoreRule(retention_s=10.0)
 
 
 def replica_rule(known_within_s: float) -> FollowRule:
@@ -78,7 +78,7 @@
     """
     return FollowRule(
         wait_s=REPLICA_WAIT_SHARE * known_within_s,
-        batch_delay_s=REPLICA_PACE_SHARE * known_within_s,
+        batch_delay_s=REPLICA_BATCH_DELAY_SHARE * known_within_s,
         stale_after_s=STALE_SHARE * known_within_s,
     )
 
@@ -105,7 +105,7 @@
     def open_copy(self, rule: FollowRule, metrics: GatewayMetrics) -> TableCopy:
         """Create and return the local copy of the table, to be followed by *rule*."""
         listener = _counting_listener(CONFIG_TABLE, self.apply_row, metrics)
-        self.copy = TableCopy(CONFIG_TABLE, listener, rule, CONFIG_RETURN)
+        self.copy = TableCopy(CONFIG_TABLE, listener, rule, CONFIG_RESTORE)
         return self.copy
 
     def apply_row(self, row: Row) -> bool:
@@ -163,24 +163,24 @@
             REPLICA_TABLE,
             _counting_listener(REPLICA_TABLE, directory.apply_row, metrics),
             replica_rule(freshness.replica_s),
-            REPLICA_RETURN,
+            REPLICA_RESTORE,
         ),
         TableCopy(
             MEMBER_TABLE,
             _counting_listener(MEMBER_TABLE, registration.apply_row, metrics),
             MEMBER_RULE,
-            OWN_RETURN,
+            OWN_RESTORE,
         ),
         TableCopy(
             QUARANTINE_TABLE,
             _counting_listener(QUARANTINE_TABLE, quarantine_sync.apply_row, metrics),
             QUARANTINE_RULE,
-            OWN_RETURN,
+            OWN_RESTORE,
         ),
     )
     for copy in copies:
         copy.restore_listeners.append(
-            lambda copy: metrics.observe_return(copy.table, copy.position.era)
+            lambda copy: metrics.observe_restore(copy.table, copy.position.era)
         )
     (_, _, members, quarantine) = copies
     members.restore_listeners.append(registration.rewrite_if_lost)
--- a/tests/forms/test_metrics.py
+++ b/tests/forms/test_metrics.py
@@ -133,7 +133,7 @@
         figures.observe_unreadable_row('servers')
         figures.observe_restart('row')
         figures.observe_notice('rate')
-        figures.observe_return('servers', 2)
+        figures.observe_restore('servers', 2)
         figures.watch_unserved('model', lambda: 12.5, lambda: 2)
         figures.watch('some_gauge', 'Meaning.', lambda: 4.0)
         server = MetricsServer(figures)
