--- a/limeshelf/programs/components.py
+++ b/limeshelf/programs/components.py
@@ -140,7 +140,7 @@
     def _make_dispatch(self, settings: GatewaySettings) -> None:
         owner_of = self.dispatchers.of_centre
         limiters = ReplicaRateLimiters(owner_of, self.members.centres)
-        self.turns = PermitExchange(self.node, self.directory, self.notices, limiters)
+        self.permits = PermitExchange(self.node, self.directory, self.notices, limiters)
         self.dispatch = DispatchExchange(
             self.node, self.directory, self.in_force.get, owner_of, settings.data_centre, limiters
         )
@@ -186,8 +186,8 @@
         self.notice_exchange = NoticeExchange(
             self.node, self.members, self.directory, self.notices
         )
-        self.wants = ModelRequestExchange(self.node, self.leader, self.placement)
-        self.meter = DemandMeter(self.directory, self.wants.request)
+        self.model_requests = ModelRequestExchange(self.node, self.leader, self.placement)
+        self.meter = DemandMeter(self.directory, self.model_requests.request)
         self.registration = Registration(instance_id, self.node, self.members, self.leader)
         self.limits = LimitExchange(self.node, self.members, self.in_force, limit_rule(settings))
         self.digests = DigestExchange(
@@ -232,7 +232,7 @@
         self.budgets = RetryBudgets(retry_rule(settings))
         self.pool = ConnectionPool(wire)
         chooser = PlainReplicaSelector(self.directory, settings.data_centre)
-        selector = ReplicaSelector(self.directory, chooser, self.dispatch_client, self.turns)
+        selector = ReplicaSelector(self.directory, chooser, self.dispatch_client, self.permits)
         self.access = AccessGuard(self.in_force, self.config_age_s, access_rule(settings))
         quarantine = QuarantineGuard(Quarantine(self.suspects), self.crash_detector)
         attempts = AttemptRunner(
@@ -287,10 +287,10 @@
         self.limits.start()
         self.crashes.start()
         self.states.start()
-        self.wants.start()
+        self.model_requests.start()
         self.rows.start()
         self.dispatch.start()
-        self.turns.start()
+        self.permits.start()
         self.notice_exchange.start()
 
     async def close(self) -> None:
