--- a/limeshelf/crashes/crash_detector.py
+++ b/limeshelf/crashes/crash_detector.py
@@ -105,7 +105,7 @@
             self._record_interrupted(fingerprint, replica)
 
     def record_lost_load(self, fingerprint: Fingerprint, replica: Replica) -> None:
-        """Record that a replica does not respond during a load, or lacks what it should have."""
+        """Record that a replica does not respond during a load, or lacks the item afterwards."""
         if not _has_announced_leaving(replica):
             self._record_interrupted(fingerprint, replica)
 
@@ -204,7 +204,7 @@
                 self._suspects.mark_coincident(_crash_of(other.replica))
 
     async def run(self) -> None:
-        """Detect crashes by later starts, for ever."""
+        """Detect crashes by later starts; runs until cancelled."""
         while True:
             await asyncio.sleep(RESTART_CHECK_INTERVAL_S)
             self._check_restarts()
--- a/limeshelf/feeds/store_clock.py
+++ b/limeshelf/feeds/store_clock.py
@@ -23,7 +23,7 @@
       The store holds a call for changes for up to a second. If an answer counted as given when
       the call was sent, it would seem that much too old: with copies that become stale after
       1.2 s, gateways that rely on another one's answers polled the store themselves all the time
-      (1,822 to 1,958 calls from 20 gateways in each of three runs).
+      (1,822 to 1,958 calls from 20 gateways, measured three times).
     * :meth:`age_upper_bound_s` returns an upper bound of the age of a confirmation. It relies only
       on calls that were sent before the store answered, so neither a message delayed in a buffer
       nor a suspended process makes a confirmation seem newer than it is.
@@ -40,27 +40,27 @@
     era_changed_s: float = -math.inf
     _offset_upper_bound_s: float = math.inf
 
-    def estimate_answer_s(self, asked_s: float, arrived_s: float, store_s: float) -> float:
+    def estimate_answer_s(self, requested_s: float, arrived_s: float, store_s: float) -> float:
         """Return an estimate of when the store answered, on the boot clock.
 
-        :param asked_s: when the call was sent, on the boot clock.
+        :param requested_s: when the call was sent, on the boot clock.
         :param arrived_s: when its answer arrived, on the boot clock.
         :param store_s: time stated in the answer, on the store's clock.
         """
-        self.record_answer(asked_s, store_s)
+        self.record_answer(requested_s, store_s)
         self._offset_upper_bound_s = min(self._offset_upper_bound_s, arrived_s - store_s)
-        return min(arrived_s, max(asked_s, store_s + self._offset_upper_bound_s))
+        return min(arrived_s, max(requested_s, store_s + self._offset_upper_bound_s))
 
-    def record_answer(self, asked_s: float, store_s: float) -> None:
+    def record_answer(self, requested_s: float, store_s: float) -> None:
         """Update the lower bound of the offset from a call and its answer.
 
-        :param asked_s: when the call was sent, on the boot clock; the answer was given later.
+        :param requested_s: when the call was sent, on the boot clock; the answer was given later.
         :param store_s: upper bound of the store's clock when it answered.
         """
-        self.offset_lower_bound_s = max(self.offset_lower_bound_s, asked_s - store_s)
+        self.offset_lower_bound_s = max(self.offset_lower_bound_s, requested_s - store_s)
 
     def advance_era(self, era: int) -> None:
-        """Switch to *era* if it is later; the store's clock may start anew with it."""
+        """Switch to *era* if it is later; the store's clock may then be reset."""
         if self.era is None:
             self.era = era
         if era <= self.era:
--- a/limeshelf/lease/leadership.py
+++ b/limeshelf/lease/leadership.py
@@ -3,9 +3,9 @@
 Owns the term of this process. The store's conditional writes allow one writer of the lease row
 at a time; replicas that compare fences refuse the orders of a preceding leader.
 
-When a lease expires, another gateway may acquire it; the term of its holder does not end by that.
-While the store is unreachable the last holder goes on planning, since no other gateway can replace
-it. Whether it also goes on sending orders depends on the replicas:
+When a lease expires, another gateway may acquire it; expiry alone does not end the holder's term.
+While the store is unreachable the last holder continues to plan, since no other gateway can
+replace it. Whether it also continues to send orders depends on the replicas:
 
 * If they compare fences, it does, since no other gateway would place models; the first order of a
   successor to a replica fences it off there.
@@ -85,7 +85,7 @@
     :param holder: name of this instance in the row and in orders.
     :param lease_s: duration of a lease without renewal.
     :param replicas_check_fences: whether replicas refuse an order with a lower fence than
-        one they have seen.
+        one they have received.
     :param clock: gives the time when the store was last restored from a copy.
     """
 
@@ -130,12 +130,12 @@
         return max(0.0, end_s - boottime_s())
 
     def observe_fence(self, fence: int) -> None:
-        """Record a fence that a peer uses or a replica has seen; a higher one ends the term."""
+        """Record a fence of a peer, or one known to a replica; a higher one ends the term."""
         self._highest_fence = max(self._highest_fence, fence)
         if self.term is not None and fence > self.term.fence:
-            self.end('superseded')
+            self.end_term('superseded')
 
-    def end(self, cause: str) -> None:
+    def end_term(self, cause: str) -> None:
         """End the term; no order is sent under it any more."""
         if self.term is not None:
             log_change('term_ended', fence=self.term.fence, cause=cause)
@@ -153,7 +153,7 @@
             else:
                 return
         except (PlatformUnavailable, PlatformUnknown) as error:
-            # The term goes on (see the module docstring), and the next call tries again. A write
+            # The term continues (see the module docstring), and the next call tries again. A write
             # with unknown effect needs no clean-up: its row names this holder, which may acquire
             # the lease again.
             self._log_store_reachability(error_name=type(error).__name__)
@@ -243,7 +243,7 @@
 
         While the lease of *term* lasts, no other process can hold one. After that another may have
         acquired it by a write that is lost as well, so the reader decides; until it allows the
-        write, *term* goes on as while the store is unreachable.
+        write, *term* continues as while the store is unreachable.
         """
         if view.was_acquired_in_this_era:
             self._end_if_current(term, 'row_taken')
@@ -255,7 +255,7 @@
     def _end_if_current(self, term: Term, cause: str) -> None:
         """End *term* if it is still the current one."""
         if self.term is term:
-            self.end(cause)
+            self.end_term(cause)
 
     async def _write(self, fence: int, expected: Position, now_ms: int) -> Position | None:
         """Write the row and return its position; ``None`` if the condition failed.
@@ -269,12 +269,12 @@
             return None
 
     async def release(self) -> None:
-        """Release the lease for good, so that a successor need not wait for it to expire."""
+        """Release the lease permanently, so that a successor need not wait for it to expire."""
         self._released = True
         term = self.term
         if term is None:
             return
-        self.end('released')
+        self.end_term('released')
         value = LeaseValue(self._holder, term.fence, 0)
         try:
             await self._store.write(LEASE_TABLE, LEASE_KEY, value.encode(), term.row_position)
--- a/limeshelf/membership/crash_exchange.py
+++ b/limeshelf/membership/crash_exchange.py
@@ -1,7 +1,7 @@
 """Exchanges the calls suspected of crashing replicas with the other gateways.
 
 Suspects are broadcast through :mod:`~limeshelf.membership.broadcast_queue`. A gateway that is cut
-off from all others learns of a call only once the call is quarantined, from its row in the store
+off from all others receives a call only once the call is quarantined, with its row in the store
 (:mod:`limeshelf.crashes.quarantine_sync`).
 """
 
@@ -12,9 +12,9 @@
 import attrs
 
 from limeshelf.calls.fingerprint import Fingerprint
-from limeshelf.crashes.suspects import CallCrash, NewsSource, ReplicaCrash, SuspectState
+from limeshelf.crashes.suspects import CallCrash, ReplicaCrash, SuspectState, UpdateSource
 from limeshelf.membership.broadcast_queue import BroadcastQueue
-from limeshelf.membership.messages import CrashSuspects, EndedReplica
+from limeshelf.membership.messages import CrashedReplica, CrashSuspects
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
@@ -24,7 +24,7 @@
     from limeshelf.peers.codec import Envelope
     from limeshelf.peers.node import PeerNode
 
-#: Suspects added within this time are sent in one message. When a replica ends, its calls break
+#: Suspects added within this time are sent in one message. When a replica crashes, its calls break
 #: off within 3 ms at all gateways, but a relay receives the reports of the gateways one by one.
 BATCH_WINDOW_S = 0.05
 #: Each suspect takes about 10 bytes in a message.
@@ -49,19 +49,19 @@
         self.suspects.add_listener(self._on_change)
         self.node.add_handler(CrashSuspects, self._handle_suspects)
 
-    def _on_change(self, state: SuspectState, source: NewsSource) -> None:
-        if source is NewsSource.OWN:
+    def _on_change(self, state: SuspectState, source: UpdateSource) -> None:
+        if source is UpdateSource.OWN:
             self._broadcasts.publish(state.fingerprint, state)
-        elif source is NewsSource.PEER:
+        elif source is UpdateSource.PEER:
             self._broadcasts.relay(state.fingerprint, state, self._sender_centre)
 
     def _handle_suspects(self, envelope: Envelope) -> None:
         self._sender_centre = envelope.data_centre
         for state in _states_from_message(envelope.message):
-            self.suspects.merge(state, NewsSource.PEER)
+            self.suspects.merge(state, UpdateSource.PEER)
 
     async def run(self) -> None:
-        """Send queued changes in batches, for ever."""
+        """Send queued changes in batches; runs until cancelled."""
         await self._broadcasts.run()
 
     def _send_to(self, addresses: list[str], states: list[SuspectState]) -> None:
@@ -77,19 +77,19 @@
         for call_crash in state.call_crashes():
             groups.setdefault(call_crash, []).append(bytes.fromhex(state.fingerprint))
     return CrashSuspects(
-        [_ended_replica(call_crash, calls) for call_crash, calls in groups.items()]
+        [_crashed_replica(call_crash, calls) for call_crash, calls in groups.items()]
     )
 
 
-def _ended_replica(call_crash: CallCrash, calls: list[bytes]) -> EndedReplica:
+def _crashed_replica(call_crash: CallCrash, calls: list[bytes]) -> CrashedReplica:
     crash = call_crash.crash
-    return EndedReplica(
+    return CrashedReplica(
         crash.replica_id, crash.born_ms, call_crash.is_cleared, call_crash.is_coincident, calls
     )
 
 
 def _states_from_message(message: CrashSuspects) -> Iterator[SuspectState]:
-    """Yield a state for each call and end in the message."""
+    """Yield a state for each call and crash in the message."""
     for group in message.ends:
         crash = ReplicaCrash(group.replica_id, group.born_ms)
         call_crash = CallCrash(crash, group.cleared, group.coincident)
--- a/limeshelf/membership/dispatchers.py
+++ b/limeshelf/membership/dispatchers.py
@@ -1,4 +1,4 @@
-"""Tracks which gateway is the dispatcher of each data centre; it grants the replicas there.
+"""Tracks which gateway is the dispatcher of each data centre, which grants its replicas to calls.
 
 The dispatcher is the last relay by rank, because the first relay already polls the store, sends
 the sums and forwards replica states. Within a data centre each gateway determines the dispatcher
@@ -66,7 +66,7 @@
         """Return the dispatchers that this gateway announces, by data centre.
 
         Dispatchers forwarded by other relays are excluded: two relays that forward each other's
-        information would keep a dispatcher that no longer exists for ever.
+        information would keep a dispatcher that no longer exists permanently.
         """
         known = {self.members.own.data_centre: self.own_centre_address()}
         for data_centre, announced in self._announced.items():
--- a/limeshelf/membership/messages.py
+++ b/limeshelf/membership/messages.py
@@ -75,7 +75,7 @@
 
     :param weight: spare capacity of the gateway for relaying.
     :param number: increases with each digest; a digest with a lower number is out of date.
-    :param config_version: version of the configuration in force at the gateway.
+    :param config_version: version of the active configuration of the gateway.
     :param fence: fencing token of the lease that the gateway holds; 0 if it holds none.
     :param loads: load on each replica at which the gateway has calls in flight or that it has
         suspended.
@@ -137,7 +137,7 @@
 @add_message('limit-query')
 @attrs.frozen
 class LimitQuery:
-    """Asks a limiter of the data centre whether a call is within its organisation's limit.
+    """Requests a limiter's decision on whether a call is within its organisation's limit.
 
     :param query_id: chosen by the querying gateway to match the verdict to its query.
     :param amount: usage of the call, in units of the limit.
@@ -161,15 +161,15 @@
     wait_ms: int = 0
 
 
-class EndedReplica(msgspec.Struct, array_like=True):
-    """The unexpected end of a replica, with the calls that were running there.
+class CrashedReplica(msgspec.Struct, array_like=True):
+    """The crash of a replica, with the calls that were running there.
 
-    Calls are grouped by end to keep the message small: an end with 50 calls takes 0.5 KB, where
-    listing the ends of each call takes 2.3 KB (tests/membership/test_crash_exchange.py).
+    Calls are grouped by crash to keep the message small: a crash with 50 calls takes 0.5 KB, where
+    listing the crashes of each call takes 2.3 KB (tests/membership/test_crash_exchange.py).
 
     :ivar born_ms: start time of the replica, in milliseconds since 1970; 0 if unknown.
-    :ivar cleared: whether these calls are no longer suspected of having caused the end.
-    :ivar coincident: whether other replicas ended at the same time.
+    :ivar cleared: whether these calls are no longer suspected of having caused the crash.
+    :ivar coincident: whether other replicas crashed at the same time.
     :ivar calls: fingerprints of the calls.
     """
 
@@ -185,7 +185,7 @@
 class CrashSuspects:
     """Calls suspected of crashing replicas; only what was new to the sender."""
 
-    ends: list[EndedReplica]
+    ends: list[CrashedReplica]
 
 
 class ReplicaNoticeEntry(msgspec.Struct, array_like=True):
@@ -227,7 +227,7 @@
 @add_message('model-wanted')
 @attrs.frozen
 class ModelWanted:
-    """Tells the leader that a call waits because no replica holds its model or adapter."""
+    """Notifies the leader that a call waits because no replica holds its model or adapter."""
 
     key: ModelKey
 
--- a/limeshelf/platform/configuration.py
+++ b/limeshelf/platform/configuration.py
@@ -132,8 +132,8 @@
 _version_decoder = msgspec.json.Decoder(_VersionOnly, strict=False)
 
 
-def config_newness(value: bytes) -> WriterVersion:
-    """Return the sort key of a configuration by age: the operator's version."""
+def config_writer_version(value: bytes) -> WriterVersion:
+    """Return the version that the operator gave a configuration; empty if unreadable."""
     try:
         return (_version_decoder.decode(value).version,)
     except DECODE_ERRORS:
--- a/limeshelf/programs/components.py
+++ b/limeshelf/programs/components.py
@@ -191,8 +191,8 @@
         self.notice_exchange = NoticeExchange(
             self.node, self.members, self.directory, self.notices
         )
-        self.wants = ModelRequestExchange(self.node, self.leader, self.placement)
-        self.meter = DemandMeter(self.directory, self.wants.request)
+        self.model_requests = ModelRequestExchange(self.node, self.leader, self.placement)
+        self.meter = DemandMeter(self.directory, self.model_requests.request)
         self.registration = Registration(instance_id, self.node, self.members, self.leader)
         self.limits = LimitExchange(
             self.node, self.members, self.active_config, limit_rule(settings)
@@ -296,7 +296,7 @@
         self.limits.start()
         self.crashes.start()
         self.states.start()
-        self.wants.start()
+        self.model_requests.start()
         self.rows.start()
         self.dispatch.start()
         self.permits.start()
--- a/limeshelf/replicas/directory.py
+++ b/limeshelf/replicas/directory.py
@@ -77,8 +77,8 @@
         """Apply a newer row of a replica; return whether it could be decoded.
 
         An invalid row marks its replica as gone until a valid row arrives, with the next
-        heartbeat if the replica is alive. With the last valid row, calls might be sent to another
-        replica that now uses the address.
+        heartbeat if the replica is running. With the last valid row, calls might be sent to
+        another replica that now uses the address.
         """
         if row.gone:
             self._remove(row.key, 'record_dropped')
@@ -208,17 +208,17 @@
         report: ReplicaReport,
         source: StateSource = StateSource.REPORT,
         no_recent_orders: bool = False,
-        asked_s: float | None = None,
+        requested_s: float | None = None,
     ) -> bool:
         """Apply a replica's report to this process or to a peer; return whether it was current.
 
         :param no_recent_orders: see :func:`~limeshelf.replicas.freshness.is_late_report`.
-        :param asked_s: see :meth:`~limeshelf.replicas.starts.KnownStart.compare`.
+        :param requested_s: see :meth:`~limeshelf.replicas.starts.KnownStart.compare`.
         """
         replica = self._replicas.get(replica_id)
         if replica is None:
             return False
-        order = replica.known_start.compare(report.born_ms, boottime_s(), asked_s)
+        order = replica.known_start.compare(report.born_ms, boottime_s(), requested_s)
         if order is StartOrder.EARLIER:
             return False
         if order is StartOrder.LATER:
--- a/tests/lease/test_leadership.py
+++ b/tests/lease/test_leadership.py
@@ -75,7 +75,7 @@
 
 
 def test_renewal_is_one_call() -> None:
-    """A renewal used to take two calls, a read and a write."""
+    """A renewal is one conditional write; a read before it would double the calls."""
 
     async def scenario(store: StoreStandIn, first: Leadership, second: Leadership) -> None:
         await first.renew_or_acquire()
@@ -182,7 +182,7 @@
         for _ in range(3):
             await first.renew_or_acquire()
             fence = first.fence
-            first.end('tried')
+            first.end_term('tried')
         store.put(LEASE_TABLE, LEASE_KEY, 'bm8gbGVhc2U=')
         await second.renew_or_acquire()
         await asyncio.sleep(LEASE_S + 0.1)
--- a/tests/membership/test_crash_exchange.py
+++ b/tests/membership/test_crash_exchange.py
@@ -11,7 +11,7 @@
 import pytest
 
 from limeshelf.calls.fingerprint import Fingerprint
-from limeshelf.crashes.suspects import NewsSource, ReplicaCrash, Suspects, SuspectState
+from limeshelf.crashes.suspects import ReplicaCrash, Suspects, SuspectState, UpdateSource
 from limeshelf.membership import crash_exchange
 from limeshelf.membership.broadcast_queue import MAX_BATCH_WINDOWS
 from limeshelf.membership.crash_exchange import CrashExchange
@@ -23,11 +23,11 @@
 
 CALL = Fingerprint('00112233445566aa')
 CONTROL_BYTES_PER_S = 4096
-#: Longest delay of a message between gateways, and time within which the calls of a replica that
-#: ends break off at all gateways.
+#: Longest delay of a message between gateways, and time within which the calls of a crashed
+#: replica break off at all gateways.
 MAX_DELAY_S = 0.02
 BREAK_OFF_S = 0.003
-END = ReplicaCrash('i-0123456789', 1_784_591_736_000)
+CRASH = ReplicaCrash('i-0123456789', 1_784_591_736_000)
 
 
 @pytest.fixture(autouse=True)
@@ -110,7 +110,7 @@
     run_virtual(run())
 
 
-def test_all_gateways_learn_of_all_ends_seen_by_any() -> None:
+def test_all_gateways_receive_all_crashes_detected_by_any() -> None:
     network, exchanges = fleet(9, 3)
 
     def scenario() -> None:
@@ -130,8 +130,8 @@
 
     def scenario() -> None:
         for exchange in exchanges:
-            state = SuspectState(CALL, frozenset({END, ReplicaCrash('r')}))
-            exchange.suspects.merge(state, NewsSource.ROW)
+            state = SuspectState(CALL, frozenset({CRASH, ReplicaCrash('r')}))
+            exchange.suspects.merge(state, UpdateSource.ROW)
         exchanges[5].suspects.record_completion(CALL)
 
     run_fleet(exchanges, scenario)
@@ -142,16 +142,16 @@
     network, exchanges = fleet(4, 2)
 
     def scenario() -> None:
-        state = SuspectState(CALL, frozenset({END}))
+        state = SuspectState(CALL, frozenset({CRASH}))
         for exchange in exchanges:
-            exchange.suspects.merge(state, NewsSource.ROW)
+            exchange.suspects.merge(state, UpdateSource.ROW)
 
     run_fleet(exchanges, scenario)
     assert network.messages == 0
 
 
 def test_crash_costs_each_of_three_hundred_gateways_few_bytes() -> None:
-    """One end with 50 calls costs the busiest gateway, a relay, 3.4 KB, and most gateways 1.4 KB.
+    """A crash with 50 calls costs the busiest gateway, a relay, 3.4 KB, and most gateways 1.4 KB.
 
     With a batch window of 5 ms it would cost 6.0 KB and 2.1 KB. A gateway may receive 4 KB of
     control traffic per second.
@@ -164,7 +164,7 @@
             fingerprint = Fingerprint(f'{number:016x}')
             suspects = exchanges[6 * number % 300].suspects
             loop.call_later(
-                network.delays.uniform(0.0, BREAK_OFF_S), suspects.record_crash, fingerprint, END
+                network.delays.uniform(0.0, BREAK_OFF_S), suspects.record_crash, fingerprint, CRASH
             )
 
     run_fleet(exchanges, scenario)
--- a/tests/replicas/test_backpressure.py
+++ b/tests/replicas/test_backpressure.py
@@ -1,4 +1,4 @@
-"""A rate limit stays in force until a response certainly sent later has none."""
+"""A rate limit remains active until a response that was certainly sent later has none."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
     assert Backpressure().rate_per_s is None
 
 
-def test_rate_limit_stays_in_force_without_further_responses() -> None:
+def test_rate_limit_remains_active_without_further_responses() -> None:
     backpressure = Backpressure()
     backpressure.record_rate(2.3, received_s=10.0)
     assert backpressure.rate_per_s == 2.3
