--- a/tests/support/__init__.py
+++ b/tests/support/__init__.py
@@ -1,1 +1,1 @@
-"""Tests."""
+"""Stand-ins, fixtures and checks that several test packages share."""
--- a/tests/support/clock.py
+++ b/tests/support/clock.py
@@ -1,4 +1,4 @@
-"""A clock that tests move by hand, and an event loop that moves it."""
+"""Virtual time for tests: a manually advanced clock and an event loop that advances it."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 
 def wall(clock: VirtualClock) -> float:
-    """Return the wall clock time that a virtual clock stands for."""
+    """Return the Unix time that corresponds to a virtual clock's current time."""
     return VIRTUAL_EPOCH_S + clock.now_s
 
 
-class _Jump(selectors.DefaultSelector):
-    """Lets time go on at once, where the loop would wait for it."""
+class _ClockAdvancingSelector(selectors.DefaultSelector):
+    """Advances the clock by the selection time-out instead of waiting for it."""
 
     def __init__(self, clock: VirtualClock) -> None:
         super().__init__()
@@ -33,24 +33,24 @@
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """An event loop on a virtual clock: what runs takes no time, what waits takes all of it."""
+    """An event loop on a virtual clock, which advances only while no task is runnable."""
 
     def __init__(self, clock: VirtualClock) -> None:
-        super().__init__(_Jump(clock))
+        super().__init__(_ClockAdvancingSelector(clock))
         self._clock = clock
 
     def time(self) -> float:
         return self._clock.now_s
 
     def hold_up(self, seconds: float) -> None:
-        """Let what runs take some time."""
+        """Advance the clock as if the running task had blocked the loop."""
         self._clock.advance(seconds)
 
 
-def run_virtual(play: Coroutine[Any, Any, None]) -> None:
-    """Run *play* on a loop and clocks of its own; its pauses take no real time."""
+def run_virtual(scenario: Coroutine[Any, Any, None]) -> None:
+    """Run *scenario* on its own loop and virtual clock; its sleeps take no real time."""
     with (
         virtual_clock() as clock,
         asyncio.Runner(loop_factory=lambda: VirtualLoop(clock)) as runner,
     ):
-        runner.run(play)
+        runner.run(scenario)
--- a/tests/support/engine.py
+++ b/tests/support/engine.py
@@ -1,4 +1,4 @@
-"""An engine as an oracle: it adds up what it holds, and knows nothing of limeshelf."""
+"""A model of an engine, independent of limeshelf's logic, to check placement against."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 
 
 class OracleEngine:
-    """Memory, fence and orders in transit.
+    """Models an engine's memory, its fencing and the orders still in transit.
 
-    :param transit: orders sent whose fate is open: each may arrive at any time,
+    :ivar transit: orders that were sent but may not have arrived: each may arrive at any time,
         more than once, or never.
     """
 
@@ -76,26 +76,26 @@
             if (order.epoch, order.number) <= self.last:
                 return OrderRefusal.OLD_NUMBER
         self.last = (order.epoch, order.number)
-        held = self.items.get(order.item_id)
-        if order.action is OrderAction.LOAD and held is None:
+        item = self.items.get(order.item_id)
+        if order.action is OrderAction.LOAD and item is None:
             self.items[order.item_id] = HeldItem(
                 order.item_id, ItemState.LOADING, order.total_bytes
             )
-        elif order.action is OrderAction.UNLOAD and held is not None:
-            self.items[order.item_id] = attrs.evolve(held, state=ItemState.UNLOADING)
+        elif order.action is OrderAction.UNLOAD and item is not None:
+            self.items[order.item_id] = attrs.evolve(item, state=ItemState.UNLOADING)
         return OrderRefusal.NONE
 
     def finish(self) -> None:
-        """Let every load and unload that is under way come to its end."""
-        for item_id, held in list(self.items.items()):
-            if held.state is ItemState.LOADING:
-                self.items[item_id] = attrs.evolve(held, state=ItemState.READY)
-            elif held.state is ItemState.UNLOADING:
+        """Complete all loads and unloads in progress."""
+        for item_id, item in list(self.items.items()):
+            if item.state is ItemState.LOADING:
+                self.items[item_id] = attrs.evolve(item, state=ItemState.READY)
+            elif item.state is ItemState.UNLOADING:
                 del self.items[item_id]
 
 
 class OracleClient:
-    """What a placer's worker sees of an :class:`OracleEngine`."""
+    """The engine client of a placer's worker, backed by an :class:`OracleEngine`."""
 
     def __init__(self, engine: OracleEngine) -> None:
         self.engine = engine
@@ -128,7 +128,7 @@
 
 
 class OraclePool:
-    """Gives the clients of oracle engines."""
+    """An upstream pool whose engine clients are backed by oracle engines."""
 
     def __init__(self, engines: dict[str, OracleEngine]) -> None:
         self.clients = {name: OracleClient(engine) for name, engine in engines.items()}
--- a/tests/support/fuzzing.py
+++ b/tests/support/fuzzing.py
@@ -1,4 +1,4 @@
-"""Settings of the state machines."""
+"""Hypothesis settings of the stateful tests."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 from hypothesis import Phase, settings
 
-#: Set where only the verdict counts, not the smallest failing example.
+#: Environment variable that turns shrinking off, for runs that only need pass or fail.
 NO_SHRINK = 'LIMESHELF_NO_SHRINK'
 
 
 def run_machine(machine, examples: int, steps: int) -> None:
-    """Run a state machine with examples that are the same every time."""
+    """Run a Hypothesis state machine with the same examples every time."""
     phases = [Phase.explicit, Phase.generate]
     if NO_SHRINK not in os.environ:
         phases.append(Phase.shrink)
--- a/tests/support/policies.py
+++ b/tests/support/policies.py
@@ -1,4 +1,4 @@
-"""Policies as the entry makes them, from a registry and numbers."""
+"""Creates policies from a registry and numeric parameters, as the entry does."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def policy_of(registry: Registry, name: str, **numbers: float) -> Any:
-    """Return the policy of that name with *numbers*."""
+    """Return the policy registered as *name*, with *numbers* as its parameters."""
     parameters = [NumberParameter(key, value) for key, value in numbers.items()]
     policy = Policy(name, PolicyKind.ROUTING, name, parameters)
     return registry.get(name).from_config(policy)
--- a/tests/support/positions.py
+++ b/tests/support/positions.py
@@ -1,4 +1,4 @@
-"""Positions of the store in tests, most of which know one era alone."""
+"""Store positions for tests, most of which use a single era."""
 
 from __future__ import annotations
 
@@ -6,5 +6,5 @@
 
 
 def at(version: int, era: int = 0) -> Position:
-    """Return a position; era 0 is that of a store that states none."""
+    """Return a position; era 0 stands for a store that does not state an era."""
     return Position(era, version)
--- a/tests/support/routes.py
+++ b/tests/support/routes.py
@@ -1,4 +1,4 @@
-"""Routes for tests of the rules on a call's path."""
+"""Routes for tests of call routing."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def make_route(**changes: Any) -> Route:
-    """Return a route whose calls have an objective of 1 s and a time-out of 10 s."""
+    """Return a route with a latency objective of 1 s and a time-out of 10 s."""
     fields: dict[str, Any] = {
         'name': 'r',
         'host': 'calls.example',
--- a/tests/support/table.py
+++ b/tests/support/table.py
@@ -1,4 +1,4 @@
-"""A table service in memory, whose calls fail in the ways a real one's do."""
+"""An in-memory table service with injectable faults."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 class TableFault(enum.Enum):
     NONE = 'none'
     DOWN = 'down'
-    #: Sent, and lost on the way there.
+    #: The request is lost.
     LOST_BEFORE = 'lost before'
-    #: Took effect; the answer was lost.
+    #: The request takes effect; the response is lost.
     LOST_AFTER = 'lost after'
-    #: Takes effect at some later time; there is no answer.
+    #: The request takes effect only when delivered later; there is no response.
     LATE = 'late'
 
 
@@ -34,34 +34,34 @@
             return VersionedRow(key, 0, None)
         return VersionedRow(key, self.versions[key], self.values[key])
 
-    def _fault(self) -> TableFault:
+    def _next_fault(self) -> TableFault:
         if self.down:
             return TableFault.DOWN
         return self.next_faults.popleft() if self.next_faults else TableFault.NONE
 
-    def _strike(self, fault: TableFault) -> None:
+    def _raise_fault(self, fault: TableFault) -> None:
         if fault is TableFault.DOWN:
             raise PlatformUnavailable('table')
         if fault is not TableFault.NONE:
             raise PlatformUnknown('table')
 
     async def read(self, key: str) -> VersionedRow:
-        self._strike(self._fault())
+        self._raise_fault(self._next_fault())
         return self.row(key)
 
     async def scan(self, prefix: str) -> list[VersionedRow]:
-        self._strike(self._fault())
+        self._raise_fault(self._next_fault())
         return [self.row(key) for key in sorted(self.values) if key.startswith(prefix)]
 
     async def transact(self, conditions, writes):
-        fault = self._fault()
+        fault = self._next_fault()
         if fault is TableFault.LATE:
             self.late.append((conditions, writes))
         if fault in (TableFault.NONE, TableFault.LOST_AFTER):
             outcome = self.commit(conditions, writes)
-            self._strike(fault)
+            self._raise_fault(fault)
             return outcome
-        self._strike(fault)
+        self._raise_fault(fault)
         raise AssertionError
 
     def commit(self, conditions, writes):
