--- a/tests/support/entry.py
+++ b/tests/support/entry.py
@@ -1,4 +1,4 @@
-"""The real entry server in this process, before stand-ins in this process."""
+"""The real entry server and its stand-in upstreams, all in the test process."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 @attrs.define
 class EntryWorld:
-    """What a test of the request path works with."""
+    """A running entry server, its upstreams and a client session for request path tests."""
 
     url: str
     session: aiohttp.ClientSession
@@ -53,12 +53,12 @@
         return await self.send('POST', '/v1/chat/completions', json=body, headers=headers)
 
     async def send(self, method: str, path: str, **rest: Any) -> tuple[int, dict[str, str], bytes]:
-        """Send any request."""
+        """Send a request; return status, headers and body."""
         async with self.session.request(method, self.url + path, **rest) as answer:
             return answer.status, dict(answer.headers), await answer.read()
 
     async def stop(self, name: str) -> None:
-        """Close the listener of one stand-in."""
+        """Shut down the HTTP server of one stand-in."""
         await self.runners[name].cleanup()
 
     @property
@@ -92,7 +92,7 @@
 
 @contextlib.asynccontextmanager
 async def entry_world(**entry_settings: Any):
-    """Give a serving entry server with two engines and two plain services."""
+    """Run an entry server in the serving phase before two engines and two plain services."""
     engines = {n: Engine(EngineModel(first_token_s=0.0, token_s=0.0)) for n in ENGINES}
     services = {n: PlainService(n, 0.0) for n in SERVICES}
     upstreams = UpstreamDirectory('x', 3600.0)
@@ -133,11 +133,11 @@
     port = await server.start(HOST, 0, None)
     async with aiohttp.ClientSession() as session:
         session._retry_connection = False
-        made = EntryWorld(
+        world = EntryWorld(
             f'http://{HOST}:{port}', session, context, table, engines, services, runners
         )
         try:
-            yield made
+            yield world
         finally:
             await server.close()
             await context.pool.close()
--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -1,4 +1,7 @@
-"""Several gateways in this process, in two data centres, before stand-ins that end and return."""
+"""Several gateways in the test process, in front of stand-in replicas that crash and restart.
+
+By default, the gateways are spread over two data centres.
+"""
 
 from __future__ import annotations
 
@@ -18,24 +21,24 @@
 if TYPE_CHECKING:
     from limeshelf.settings.gateway import GatewaySettings
 
-#: Data centres of the gateways, in turn.
+#: Data centre of each gateway, by its number.
 CENTRES = ('z1', 'z1', 'z2')
-#: Calls of :func:`load`, from all callers together.
+#: Total call rate of :func:`load`, over all gateways.
 CALLS_PER_S = 40
-#: After which the store drops the row of a replica that is silent, in seconds.
+#: Time after a replica's crash until the store drops its row, in seconds.
 ROW_LIFE_S = 1.0
 
 
 class FleetWorld(GatewayWorld):
-    """Gateways, a store and replicas; use as an asynchronous context.
-
-    :param engines: replicas that hold model ``m1``.
-    :param deadly_text: what ends a replica that begins to run a call with it.
-    :param deadly_model: what ends a replica that begins to load it.
-    :param centres: data centres of the gateways, in turn.
-    :param back_after_s: from the end of a replica to its return under another id, in seconds.
-    :ivar ends: when replicas ended, on the clock of the loop.
-    :ivar gateway_of: number of the gateway at which each call was made, by the call's id.
+    """Gateways, a store and replicas, as an asynchronous context manager.
+
+    :param engines: number of replicas that hold model ``m1``.
+    :param deadly_text: a replica that starts running a call whose body contains this crashes.
+    :param deadly_model: a replica that starts loading this model crashes.
+    :param centres: data centre of each gateway, by its number.
+    :param back_after_s: time from a replica's crash to its restart under a new id, in seconds.
+    :ivar ends: times of replica crashes, on the loop's clock.
+    :ivar gateway_of: number of the gateway that each call was sent to, by call id.
     """
 
     def __init__(
@@ -56,7 +59,7 @@
         self._back_after_s = back_after_s
         self._gateways: dict[int, Gateway] = {}
         self._settings: dict[int, GatewaySettings] = {}
-        self._returns: set[asyncio.Task[None]] = set()
+        self._restarts: set[asyncio.Task[None]] = set()
         self._call_numbers = itertools.count()
         self.gateway_of: dict[str, int] = {}
 
@@ -73,7 +76,7 @@
 
     async def __aexit__(self, *_: object) -> None:
         assert self.caller is not None
-        for task in self._returns:
+        for task in self._restarts:
             task.cancel()
         await self.caller.close()
         for number in list(self._gateways):
@@ -83,7 +86,7 @@
         await self.store.close()
 
     def gateway_settings(self, number: int) -> GatewaySettings:
-        """Return the settings of a gateway, the same for each of its starts."""
+        """Return a gateway's settings, which are the same after each restart."""
         if number not in self._settings:
             self._settings[number] = attrs.evolve(
                 self.settings(), instance_id=f'g-{number}', data_centre=self.centres[number]
@@ -91,30 +94,30 @@
         return self._settings[number]
 
     async def start_gateway(self, number: int) -> None:
-        """Start a gateway, which knows nothing of an earlier start."""
+        """Start a gateway without any state of an earlier run."""
         self._gateways[number] = Gateway(settings=self.gateway_settings(number))
         await self._gateways[number].start()
 
     async def stop_gateway(self, number: int) -> None:
-        """End a gateway without a drain."""
+        """Stop a gateway without draining it."""
         await self._gateways.pop(number).stop()
 
     def components(self, number: int) -> Any:
-        """Return what a gateway consists of."""
+        """Return a gateway's components."""
         return self._gateways[number].components
 
     def all_know_all(self) -> bool:
-        """Return whether each gateway knows the configuration, all replicas and all others."""
-        parts = [gateway.components for gateway in self._gateways.values()]
+        """Return whether each gateway knows the configuration, all replicas and all gateways."""
+        running = [gateway.components for gateway in self._gateways.values()]
         return all(
             one.in_force.config is not None
             and len(one.directory.all()) >= len(self.plain + self.engines)
             and len(one.members.others()) >= len(self.centres) - 1
-            for one in parts
+            for one in running
         )
 
     async def call_at(self, number: int, path: str, body: bytes, **headers: str) -> int:
-        """Make a call at a gateway; return its status, 0 where the answer is not whole."""
+        """Send a call to a gateway; return its status, or 0 if the response is incomplete."""
         call_id = f'f{next(self._call_numbers)}'
         self.gateway_of[call_id] = number
         headers['Limeshelf_Attempt_Id'] = call_id
@@ -125,7 +128,7 @@
             return 0
 
     async def generate_at(self, number: int, body: bytes, model: str = 'm1') -> int:
-        """Call a model at a gateway; see :meth:`call_at`."""
+        """Send a call for a model to a gateway; see :meth:`call_at`."""
         return await self.call_at(
             number,
             '/stream/x',
@@ -138,32 +141,32 @@
     async def _start_replica(self, replica: ReplicaStandIn) -> None:
         replica.deadly_text = self._deadly_text
         replica.deadly_model = self._deadly_model
-        replica.on_end = self._note_end
+        replica.on_end = self._schedule_restart
         await replica.start()
         self.announce(replica)
 
-    def _note_end(self, replica: ReplicaStandIn) -> None:
+    def _schedule_restart(self, replica: ReplicaStandIn) -> None:
         self.ends.append(asyncio.get_running_loop().time())
-        task = asyncio.create_task(self._return(replica))
-        self._returns.add(task)
-        task.add_done_callback(self._returns.discard)
+        task = asyncio.create_task(self._restart_later(replica))
+        self._restarts.add(task)
+        task.add_done_callback(self._restarts.discard)
 
-    async def _return(self, replica: ReplicaStandIn) -> None:
+    async def _restart_later(self, replica: ReplicaStandIn) -> None:
         await asyncio.sleep(self._back_after_s)
         group = self.plain if replica in self.plain else self.engines
         name = f'{replica.replica_id.partition("+")[0]}+{len(self.ends)}'
-        fresh = ReplicaStandIn(name, list(replica.models))
-        group[group.index(replica)] = fresh
-        await self._start_replica(fresh)
+        replacement = ReplicaStandIn(name, list(replica.models))
+        group[group.index(replica)] = replacement
+        await self._start_replica(replacement)
         await asyncio.sleep(max(0.0, ROW_LIFE_S - self._back_after_s))
         self.store.drop('servers', replica.replica_id)
         await replica.close()
 
 
 async def load(world: FleetWorld, path: str, for_s: float) -> list[int]:
-    """Make calls at all gateways in turn, at a steady pace; return what they were told.
+    """Send calls to all gateways in turn, at a constant rate; return the response statuses.
 
-    :param path: ``/stream/x`` for calls to a model.
+    :param path: path of the calls; those below ``/stream`` call a model.
     """
     tasks = []
     for number in range(int(for_s * CALLS_PER_S)):
@@ -178,12 +181,12 @@
 
 
 def run_fleet(scenario: Any, **options: Any) -> None:
-    """Run *scenario* with a fleet of its own."""
+    """Run *scenario* against a new fleet."""
 
-    async def play() -> None:
+    async def run_scenario() -> None:
         async with FleetWorld(**options) as world:
             with contextlib.suppress(asyncio.CancelledError):
                 await scenario(world)
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        runner.run(play())
+        runner.run(run_scenario())
--- a/tests/support/gateway.py
+++ b/tests/support/gateway.py
@@ -1,4 +1,4 @@
-"""A gateway in this process before stand-ins that speak the platform's protocol."""
+"""A gateway in the test process, in front of stand-ins that speak the platform's protocol."""
 
 from __future__ import annotations
 
@@ -26,29 +26,29 @@
 HOST = 'calls.example'
 ENGINE = 'lm'
 PLAIN = 'app'
-#: Ports of one test process, in turn, so that no two of its listeners get the same.
-PORTS_A_PROCESS = 100
+#: Size of a test process's port range, which it cycles through so that ports are not reused.
+PORTS_PER_PROCESS = 100
 #: Below the kernel's default of ``net.ipv4.ip_local_port_range``, 32768 to 60999.
-FIRST_PORTS = range(16000, 32000, PORTS_A_PROCESS)
+FIRST_PORTS = range(16000, 32000, PORTS_PER_PROCESS)
 _call_ids = itertools.count(1)
 
 
 def _ports() -> Iterator[int]:
     first = FIRST_PORTS[os.getpid() % len(FIRST_PORTS)]
-    return itertools.cycle(range(first, first + PORTS_A_PROCESS))
+    return itertools.cycle(range(first, first + PORTS_PER_PROCESS))
 
 
-_own_ports = _ports()
+_process_ports = _ports()
 
 
 def free_port() -> int:
-    """Return a port on loopback that nobody listens on now.
+    """Return a loopback port without a listener.
 
-    It lies below the ports that the kernel gives to outgoing connections: those were
-    taken now and then between this look and the listening. Other test processes look
-    elsewhere.
+    It lies below the kernel's ephemeral port range: ephemeral ports were at times taken by
+    outgoing connections between this probe and the listener's bind. Each test process uses
+    its own range.
     """
-    for port in _own_ports:
+    for port in _process_ports:
         with socket.socket() as probe, contextlib.suppress(OSError):
             probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             probe.bind(('127.0.0.1', port))
@@ -57,7 +57,7 @@
 
 
 def route(name: str, kind: str, service: str, **changes: Any) -> dict[str, Any]:
-    """Return a route of the operator's configuration."""
+    """Return a route, in the format of the operator's configuration."""
     return {
         'Name': name,
         'Host': HOST,
@@ -112,7 +112,7 @@
 
 @attrs.define
 class Answered:
-    """A whole answer that a caller got."""
+    """A complete response."""
 
     status: int
     headers: dict[str, str]
@@ -120,7 +120,7 @@
 
 
 class GatewayWorld:
-    """One gateway, a store and replicas; use as an asynchronous context."""
+    """One gateway, a store and replicas, as an asynchronous context manager."""
 
     def __init__(self, grace_s: float = 4.0) -> None:
         self.store = StoreStandIn()
@@ -151,7 +151,7 @@
         await self.store.close()
 
     def settings(self) -> GatewaySettings:
-        """Return settings with ports of their own."""
+        """Return settings with newly allocated ports."""
         self.port = free_port()
         self.readiness_port = free_port()
         return GatewaySettings(
@@ -179,7 +179,7 @@
         self.store.put('servers', replica.replica_id, encoded(replica.row(service, state, beat)))
 
     async def until_ready(self) -> None:
-        """Return when the gateway calls itself ready."""
+        """Wait until the gateway is ready and knows all replicas."""
         assert self.caller is not None
         url = f'http://127.0.0.1:{self.readiness_port}/readyz'
         async with asyncio.timeout(10):
@@ -190,10 +190,10 @@
                 await asyncio.sleep(0.02)
             while len(self.gateway.components.directory.all()) < len(self.plain + self.engines):
                 await asyncio.sleep(0.02)
-        self._know_that_it_is_alone()
+        self._set_gateway_count()
 
-    def _know_that_it_is_alone(self) -> None:
-        """Let the gateway know at once, as it does a second later by its row in the store."""
+    def _set_gateway_count(self) -> None:
+        """Apply the gateway count now; its row in the store would do so a second later."""
         parts = self.gateway.components
         parts.members.has_member_rows = True
         parts.budgets.gateways = parts.digests.gateway_count
@@ -201,22 +201,24 @@
     async def call(
         self, path: str, method: str = 'POST', body: bytes = b'', **headers: str
     ) -> Answered:
-        """Make a call and return the whole answer; raises where it is not whole."""
+        """Send a call and return the complete response; raise if it is incomplete."""
         assert self.caller is not None
-        named = {
+        all_headers = {
             'Host': HOST,
             'Limeshelf-Attempt-Id': f'c{next(_call_ids)}',
             'Limeshelf-Deadline-Ms': '3000',
             **{name.replace('_', '-'): value for name, value in headers.items()},
         }
         url = f'http://127.0.0.1:{self.port}{path}'
-        async with self.caller.request(method, url, data=body or None, headers=named) as answer:
+        async with self.caller.request(
+            method, url, data=body or None, headers=all_headers
+        ) as answer:
             return Answered(answer.status, dict(answer.headers), await answer.read())
 
     async def generate(
         self, path: str = '/stream/x', model: str = 'm1', **headers: str
     ) -> Answered:
-        """Call a model and return the whole stream."""
+        """Call a model and return the complete stream."""
         return await self.call(
             path,
             Limeshelf_Model=model,
@@ -226,10 +228,10 @@
         )
 
     def leader_can_order(self) -> bool:
-        """Return whether the gateway leads and may give orders to every engine.
+        """Return whether the gateway is the leader and may send orders to every engine.
 
-        A term's fence comes first. Until the engines are claimed under it, and a poll
-        has shown what came before the claim, the adapter planner places nothing.
+        The adapter planner places nothing until the leader has its term's fence, has claimed
+        the engines under it, and has polled their state from before the claim.
         """
         parts = self.gateway.components
         fence = parts.leadership.fence
@@ -241,27 +243,27 @@
             and all(one.is_claimed_under(fence) and one.is_fresh for one in pending)
         )
 
-    async def until(self, met: Any, limit_s: float = 5.0) -> None:
-        """Return when *met* returns something true."""
+    async def until(self, condition: Any, limit_s: float = 5.0) -> None:
+        """Wait until *condition* returns a true value."""
         async with asyncio.timeout(limit_s):
-            while not met():
+            while not condition():
                 await asyncio.sleep(0.01)
 
 
 def encoded(document: dict[str, Any]) -> str:
-    """Return a row's value."""
+    """Return *document* encoded as a row's value."""
     return base64.b64encode(json.dumps(document).encode()).decode()
 
 
 def run(scenario: Any, **options: Any) -> None:
-    """Run *scenario* with a world of its own."""
+    """Run *scenario* against a new gateway, store and replicas."""
 
-    async def play() -> None:
+    async def run_scenario() -> None:
         async with GatewayWorld(**options) as world:
             with contextlib.suppress(asyncio.CancelledError):
                 await scenario(world)
 
-    # The loop that the program runs on; it reports the end of connections
-    # in its own way.
+    # The gateway program runs on uvloop, which reports closed connections differently
+    # from asyncio.
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        runner.run(play())
+        runner.run(run_scenario())
