--- a/tests/support/history.py
+++ b/tests/support/history.py
@@ -1,6 +1,6 @@
-"""What callers saw of each call, and the promises that a history is checked against.
+"""Call histories as recorded by clients, and the invariants that they are checked against.
 
-The fault soak, the features and ``make recovery`` judge by these checks and no other.
+The fault soak, the features and ``make recovery`` all use these checks.
 """
 
 from __future__ import annotations
@@ -18,10 +18,10 @@
 
 @attrs.frozen
 class Call:
-    """One call and its end, as the caller saw it.
+    """One call and its result, as the client observed it.
 
-    :param outcome: ``completed``, ``not_run``, ``may_have_run``, or what the
-        caller's own connection met: ``refused`` or ``dropped``.
+    :param outcome: ``completed``, ``not_run`` or ``may_have_run`` as stated by the response;
+        ``refused`` or ``dropped`` if the connection failed; ``missing`` if none was stated.
     """
 
     kind: str
@@ -41,9 +41,9 @@
 
 
 def judge_stream(text: str, caller: str, prompt: str, tokens: int) -> tuple[str, bool]:
-    """Return the outcome of a streamed answer, and whether every token is its own.
+    """Return a streamed response's outcome, and whether its tokens are the expected ones.
 
-    An answer that was cut must say so by an error event; it may not look whole.
+    A truncated response must end with an error event; it may not look complete.
     """
     events = [json.loads(e[6:]) for e in text.split('\n\n') if e.startswith('data: {')]
     mark = f'{caller}.{zlib.crc32(f"user: {prompt}".encode()):08x}'
@@ -58,17 +58,17 @@
 
 
 def faults_of(history: list[Call], runs: dict[str, int]) -> list[str]:
-    """Check a history against what the upstreams ran; return every fault found.
+    """Check a history against the upstreams' execution counts; return all violations.
 
-    :param runs: times that each key ran, over all upstreams.
+    :param runs: number of executions of each idempotency key, over all upstreams.
     """
     faults = [
-        f'not whole or not own: {call}'
+        f'response incomplete or of another call: {call}'
         for call in history
         if call.outcome == 'completed' and not call.whole
     ]
     faults += [
-        f'no outcome in the answer: {call}' for call in history if call.outcome == 'missing'
+        f'no outcome in the response: {call}' for call in history if call.outcome == 'missing'
     ]
     faults += [f'{key} ran {n} times' for key, n in runs.items() if key and n > 1]
     outcomes_by_key: dict[str, set[str]] = {}
@@ -78,14 +78,14 @@
     for key, outcomes in outcomes_by_key.items():
         ran = runs.get(key, 0) > 0
         if outcomes == {'not_run'} and ran:
-            faults.append(f'{key} was answered as not run and ran')
+            faults.append(f'{key} was reported as not run but ran')
         if 'completed' in outcomes and not ran:
-            faults.append(f'{key} was answered as completed and did not run')
+            faults.append(f'{key} was reported as completed but did not run')
     return faults + revision_faults(history)
 
 
 def revision_faults(history: list[Call]) -> list[str]:
-    """Return each instance's steps back in revision, between calls that do not overlap."""
+    """Return where an instance reverted to an older revision between non-overlapping calls."""
     faults = []
     highest: dict[str, tuple[float, int]] = {}
     for call in sorted(history, key=lambda c: c.ended_s):
@@ -93,14 +93,14 @@
             continue
         ended_s, revision = highest.get(call.instance, (0.0, 0))
         if call.revision < revision and call.started_s > ended_s:
-            faults.append(f'{call.instance} went back to revision {call.revision}: {call}')
+            faults.append(f'{call.instance} reverted to revision {call.revision}: {call}')
         if call.revision >= revision:
             highest[call.instance] = (call.ended_s, call.revision)
     return faults
 
 
 def key_runs(system: System) -> dict[str, int]:
-    """Return how often each key ran, over all plain services."""
+    """Return the number of executions of each key, over all plain services."""
     runs: Counter[str] = Counter()
     for upstream in system.upstreams.values():
         if upstream.line['kind'] == 'plain':
@@ -110,7 +110,7 @@
 
 
 def overcommits(system: System) -> list[Any]:
-    """Return every instant at which an engine held more than it can."""
+    """Return every recorded moment at which an engine exceeded its memory."""
     return [
         found
         for upstream in system.upstreams.values()
--- a/tests/support/load.py
+++ b/tests/support/load.py
@@ -1,6 +1,6 @@
-"""Concurrent callers of a running system, behind a balancer that follows readiness.
+"""Concurrent clients of a running system, behind a readiness-aware load balancer.
 
-The callers keep a history; :mod:`tests.support.history` checks it.
+They record a history of calls, which :mod:`tests.support.history` checks.
 """
 
 from __future__ import annotations
@@ -23,19 +23,19 @@
 if TYPE_CHECKING:
     from standins.launcher import System
 
-#: Pause between two checks of readiness by the balancer. Chosen, not measured.
+#: Interval between two readiness checks by the balancer, in seconds.
 POLL_S = 0.1
-#: Tokens of each streamed answer. Chosen, not measured.
+#: Tokens requested of each streamed response.
 STREAM_TOKENS = 12
-#: A call without an end for this long counts as dropped. Chosen, not measured.
+#: A call that takes longer than this counts as dropped, in seconds.
 ANSWER_LIMIT_S = 20.0
 
 
 @attrs.frozen
 class Request:
-    """One call as a caller sends it.
+    """One call to be sent.
 
-    :param options: headers and body, as the HTTP client takes them.
+    :param options: headers and body, as keyword arguments of the HTTP client.
     """
 
     kind: str
@@ -48,7 +48,7 @@
 
 @attrs.define
 class Answer:
-    """What has come of a call so far; without more, its connection was dropped."""
+    """The result of a call; the default is a dropped connection."""
 
     status: int = 0
     headers: Mapping[str, str] = attrs.field(factory=dict)
@@ -59,9 +59,11 @@
 
 
 class Load:
-    """Callers behind a balancer that follows readiness with a small lag.
+    """Concurrent clients behind a balancer that polls readiness.
 
-    :param rate_per_s: calls started in a second.
+    :param rate_per_s: calls started per second.
+    :param booking_ratio: share of calls that are bookings; the others are streams.
+    :param repeat_ratio: share of bookings that are sent twice at once under the same key.
     """
 
     def __init__(
@@ -86,7 +88,7 @@
         self._stop = threading.Event()
         self._thread = threading.Thread(target=self._run, daemon=True)
         self._numbers = 0
-        # Keys of one load are never those of another.
+        # Makes the keys of each load unique.
         self._name = f'key-{secrets.token_hex(4)}'
 
     def __enter__(self) -> Load:
@@ -97,7 +99,7 @@
         self.stop()
 
     def stop(self) -> None:
-        """Start no more calls, and wait for the ends of those that run."""
+        """Stop starting calls and wait for those in progress."""
         self._stop.set()
         self._thread.join(60)
 
@@ -140,8 +142,8 @@
         if self._random.random() < self._booking_ratio:
             key = f'{self._name}-{number}'
             tries = 2 if self._random.random() < self._repeat_ratio else 1
-            others = [self._random.choice(self._ready) for _ in range(tries)]
-            await asyncio.gather(*(self._book(session, *one, number, key) for one in others))
+            targets = [self._random.choice(self._ready) for _ in range(tries)]
+            await asyncio.gather(*(self._book(session, *one, number, key) for one in targets))
             return
         model = self._random.choice(self._models)
         await self._stream(session, instance, url, number, model)
@@ -153,11 +155,11 @@
             'book', f'{url}/booking/slots', caller, {'data': key, 'headers': headers}, key=key
         )
 
-        def judge(answer: Answer, text: str) -> None:
+        def evaluate(answer: Answer, text: str) -> None:
             answer.outcome = answer.headers.get('X-Limeshelf-Outcome', 'missing')
             answer.whole = answer.outcome != 'completed' or json.loads(text)['echo'] == key
 
-        await self._send(session, instance, request, judge)
+        await self._send(session, instance, request, evaluate)
 
     async def _stream(self, session, instance: str, url: str, number: int, model: str) -> None:
         caller = f'depot-{number}'
@@ -176,7 +178,7 @@
             model=model,
         )
 
-        def judge(answer: Answer, text: str) -> None:
+        def evaluate(answer: Answer, text: str) -> None:
             if answer.status == 200:
                 answer.outcome, answer.whole = judge_stream(text, caller, prompt, self._max_tokens)
             else:
@@ -184,16 +186,16 @@
                 answer.whole = True
                 answer.reason = json.loads(text)['error']['code']
 
-        await self._send(session, instance, request, judge)
+        await self._send(session, instance, request, evaluate)
 
     async def _send(
         self,
         session: aiohttp.ClientSession,
         instance: str,
         request: Request,
-        judge: Callable[[Answer, str], None],
+        evaluate: Callable[[Answer, str], None],
     ) -> None:
-        """Send *request* and add its end to the history."""
+        """Send *request* and add its result to the history."""
         started_s = time.monotonic()
         answer = Answer()
         try:
@@ -202,7 +204,7 @@
                 answer.status, answer.headers = http.status, http.headers
                 first = await http.content.readany()
                 answer.first_s = time.monotonic() - started_s
-                judge(answer, (first + await http.read()).decode())
+                evaluate(answer, (first + await http.read()).decode())
         except aiohttp.ClientConnectorError:
             answer.outcome = 'refused'
         except (aiohttp.ClientError, TimeoutError, ConnectionError):
--- a/tests/support/test_history.py
+++ b/tests/support/test_history.py
@@ -1,4 +1,4 @@
-"""The checks of a history find what they are there for."""
+"""Tests that the history checks detect each kind of violation."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     return ''.join(f'data: {json.dumps(event)}\n\n' for event in events) + end
 
 
-def test_history_that_keeps_the_promises_has_no_fault() -> None:
+def test_correct_history_has_no_violation() -> None:
     assert faults_of([CALL], {'k': 1}) == []
 
 
@@ -35,11 +35,11 @@
     ],
     ids=['not-whole', 'missing', 'ran-twice', 'never-ran', 'ran-though-not-run', 'step-back'],
 )
-def test_broken_promise_is_found(calls: list[Call], runs: dict[str, int]) -> None:
+def test_violation_is_found(calls: list[Call], runs: dict[str, int]) -> None:
     assert len(faults_of(calls, runs)) == 1
 
 
-def test_stream_is_judged_token_by_token() -> None:
+def test_stream_is_checked_token_by_token() -> None:
     whole = stream(f'{MARK}.0 ', f'{MARK}.1 ')
     assert judge_stream(whole, 'c', 'hello', 2) == ('completed', True)
     assert judge_stream(whole, 'c', 'hello', 3) == ('completed', False)
@@ -48,7 +48,7 @@
     assert judge_stream(swapped, 'c', 'hello', 2) == ('completed', False)
 
 
-def test_cut_stream_is_dropped_unless_it_says_so() -> None:
+def test_truncated_stream_is_dropped_unless_it_ends_with_an_error() -> None:
     assert judge_stream(stream(f'{MARK}.0 ', end=''), 'c', 'hello', 2) == ('dropped', True)
     error = f'data: {json.dumps({"error": {"outcome": "may_have_run"}})}\n\n'
     broken = stream(f'{MARK}.0 ', end=error)
--- a/tests/support/test_verdicts.py
+++ b/tests/support/test_verdicts.py
@@ -1,4 +1,4 @@
-"""Verdicts of days, from small entries of a journal."""
+"""Tests of the summary of days' verdicts, over small journal entries."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
     return entry(entry_id, cmd, site=None, **failure, **changes)
 
 
-def made(*plain: dict[str, Any]) -> list[Entry]:
+def as_entries(*plain: dict[str, Any]) -> list[Entry]:
     return [msgspec.convert(one, Entry) for one in plain]
 
 
@@ -68,7 +68,7 @@
 
 
 def test_day_that_was_given_up_is_neither_kept_nor_broken() -> None:
-    (one,) = by_site(made(entry(days=[given_up(rules={'LIMIT': 2.0}), day()]))).values()
+    (one,) = by_site(as_entries(entry(days=[given_up(rules={'LIMIT': 2.0}), day()]))).values()
     assert (one.days, one.ended, one.given_up, one.passed, one.failed) == (2, 1, 1, 1, 0)
     assert one.rules == {}
     assert one.floors == {}
@@ -77,20 +77,22 @@
 def test_rules_and_floors_of_ended_days_are_counted_by_day() -> None:
     missed = '0.25 of the worth owed to class c was earned; the floor is 0.75'
     broken = day(gate=False, rules={'LIMIT': 7, 'LOST': 0}, short=[missed])
-    (one,) = by_site(made(entry(days=[broken, broken, day()]))).values()
+    (one,) = by_site(as_entries(entry(days=[broken, broken, day()]))).values()
     assert (one.passed, one.failed) == (1, 2)
     assert one.rules == {'LIMIT': 2}
     assert one.floors == {'worth owed to class c: below the floor': [0.5, 0.5]}
 
 
 def test_hunt_did_not_hunt_on_days_that_were_given_up() -> None:
-    entries = made(entry(cmd='hunt', days=[day(), given_up()]), entry(cmd='run', days=[day()]))
+    entries = as_entries(
+        entry(cmd='hunt', days=[day(), given_up()]), entry(cmd='run', days=[day()])
+    )
     (one,) = by_site(entries).values()
     assert (one.ended, one.hunted, one.unhunted) == (2, 1, 1)
 
 
 def test_entry_without_an_end_counts_for_the_site_of_its_arguments() -> None:
-    sites = by_site(made(entry(), unfinished(argv=['.../two.toml', '--days', '8'])))
+    sites = by_site(as_entries(entry(), unfinished(argv=['.../two.toml', '--days', '8'])))
     assert [(name, one.entries, one.endless) for name, one in sites.items()] == [
         ('one', 1, 0),
         ('two', 1, 1),
@@ -112,7 +114,7 @@
 def test_score_has_ended_if_none_of_its_days_was_given_up(
     plain: dict[str, Any], is_ended_score: bool
 ) -> None:
-    (one,) = made(plain)
+    (one,) = as_entries(plain)
     assert one.is_ended_score is is_ended_score
 
 
