--- a/tests/support/needs.py
+++ b/tests/support/needs.py
@@ -1,4 +1,7 @@
-"""Judges, by what replicas saw alone, whether gateways kept to what replicas stated to them."""
+"""Checks from replicas' records whether gateways complied with the replicas' notices.
+
+A notice is a call rate, a retry-after time or a shutdown stated in a response header.
+"""
 
 from __future__ import annotations
 
@@ -12,38 +15,39 @@
     from standins.users_platform.replica import ReplicaStandIn
     from tests.support.fleet import FleetWorld
 
-#: Calls at a replica that states a rate are counted in windows of this length, in seconds.
+#: Length of the sliding window in which calls to a rate-limited replica are counted, in seconds.
 WINDOW_S = 4.0
-#: A gateway counts from this long after the replica's answer to it, in seconds.
+#: A gateway must comply from this long after the replica's response to it, in seconds.
 KNOWN_AFTER_S = 0.5
-#: A window counts if it ends this long after the first answer that states the rate, in seconds.
+#: Only windows that end this long after the first notice of the rate are checked, in seconds;
+#: until then, the gateways may not have agreed on their shares.
 AGREED_AFTER_S = 3.0
-#: What may come in a window, in units of what the rate allows, and beside that.
+#: Calls tolerated in a window: a multiple of what the rate allows, plus a constant.
 TOLERATED_SHARE = 1.5
 TOLERATED_CALLS = 5
-#: A gateway that heard that a replica leaves may send there for this long, in seconds.
+#: A gateway may still send calls for this long after a replica's shutdown notice, in seconds.
 LEAVING_AFTER_S = 2.0
-#: Calls that may come from a gateway within the rest that it was asked for.
+#: Calls tolerated from a gateway within the retry-after time that it was sent.
 TOLERATED_IN_REST = 2
 
 
 def tolerated(rate_per_s: float) -> float:
-    """Return how many calls may come in a window at a replica that states a rate."""
+    """Return the number of calls tolerated in a window at a replica that states a rate."""
     return TOLERATED_SHARE * WINDOW_S * rate_per_s + TOLERATED_CALLS
 
 
 def most_in_window(world: FleetWorld, replica: ReplicaStandIn) -> int:
-    """Return the most calls in a window of gateways that knew of a replica's rate."""
+    """Return the maximum number of calls in a window, from gateways that knew the rate."""
     stated = [one for one in replica.stated if one.needs.rate_per_s is not None]
-    told_s: dict[int, float] = {}
+    notified_s: dict[int, float] = {}
     for one in stated:
-        told_s.setdefault(world.gateway_of[one.call_id], one.at_s)
+        notified_s.setdefault(world.gateway_of[one.call_id], one.at_s)
     if not stated:
         return 0
     arrivals_s = [
         at_s
         for at_s, number in _arrivals(world, replica)
-        if number in told_s and at_s >= told_s[number] + KNOWN_AFTER_S
+        if number in notified_s and at_s >= notified_s[number] + KNOWN_AFTER_S
     ]
     counted_s = stated[0].at_s + AGREED_AFTER_S
     ends_s = [end_s for end_s in arrivals_s if end_s >= counted_s]
@@ -54,19 +58,19 @@
 
 
 def arrivals_after_leaving(world: FleetWorld, replica: ReplicaStandIn) -> int:
-    """Return how many calls came of gateways that long knew that a replica leaves."""
-    told_s: dict[int, float] = {}
+    """Return the number of calls sent too long after a shutdown notice to the same gateway."""
+    notified_s: dict[int, float] = {}
     for one in replica.stated:
         if one.needs.leaving:
-            told_s.setdefault(world.gateway_of[one.call_id], one.at_s)
+            notified_s.setdefault(world.gateway_of[one.call_id], one.at_s)
     return sum(
-        number in told_s and at_s > told_s[number] + LEAVING_AFTER_S
+        number in notified_s and at_s > notified_s[number] + LEAVING_AFTER_S
         for at_s, number in _arrivals(world, replica)
     )
 
 
 def most_in_a_rest(world: FleetWorld, replica: ReplicaStandIn) -> int:
-    """Return the most calls of one gateway within a rest that it was asked for."""
+    """Return the maximum number of calls from one gateway within a retry-after time."""
     arrivals = list(_arrivals(world, replica))
     most = 0
     for one in replica.stated:
@@ -74,7 +78,7 @@
             continue
         number = world.gateway_of[one.call_id]
         begin_s, end_s = one.at_s + KNOWN_AFTER_S, one.at_s + float(one.needs.rest_s)
-        within = sum(who == number and begin_s <= at_s <= end_s for at_s, who in arrivals)
+        within = sum(sender == number and begin_s <= at_s <= end_s for at_s, sender in arrivals)
         most = max(most, within)
     return most
 
