--- a/tests/features/at_most_once.feature
+++ b/tests/features/at_most_once.feature
@@ -1,16 +1,16 @@
-Feature: Told not run means not run, and a key runs at most once
+Feature: A call reported as not run did not run, and a key runs at most once
 
   Scenario: Entry processes are killed at random under load
-    Given calls run all the while
+    Given calls are sent continuously
     When entry processes are killed and replaced 4 times
-    Then the history holds no fault
+    Then the history has no violation
 
   Scenario: Plain services drop connections before, during and after the call
-    Given calls run all the while
-    When plain services drop connections for a while
-    Then the history holds no fault
+    Given calls are sent continuously
+    When plain services drop connections for a time
+    Then the history has no violation
 
   Scenario: The table service loses answers and goes down
-    Given calls run all the while
-    When the table service loses answers and goes down for a while
-    Then the history holds no fault
+    Given calls are sent continuously
+    When the table service loses responses and becomes unavailable for a time
+    Then the history has no violation
--- a/tests/features/environment.py
+++ b/tests/features/environment.py
@@ -1,4 +1,4 @@
-"""Starts a system of real processes for each feature, and ends it."""
+"""Behave hooks that run a system of real processes for each feature."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class World:
-    """A running system and what its steps share."""
+    """A running system and the state that its steps share."""
 
     def __init__(self, tags: set[str]) -> None:
         settings = {'platform.timeout_s': 0.5}
@@ -41,47 +41,47 @@
         self.system = System(
             settings, lag_s=1.0 if 'lagging_list' in tags else 0.0, gates='gates' in tags
         )
-        second = {**ENGINE, 'checks_fence': 'unfenced' not in tags}
+        engine = {**ENGINE, 'checks_fence': 'unfenced' not in tags}
         if 'slow_engines' in tags:
             slow = {'slots': 4, 'first_token_s': 0.02, 'token_s': 0.01}
-            second = {**second, **slow}
-        engines = {'x': [second, second], 'y': [second, second]}
+            engine = {**engine, **slow}
+        engines = {'x': [engine, engine], 'y': [engine, engine]}
         self.system.start_upstreams(engines, {'x': ['booking'], 'y': ['booking']})
         self.system.start_instances({'x': 2, 'y': 2})
         self.document = json.loads(json.dumps(DOCUMENT))
         self.facts: dict = {}
 
     def cli(self, *words: str, instance: str = 'x-0') -> tuple[int, dict]:
-        """Run the operator's command line; return exit code and JSON."""
+        """Run the admin command line; return its exit code and JSON output."""
         command = [
             sys.executable,
             '-c',
             'from limeshelf.standalone.programs.cli import main; main()',
         ]
         address = self.system.instances[instance].rpc
-        done = subprocess.run(
+        completed = subprocess.run(
             [*command, '--address', address, '--json', *words],
             capture_output=True,
             text=True,
             timeout=30,
         )
-        return done.returncode, json.loads(done.stdout) if done.stdout else {}
+        return completed.returncode, json.loads(completed.stdout) if completed.stdout else {}
 
     def apply(self, instance: str = 'x-0', *words: str) -> tuple[int, dict]:
-        """Apply the world's document."""
+        """Apply the current document; return the exit code and JSON output."""
         path = self.system.folder / 'document.json'
         path.write_text(json.dumps(self.document))
         return self.cli('apply', str(path), *words, instance=instance)
 
     def revisions(self) -> dict[str, int]:
-        """Return the revision in force by live instance, as each tells it itself."""
+        """Return the revision that each instance reports as in force, by instance."""
         return {
             name: get(f'{instance.url}/v1/models') and get(f'{instance.url}/ready')['revision']
             for name, instance in self.system.instances.items()
         }
 
     def all_ready(self) -> bool:
-        """Return whether the engines hold all that is deployed, and every instance sees it."""
+        """Return whether all deployed items are loaded and every instance lists them as ready."""
         if not self._deployed_items() <= self._held_items():
             return False
         wanted = 2 * len(self.document['deployments'])
@@ -105,17 +105,17 @@
         }
 
     def await_ready(self, limit_s: float = 30.0) -> float:
-        """Wait until every model and adapter is ready; return the seconds."""
+        """Wait until every model and adapter is ready; return the time taken in seconds."""
         return wait_until(self.all_ready, limit_s, pause_s=0.1)
 
 
 def before_feature(context, feature) -> None:
-    """Start the system that the feature's tags ask for."""
+    """Start a system as configured by the feature's tags."""
     context.world = World(set(feature.tags))
     assert context.world.apply()[0] == 0
     context.world.await_ready()
 
 
 def after_feature(context, feature) -> None:
-    """End its processes."""
+    """Stop the feature's processes."""
     context.world.system.close()
--- a/tests/features/leaving.feature
+++ b/tests/features/leaving.feature
@@ -1,19 +1,19 @@
 @lagging_list
-Feature: A leaving upstream gets no new work after a few seconds
+Feature: A leaving upstream receives no new requests after a few seconds
 
-  Scenario: An engine says that it leaves while the list still shows it live
-    Given calls run all the while
-    When engine "y-engine1" says that it leaves
-    Then it gets no new request later than 2 seconds after
+  Scenario: An engine announces that it is leaving while the instance list still shows it live
+    Given calls are sent continuously
+    When engine "y-engine1" announces that it is leaving
+    Then it receives no new request later than 2 seconds after
     And every model is ready again
-    And the history holds no fault
+    And the history has no violation
 
-  Scenario: It comes back with a new boot id
+  Scenario: The engine restarts with a new boot id
     When engine "y-engine1" restarts
-    Then it is used again
+    Then it serves models again
 
   Scenario: A plain service leaves
-    Given calls run all the while
-    When service "x-booking0" says that it leaves
-    Then it gets no new request later than 2 seconds after
-    And the history holds no fault
+    Given calls are sent continuously
+    When service "x-booking0" announces that it is leaving
+    Then it receives no new request later than 2 seconds after
+    And the history has no violation
--- a/tests/features/memory.feature
+++ b/tests/features/memory.feature
@@ -1,16 +1,16 @@
 @unfenced
-Feature: Accelerator memory is never overcommitted, with engines that check no fence
+Feature: Accelerator memory is never overcommitted, even by engines without fencing
 
-  Scenario: The leading placer is frozen past its lease and wakes
-    Given calls run all the while
-    When the leading placer of "x" is frozen, models change versions, and it wakes
+  Scenario: The leading placer is suspended beyond its lease and resumes
+    Given calls are sent continuously
+    When the leading placer of "x" is suspended, models change versions, and it resumes
     Then no engine was ever overcommitted
     And every model is ready again
-    And the history holds no fault
+    And the history has no violation
 
-  Scenario: Orders are lost, late and doubled while versions change
-    Given calls run all the while
-    When orders to every engine go wrong while models change versions
+  Scenario: Orders are lost, delayed and duplicated while versions change
+    Given calls are sent continuously
+    When orders to every engine are lost, delayed and duplicated while models change versions
     Then no engine was ever overcommitted
     And every model is ready again
-    And the history holds no fault
+    And the history has no violation
--- a/tests/features/overload.feature
+++ b/tests/features/overload.feature
@@ -1,8 +1,8 @@
 @slow_engines
-Feature: Overload is refused at once, the lowest class first
+Feature: Excess load is refused early, lowest priority class first
 
-  Scenario: Many times what the engines can take
-    When callers ask for far more than the engines can take
-    Then the high class keeps its target and is refused less than the low class
-    And refused calls were told at once when to come back
-    And the history holds no fault
+  Scenario: Load many times the capacity of the engines
+    When callers exceed the capacity of the engines many times over
+    Then the high class meets its latency target and is refused less than the low class
+    And every refusal stated when to retry
+    And the history has no violation
--- a/tests/features/steps/world_steps.py
+++ b/tests/features/steps/world_steps.py
@@ -1,4 +1,4 @@
-"""Steps of all features."""
+"""Step definitions of all features."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     assert code == 0, reply
 
 
-@given('calls run all the while')
+@given('calls are sent continuously')
 def start_calls(context) -> None:
     context.load = Load(context.world.system, MODEL_NAMES)
     context.load.__enter__()
@@ -39,12 +39,12 @@
     wait_until(lambda: len(context.load.history) > 20)
 
 
-@when('{number:d} callers stream answers at one time')
+@when('{number:d} callers stream responses concurrently')
 def stream_step(context, number: int) -> None:
     stream_many(context, number)
 
 
-@when('a caller streams an answer')
+@when('a caller requests a completion')
 def one_stream(context) -> None:
     world = context.world
     body = {'model': 'm0', 'messages': [{'role': 'user', 'content': 'a'}], 'max_tokens': 2}
@@ -53,14 +53,14 @@
 
 
 @then('its routing decision can be explained from another data centre')
-def explained(context) -> None:
+def decision_is_explained(context) -> None:
     code, reply = context.world.cli('explain', context.request_id, instance='y-0')
     assert code == 0
     assert 'decision=route' in reply['lines'][0]
 
 
-@then("every answer is whole and the caller's own")
-def all_whole(context) -> None:
+@then('every response is complete and belongs to its call')
+def all_complete(context) -> None:
     history = context.load.history
     assert history
     assert all(call.outcome == 'completed' and call.whole for call in history), (
@@ -92,14 +92,14 @@
     context.answers = [asyncio.run(book(first)), asyncio.run(book(second))]
 
 
-@then('both get the same answer and the booking ran once')
+@then('both get the same response and the booking ran once')
 def same_answer(context) -> None:
     assert context.answers[0] == context.answers[1]
     assert key_runs(context.world.system)['twice'] == 1
 
 
 @when('the routing policy is swapped to "{policy}" while {number:d} callers stream')
-def swap(context, policy: str, number: int) -> None:
+def swap_policy_under_load(context, policy: str, number: int) -> None:
     load = Load(context.world.system, MODEL_NAMES, rate_per_s=200.0, booking_ratio=0.0)
     with load:
         wait_until(lambda: load._numbers >= 5)
@@ -109,15 +109,15 @@
     context.load = load
 
 
-@when('the routing traffic is divided between "{one}" and "{two}"')
-def divide(context, one: str, two: str) -> None:
+@when('the routing traffic is split between "{one}" and "{two}"')
+def split_traffic(context, one: str, two: str) -> None:
     code, reply = context.world.cli('policy', 'split', 'routing', one, two)
     assert code == 0, reply
     wait_until(lambda: len(set(context.world.revisions().values())) == 1)
 
 
-@then('the comparison shows requests of both policies with an interval')
-def compared(context) -> None:
+@then('the comparison shows requests of both policies with confidence intervals')
+def comparison_has_intervals(context) -> None:
     code, reply = context.world.cli('policy', 'compare', 'routing', 'turns', 'least')
     assert code == 0
     assert reply['answered'] == reply['listed'] == '4'
@@ -126,7 +126,7 @@
     assert all(row['first_token_s_half_width'] > 0 for row in reply['differences'])
 
 
-@then('the status shows every process at the revision in force')
+@then('the status shows every process as reached')
 def status_shows(context) -> None:
     def reached() -> bool:
         rows = context.world.cli('status', instance='y-1')[1]['processes']
@@ -146,7 +146,7 @@
 
 
 def leader_of(world, centre: str) -> str:
-    """Return the instance whose placer leads, as the table has it."""
+    """Return the instance whose placer holds the lease in the table."""
     row = get(f'{world.system.platform.http}/rows/lease%2Fplacer%2F{centre}')
     holder = row['value']['holder']
     for name, instance in world.system.instances.items():
@@ -157,8 +157,8 @@
     raise AssertionError(holder)
 
 
-@when('the leading placer of "{centre}" is frozen, models change versions, and it wakes')
-def freeze_leader(context, centre: str) -> None:
+@when('the leading placer of "{centre}" is suspended, models change versions, and it resumes')
+def suspend_leader(context, centre: str) -> None:
     world = context.world
     leader = world.system.instances[leader_of(world, centre)].programs['placer']
     key = f'{world.system.platform.http}/rows/lease%2Fplacer%2F{centre}'
@@ -174,8 +174,8 @@
     time.sleep(2.0)
 
 
-@when('orders to every engine go wrong while models change versions')
-def wrong_orders(context) -> None:
+@when('orders to every engine are lost, delayed and duplicated while models change versions')
+def fault_orders(context) -> None:
     world = context.world
     engines = [u for u in world.system.upstreams.values() if u.line['kind'] == 'engine']
     for _ in range(3):
@@ -197,7 +197,7 @@
     context.world.await_ready(90.0)
 
 
-@then('the history holds no fault')
+@then('the history has no violation')
 def no_fault(context) -> None:
     context.load.stop()
     faults = faults_of(context.load.history, key_runs(context.world.system))
@@ -213,7 +213,7 @@
     del system.upstreams[name]
 
 
-@when('the platform is down for {seconds:d} seconds')
+@when('the platform is unavailable for {seconds:d} seconds')
 def platform_down(context, seconds: int) -> None:
     system = context.world.system
     context.before = len(context.load.history)
@@ -249,7 +249,7 @@
     assert 'bytes' in reply['problems'][0]['message']
 
 
-@when("a model is applied whose weights are smaller than the weight store's")
+@when('a model is applied whose weights are smaller than in the weight store')
 def wrong_size(context) -> None:
     world = context.world
     first = world.document['deployments'][0]
@@ -260,7 +260,7 @@
     first['weights_bytes'] += 1
 
 
-@then('it is refused with the size that the store has')
+@then('it is refused with the size in the weight store')
 def refused_with_size(context) -> None:
     code, reply = context.result
     size = context.world.document['deployments'][0]['weights_bytes']
@@ -268,14 +268,14 @@
     assert str(size) in reply['problems'][0]['message'], reply
 
 
-@when('{_} "{name}" says that it leaves')
-def leave(context, _: str, name: str) -> None:
+@when('{_} "{name}" announces that it is leaving')
+def announce_leaving(context, _: str, name: str) -> None:
     post(f'{context.world.system.upstreams[name].started.http}/_leave', {})
     context.left = name
     time.sleep(4.0)
 
 
-@then('it gets no new request later than {seconds:d} seconds after')
+@then('it receives no new request later than {seconds:d} seconds after')
 def no_new_request(context, seconds: int) -> None:
     record = context.world.system.record(context.left)
     late = [run for run in record['runs'] if run['at_s'] > record['left_at_s'] + seconds]
@@ -289,7 +289,7 @@
     context.left = name
 
 
-@then('it is used again')
+@then('it serves models again')
 def used_again(context) -> None:
     world = context.world
     change_versions(world, MODEL_NAMES)
@@ -302,8 +302,8 @@
     wait_until(listed_live)
 
 
-@when('every instance is stopped as planned and replaced in turn')
-def rolling(context) -> None:
+@when('every instance is stopped gracefully and replaced in turn')
+def rolling_replacement(context) -> None:
     system = context.world.system
     context.codes = []
     for instance_id, instance in list(system.instances.items()):
@@ -311,18 +311,18 @@
         for started in instance.programs.values():
             context.codes.append(started.stop())
         system.unlist(instance_id)
-        fresh = system.launch(instance_id, instance.data_centre)
-        system.await_started(fresh)
-        system.list_entry(fresh)
-        wait_until(lambda url=fresh.url: get(f'{url}/ready')['phase'] == 'serving')
+        new_instance = system.launch(instance_id, instance.data_centre)
+        system.await_started(new_instance)
+        system.list_entry(new_instance)
+        wait_until(lambda url=new_instance.url: get(f'{url}/ready')['phase'] == 'serving')
 
 
 @then('no call was dropped or refused a connection')
 def none_dropped(context) -> None:
     context.load.stop()
     outcomes = context.load.outcomes()
-    # The second of two calls with one key at one moment is told that the first
-    # has no known answer yet.
+    # Of two concurrent calls with the same key, the second is answered with may_have_run while
+    # the first has no known result.
     assert set(outcomes) <= {'stream completed', 'book completed', 'book may_have_run'}, outcomes
     completed = {c.key for c in context.load.history if c.outcome == 'completed'}
     assert {c.key for c in context.load.history} <= completed
@@ -338,14 +338,14 @@
     return world.apply(instance, *words)
 
 
-def next_mark(context) -> int:
+def next_change_number(context) -> int:
     context.world.facts['mark'] = context.world.facts.get('mark', 0) + 1
     return context.world.facts['mark']
 
 
 @when('a change is applied at "{instance}"')
 def apply_change(context, instance: str) -> None:
-    code, reply = make_change(context.world, next_mark(context), instance)
+    code, reply = make_change(context.world, next_change_number(context), instance)
     assert code == 0, reply
     context.revision = int(reply['revision'])
 
@@ -357,8 +357,8 @@
     )
 
 
-@when('two operators apply different changes on one revision')
-def race(context) -> None:
+@when('two operators apply different changes to the same revision')
+def concurrent_applies(context) -> None:
     world = context.world
     base = str(max(world.revisions().values()))
     results: list = [None, None]
@@ -380,7 +380,7 @@
     context.results = results
 
 
-@then('one is applied and the other is shown its change')
+@then('one is applied and the other is rejected with the applied change')
 def one_applied(context) -> None:
     codes = sorted(code for code, _ in context.results)
     assert codes == [0, 4], context.results
@@ -388,16 +388,18 @@
     assert loser['others'][0]['changes'][0]['name'] == 'm0'
 
 
-@when('a change is applied at "{instance}" and the platform loses the answer')
+@when('a change is applied at "{instance}" and the platform loses the response')
 def lost_answer(context, instance: str) -> None:
     world = context.world
     wait_until(lambda: len(set(world.revisions().values())) == 1)
     world.system.fault('platform', '_faults', path_prefix='/transact', lose_answers=1)
-    context.first = make_change(world, next_mark(context), instance, '--operation-id', 'op-lost')
+    context.first = make_change(
+        world, next_change_number(context), instance, '--operation-id', 'op-lost'
+    )
     world.system.fault('platform', '_faults', path_prefix='/', lose_answers=0)
 
 
-@then('it was applied once, and asking again says so')
+@then('it was applied once, and a retry reports the same revision')
 def applied_once(context) -> None:
     world = context.world
     code, reply = context.first
@@ -410,8 +412,8 @@
     assert (code, reply['revision']) == (0, same[0]['revision'])
 
 
-@when('instance "{name}" is frozen while {number:d} changes are applied')
-def frozen(context, name: str, number: int) -> None:
+@when('instance "{name}" is suspended while {number:d} changes are applied')
+def suspend_instance(context, name: str, number: int) -> None:
     world = context.world
     programs = world.system.instances[name].programs.values()
     for started in programs:
@@ -422,19 +424,21 @@
         started.signal(signal.SIGCONT)
 
 
-@when('"{centre}" is cut off from the platform and a change is applied at "{instance}"')
-def cut_platform(context, centre: str, instance: str) -> None:
+@when('"{centre}" is disconnected from the platform and a change is applied at "{instance}"')
+def disconnect_platform(context, centre: str, instance: str) -> None:
     context.world.system.fault('platform', '_faults', cut_centres=[centre])
     apply_change(context, instance)
 
 
-@then('the platform is reached again')
-def uncut_platform(context) -> None:
+@then('the platform connection is restored')
+def reconnect_platform(context) -> None:
     context.world.system.fault('platform', '_faults', cut_centres=[])
 
 
-@when('"{centre}" is cut off from the platform and the peers and a change is applied at "{at}"')
-def cut_both(context, centre: str, at: str) -> None:
+@when(
+    '"{centre}" is disconnected from the platform and the peers and a change is applied at "{at}"'
+)
+def disconnect_platform_and_peers(context, centre: str, at: str) -> None:
     system = context.world.system
     system.cut_peers(True)
     system.fault('platform', '_faults', cut_centres=[centre])
@@ -443,50 +447,50 @@
     time.sleep(3.0)
 
 
-@then('"{centre}" serves on at its old revision')
-def serves_on(context, centre: str) -> None:
+@then('"{centre}" continues to serve at its old revision')
+def continues_to_serve(context, centre: str) -> None:
     world = context.world
     assert world.revisions()[f'{centre}-0'] == context.old
     assert world.revisions()['x-1'] == context.revision
     rows = get(f'{world.system.instances[f"{centre}-0"].url}/v1/models')['data']
-    near = [row['id'] for row in rows if row['ready'] and not row['base']]
+    ready_models = [row['id'] for row in rows if row['ready'] and not row['base']]
     url = f'{world.system.instances[f"{centre}-0"].url}/v1/chat/completions'
-    for model in near:
+    for model in ready_models:
         body = {'model': model, 'messages': [{'role': 'user', 'content': 'a'}], 'max_tokens': 2}
         assert post(url, body)['choices'][0]['finish_reason'] == 'stop'
-    assert near
+    assert ready_models
 
 
-@then('after the return it is in force at every instance within {seconds:d} seconds')
-def returned(context, seconds: int) -> None:
+@then('after reconnection it is in force at every instance within {seconds:d} seconds')
+def reconnect(context, seconds: int) -> None:
     system = context.world.system
     system.cut_peers(False)
     system.fault('platform', '_faults', cut_centres=[])
     in_force(context, seconds)
 
 
-@when('the platform is down and a fresh instance of "{centre}" starts')
-def fresh_start(context, centre: str) -> None:
+@when('the platform is unavailable and a new instance of "{centre}" starts')
+def start_instance_without_platform(context, centre: str) -> None:
     system = context.world.system
     context.revision = max(context.world.revisions().values())
     system.fault('platform', '_faults', down=True)
     seed = system.instances[f'{centre}-0'].programs['entry'].address('peer_port')
-    context.fresh = system.launch(f'{centre}-9', centre, seeds=[seed])
-    system.await_started(context.fresh)
+    context.new_instance = system.launch(f'{centre}-9', centre, seeds=[seed])
+    system.await_started(context.new_instance)
 
 
 @then('it serves at the highest revision of its peers')
-def fresh_serves(context) -> None:
-    url = context.fresh.url
+def new_instance_serves(context) -> None:
+    url = context.new_instance.url
     wait_until(lambda: get(f'{url}/ready')['phase'] == 'serving', 15)
     assert get(f'{url}/ready')['revision'] == context.revision
 
 
-@then('it answers a request')
-def fresh_answers(context) -> None:
+@then('it completes a request')
+def new_instance_completes_request(context) -> None:
     try:
         body = {'model': 'm1', 'messages': [{'role': 'user', 'content': 'a'}], 'max_tokens': 2}
-        reply = post(f'{context.fresh.url}/v1/chat/completions', body)
+        reply = post(f'{context.new_instance.url}/v1/chat/completions', body)
         assert reply['choices'][0]['finish_reason'] == 'stop'
     finally:
         context.world.system.fault('platform', '_faults', down=False)
@@ -495,17 +499,17 @@
 @when('entry processes are killed and replaced {number:d} times')
 def kill_entries(context, number: int) -> None:
     system = context.world.system
-    for turn in range(number):
+    for index in range(number):
         time.sleep(0.7)
-        instance = list(system.instances.values())[turn % len(system.instances)]
+        instance = list(system.instances.values())[index % len(system.instances)]
         for started in instance.programs.values():
             started.kill()
-        fresh = system.launch(instance.instance_id, instance.data_centre)
-        system.await_started(fresh)
-        system.list_entry(fresh)
+        new_instance = system.launch(instance.instance_id, instance.data_centre)
+        system.await_started(new_instance)
+        system.list_entry(new_instance)
 
 
-@when('plain services drop connections for a while')
+@when('plain services drop connections for a time')
 def plain_faults(context) -> None:
     system = context.world.system
     for _ in range(8):
@@ -517,7 +521,7 @@
         time.sleep(0.4)
 
 
-@when('the table service loses answers and goes down for a while')
+@when('the table service loses responses and becomes unavailable for a time')
 def table_faults(context) -> None:
     system = context.world.system
     for _ in range(4):
@@ -529,9 +533,9 @@
         time.sleep(0.3)
 
 
-@when('callers ask for far more than the engines can take')
+@when('callers exceed the capacity of the engines many times over')
 def overload(context) -> None:
-    # One call in twenty is of the high class, which alone the engines can take.
+    # About one call in twenty is of the high class; that load alone is within capacity.
     models = ['m0', 'm3'] + ['m1', 'm2', 'm4', 'm5'] * 9
     load = Load(context.world.system, models, rate_per_s=400.0, booking_ratio=0.0, max_tokens=20)
     with load:
@@ -543,8 +547,8 @@
     return [call for call in load.history if call.model in names]
 
 
-@then('the high class keeps its target and is refused less than the low class')
-def high_unhurt(context) -> None:
+@then('the high class meets its latency target and is refused less than the low class')
+def high_class_meets_target(context) -> None:
     high = by_class(context.load, ['m0', 'm3'])
     low = by_class(context.load, ['m2', 'm5'])
     met = [c for c in high if c.outcome == 'completed' and c.first_s <= 1.5]
@@ -553,8 +557,8 @@
     assert refused[0] < refused[1], refused
 
 
-@then('refused calls were told at once when to come back')
-def told_at_once(context) -> None:
+@then('every refusal stated when to retry')
+def refusals_state_retry_time(context) -> None:
     refused = [c for c in context.load.history if c.outcome == 'not_run']
     assert refused
     assert all(c.retry_after for c in refused)
