--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Settings that make every run give the same verdict."""
+"""Hypothesis profile with the same examples in every run."""
 
 from __future__ import annotations
 
--- a/tests/mutate.py
+++ b/tests/mutate.py
@@ -1,4 +1,4 @@
-"""``make mutate``: takes each mechanism out in turn; its test must go red."""
+"""``make mutate``: mutation tests; disables each mechanism in turn, which a test must detect."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
 
 @attrs.frozen
 class Mutation:
-    """A mechanism taken out by replacing *old* by *new* in a file."""
+    """A mutation that disables a mechanism by replacing *old* with *new* in a file."""
 
-    what: str
+    description: str
     file: str
     old: str
     new: str
@@ -31,7 +31,7 @@
 
 MUTATIONS = [
     Mutation(
-        'open orders do not count in the ledger',
+        'unconfirmed orders do not count in the ledger',
         'standalone/placement/ledger.py',
         '        for entry in self.open_orders:\n            order = entry.order\n            if order.action is OrderAction.LOAD',
         '        for entry in ():\n            order = entry.order\n            if order.action is OrderAction.LOAD',
@@ -45,7 +45,7 @@
         'tests/standalone/placement/test_memory_scenarios.py',
     ),
     Mutation(
-        'an unfenced order is settled by its number',
+        'an unfenced order is resolved by its number',
         'standalone/placement/ledger.py',
         'return now_s > entry.dead_after_s',
         'return entry.order.number <= self.report.last_order',
@@ -59,84 +59,84 @@
         'tests/standalone/placement/test_memory_scenarios.py',
     ),
     Mutation(
-        'the unload gate lets everything pass',
+        'the unload gate allows every unload',
         'standalone/placement/gate.py',
         '        if allowed:\n            self._removed',
         '        allowed = True\n        if allowed:\n            self._removed',
         'tests/standalone/placement/test_reachable_machine.py',
     ),
     Mutation(
-        'the anchor is not asked before an unload',
+        'unloads ignore the anchor',
         'standalone/placement/gate.py',
         '        if self._anchors.may_be_anchored(unit.model, upstream_id):\n            return False\n',
         '',
         'tests/standalone/placement/test_gate.py',
     ),
     Mutation(
-        'an old version goes before the new one stands',
+        'an old version is unloaded before the new is ready',
         'standalone/placement/gate.py',
         '        return anchor is not None and all(\n            self._is_ready(item.item_id, anchor.upstream_id) for item in unit.items\n        )',
         '        return True',
         'tests/standalone/placement/test_reachable_machine.py',
     ),
     Mutation(
-        'lines of an answer are not checked',
+        'lines of a response are not checked',
         'standalone/upstreams/engine.py',
         'line.exchange_id != request.exchange_id or line.index != expected',
         'False',
         'tests/standalone/entry/test_models.py',
     ),
     Mutation(
-        'the HTTP client repeats by itself',
+        'the HTTP client retries automatically',
         'util/http.py',
         '    session._retry_connection = False\n',
         '',
         'tests/standalone/entry/test_plain.py',
     ),
     Mutation(
-        'a lost claim answer is taken for ours',
+        'any existing claim is treated as our own',
         'standalone/claims/keeper.py',
         "        if row.value['claim_id'] == claim_id:",
         '        if row.value is not None:',
         'tests/standalone/claims/test_claims_machine.py',
     ),
     Mutation(
-        'a claim overwrites',
+        'a claim overwrites an existing one',
         'standalone/claims/keeper.py',
         '[Condition(row_key, 0)], [Write(row_key, value)]',
         '[], [Write(row_key, value)]',
         'tests/standalone/claims/test_claims_machine.py',
     ),
     Mutation(
-        'a refusal of a leaving upstream is forgotten',
+        'a refusal by a leaving upstream is not recorded',
         'standalone/entry/model_attempts.py',
         "            self._context.upstreams.mark_leaving(candidate.upstream_id, '')",
         '            pass',
         'tests/standalone/entry/test_models.py',
     ),
     Mutation(
-        'leaving is not remembered by boot',
+        'a leaving notice is not kept for the boot',
         'standalone/membership/upstreams.py',
         '        return said_so or self.listed.state is ListedState.LEAVING',
         '        return self.listed.state is ListedState.LEAVING',
         'tests/standalone/membership',
     ),
     Mutation(
-        'a lower revision is taken',
+        'a lower revision is accepted',
         'standalone/config/holder.py',
         '        if revision <= self.revision:\n            return False\n        self._recent.clear()',
         '        self._recent.clear()',
         'tests/standalone/revisions',
     ),
     Mutation(
-        'a write on its way is called not applied',
+        'a write in transit is reported as not applied',
         'standalone/revisions/store.py',
         'return Undecided() if may_be_written else NotApplied()',
         'return NotApplied()',
         'tests/standalone/revisions',
     ),
     Mutation(
-        'the lease is counted twice as long',
+        'the lease is assumed to last twice as long',
         'standalone/lease/keeper.py',
         'self.held = HeldLease(epoch, started_s + self._lease_s)\n            return\n        await',
         'self.held = HeldLease(epoch, started_s + 2 * self._lease_s)\n            return\n        await',
@@ -152,8 +152,8 @@
 ]
 
 
-def goes_red(mutation: Mutation) -> bool:
-    """Return whether the test fails on a copy with the mechanism taken out."""
+def is_detected(mutation: Mutation) -> bool:
+    """Return whether the test fails on a copy with the mutation applied."""
     with tempfile.TemporaryDirectory() as folder:
         copy = Path(folder)
         for name in COPIED:
@@ -162,25 +162,30 @@
         path = copy / 'limeshelf' / mutation.file
         text = path.read_text()
         if mutation.old not in text:
-            raise SystemExit(f'{mutation.what}: {mutation.file} no longer holds the text')
+            raise SystemExit(
+                f'{mutation.description}: {mutation.file} no longer contains the text'
+            )
         path.write_text(text.replace(mutation.old, mutation.new, 1))
-        done = subprocess.run(
+        completed = subprocess.run(
             [sys.executable, '-m', 'pytest', '-x', '-q', mutation.test],
             cwd=copy,
             env={**os.environ, 'PYTHONPATH': str(copy), NO_SHRINK: '1'},
             capture_output=True,
             timeout=LIMIT_S,
         )
-    return done.returncode == 1
+    return completed.returncode == 1
 
 
 def main() -> int:
-    """Take each mechanism out and print a line for each."""
+    """Apply each mutation in turn and print a line for each."""
     survived = 0
     for mutation in MUTATIONS:
-        red = goes_red(mutation)
-        survived += not red
-        print(f'{"red" if red else "GREEN":<6}{mutation.what:<52}{mutation.test}', flush=True)
+        detected = is_detected(mutation)
+        survived += not detected
+        print(
+            f'{"red" if detected else "GREEN":<6}{mutation.description:<52}{mutation.test}',
+            flush=True,
+        )
     print(f'{len(MUTATIONS) - survived} went red, {survived} stayed green')
     return 1 if survived else 0
 
--- a/tests/run_all.py
+++ b/tests/run_all.py
@@ -1,4 +1,4 @@
-"""Runs every check and every test, and sums them up in one closing line."""
+"""Runs all checks and tests and prints a one-line summary."""
 
 from __future__ import annotations
 
@@ -36,10 +36,10 @@
 
 
 def run(name: str, command: list[str]) -> tuple[int, str]:
-    """Run one command, show its output and return its exit code and output."""
+    """Run a command and print its output; return its exit code and output."""
     print(f'== {name}', flush=True)
     environment = {**os.environ, 'PYTHONPATH': str(ROOT), 'PYTHONHASHSEED': '0'}
-    done = subprocess.run(
+    completed = subprocess.run(
         command,
         cwd=ROOT,
         env=environment,
@@ -48,12 +48,12 @@
         stderr=subprocess.STDOUT,
         timeout=LIMIT_S,
     )
-    print(done.stdout, flush=True)
-    return done.returncode, done.stdout
+    print(completed.stdout, flush=True)
+    return completed.returncode, completed.stdout
 
 
 def known_red() -> set[str]:
-    """Return the names of tests that may fail, from KNOWN-RED.txt."""
+    """Return the names of the tests that KNOWN-RED.txt lists as known failures."""
     if not KNOWN_RED.exists():
         return set()
     lines = [line for line in KNOWN_RED.read_text().splitlines() if line.strip()]
@@ -63,13 +63,13 @@
 
 
 def run_lint() -> tuple[int, list[str]]:
-    """Run the static checks; return how many passed and which failed."""
+    """Run the static checks; return the number that passed and the names that failed."""
     failed = [name for name, command in LINT.items() if run(name, command)[0] != 0]
     return len(LINT) - len(failed), failed
 
 
 def run_pytest() -> tuple[int, list[str]]:
-    """Run the pytest tests; hypothesis examples are derandomized."""
+    """Run pytest; return the number of passed tests and the names of failed ones."""
     code, output = run('pytest', [sys.executable, '-m', 'pytest', '-rfE', '--durations=8'])
     passed = sum(int(n) for n in re.findall(r'(\d+) passed', output)[-1:])
     failed = re.findall(r'^(?:FAILED|ERROR) (\S+)', output, re.MULTILINE)
@@ -79,7 +79,7 @@
 
 
 def run_behave() -> tuple[int, list[str]]:
-    """Run the behave features; each scenario counts as one test."""
+    """Run behave; return the number of passed scenarios and the names of failed ones."""
     code, output = run(
         'behave',
         [sys.executable, '-m', 'behave', '--no-color', '--format=progress2', 'tests/features'],
@@ -93,7 +93,7 @@
 
 
 def main() -> int:
-    """Run what was asked for and print the closing line."""
+    """Run the selected checks and tests and print the summary line."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--only', choices=('lint', 'pytest', 'behave'))
     only = parser.parse_args().only
@@ -102,15 +102,15 @@
     failed: list[str] = []
     for name, part in parts.items():
         if only in (None, name):
-            more, broken = part()
-            passed += more
-            failed += broken
-    known = known_red()
+            part_passed, part_failed = part()
+            passed += part_passed
+            failed += part_failed
+    known_failures = known_red()
     for name in failed:
-        print(f'failed{" (known red)" if name in known else ""}: {name}')
-    new = [name for name in failed if name not in known]
+        print(f'failed{" (known red)" if name in known_failures else ""}: {name}')
+    new_failures = [name for name in failed if name not in known_failures]
     print(f'{passed} passed, {len(failed)} failed', flush=True)
-    return 1 if new else 0
+    return 1 if new_failures else 0
 
 
 if __name__ == '__main__':
