--- a/tests/soak.py
+++ b/tests/soak.py
@@ -1,8 +1,8 @@
-"""``make entrysoak``: the own wire's programs under seeded random faults.
+"""``make entrysoak``: runs the standalone programs under seeded random faults.
 
-The only run in which entry, placer and admin programs meet faults in random order and
-overlap, with the history of the callers checked afterwards; the users' bench and
-``make soak`` play the gateway. Seeds that were played: docs/proofs.rst.
+The only run that exposes the entry, placer and admin programs to overlapping faults in random
+order and then checks the callers' history; ``make soak`` and the users' benchmark run the
+gateway instead. Seeds that were run: docs/proofs.rst.
 """
 
 from __future__ import annotations
@@ -20,21 +20,21 @@
 from tests.support.load import Load
 
 MODELS = [f'm{number}' for number in range(6)]
-#: Least and longest pause between two faults. Chosen, not measured.
+#: Minimum and maximum time between two faults, in seconds.
 FAULT_PAUSE_S = (0.5, 2.0)
-#: Everything is ready again within this time after the last fault. Chosen, not measured.
+#: Time after the last fault within which the system must be ready again, in seconds.
 RECOVERY_LIMIT_S = 90.0
 
 
 class Soak:
-    """A running system and the faults that strike it, drawn from a seed."""
+    """A running system and its seeded fault injection."""
 
     def __init__(self, seed: int) -> None:
         self.random = random.Random(seed)
         self.world = World({'unfenced', 'gates', 'lagging_list'})
         self.system = self.world.system
-        self.struck: list[str] = []
-        self.kinds: list[Callable[[], str]] = [
+        self.injected: list[str] = []
+        self.fault_kinds: list[Callable[[], str]] = [
             self.kill_programs,
             self.freeze_program,
             self.platform_outage,
@@ -53,25 +53,25 @@
         rows = self.system.upstreams.values()
         return [row.upstream_id for row in rows if row.line['kind'] == 'engine']
 
-    def strike(self) -> None:
-        """Draw one fault and let it strike."""
-        kind = self.random.choice(self.kinds)
-        what = f'{kind.__name__}: {kind()}'
-        self.struck.append(what)
-        print(f'  {what}', flush=True)
+    def inject_fault(self) -> None:
+        """Inject one random fault."""
+        kind = self.random.choice(self.fault_kinds)
+        fault = f'{kind.__name__}: {kind()}'
+        self.injected.append(fault)
+        print(f'  {fault}', flush=True)
 
     def kill_programs(self) -> str:
-        """Kill one instance and put a fresh one in its place."""
+        """Kill one instance and replace it."""
         instance = self.random.choice(list(self.system.instances.values()))
         for started in instance.programs.values():
             started.kill()
-        fresh = self.system.launch(instance.instance_id, instance.data_centre)
-        self.system.await_started(fresh)
-        self.system.list_entry(fresh)
+        replacement = self.system.launch(instance.instance_id, instance.data_centre)
+        self.system.await_started(replacement)
+        self.system.list_entry(replacement)
         return instance.instance_id
 
     def freeze_program(self) -> str:
-        """Freeze one program past its lease and wake it."""
+        """Suspend one program, possibly for longer than its lease, and resume it."""
         instance = self.random.choice(list(self.system.instances.values()))
         name = self.random.choice(sorted(instance.programs))
         instance.programs[name].signal(signal.SIGSTOP)
@@ -80,7 +80,7 @@
         return f'{instance.instance_id}/{name}'
 
     def platform_outage(self) -> str:
-        """Take the platform down for a while."""
+        """Make the platform unavailable for a time."""
         seconds = self.random.uniform(0.5, 4.0)
         self.system.fault('platform', '_faults', down=True)
         time.sleep(seconds)
@@ -88,7 +88,7 @@
         return f'{seconds:.1f} s'
 
     def cut_centre(self) -> str:
-        """Cut a data centre off from the platform, the peers, or both."""
+        """Disconnect a data centre from the platform, and at times from its peers too."""
         centre = self.random.choice(['x', 'y'])
         peers = self.random.random() < 0.5
         self.system.fault('platform', '_faults', cut_centres=[centre])
@@ -101,7 +101,7 @@
         return f'{centre}, peers too: {peers}'
 
     def wrong_orders(self) -> str:
-        """Make the next orders to an engine go wrong."""
+        """Lose, delay or duplicate the next orders to an engine."""
         name = self.random.choice(self.engines())
         kind = self.random.choice(['lost', 'late', 'doubled'])
         late_s = self.random.uniform(0.2, 3.0)
@@ -109,14 +109,14 @@
         return f'{name} {kind}'
 
     def broken_streams(self) -> str:
-        """Break the next answers of an engine."""
+        """Corrupt the next streamed responses of an engine."""
         name = self.random.choice(self.engines())
         kind = self.random.choice(['cut', 'foreign', 'skipped', 'doubled'])
         self.system.fault(name, '_stream_faults', **{kind: 3})
         return f'{name} {kind}'
 
     def broken_calls(self) -> str:
-        """Break the next calls to the plain services."""
+        """Make the next calls to the plain services fail."""
         kind = self.random.choice(['die_before', 'die_after', 'cut', 'busy'])
         for row in self.system.upstreams.values():
             if row.line['kind'] == 'plain':
@@ -124,14 +124,14 @@
         return kind
 
     def lost_answers(self) -> str:
-        """Lose the answers to the next transactions after their effect."""
+        """Lose the responses to the next transactions after they took effect."""
         self.system.fault('platform', '_faults', path_prefix='/transact', lose_answers=3)
         time.sleep(0.5)
         self.system.fault('platform', '_faults', path_prefix='/', lose_answers=0)
         return 'of transactions'
 
     def change_versions(self) -> str:
-        """Give some models a new version."""
+        """Change the versions of two models."""
         names = self.random.sample(MODELS, 2)
         for deployment in self.world.document['deployments']:
             if deployment['name'] in names:
@@ -143,7 +143,7 @@
         policy = self.random.choice(['swap', 'swap', 'turns'])
         kind = 'routing' if policy == 'turns' else 'placement'
         code = self.world.cli('policy', 'swap', kind, policy, instance=self._instance())[0]
-        # What the document says from now on must agree with what is in force.
+        # Later applies of the document must not revert the swap.
         bindings = self.world.document.setdefault('bindings', [])
         if code == 0:
             bindings[:] = [b for b in bindings if b['name'] != kind]
@@ -151,7 +151,7 @@
         return f'{kind} {policy}, exit code {code}'
 
     def restart_engine(self) -> str:
-        """Restart an engine: it forgets its memory and its fence."""
+        """Restart an engine, which loses its memory contents and its fence."""
         name = self.random.choice(self.engines())
         post(f'{self.system.upstreams[name].started.http}/_restart', {})
         return name
@@ -160,18 +160,18 @@
         return self.random.choice(sorted(self.system.instances))
 
     def close(self) -> None:
-        """End all processes."""
+        """Stop all processes."""
         self.system.close()
 
 
-def settled(soak: Soak) -> bool:
-    """Return whether every instance is at one revision and everything is ready."""
+def has_recovered(soak: Soak) -> bool:
+    """Return whether all instances are at the same revision and all models are ready."""
     revisions = {get(f'{i.url}/ready')['revision'] for i in soak.system.instances.values()}
     return len(revisions) == 1 and soak.world.all_ready()
 
 
 def run(seed: int, seconds: float) -> int:
-    """Run one soak; print a line for each point; return the number of faults found."""
+    """Run one soak and print its results; return the number of violations."""
     print(f'seed {seed}, {seconds:g} s', flush=True)
     soak = Soak(seed)
     try:
@@ -180,35 +180,35 @@
         with Load(soak.system, MODELS, seed=seed) as load:
             end_s = time.monotonic() + seconds
             while time.monotonic() < end_s:
-                soak.strike()
+                soak.inject_fault()
                 time.sleep(soak.random.uniform(*FAULT_PAUSE_S))
         try:
-            took_s = wait_until(lambda: settled(soak), RECOVERY_LIMIT_S, pause_s=0.2)
-            unsettled = []
+            took_s = wait_until(lambda: has_recovered(soak), RECOVERY_LIMIT_S, pause_s=0.2)
+            unrecovered = []
         except TimeoutError:
-            took_s, unsettled = RECOVERY_LIMIT_S, ['not back to normal']
-        return report(soak, load, took_s, unsettled)
+            took_s, unrecovered = RECOVERY_LIMIT_S, ['not recovered']
+        return report(soak, load, took_s, unrecovered)
     finally:
         soak.close()
 
 
-def report(soak: Soak, load: Load, took_s: float, unsettled: list[str]) -> int:
-    """Print what held and what did not."""
+def report(soak: Soak, load: Load, took_s: float, unrecovered: list[str]) -> int:
+    """Print the result of each check; return the number of violations."""
     found = {
         'memory never overcommitted': overcommits(soak.system),
         'history of callers and upstreams': faults_of(load.history, key_runs(soak.system)),
-        f'back to normal after {took_s:.1f} s': unsettled,
+        f'recovered after {took_s:.1f} s': unrecovered,
     }
-    for point, faults in found.items():
-        print(f'{"holds" if not faults else "FAILS"}  {point}')
-        for fault in faults[:5]:
-            print(f'       {fault}')
-    print(f'{len(soak.struck)} faults struck; {dict(load.outcomes())}', flush=True)
+    for check, violations in found.items():
+        print(f'{"holds" if not violations else "FAILS"}  {check}')
+        for violation in violations[:5]:
+            print(f'       {violation}')
+    print(f'{len(soak.injected)} faults injected; {dict(load.outcomes())}', flush=True)
     return sum(map(len, found.values()))
 
 
 def main() -> int:
-    """Read the arguments and run."""
+    """Parse the arguments and run the soak."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--seed', type=int, default=1)
     parser.add_argument('--seconds', type=float, default=30.0)
