--- a/tests/platform_soak/faults.py
+++ b/tests/platform_soak/faults.py
@@ -17,7 +17,7 @@
 RESTART_S = 0.4
 
 
-def register_fault(function: FaultFunction) -> FaultFunction:
+def strike(function: FaultFunction) -> FaultFunction:
     """Register a kind of fault under its function's name, which the seeded choice uses."""
     fault_functions[function.__name__] = function
     return function
@@ -98,7 +98,7 @@
         gateway.start()
 
 
-@register_fault
+@strike
 async def kill(faults: FaultInjector) -> None:
     """Kill a gateway and restart it."""
     gateway = faults.random_gateway()
@@ -106,7 +106,7 @@
     await _restart_after_exit(faults.world, gateway)
 
 
-@register_fault
+@strike
 async def stop_in_turn(faults: FaultInjector) -> None:
     """Stop two gateways gracefully, one shortly after the other, and restart them."""
     for gateway in faults.random.sample(faults.world.gateways, 2):
@@ -115,7 +115,7 @@
         asyncio.get_running_loop().create_task(_restart_after_exit(faults.world, gateway))
 
 
-@register_fault
+@strike
 async def freeze(faults: FaultInjector) -> None:
     """Suspend a gateway process for a limited time."""
     gateway = faults.random_gateway()
@@ -126,13 +126,13 @@
     faults.world.record_fault(gateway.ip)
 
 
-@register_fault
+@strike
 async def hang_up(faults: FaultInjector) -> None:
     """Make a gateway reload its settings."""
     faults.random_gateway().signal(signal.SIGHUP)
 
 
-@register_fault
+@strike
 async def cut_store(faults: FaultInjector) -> None:
     """Impair the store connections of two gateways."""
     impairment = faults.random.choice(
@@ -142,7 +142,7 @@
     await faults.impair([one.link for one in sampled], impairment)
 
 
-@register_fault
+@strike
 async def store_fails(faults: FaultInjector) -> None:
     """Make the store unavailable, lose responses, delay writes or lose its history."""
     switches = faults.world.store.faults
@@ -160,7 +160,7 @@
     faults.world.record_fault(STORE)
 
 
-@register_fault
+@strike
 async def store_returns(faults: FaultInjector) -> None:
     """Restore the store from older copies, then write the newest configuration again.
 
@@ -180,7 +180,7 @@
         faults.random.choice([world.configure, world.rewrite_configuration])()
 
 
-@register_fault
+@strike
 async def harm_replica_link(faults: FaultInjector) -> None:
     """Impair the connections to a replica."""
     link = faults.random.choice(list(faults.world.links.values()))
@@ -190,14 +190,14 @@
     await faults.impair([link], impairment)
 
 
-@register_fault
+@strike
 async def reset_connections(faults: FaultInjector) -> None:
     """Reset all connections to a replica, or from a gateway to the store."""
     links = [*faults.world.links.values(), *(one.link for one in faults.world.gateways)]
     faults.random.choice(links).reset_all()
 
 
-@register_fault
+@strike
 async def spoil_answers(faults: FaultInjector) -> None:
     """Make a replica send wrong responses, or break or refuse them."""
     fault = faults.random.choice(
@@ -215,7 +215,7 @@
     await faults.inject_replica_fault(faults.random.choice(faults.world.replicas), fault)
 
 
-@register_fault
+@strike
 async def late_orders(faults: FaultInjector) -> None:
     """Make a replica leave orders unanswered and execute them late."""
     engine = faults.random.choice(faults.world.engines)
@@ -225,7 +225,7 @@
     engine.order_fault = Fault.NONE
 
 
-@register_fault
+@strike
 async def change_configuration(faults: FaultInjector) -> None:
     """Change the configuration one or more times in a row."""
     for _ in range(faults.random.randint(1, 4)):
@@ -233,7 +233,7 @@
         await asyncio.sleep(0.1)
 
 
-@register_fault
+@strike
 async def restart_replicas(faults: FaultInjector) -> None:
     """Crash and restart a replica under its id once or twice, at times with its clock set back."""
     replica = faults.random.choice(faults.world.replicas)
@@ -243,7 +243,7 @@
         await asyncio.sleep(faults.random.uniform(0.05, 1.5))
 
 
-@register_fault
+@strike
 async def write_foreign_rows(faults: FaultInjector) -> None:
     """Write malformed rows into the store, beside valid ones or in their place."""
     values = ['no base64', encoded(7), encoded({'Service': 7}), encoded({'State': 'zzz'})]
@@ -260,7 +260,7 @@
         await asyncio.sleep(faults.random.uniform(0.0, 0.3))
 
 
-@register_fault
+@strike
 async def ask_for_less(faults: FaultInjector) -> None:
     """Make a replica state a rate limit, or reject all calls with Retry-After, for a time."""
     replica = faults.random.choice(faults.world.replicas)
@@ -274,7 +274,7 @@
     replica.fault = Fault.NONE
 
 
-@register_fault
+@strike
 async def drain(faults: FaultInjector) -> None:
     """Mark a replica as draining in its row, and later restart it."""
     replica = faults.random.choice(faults.world.replicas)
@@ -286,7 +286,7 @@
     await faults.world.restart(replica, 1000)
 
 
-@register_fault
+@strike
 async def leave(faults: FaultInjector) -> None:
     """Make a replica announce in its responses alone that it is leaving; later restart it."""
     replica = faults.random.choice(faults.world.replicas)
--- a/tests/platform_soak/run.py
+++ b/tests/platform_soak/run.py
@@ -26,7 +26,7 @@
 
 
 @attrs.define
-class SoakResult:
+class Outcome:
     """The result of a soak run."""
 
     history: list[CallRecord]
@@ -35,7 +35,7 @@
     responses_checked: int
 
 
-async def soak(seed: int, seconds: float, gateways: int) -> SoakResult:
+async def soak(seed: int, seconds: float, gateways: int) -> Outcome:
     """Run one seed.
 
     :param seconds: duration of fault injection.
@@ -67,7 +67,7 @@
             violations += [failure, world.log_tail()]
         if violations:
             world.copy_logs(FAILURE_LOGS / str(seed))
-        return SoakResult(callers.history, injector.injected, violations, changes.checked)
+        return Outcome(callers.history, injector.injected, violations, changes.checked)
     finally:
         if callers is not None:
             await callers.stop()
