--- a/tests/dispatch/test_rate_limiter.py
+++ b/tests/dispatch/test_rate_limiter.py
@@ -14,7 +14,7 @@
 from limeshelf.membership.member import LOCAL
 from limeshelf.replicas.record import ReplicaRecord
 from limeshelf.replicas.replica import Replica
-from tests.support.needs import WINDOW_S, tolerated
+from tests.support.notices import WINDOW_S, tolerated
 
 STEP_S = 0.01
 
--- a/tests/gateway/test_leaving_replica.py
+++ b/tests/gateway/test_leaving_replica.py
@@ -15,7 +15,7 @@
 
 from standins.users_platform.replica import Needs
 from tests.support.fleet import FleetWorld, load, run_fleet
-from tests.support.needs import LEAVING_AFTER_S, arrivals_after_leaving
+from tests.support.notices import LEAVING_AFTER_S, arrivals_after_leaving
 
 if TYPE_CHECKING:
     from standins.users_platform.replica import ReplicaStandIn
--- a/tests/gateway/test_paused_replica.py
+++ b/tests/gateway/test_paused_replica.py
@@ -15,7 +15,7 @@
 
 from standins.users_platform.replica import Fault
 from tests.support.fleet import CENTRES, FleetWorld, load, run_fleet
-from tests.support.needs import TOLERATED_IN_REST, most_in_a_rest
+from tests.support.notices import TOLERATED_IN_REST, most_in_a_rest
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
--- a/tests/gateway/test_rate_limited_replica.py
+++ b/tests/gateway/test_rate_limited_replica.py
@@ -15,7 +15,7 @@
 
 from limeshelf.dispatch.rate_limiter import REDUCED_RATE_PERIOD_S
 from tests.support.fleet import CENTRES, FleetWorld, load, run_fleet
-from tests.support.needs import most_in_window, tolerated
+from tests.support.notices import most_in_window, tolerated
 
 RATE_PER_S = 2.0
 LOAD_S = 8.0
--- a/tests/platform_soak/notices.py
+++ b/tests/platform_soak/notices.py
@@ -8,7 +8,7 @@
 import attrs
 
 from standins.users_platform.replica import STATUS_FULL
-from tests.support.needs import (
+from tests.support.notices import (
     AGREED_AFTER_S,
     KNOWN_AFTER_S,
     LEAVING_AFTER_S,
