--- a/tests/support/clock.py
+++ b/tests/support/clock.py
@@ -14,7 +14,7 @@
 fake_time = virtual_clock
 
 
-def wall(clock: VirtualClock) -> float:
+def wall_time_s(clock: VirtualClock) -> float:
     """Return the Unix time that corresponds to a virtual clock's current time."""
     return VIRTUAL_EPOCH_S + clock.now_s
 
--- a/tests/support/engine.py
+++ b/tests/support/engine.py
@@ -14,7 +14,7 @@
     OrderAnswer,
     OrderRefusal,
 )
-from tests.support.clock import wall
+from tests.support.clock import wall_time_s
 
 
 class OracleEngine:
@@ -66,7 +66,7 @@
         return report
 
     def take(self, order: Order) -> OrderRefusal:
-        if wall(self.clock) > order.expires_unix_s:
+        if wall_time_s(self.clock) > order.expires_unix_s:
             return OrderRefusal.EXPIRED
         if self.checks_fence:
             if order.boot_id != f'{self.name}-boot{self.boots}':
