--- a/tests/crashes/test_quarantine_sync.py
+++ b/tests/crashes/test_quarantine_sync.py
@@ -17,7 +17,7 @@
 from limeshelf.feeds.position import BEGINNING, Position
 from limeshelf.feeds.rows import ConditionFailed, Page, Row
 from limeshelf.feeds.table_copy import TableCopy
-from tests.support.positions import at
+from tests.support.positions import make_position
 
 CALL = Fingerprint('aa')
 R1, R2, R3 = (ReplicaCrash(name) for name in ('r1', 'r2', 'r3'))
@@ -47,10 +47,10 @@
             raise failure
         self._check(key, expected)
         self._version += 1
-        self.rows[key] = Row(key, value, at(self._version))
+        self.rows[key] = Row(key, value, make_position(self._version))
         if failure is not None:
             raise failure
-        return at(self._version)
+        return make_position(self._version)
 
     async def delete(self, table: str, key: str, expected: Position | None) -> None:
         self._check(key, expected)
@@ -142,7 +142,7 @@
 
     def update(sync: QuarantineSync) -> None:
         state = SuspectState(CALL, frozenset({R1, R2}))
-        sync.apply_row(Row(CALL, encode_value(state), at(0)))
+        sync.apply_row(Row(CALL, encode_value(state), make_position(0)))
         observer.record_completion(CALL)
 
     run_syncs(store, observer, update=update)
@@ -155,9 +155,9 @@
 
     def update(sync: QuarantineSync) -> None:
         state = SuspectState(CALL, frozenset({R1, R2, R3}))
-        assert sync.apply_row(Row(CALL, encode_value(state), at(4)))
-        assert not sync.apply_row(Row('bb', b'no such row', at(5)))
-        assert sync.apply_row(Row(CALL, b'', at(6), gone=True))
+        assert sync.apply_row(Row(CALL, encode_value(state), make_position(4)))
+        assert not sync.apply_row(Row('bb', b'no such row', make_position(5)))
+        assert sync.apply_row(Row(CALL, b'', make_position(6), gone=True))
 
     run_syncs(store, new, update=update)
     known = new.state_of(CALL)
@@ -184,11 +184,11 @@
     def update(*syncs: QuarantineSync) -> None:
         state = SuspectState(CALL, frozenset({R1, R2}))
         copy = TableCopy(QUARANTINE_TABLE, lambda row: None)
-        row = Row(CALL, encode_value(state), at(60, 1))
-        copy.take_full(Page((row,), at(60, 1)))
+        row = Row(CALL, encode_value(state), make_position(60, 1))
+        copy.take_full(Page((row,), make_position(60, 1)))
         for sync in syncs:
             sync.apply_row(row)
-        copy.take_full(Page((), at(40, 2)))
+        copy.take_full(Page((), make_position(40, 2)))
         for sync in syncs:
             sync.rewrite_lost_rows(copy)
 
@@ -199,13 +199,17 @@
 
 def test_row_that_the_store_reverted_is_written_again() -> None:
     store, observer = Store(), Suspects()
-    store.rows[CALL] = Row(CALL, encode_value(SuspectState(CALL, frozenset({R1}))), at(40, 2))
+    store.rows[CALL] = Row(
+        CALL, encode_value(SuspectState(CALL, frozenset({R1}))), make_position(40, 2)
+    )
 
     def update(sync: QuarantineSync) -> None:
         copy = TableCopy(QUARANTINE_TABLE, sync.apply_row)
         state = SuspectState(CALL, frozenset({R1, R2}))
-        copy.take_full(Page((Row(CALL, encode_value(state), at(60, 1)),), at(60, 1)))
-        copy.take_full(Page((store.rows[CALL],), at(41, 2)))
+        copy.take_full(
+            Page((Row(CALL, encode_value(state), make_position(60, 1)),), make_position(60, 1))
+        )
+        copy.take_full(Page((store.rows[CALL],), make_position(41, 2)))
         sync.rewrite_lost_rows(copy)
 
     run_syncs(store, observer, update=update)
--- a/tests/feeds/test_continuity.py
+++ b/tests/feeds/test_continuity.py
@@ -6,7 +6,7 @@
 
 from limeshelf.feeds.continuity import Continuity, continuity_of
 from limeshelf.feeds.position import Position
-from tests.support.positions import at
+from tests.support.positions import make_position
 
 
 @pytest.mark.parametrize(
@@ -22,19 +22,21 @@
 def test_update_continues_a_copy_without_gaps_only(
     after: int, upto: int, found: Continuity
 ) -> None:
-    assert continuity_of(at(after), at(upto), known=at(5)) is found
+    assert (
+        continuity_of(make_position(after), make_position(upto), known=make_position(5)) is found
+    )
 
 
 @pytest.mark.parametrize(
     ('after', 'upto', 'found'),
     [
-        (at(5, 1), at(2, 2), Continuity.CONTINUES),
-        (at(3, 1), at(2, 2), Continuity.CONTINUES),
-        (at(2, 2), at(2, 2), Continuity.GAP),
-        (at(9, 0), at(90, 0), Continuity.BEHIND),
+        (make_position(5, 1), make_position(2, 2), Continuity.CONTINUES),
+        (make_position(3, 1), make_position(2, 2), Continuity.CONTINUES),
+        (make_position(2, 2), make_position(2, 2), Continuity.GAP),
+        (make_position(9, 0), make_position(90, 0), Continuity.BEHIND),
     ],
 )
 def test_version_of_another_era_is_never_compared_by_itself(
     after: Position, upto: Position, found: Continuity
 ) -> None:
-    assert continuity_of(after, upto, known=at(5, 1)) is found
+    assert continuity_of(after, upto, known=make_position(5, 1)) is found
--- a/tests/feeds/test_follower.py
+++ b/tests/feeds/test_follower.py
@@ -17,7 +17,7 @@
 from limeshelf.feeds.table_copy import TableCopy
 from limeshelf.platform.store import StoreClient
 from standins.users_platform.store import StoreStandIn
-from tests.support.positions import at
+from tests.support.positions import make_position
 
 
 def text(value: str) -> str:
@@ -113,7 +113,7 @@
     Row,
     key=st.sampled_from('abc'),
     value=st.binary(max_size=2),
-    position=st.builds(at, st.integers(1, 30)),
+    position=st.builds(make_position, st.integers(1, 30)),
     gone=st.booleans(),
 )
 
@@ -131,8 +131,10 @@
     copy = TableCopy('t', newer)
     for found, version, whole in pages:
         if whole:
-            there = tuple(row for row in found if not row.gone and row.position <= at(version))
-            copy.take_full(Page(there, at(version)))
+            there = tuple(
+                row for row in found if not row.gone and row.position <= make_position(version)
+            )
+            copy.take_full(Page(there, make_position(version)))
         else:
             copy.take(found)
 
--- a/tests/feeds/test_late_configuration.py
+++ b/tests/feeds/test_late_configuration.py
@@ -33,7 +33,7 @@
 from limeshelf.feeds.store_reach import StoreReach
 from limeshelf.feeds.table_copy import TableCopy
 from limeshelf.util.clock import boottime_s
-from tests.support.positions import at
+from tests.support.positions import make_position
 
 #: How long the store holds back a call for the members, and for the configuration.
 MEMBERS_WAIT_S = 3.0
@@ -55,7 +55,7 @@
 
     def put(self, table: str) -> None:
         self.version += 1
-        self.rows[table] = Row('key', b'', at(self.version))
+        self.rows[table] = Row('key', b'', make_position(self.version))
         self._changed.set()
         self._changed = asyncio.Event()
 
@@ -83,7 +83,7 @@
     def _page(self, table: str, after: Position) -> Page:
         row = self.rows.get(table)
         rows = (row,) if row is not None and row.position > after else ()
-        return Page(rows, at(self.version), 0, boottime_s())
+        return Page(rows, make_position(self.version), 0, boottime_s())
 
 
 class CutOff:
@@ -104,7 +104,7 @@
 
 def copy_known_by_peers(table: str, rule: FollowRule) -> TableCopy:
     copy = TableCopy(table, lambda row: None, rule)
-    copy.take_update([], at(0), at(1), 0.0)
+    copy.take_update([], make_position(0), make_position(1), 0.0)
     return copy
 
 
@@ -133,7 +133,7 @@
         await until(lambda: {'members', 'op'} <= set(store.failed), 1.0)
         # Peers bring what changed, as they do to a gateway that is due; only the store is away.
         for copy in (members, config):
-            copy.take_update([], at(0), at(1), 0.0)
+            copy.take_update([], make_position(0), make_position(1), 0.0)
         store.away = False
         store.put('op')
         took_s = await until(lambda: config.rows(), MEMBERS_WAIT_S + 1.0)
--- a/tests/forms/test_messages.py
+++ b/tests/forms/test_messages.py
@@ -32,7 +32,7 @@
 from limeshelf.membership.row_messages import NO_ERA
 from limeshelf.peers.codec import Envelope, decode, encode
 from limeshelf.peers.messages import message_kinds
-from tests.support.positions import at
+from tests.support.positions import make_position
 
 RECORDED = json.loads((Path(__file__).parent / 'messages.json').read_text())
 SENDER = ('10.0.0.1:7001', 'z1')
@@ -245,14 +245,17 @@
 def test_query_and_updates_of_a_gateway_that_knows_no_eras_of_the_store() -> None:
     """They count as of a store that states none."""
     query = decode(bytes.fromhex(ROWS_QUERY_WITHOUT_ERAS)).message
-    assert requested_position(query, 'servers') == at(102)
+    assert requested_position(query, 'servers') == make_position(102)
     assert requested_position(query, 'members') is None
     updates = decode(bytes.fromhex(UPDATES_WITHOUT_ERAS)).message
     assert updates.store_era == NO_ERA
     (update,) = updates.words
-    assert position_from_message(update.after_era, update.after) == at(90)
-    assert position_from_message(update.upto_era, update.upto) == at(102)
-    assert [row.position for row in rows_from_update(update)] == [at(101), at(102)]
+    assert position_from_message(update.after_era, update.after) == make_position(90)
+    assert position_from_message(update.upto_era, update.upto) == make_position(102)
+    assert [row.position for row in rows_from_update(update)] == [
+        make_position(101),
+        make_position(102),
+    ]
 
 
 def test_digest_of_a_gateway_that_does_not_tell_since_when_calls_wait() -> None:
--- a/tests/forms/test_platform_wire.py
+++ b/tests/forms/test_platform_wire.py
@@ -33,7 +33,7 @@
 from limeshelf.platform.store import StoreClient
 from limeshelf.platform.wire import PlatformWire
 from limeshelf.replicas.record import Holding, ReplicaReport
-from tests.support.positions import at
+from tests.support.positions import make_position
 
 
 @attrs.define
@@ -123,19 +123,27 @@
             get('/rows-get', table='servers', part=''),
             get('/rows-get', table='servers', part='', From='a\0'),
         ],
-        Page((Row('a', b'one', at(3)), Row('b', b'two', at(4))), at(8), 80),
+        Page(
+            (Row('a', b'one', make_position(3)), Row('b', b'two', make_position(4))),
+            make_position(8),
+            80,
+        ),
     ),
     'read nothing': (
         lambda store: store.read('lease'),
         [(200, '{}')],
         [get('/rows-get', table='lease', part='')],
-        Page((), at(0), 0),
+        Page((), make_position(0), 0),
     ),
     'changes': (
-        lambda store: store.changes('op', at(9), 0.25),
+        lambda store: store.changes('op', make_position(9), 0.25),
         [(200, CHANGES)],
         [get('/rows-feed', table='op', after='9', WaitMs='250')],
-        Page((Row('a', b'one', at(10)), Row('b', b'', at(11), gone=True)), at(12), 90),
+        Page(
+            (Row('a', b'one', make_position(10)), Row('b', b'', make_position(11), gone=True)),
+            make_position(12),
+            90,
+        ),
     ),
     'write': (
         lambda store: store.write('members', 'g-1', b'one', None),
@@ -149,7 +157,7 @@
                 }
             )
         ],
-        at(13),
+        make_position(13),
     ),
     'write on condition': (
         lambda store: store.write('lease', 'placement', b'two', BEGINNING),
@@ -165,10 +173,10 @@
                 }
             )
         ],
-        at(13),
+        make_position(13),
     ),
     'delete on condition': (
-        lambda store: store.delete('members', 'g-1', at(7)),
+        lambda store: store.delete('members', 'g-1', make_position(7)),
         [(200, KEPT)],
         [
             transaction(
@@ -208,11 +216,14 @@
 )
 def test_store_refusal_as_read(status: int, body: str, error: type[Exception]) -> None:
     with pytest.raises(error) as caught:
-        ask_store(Peer([(status, body)]), lambda store: store.changes('op', at(9), 0.0))
+        ask_store(Peer([(status, body)]), lambda store: store.changes('op', make_position(9), 0.0))
     if error is HistoryGone:
         assert caught.value.table == 'op'
     if error is ConditionFailed:
-        assert caught.value.rows == (Row('a', b'one', at(10)), Row('b', b'', at(11), gone=True))
+        assert caught.value.rows == (
+            Row('a', b'one', make_position(10)),
+            Row('b', b'', make_position(11), gone=True),
+        )
     if error in (PlatformUnavailable, PlatformUnknown):
         assert caught.value.service == 'store'
 
--- a/tests/forms/test_rows.py
+++ b/tests/forms/test_rows.py
@@ -66,7 +66,7 @@
 from limeshelf.standalone.services.table import VersionedRow as TableRow
 from limeshelf.standalone.upstreams.messages import Order, OrderAction
 from limeshelf.util.clock import VIRTUAL_EPOCH_S, virtual_clock
-from tests.support.positions import at
+from tests.support.positions import make_position
 from tests.support.table import FakeTable
 
 # The platform's store: op/config.
@@ -289,14 +289,14 @@
 
     async def read(self, table: str) -> Page:
         assert table == 'lease'
-        return Page(self.rows, at(40), 50_000)
+        return Page(self.rows, make_position(40), 50_000)
 
     async def write(
         self, table: str, key: str, value: bytes, expected: Position | None
     ) -> Position:
         self.written.append((table, key, value, expected))
-        self.rows = (Row(key, value, at(41)),)
-        return at(41)
+        self.rows = (Row(key, value, make_position(41)),)
+        return make_position(41)
 
 
 def registration(own: Member) -> Registration:
@@ -324,13 +324,13 @@
 )
 def test_member_row_as_read(value: bytes, member: Member) -> None:
     reader = registration(Member('10.0.0.9:7001', 'z1', 1.0))
-    reader.apply_row(Row('g-1', value, at(41)))
+    reader.apply_row(Row('g-1', value, make_position(41)))
     assert reader.members.others() == [member]
 
 
 def lease_row(holder: str, until_ms: int) -> Row:
     value = f'{{"holder":"{holder}","fence":8,"until_ms":{until_ms}}}'
-    return Row('placement', value.encode(), at(39))
+    return Row('placement', value.encode(), make_position(39))
 
 
 def test_lease_row_as_written() -> None:
@@ -341,7 +341,7 @@
         await lease.release()
         assert store.written == [
             ('lease', 'placement', b'{"holder":"g-1","fence":1,"until_ms":52500}', BEGINNING),
-            ('lease', 'placement', b'{"holder":"g-1","fence":1,"until_ms":0}', at(41)),
+            ('lease', 'placement', b'{"holder":"g-1","fence":1,"until_ms":0}', make_position(41)),
         ]
 
     with virtual_clock():
--- a/tests/lease/test_order_time.py
+++ b/tests/lease/test_order_time.py
@@ -27,7 +27,7 @@
 from limeshelf.lease.leadership import ORDER_MARGIN_S, Leadership
 from limeshelf.lease.row import LEASE_KEY
 from limeshelf.util.clock import VirtualClock, virtual_clock
-from tests.support.positions import at
+from tests.support.positions import make_position
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -56,7 +56,7 @@
         self._fail_if_away()
         self.clock.advance(self.call_s)
         now_ms = int((self.clock.now_s + STORE_CLOCK_OFFSET_S) * 1000)
-        page = Page((self.row,) if self.row else (), at(1), now_ms)
+        page = Page((self.row,) if self.row else (), make_position(1), now_ms)
         self.clock.advance(self.call_s)
         return page
 
@@ -78,7 +78,7 @@
         position = self.row.position if self.row else BEGINNING
         if position != expected:
             return None
-        self.row = Row(LEASE_KEY, value, at(position.version + 1), False)
+        self.row = Row(LEASE_KEY, value, make_position(position.version + 1), False)
         return self.row.position
 
     def _fail_if_away(self) -> None:
--- a/tests/membership/test_registration.py
+++ b/tests/membership/test_registration.py
@@ -18,7 +18,7 @@
 from limeshelf.membership.messages import GatewayLeaving
 from limeshelf.membership.registration import Registration
 from limeshelf.peers.codec import Envelope
-from tests.support.positions import at
+from tests.support.positions import make_position
 
 #: The row of :func:`make_registration`.
 OWN_ROW = b'{"address":"own","data_centre":"c1","weight":0.0}'
@@ -30,7 +30,7 @@
     def __init__(self, *errors: Exception) -> None:
         self.errors = list(errors)
         self.keys: list[str] = []
-        self.position = at(1)
+        self.position = make_position(1)
 
     async def write(
         self, table: str, key: str, value: bytes, expected: Position | None
@@ -59,7 +59,7 @@
 
 def test_row_that_cannot_be_decoded_adds_no_gateway() -> None:
     own_registration = make_registration()
-    own_registration.apply_row(Row('g-2', b'{', at(3)))
+    own_registration.apply_row(Row('g-2', b'{', make_position(3)))
     assert own_registration.members.others() == []
 
 
@@ -82,17 +82,17 @@
 ) -> None:
     monkeypatch.setattr(registration, 'REWRITE_SPREAD_S', 0.0)
     own_registration, store = make_registration(), Store()
-    store.position = at(50, era_of_write)
+    store.position = make_position(50, era_of_write)
 
     async def run_scenario() -> None:
         written: Any = store
         task = asyncio.create_task(own_registration.keep_row(written))
         await asyncio.sleep(0.01)
         copy = TableCopy(MEMBER_TABLE, lambda row: None)
-        copy.take_full(Page((Row('g-1', b'', at(50, 1)),), at(60, 1)))
+        copy.take_full(Page((Row('g-1', b'', make_position(50, 1)),), make_position(60, 1)))
         copy.return_listeners.append(own_registration.rewrite_if_lost)
-        rows = () if left is None else (Row('g-1', left, at(30, 2)),)
-        copy.take_full(Page(rows, at(40, 2)))
+        rows = () if left is None else (Row('g-1', left, make_position(30, 2)),)
+        copy.take_full(Page(rows, make_position(40, 2)))
         await asyncio.sleep(0.01)
         task.cancel()
 
--- a/tests/membership/test_row_exchange.py
+++ b/tests/membership/test_row_exchange.py
@@ -18,7 +18,7 @@
 from limeshelf.membership.store_polling import OVERDUE_STEP_S
 from limeshelf.peers.codec import Envelope
 from limeshelf.util.clock import boottime_s, virtual_clock
-from tests.support.positions import at
+from tests.support.positions import make_position
 
 
 class Node:
@@ -42,16 +42,16 @@
 
     def __init__(self) -> None:
         self.calls = 0
-        self.rows = {'a': Row('a', b'1', at(5), False)}
+        self.rows = {'a': Row('a', b'1', make_position(5), False)}
 
     async def read(self, table: str) -> Page:
         self.calls += 1
-        return Page(tuple(self.rows.values()), at(7), 0, boottime_s())
+        return Page(tuple(self.rows.values()), make_position(7), 0, boottime_s())
 
     async def changes(self, table: str, after: Position, wait_s: float) -> Page:
         self.calls += 1
         await asyncio.sleep(wait_s)
-        return Page((), max(after, at(7)), 0, boottime_s())
+        return Page((), max(after, make_position(7)), 0, boottime_s())
 
 
 class WhenStale:
@@ -88,7 +88,7 @@
     gateway = exchange('g2', 'g1')
     gateway._handle_updates(update(0, 9, TableRow('a', b'1', 9, False)))
     copy = gateway.copies['t']
-    assert (copy.position, [row.key for row in copy.rows()]) == (at(9), ['a'])
+    assert (copy.position, [row.key for row in copy.rows()]) == (make_position(9), ['a'])
     assert copy.age_s < 1.0
 
 
@@ -97,13 +97,13 @@
     gateway = exchange('g2', 'g1')
     gateway._handle_updates(update(0, 5, TableRow('a', b'1', 5, False)))
     gateway._handle_updates(update(8, 9, TableRow('c', b'1', 9, False)))
-    assert gateway.copies['t'].position == at(5)
+    assert gateway.copies['t'].position == make_position(5)
     node: Any = gateway.node
     assert [(address, query.versions) for address, query in node.sent] == [('g1', {'t': 5})]
     gateway._handle_updates(
         update(5, 9, TableRow('b', b'1', 7, False), TableRow('c', b'1', 9, False))
     )
-    assert gateway.copies['t'].position == at(9)
+    assert gateway.copies['t'].position == make_position(9)
     assert len(gateway.copies['t'].rows()) == 3
 
 
@@ -113,7 +113,7 @@
     copy = gateway.copies['t']
     copy.confirmed_s = 0.0
     gateway._handle_updates(update(3, 6, TableRow('a', b'old', 4, False)))
-    assert copy.position == at(9)
+    assert copy.position == make_position(9)
     assert copy.is_stale
 
 
@@ -181,7 +181,7 @@
         gateway.members.record_message('g1', 'c1')
         gateway._handle_updates(update(0, 9))
         assert gateway.is_due()
-        gateway.copies['u'].take_update([], at(0), at(9), 0.0)
+        gateway.copies['u'].take_update([], make_position(0), make_position(9), 0.0)
         assert not gateway.is_due()
 
 
@@ -203,7 +203,7 @@
         await asyncio.sleep(0.05)
         assert store.calls == 1
         for _ in range(8):
-            copy.take_update([], at(7), at(7), 0.0)
+            copy.take_update([], make_position(7), make_position(7), 0.0)
             await asyncio.sleep(0.05)
         assert store.calls == 1
         await asyncio.sleep(0.6)
@@ -218,7 +218,7 @@
         gateway, other = exchange('g1', 'g2'), exchange('g2', 'g1')
         # The store's clock shows 5 s while this machine's clock shows 1,000 s.
         other.clock.note_answer(clock.now_s, 5.0)
-        other.copies['t'].take_update([], at(0), at(9), 0.0, 5000)
+        other.copies['t'].take_update([], make_position(0), make_position(9), 0.0, 5000)
         node: Any = gateway.node
         gateway._query_random_peer()
         clock.advance(0.4)
@@ -271,7 +271,7 @@
         clock.advance(2.0)
         gateway._handle_updates(Envelope('g1', 'c1', TableUpdates([delayed])))
         copy = gateway.copies['t']
-        assert copy.position == at(9)
+        assert copy.position == make_position(9)
         assert 2.0 - CLOCK_TOLERANCE_S <= copy.age_s <= 2.0
         assert copy.is_stale
 
--- a/tests/organisations/test_strict_revocation.py
+++ b/tests/organisations/test_strict_revocation.py
@@ -20,7 +20,7 @@
 from limeshelf.organisations.access import AccessGranted, AccessRule, check_access
 from limeshelf.organisations.organisation import Organisation, Organisations, digest_of
 from limeshelf.util.clock import virtual_clock
-from tests.support.positions import at
+from tests.support.positions import make_position
 
 RULE = AccessRule(revoked_within_s=5.0)
 GATEWAYS = 3
@@ -83,8 +83,8 @@
         asked_s = self.now.now_s
         self.now.advance(there_s)
         page = Page(
-            (Row('config', b'', at(self.version)),),
-            at(self.version),
+            (Row('config', b'', make_position(self.version)),),
+            make_position(self.version),
             self.store_ms(),
             as_of_ms=self.store_ms(),
         )
@@ -104,7 +104,9 @@
         )
 
     def take_update(self, number: int, version: int, confirmed_ms: int) -> None:
-        self.gateways[number].copy.take_update([], at(0), at(version), 0.0, confirmed_ms)
+        self.gateways[number].copy.take_update(
+            [], make_position(0), make_position(version), 0.0, confirmed_ms
+        )
 
     @rule(asker=st.integers(0, GATEWAYS - 1), asked=st.integers(0, GATEWAYS - 1))
     def query(self, asker: int, asked: int) -> None:
--- a/tests/platform/test_foreign_rows.py
+++ b/tests/platform/test_foreign_rows.py
@@ -20,7 +20,7 @@
 from limeshelf.platform.store_messages import read_rows
 from limeshelf.replicas.directory import ReplicaDirectory
 from tests.support.gateway import configuration
-from tests.support.positions import at
+from tests.support.positions import make_position
 
 VALID_ROW: dict[str, Any] = {
     'Service': 's',
@@ -71,8 +71,8 @@
     good = {'Key': 'r1', 'ver': 7, 'Value': to_base64(row_value())}
     other = {'Key': 'r2', 'ver': 9, 'Value': to_base64(row_value(Address='10.0.0.2:8080'))}
     rows = read_rows(response_body(good, bad, other), 'servers')
-    assert Row('r1', row_value(), at(7)) in rows
-    assert Row('r2', row_value(Address='10.0.0.2:8080'), at(9)) in rows
+    assert Row('r1', row_value(), make_position(7)) in rows
+    assert Row('r2', row_value(Address='10.0.0.2:8080'), make_position(9)) in rows
 
 
 @given(
@@ -169,9 +169,9 @@
 
 def test_replica_whose_row_turns_unreadable_takes_no_calls_until_it_is_readable() -> None:
     directory = ReplicaDirectory(read_record)
-    directory.apply_row(Row('r1', row_value(), at(1)))
+    directory.apply_row(Row('r1', row_value(), make_position(1)))
     assert [replica.replica_id for replica in directory.of_service('s')] == ['r1']
-    directory.apply_row(Row('r1', b'no row', at(2)))
+    directory.apply_row(Row('r1', b'no row', make_position(2)))
     assert directory.of_service('s') == []
-    directory.apply_row(Row('r1', row_value(SeqNo=2), at(3)))
+    directory.apply_row(Row('r1', row_value(SeqNo=2), make_position(3)))
     assert [replica.replica_id for replica in directory.of_service('s')] == ['r1']
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -12,7 +12,7 @@
 from limeshelf.feeds.position import BEGINNING
 from limeshelf.feeds.rows import ConditionFailed, Row
 from limeshelf.platform.store import StoreClient
-from tests.support.positions import at
+from tests.support.positions import make_position
 
 #: The value is not valid base64: its padding is missing.
 MALFORMED = '{"Rows": [{"Key": "a", "Value": "abc", "ver": 1}], "ver": 1}'
@@ -42,13 +42,13 @@
 def test_malformed_value_is_read_as_an_empty_one(call: Any) -> None:
     """Otherwise one malformed value makes every read of the table fail, again and again."""
     page = call_store(200, MALFORMED, call)
-    assert page.rows == (Row('a', b'', at(1)),)
+    assert page.rows == (Row('a', b'', make_position(1)),)
 
 
 def test_malformed_value_in_a_failed_condition_is_read_as_an_empty_one() -> None:
     with pytest.raises(ConditionFailed) as failed:
         call_store(412, MALFORMED, lambda store: store.write('op', 'a', b'', BEGINNING))
-    assert failed.value.rows == (Row('a', b'', at(1)),)
+    assert failed.value.rows == (Row('a', b'', make_position(1)),)
 
 
 def test_partial_page_without_a_readable_row_raises_platform_unknown() -> None:
--- a/tests/replicas/test_directory.py
+++ b/tests/replicas/test_directory.py
@@ -15,7 +15,7 @@
 from limeshelf.replicas.record import Holding, ReplicaReport
 from limeshelf.util.clock import VirtualClock
 from tests.support.clock import fake_time
-from tests.support.positions import at
+from tests.support.positions import make_position
 
 
 @pytest.fixture
@@ -47,7 +47,7 @@
         'Models': [{'Name': name} for name in models],
         **others,
     }
-    return Row(replica_id, json.dumps(entry).encode(), at(beat))
+    return Row(replica_id, json.dumps(entry).encode(), make_position(beat))
 
 
 def available(directory: ReplicaDirectory) -> list[str]:
@@ -57,7 +57,7 @@
 def test_row_adds_a_replica_and_its_deletion_removes_it(directory: ReplicaDirectory) -> None:
     directory.apply_row(row())
     assert available(directory) == ['r1']
-    directory.apply_row(Row('r1', b'', at(2), gone=True))
+    directory.apply_row(Row('r1', b'', make_position(2), gone=True))
     assert available(directory) == []
     assert directory.all() == []
 
@@ -107,9 +107,9 @@
 
 def test_replica_with_an_invalid_row_gets_no_calls(directory: ReplicaDirectory) -> None:
     directory.apply_row(row('r1'))
-    directory.apply_row(Row('r2', b'no row', at(1)))
+    directory.apply_row(Row('r2', b'no row', make_position(1)))
     assert available(directory) == ['r1']
-    directory.apply_row(Row('r1', b'no row', at(2)))
+    directory.apply_row(Row('r1', b'no row', make_position(2)))
     assert available(directory) == []
 
 
--- a/tests/replicas/test_starts.py
+++ b/tests/replicas/test_starts.py
@@ -19,7 +19,7 @@
 from limeshelf.replicas.replica import Replica
 from limeshelf.replicas.starts import CLOCK_STEP_BACK_S, KnownStart, StartOrder, StateSource
 from limeshelf.util.clock import VirtualClock, virtual_clock
-from tests.support.positions import at
+from tests.support.positions import make_position
 
 #: Longest delay of a row or report.
 LATEST_S = 6.0
@@ -37,7 +37,7 @@
     }
     if born is not None:
         entry['born'] = born
-    return Row('r1', json.dumps(entry).encode(), at(version))
+    return Row('r1', json.dumps(entry).encode(), make_position(version))
 
 
 def report(born: Any, orders: int, models: tuple[str, ...] = ()) -> Any:
@@ -116,7 +116,7 @@
     directory = ReplicaDirectory(read_record)
     directory.apply_row(row(1000, 3, 1))
     before = known(directory)
-    directory.apply_row(Row('r1', b'', at(2), gone=True))
+    directory.apply_row(Row('r1', b'', make_position(2), gone=True))
     directory.apply_row(row(1000, 8, 3))
     assert known(directory) is not before
     assert known(directory).start == before.start
@@ -125,7 +125,7 @@
 def test_restart_shown_by_a_report_gets_calls_once_its_row_arrives() -> None:
     directory = ReplicaDirectory(read_record)
     directory.apply_row(row(1000, 3, 1))
-    directory.apply_row(Row('r1', b'', at(2), gone=True))
+    directory.apply_row(Row('r1', b'', make_position(2), gone=True))
     directory.apply_report('r1', report(2000, 0))
     assert directory.of_service('s') == []
     directory.apply_row(row(2000, 1, 3))
--- a/tests/support/positions.py
+++ b/tests/support/positions.py
@@ -5,6 +5,6 @@
 from limeshelf.feeds.position import Position
 
 
-def at(version: int, era: int = 0) -> Position:
+def make_position(version: int, era: int = 0) -> Position:
     """Return a position; era 0 stands for a store that does not state an era."""
     return Position(era, version)
