--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -11,7 +11,7 @@
 
 from standins.calls import get, wait_until
 from tests.features.environment import World
-from tests.support.history import faults_of, key_runs
+from tests.support.history import count_runs_by_key, find_history_violations
 from tests.support.load import Load
 
 MODELS = [f'm{number}' for number in range(6)]
@@ -136,7 +136,7 @@
                 times = [action() for _ in range(repeats)]
                 shown = ' '.join(f'{seconds:.2f}' for seconds in times)
                 print(f'{name:<44}{shown:<24}{recovery.lost(since)}', flush=True)
-        faults = faults_of(recovery.load.history, key_runs(recovery.system))
+        faults = find_history_violations(recovery.load.history, count_runs_by_key(recovery.system))
         print(f'{len(faults)} faults in the history of {len(recovery.load.history)} calls')
         for fault in faults[:5]:
             print(f'  {fault}')
--- a/tests/features/steps/world_steps.py
+++ b/tests/features/steps/world_steps.py
@@ -10,7 +10,7 @@
 from behave import given, then, when
 
 from standins.calls import get, post, wait_until
-from tests.support.history import faults_of, key_runs, overcommits
+from tests.support.history import count_runs_by_key, find_history_violations, recorded_overcommits
 from tests.support.load import Load
 
 MODEL_NAMES = [f'm{number}' for number in range(6)]
@@ -95,7 +95,7 @@
 @then('both get the same response and the booking ran once')
 def same_answer(context) -> None:
     assert context.answers[0] == context.answers[1]
-    assert key_runs(context.world.system)['twice'] == 1
+    assert count_runs_by_key(context.world.system)['twice'] == 1
 
 
 @when('the routing policy is swapped to "{policy}" while {number:d} callers stream')
@@ -189,7 +189,7 @@
 
 @then('no engine was ever overcommitted')
 def never_overcommitted(context) -> None:
-    assert overcommits(context.world.system) == []
+    assert recorded_overcommits(context.world.system) == []
 
 
 @then('every model is ready again')
@@ -200,7 +200,7 @@
 @then('the history has no violation')
 def no_fault(context) -> None:
     context.load.stop()
-    faults = faults_of(context.load.history, key_runs(context.world.system))
+    faults = find_history_violations(context.load.history, count_runs_by_key(context.world.system))
     assert not faults, faults[:5]
     assert len(context.load.history) > 20
 
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -16,7 +16,7 @@
 
 from standins.calls import get, post, wait_until
 from tests.features.environment import World
-from tests.support.history import faults_of, key_runs, overcommits
+from tests.support.history import count_runs_by_key, find_history_violations, recorded_overcommits
 from tests.support.load import Load
 
 MODELS = [f'm{number}' for number in range(6)]
@@ -195,8 +195,10 @@
 def report(soak: Soak, load: Load, took_s: float, unrecovered: list[str]) -> int:
     """Print the result of each check; return the number of violations."""
     found = {
-        'memory never overcommitted': overcommits(soak.system),
-        'history of callers and upstreams': faults_of(load.history, key_runs(soak.system)),
+        'memory never overcommitted': recorded_overcommits(soak.system),
+        'history of callers and upstreams': find_history_violations(
+            load.history, count_runs_by_key(soak.system)
+        ),
         f'recovered after {took_s:.1f} s': unrecovered,
     }
     for check, violations in found.items():
--- a/tests/support/history.py
+++ b/tests/support/history.py
@@ -40,7 +40,7 @@
     reason: str = ''
 
 
-def judge_stream(text: str, caller: str, prompt: str, tokens: int) -> tuple[str, bool]:
+def check_stream(text: str, caller: str, prompt: str, tokens: int) -> tuple[str, bool]:
     """Return a streamed response's outcome, and whether its tokens are the expected ones.
 
     A truncated response must end with an error event; it may not look complete.
@@ -57,7 +57,7 @@
     return ('completed' if ended else 'dropped'), own and (len(got) == tokens or not ended)
 
 
-def faults_of(history: list[Call], runs: dict[str, int]) -> list[str]:
+def find_history_violations(history: list[Call], runs: dict[str, int]) -> list[str]:
     """Check a history against the upstreams' execution counts; return all violations.
 
     :param runs: number of executions of each idempotency key, over all upstreams.
@@ -81,10 +81,10 @@
             faults.append(f'{key} was reported as not run but ran')
         if 'completed' in outcomes and not ran:
             faults.append(f'{key} was reported as completed but did not run')
-    return faults + revision_faults(history)
+    return faults + find_revision_violations(history)
 
 
-def revision_faults(history: list[Call]) -> list[str]:
+def find_revision_violations(history: list[Call]) -> list[str]:
     """Return where an instance reverted to an older revision between non-overlapping calls."""
     faults = []
     highest: dict[str, tuple[float, int]] = {}
@@ -99,7 +99,7 @@
     return faults
 
 
-def key_runs(system: System) -> dict[str, int]:
+def count_runs_by_key(system: System) -> dict[str, int]:
     """Return the number of executions of each key, over all plain services."""
     runs: Counter[str] = Counter()
     for upstream in system.upstreams.values():
@@ -109,7 +109,7 @@
     return dict(runs)
 
 
-def overcommits(system: System) -> list[Any]:
+def recorded_overcommits(system: System) -> list[Any]:
     """Return every recorded moment at which an engine exceeded its memory."""
     return [
         found
--- a/tests/support/load.py
+++ b/tests/support/load.py
@@ -18,7 +18,7 @@
 import aiohttp
 import attrs
 
-from tests.support.history import Call, judge_stream
+from tests.support.history import Call, check_stream
 
 if TYPE_CHECKING:
     from standins.launcher import System
@@ -180,7 +180,7 @@
 
         def evaluate(answer: Answer, text: str) -> None:
             if answer.status == 200:
-                answer.outcome, answer.whole = judge_stream(text, caller, prompt, self._max_tokens)
+                answer.outcome, answer.whole = check_stream(text, caller, prompt, self._max_tokens)
             else:
                 answer.outcome = answer.headers.get('X-Limeshelf-Outcome', 'missing')
                 answer.whole = True
