--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -12,7 +12,7 @@
 from standins.calls import get, wait_until
 from tests.features.environment import World
 from tests.support.history import count_runs_by_key, find_history_violations
-from tests.support.load import Load
+from tests.support.load import LoadGenerator
 
 MODELS = [f'm{number}' for number in range(6)]
 REPEATS = 3
@@ -26,7 +26,7 @@
         self.system = self.world.system
         assert self.world.apply()[0] == 0
         self.world.await_ready()
-        self.load = Load(self.system, MODELS)
+        self.load = LoadGenerator(self.system, MODELS)
 
     def lost(self, since: int) -> str:
         """Return what became of the calls noted since."""
--- a/tests/features/steps/world_steps.py
+++ b/tests/features/steps/world_steps.py
@@ -11,13 +11,13 @@
 
 from standins.calls import get, post, wait_until
 from tests.support.history import count_runs_by_key, find_history_violations, recorded_overcommits
-from tests.support.load import Load
+from tests.support.load import LoadGenerator
 
 MODEL_NAMES = [f'm{number}' for number in range(6)]
 
 
 def stream_many(context, number: int) -> None:
-    load = Load(context.world.system, MODEL_NAMES, rate_per_s=200.0, booking_ratio=0.0)
+    load = LoadGenerator(context.world.system, MODEL_NAMES, rate_per_s=200.0, booking_ratio=0.0)
     with load:
         wait_until(lambda: load._numbers >= number, 30)
     context.load = load
@@ -33,7 +33,7 @@
 
 @given('calls are sent continuously')
 def start_calls(context) -> None:
-    context.load = Load(context.world.system, MODEL_NAMES)
+    context.load = LoadGenerator(context.world.system, MODEL_NAMES)
     context.load.__enter__()
     context.add_cleanup(context.load.stop)
     wait_until(lambda: len(context.load.history) > 20)
@@ -100,7 +100,7 @@
 
 @when('the routing policy is swapped to "{policy}" while {number:d} callers stream')
 def swap_policy_under_load(context, policy: str, number: int) -> None:
-    load = Load(context.world.system, MODEL_NAMES, rate_per_s=200.0, booking_ratio=0.0)
+    load = LoadGenerator(context.world.system, MODEL_NAMES, rate_per_s=200.0, booking_ratio=0.0)
     with load:
         wait_until(lambda: load._numbers >= 5)
         code, reply = context.world.cli('policy', 'swap', 'routing', policy)
@@ -537,7 +537,9 @@
 def overload(context) -> None:
     # About one call in twenty is of the high class; that load alone is within capacity.
     models = ['m0', 'm3'] + ['m1', 'm2', 'm4', 'm5'] * 9
-    load = Load(context.world.system, models, rate_per_s=400.0, booking_ratio=0.0, max_tokens=20)
+    load = LoadGenerator(
+        context.world.system, models, rate_per_s=400.0, booking_ratio=0.0, max_tokens=20
+    )
     with load:
         time.sleep(8.0)
     context.load = load
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -17,7 +17,7 @@
 from standins.calls import get, post, wait_until
 from tests.features.environment import World
 from tests.support.history import count_runs_by_key, find_history_violations, recorded_overcommits
-from tests.support.load import Load
+from tests.support.load import LoadGenerator
 
 MODELS = [f'm{number}' for number in range(6)]
 #: Minimum and maximum time between two faults, in seconds.
@@ -177,7 +177,7 @@
     try:
         assert soak.world.apply()[0] == 0
         soak.world.await_ready()
-        with Load(soak.system, MODELS, seed=seed) as load:
+        with LoadGenerator(soak.system, MODELS, seed=seed) as load:
             end_s = time.monotonic() + seconds
             while time.monotonic() < end_s:
                 soak.inject_fault()
@@ -192,7 +192,7 @@
         soak.close()
 
 
-def report(soak: Soak, load: Load, took_s: float, unrecovered: list[str]) -> int:
+def report(soak: Soak, load: LoadGenerator, took_s: float, unrecovered: list[str]) -> int:
     """Print the result of each check; return the number of violations."""
     found = {
         'memory never overcommitted': recorded_overcommits(soak.system),
--- a/tests/support/load.py
+++ b/tests/support/load.py
@@ -58,7 +58,7 @@
     reason: str = ''
 
 
-class Load:
+class LoadGenerator:
     """Concurrent clients behind a balancer that polls readiness.
 
     :param rate_per_s: calls started per second.
@@ -91,7 +91,7 @@
         # Makes the keys of each load unique.
         self._name = f'key-{secrets.token_hex(4)}'
 
-    def __enter__(self) -> Load:
+    def __enter__(self) -> LoadGenerator:
         self._thread.start()
         return self
 
