--- a/tests/gateway/test_crashing_call.py
+++ b/tests/gateway/test_crashing_call.py
@@ -19,7 +19,7 @@
 
 from limeshelf.membership.crash_exchange import CrashExchange
 from standins.users_platform.replica import Fault
-from tests.support.fleet import CENTRES, FleetWorld, run_fleet
+from tests.support.fleet import DATA_CENTRES, FleetWorld, run_fleet
 
 CRASHING_BODY = b'deadly'
 #: Time between two attempts of the caller, in seconds.
@@ -42,7 +42,7 @@
     until_s = loop.time() + for_s
     statuses = []
     while loop.time() < until_s:
-        number = len(statuses) % len(CENTRES)
+        number = len(statuses) % len(DATA_CENTRES)
         if path == '/stream/x':
             statuses.append(await world.generate_at(number, CRASHING_BODY))
         else:
@@ -73,9 +73,9 @@
     async def scenario(world: FleetWorld) -> None:
         await keep_retrying(world, '/stream/x', for_s=1.5)
         ends = len(world.ends)
-        for number in range(len(CENTRES)):
+        for number in range(len(DATA_CENTRES)):
             await world.stop_gateway(number)
-        for number in range(len(CENTRES)):
+        for number in range(len(DATA_CENTRES)):
             await world.start_gateway(number)
         await world.until(world.all_know_all, limit_s=10.0)
         assert await world.generate_at(0, b'innocent') == 200
@@ -94,7 +94,7 @@
     async def scenario(world: FleetWorld) -> None:
         statuses = await keep_retrying(world, '/stream/x', for_s=5.0)
         # After two crashes that one gateway saw, its row in the store informs the others.
-        assert len(world.ends) <= 2 * len(CENTRES)
+        assert len(world.ends) <= 2 * len(DATA_CENTRES)
         assert late_crashes(world.ends) == 0
         assert statuses[-1] == 503
 
@@ -105,7 +105,7 @@
     async def scenario(world: FleetWorld) -> None:
         world.store.faults.status = 503
         statuses = await keep_retrying(world, '/stream/x', for_s=3.0)
-        assert len(world.ends) <= len(CENTRES)
+        assert len(world.ends) <= len(DATA_CENTRES)
         assert statuses[-1] == 503
 
     run_fleet(scenario, deadly_text=CRASHING_BODY)
@@ -120,7 +120,9 @@
         statuses = await keep_retrying(world, '/stream/x', for_s=1.5)
         statuses += await keep_retrying(world, '/safe/x', for_s=1.5)
         assert 503 not in statuses
-        assert not any(len(world.components(number).suspects) for number in range(len(CENTRES)))
+        assert not any(
+            len(world.components(number).suspects) for number in range(len(DATA_CENTRES))
+        )
 
     run_fleet(scenario)
 
@@ -135,10 +137,13 @@
         statuses = []
         while not crashing.done():
             statuses += await asyncio.gather(
-                *(world.generate_at(number % len(CENTRES), b'innocent') for number in range(6))
+                *(
+                    world.generate_at(number % len(DATA_CENTRES), b'innocent')
+                    for number in range(6)
+                )
             )
         assert len(world.ends) >= 2
-        found = [world.components(number).suspects for number in range(len(CENTRES))]
+        found = [world.components(number).suspects for number in range(len(DATA_CENTRES))]
         counts = [
             state.crash_count
             for suspects in found
@@ -146,7 +151,7 @@
             if state.crash_count > 1
         ]
         # Each gateway suspects only the crashing call.
-        assert len(counts) == len(CENTRES)
+        assert len(counts) == len(DATA_CENTRES)
         assert statuses.count(200) > 0.8 * len(statuses)
 
     run_fleet(scenario, deadly_text=CRASHING_BODY)
--- a/tests/gateway/test_leaving_replica.py
+++ b/tests/gateway/test_leaving_replica.py
@@ -14,7 +14,7 @@
 from typing import TYPE_CHECKING
 
 from standins.users_platform.replica import Needs
-from tests.support.fleet import FleetWorld, load, run_fleet
+from tests.support.fleet import FleetWorld, run_fleet, send_steady_load
 from tests.support.notices import LEAVING_AFTER_S, arrivals_after_leaving
 
 if TYPE_CHECKING:
@@ -33,7 +33,9 @@
 
 
 async def load_both(world: FleetWorld, for_s: float) -> None:
-    await asyncio.gather(load(world, '/safe/x', for_s), load(world, '/stream/x', for_s))
+    await asyncio.gather(
+        send_steady_load(world, '/safe/x', for_s), send_steady_load(world, '/stream/x', for_s)
+    )
 
 
 def test_replicas_that_announced_leaving_get_no_calls() -> None:
@@ -61,12 +63,12 @@
         replica = world.engines[0]
         replica.models.clear()
         replica.needs = Needs(leaving=True, to_callers_alone=True)
-        await load(world, '/stream/x', 0.5)
+        await send_steady_load(world, '/stream/x', 0.5)
         assert {stated.status for stated in replica.stated} == {421}
         replica.models['m1'] = []
         world.announce(replica, beat=9)
         await asyncio.sleep(LEAVING_AFTER_S)
-        await load(world, '/stream/x', 1.5)
+        await send_steady_load(world, '/stream/x', 1.5)
         assert arrivals_after_leaving(world, replica) == 0
 
     run_fleet(scenario)
@@ -75,7 +77,7 @@
 def test_restarted_replica_gets_calls() -> None:
     async def scenario(world: FleetWorld) -> None:
         (replica, _) = make_leaving(world)
-        await load(world, '/safe/x', 0.5)
+        await send_steady_load(world, '/safe/x', 0.5)
         await replica.restart(RESTART_MS, beat=1)
         replica.born_ms = RESTART_MS
         world.announce(replica, beat=2)
@@ -85,7 +87,7 @@
         world.announce(replica, beat=3)
         await asyncio.sleep(0.3)
         before = len(replica.seen)
-        await load(world, '/safe/x', 0.5)
+        await send_steady_load(world, '/safe/x', 0.5)
         assert len(replica.seen) > before
 
     run_fleet(scenario)
--- a/tests/gateway/test_paused_replica.py
+++ b/tests/gateway/test_paused_replica.py
@@ -14,7 +14,7 @@
 from typing import TYPE_CHECKING
 
 from standins.users_platform.replica import Fault
-from tests.support.fleet import CENTRES, FleetWorld, load, run_fleet
+from tests.support.fleet import DATA_CENTRES, FleetWorld, run_fleet, send_steady_load
 from tests.support.notices import TOLERATED_IN_REST, most_in_a_rest
 
 if TYPE_CHECKING:
@@ -36,7 +36,9 @@
     async def scenario(world: FleetWorld) -> None:
         replicas = [*world.plain, *world.engines]
         refuse_all(replicas)
-        await asyncio.gather(load(world, '/safe/x', 6.0), load(world, '/stream/x', 6.0))
+        await asyncio.gather(
+            send_steady_load(world, '/safe/x', 6.0), send_steady_load(world, '/stream/x', 6.0)
+        )
         for replica in replicas:
             assert replica.stated
             assert most_in_a_rest(world, replica) <= TOLERATED_IN_REST
@@ -47,7 +49,7 @@
 def test_calls_are_refused_at_once_with_the_pause_left() -> None:
     async def scenario(world: FleetWorld) -> None:
         refuse_all(world.plain)
-        await load(world, '/safe/x', 1.0)
+        await send_steady_load(world, '/safe/x', 1.0)
         before_s = asyncio.get_running_loop().time()
         answered = await world.call('/safe/x')
         assert answered.status == 503
@@ -61,20 +63,20 @@
 def test_replicas_are_used_again_after_their_pause() -> None:
     async def scenario(world: FleetWorld) -> None:
         # A gateway that does not know how many share the retry budget makes no retries.
-        parts = [world.components(number) for number in range(len(CENTRES))]
+        parts = [world.components(number) for number in range(len(DATA_CENTRES))]
         await world.until(lambda: all(one.budgets.gateways for one in parts))
         refuse_all([world.plain[0], *world.engines], pause_s='0.7')
-        statuses = await load(world, '/safe/x', 0.5)
+        statuses = await send_steady_load(world, '/safe/x', 0.5)
         # One of two replicas serves the calls that the other refuses.
         assert set(statuses) == {200}
-        await load(world, '/stream/x', 0.5)
+        await send_steady_load(world, '/stream/x', 0.5)
         for replica in [world.plain[0], *world.engines]:
             replica.fault = Fault.NONE
             replica.needs.rest_s = None
         await asyncio.sleep(0.8)
         runs = len(world.plain[0].runs)
-        assert set(await load(world, '/safe/x', 0.5)) == {200}
-        assert set(await load(world, '/stream/x', 0.5)) == {200}
+        assert set(await send_steady_load(world, '/safe/x', 0.5)) == {200}
+        assert set(await send_steady_load(world, '/stream/x', 0.5)) == {200}
         assert len(world.plain[0].runs) > runs
 
     run_fleet(scenario)
--- a/tests/gateway/test_rate_limited_replica.py
+++ b/tests/gateway/test_rate_limited_replica.py
@@ -14,7 +14,7 @@
 import asyncio
 
 from limeshelf.dispatch.rate_limiter import REDUCED_RATE_PERIOD_S
-from tests.support.fleet import CENTRES, FleetWorld, load, run_fleet
+from tests.support.fleet import DATA_CENTRES, FleetWorld, run_fleet, send_steady_load
 from tests.support.notices import most_in_window, tolerated
 
 RATE_PER_S = 2.0
@@ -28,7 +28,10 @@
         replicas = [world.plain[0], world.engines[0]]
         for replica in replicas:
             replica.needs.rate_per_s = str(RATE_PER_S)
-        await asyncio.gather(load(world, '/safe/x', LOAD_S), load(world, '/stream/x', LOAD_S))
+        await asyncio.gather(
+            send_steady_load(world, '/safe/x', LOAD_S),
+            send_steady_load(world, '/stream/x', LOAD_S),
+        )
         for replica in replicas:
             assert replica.stated
             assert most_in_window(world, replica) <= tolerated(RATE_PER_S)
@@ -46,12 +49,18 @@
         replicas = [world.plain[0], world.engines[0]]
         for replica in replicas:
             replica.needs.rate_per_s = str(RATE_PER_S)
-        await asyncio.gather(load(world, '/safe/x', 1.0), load(world, '/stream/x', 1.0))
+        await asyncio.gather(
+            send_steady_load(world, '/safe/x', 1.0), send_steady_load(world, '/stream/x', 1.0)
+        )
         for replica in replicas:
             replica.needs.rate_per_s = None
-        await asyncio.gather(load(world, '/safe/x', 2.0), load(world, '/stream/x', 2.0))
+        await asyncio.gather(
+            send_steady_load(world, '/safe/x', 2.0), send_steady_load(world, '/stream/x', 2.0)
+        )
         seen = [len(replica.seen) for replica in replicas]
-        await asyncio.gather(load(world, '/safe/x', 2.0), load(world, '/stream/x', 2.0))
+        await asyncio.gather(
+            send_steady_load(world, '/safe/x', 2.0), send_steady_load(world, '/stream/x', 2.0)
+        )
         for replica, before in zip(replicas, seen, strict=True):
             assert len(replica.seen) - before > 2 * RATE_PER_S * 2.0
 
@@ -62,7 +71,7 @@
     async def scenario(world: FleetWorld) -> None:
         for replica in world.plain:
             replica.needs.rate_per_s = '0.5'
-        await load(world, '/safe/x', 1.0)
+        await send_steady_load(world, '/safe/x', 1.0)
         before_s = asyncio.get_running_loop().time()
         answered = await world.call('/safe/x')
         assert answered.status == 503
@@ -84,10 +93,14 @@
         replicas = [*world.plain, *world.engines]
         for replica in replicas:
             replica.needs.rate_per_s = '2.3'
-        await asyncio.gather(load(world, '/safe/x', 12.0), load(world, '/stream/x', 12.0))
+        await asyncio.gather(
+            send_steady_load(world, '/safe/x', 12.0), send_steady_load(world, '/stream/x', 12.0)
+        )
         for replica in replicas:
             assert most_in_window(world, replica) <= tolerated(2.3)
             owners = [world.components(n).dispatchers for n in range(len(world.centres))]
-            assert all(one.of_centre(centre) is not None for one in owners for centre in CENTRES)
+            assert all(
+                one.of_centre(centre) is not None for one in owners for centre in DATA_CENTRES
+            )
 
     run_fleet(scenario, centres=('z1', 'z2', 'z3') * 3)
--- a/tests/gateway/test_silent_store.py
+++ b/tests/gateway/test_silent_store.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from tests.support.fleet import FleetWorld, load, run_fleet
+from tests.support.fleet import FleetWorld, run_fleet, send_steady_load
 from tests.support.gateway import PLAIN, configuration, route
 
 #: Time within which a configuration must be in force on all gateways, in seconds.
@@ -28,8 +28,8 @@
     async def scenario(world: FleetWorld) -> None:
         world.store.faults.silent = True
         outage_s = rng.uniform(1.5, 3.5)
-        statuses = await load(world, '/safe/x', outage_s)
-        late_load = asyncio.create_task(load(world, '/safe/x', 0.5))
+        statuses = await send_steady_load(world, '/safe/x', outage_s)
+        late_load = asyncio.create_task(send_steady_load(world, '/safe/x', 0.5))
         await asyncio.sleep(0.1)
         world.store.faults.silent = False
         assert set(statuses) == {200}
@@ -38,6 +38,6 @@
         for version in (2, 3):
             world.configure(configuration(version, route(f'only{version}', 'safe', PLAIN)))
             await asyncio.sleep(IN_FORCE_S)
-            assert set(await load(world, f'/only{version}/x', 0.2)) == {200}
+            assert set(await send_steady_load(world, f'/only{version}/x', 0.2)) == {200}
 
     run_fleet(scenario)
--- a/tests/placement/test_deadly_load.py
+++ b/tests/placement/test_deadly_load.py
@@ -11,7 +11,7 @@
 
 import asyncio
 
-from tests.support.fleet import CENTRES, FleetWorld, run_fleet
+from tests.support.fleet import DATA_CENTRES, FleetWorld, run_fleet
 
 #: Maximum number of crashes under one load over the whole fleet.
 ALLOWED = 3
@@ -23,7 +23,7 @@
         until_s = loop.time() + 12.0
         served = []
         while loop.time() < until_s:
-            for number in range(len(CENTRES)):
+            for number in range(len(DATA_CENTRES)):
                 waiting = asyncio.create_task(world.generate_at(number, b'rare', 'm3'))
                 served.append(await world.generate_at(number, b'other'))
                 await waiting
--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -22,7 +22,7 @@
     from limeshelf.settings.gateway import GatewaySettings
 
 #: Data centre of each gateway, by its number.
-CENTRES = ('z1', 'z1', 'z2')
+DATA_CENTRES = ('z1', 'z1', 'z2')
 #: Total call rate of :func:`load`, over all gateways.
 CALLS_PER_S = 40
 #: Time after a replica's crash until the store drops its row, in seconds.
@@ -47,7 +47,7 @@
         deadly_text: bytes | None = None,
         deadly_model: str = '',
         back_after_s: float = 0.6,
-        centres: tuple[str, ...] = CENTRES,
+        centres: tuple[str, ...] = DATA_CENTRES,
     ) -> None:
         super().__init__()
         self.store.era = 1
@@ -163,7 +163,7 @@
         await replica.close()
 
 
-async def load(world: FleetWorld, path: str, for_s: float) -> list[int]:
+async def send_steady_load(world: FleetWorld, path: str, for_s: float) -> list[int]:
     """Send calls to all gateways in turn, at a constant rate; return the response statuses.
 
     :param path: path of the calls; those below ``/stream`` call a model.
