--- a/tests/gateway/test_keys.py
+++ b/tests/gateway/test_keys.py
@@ -188,7 +188,9 @@
 
 def test_unreadable_newer_configuration_invalidates_the_keys_of_the_one_in_force() -> None:
     async def scenario(world: KeyWorld) -> None:
-        world.store.put('op', 'config', support.encoded({'Version': 3, 'Tenants': 'none'}))
+        world.store.put(
+            'op', 'config', support.encode_row_value({'Version': 3, 'Tenants': 'none'})
+        )
         in_force = world.gateway.components.in_force
         await world.until(lambda: in_force.is_superseded)
         assert in_force.version == 2
--- a/tests/gateway/test_restored_store.py
+++ b/tests/gateway/test_restored_store.py
@@ -13,7 +13,7 @@
 
 from limeshelf.util.clock import boottime_s
 from tests.support.fleet import FleetWorld, run_fleet
-from tests.support.gateway import PLAIN, configuration, encoded, route
+from tests.support.gateway import PLAIN, configuration, encode_row_value, route
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -207,7 +207,7 @@
             world.store.drop('members', f'g-{number}')
         copied = world.store.version
         for number in range(3):
-            value = encoded(
+            value = encode_row_value(
                 {
                     'address': world.components(number).node.address,
                     'data_centre': world.centres[number],
--- a/tests/platform_soak/faults.py
+++ b/tests/platform_soak/faults.py
@@ -10,7 +10,7 @@
 from standins.users_platform.replica import Fault, ReplicaStandIn
 from tests.platform_soak.link import Impairment, Link
 from tests.platform_soak.world import STORE, GatewayProcess, World
-from tests.support.gateway import encoded
+from tests.support.gateway import encode_row_value
 
 FaultFunction = Callable[['FaultInjector'], Awaitable[None]]
 fault_functions: dict[str, FaultFunction] = {}
@@ -246,7 +246,12 @@
 @strike
 async def write_foreign_rows(faults: FaultInjector) -> None:
     """Write malformed rows into the store, beside valid ones or in their place."""
-    values = ['no base64', encoded(7), encoded({'Service': 7}), encoded({'State': 'zzz'})]
+    values = [
+        'no base64',
+        encode_row_value(7),
+        encode_row_value({'Service': 7}),
+        encode_row_value({'State': 'zzz'}),
+    ]
     tables = {
         'servers': ['stranger', faults.random.choice(faults.world.replicas).replica_id],
         'members': ['stranger'],
--- a/tests/platform_soak/world.py
+++ b/tests/platform_soak/world.py
@@ -20,7 +20,7 @@
 from standins.users_platform.store import StoreFaults, StoreStandIn
 from tests.platform_soak.keys import LIMIT_WINDOW_S, REVOCATION_LIMIT_S, Keys
 from tests.platform_soak.link import Link
-from tests.support.gateway import ENGINE, PLAIN, configuration, encoded, free_port, route
+from tests.support.gateway import ENGINE, PLAIN, configuration, encode_row_value, free_port, route
 
 #: The store's name in the record of faults.
 STORE = 'store'
@@ -163,7 +163,7 @@
 
     def rewrite_configuration(self) -> None:
         """Write the newest configuration to the store again, which may have lost it."""
-        self.store.put('op', 'config', encoded(self._document))
+        self.store.put('op', 'config', encode_row_value(self._document))
         self._confirm_keys()
 
     def restore_store(self, age_s: float) -> None:
@@ -173,7 +173,7 @@
 
     def _confirm_keys(self) -> None:
         values = [row['Value'] for row in self.store.rows('op') if row['Key'] == 'config']
-        if self.store.faults == StoreFaults() and values == [encoded(self._document)]:
+        if self.store.faults == StoreFaults() and values == [encode_row_value(self._document)]:
             self.keys.confirm()
 
     async def restart(self, replica: ReplicaStandIn, step_ms: int) -> None:
@@ -197,7 +197,7 @@
             service = PLAIN if replica in self.plain else ENGINE
             is_draining = replica.replica_id in self._draining
             row = replica.row(service, 'draining' if is_draining else 'ready', self._beat)
-            self.store.put('servers', replica.replica_id, encoded(row))
+            self.store.put('servers', replica.replica_id, encode_row_value(row))
             if is_draining and self.store.faults == StoreFaults():
                 self._record_drain(replica)
 
--- a/tests/support/gateway.py
+++ b/tests/support/gateway.py
@@ -111,7 +111,7 @@
 
 
 @attrs.define
-class Answered:
+class Response:
     """A complete response."""
 
     status: int
@@ -171,12 +171,14 @@
 
     def configure(self, document: dict[str, Any]) -> None:
         """Put a configuration into the store."""
-        self.store.put('op', 'config', encoded(document))
+        self.store.put('op', 'config', encode_row_value(document))
 
     def announce(self, replica: ReplicaStandIn, state: str = 'ready', beat: int = 1) -> None:
         """Write a replica's row."""
         service = PLAIN if replica in self.plain else ENGINE
-        self.store.put('servers', replica.replica_id, encoded(replica.row(service, state, beat)))
+        self.store.put(
+            'servers', replica.replica_id, encode_row_value(replica.row(service, state, beat))
+        )
 
     async def until_ready(self) -> None:
         """Wait until the gateway is ready and knows all replicas."""
@@ -200,7 +202,7 @@
 
     async def call(
         self, path: str, method: str = 'POST', body: bytes = b'', **headers: str
-    ) -> Answered:
+    ) -> Response:
         """Send a call and return the complete response; raise if it is incomplete."""
         assert self.caller is not None
         all_headers = {
@@ -213,11 +215,11 @@
         async with self.caller.request(
             method, url, data=body or None, headers=all_headers
         ) as answer:
-            return Answered(answer.status, dict(answer.headers), await answer.read())
+            return Response(answer.status, dict(answer.headers), await answer.read())
 
     async def generate(
         self, path: str = '/stream/x', model: str = 'm1', **headers: str
-    ) -> Answered:
+    ) -> Response:
         """Call a model and return the complete stream."""
         return await self.call(
             path,
@@ -250,7 +252,7 @@
                 await asyncio.sleep(0.01)
 
 
-def encoded(document: dict[str, Any]) -> str:
+def encode_row_value(document: dict[str, Any]) -> str:
     """Return *document* encoded as a row's value."""
     return base64.b64encode(json.dumps(document).encode()).decode()
 
