--- a/tests/dispatch/test_rate_limiter.py
+++ b/tests/dispatch/test_rate_limiter.py
@@ -14,7 +14,7 @@
 from limeshelf.membership.member import LOCAL
 from limeshelf.replicas.record import ReplicaRecord
 from limeshelf.replicas.replica import Replica
-from tests.support.notices import WINDOW_S, tolerated
+from tests.support.notices import WINDOW_S, tolerated_calls
 
 STEP_S = 0.01
 
@@ -77,7 +77,7 @@
     )
     if not others:
         times = [sent_s for sent_s in times if sent_s < 20.0 + REDUCED_RATE_PERIOD_S]
-    assert most_in_window(times) <= tolerated(rate_per_s)
+    assert most_in_window(times) <= tolerated_calls(rate_per_s)
 
 
 def test_replica_without_rate_limit_needs_no_permit() -> None:
--- a/tests/gateway/test_leaving_replica.py
+++ b/tests/gateway/test_leaving_replica.py
@@ -15,7 +15,7 @@
 
 from standins.users_platform.replica import Needs
 from tests.support.fleet import FleetWorld, run_fleet, send_steady_load
-from tests.support.notices import LEAVING_AFTER_S, arrivals_after_leaving
+from tests.support.notices import LEAVING_TOLERANCE_S, calls_after_leaving_notice
 
 if TYPE_CHECKING:
     from standins.users_platform.replica import ReplicaStandIn
@@ -51,7 +51,7 @@
         await load_both(world, 2.0)
         for replica in replicas:
             assert replica.stated
-            assert arrivals_after_leaving(world, replica) == 0
+            assert calls_after_leaving_notice(world, replica) == 0
 
     run_fleet(scenario)
 
@@ -67,9 +67,9 @@
         assert {stated.status for stated in replica.stated} == {421}
         replica.models['m1'] = []
         world.announce(replica, beat=9)
-        await asyncio.sleep(LEAVING_AFTER_S)
+        await asyncio.sleep(LEAVING_TOLERANCE_S)
         await send_steady_load(world, '/stream/x', 1.5)
-        assert arrivals_after_leaving(world, replica) == 0
+        assert calls_after_leaving_notice(world, replica) == 0
 
     run_fleet(scenario)
 
--- a/tests/gateway/test_paused_replica.py
+++ b/tests/gateway/test_paused_replica.py
@@ -15,7 +15,7 @@
 
 from standins.users_platform.replica import Fault
 from tests.support.fleet import DATA_CENTRES, FleetWorld, run_fleet, send_steady_load
-from tests.support.notices import TOLERATED_IN_REST, most_in_a_rest
+from tests.support.notices import TOLERATED_CALLS_IN_PAUSE, max_calls_in_pause
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -41,7 +41,7 @@
         )
         for replica in replicas:
             assert replica.stated
-            assert most_in_a_rest(world, replica) <= TOLERATED_IN_REST
+            assert max_calls_in_pause(world, replica) <= TOLERATED_CALLS_IN_PAUSE
 
     run_fleet(scenario)
 
--- a/tests/gateway/test_rate_limited_replica.py
+++ b/tests/gateway/test_rate_limited_replica.py
@@ -15,7 +15,7 @@
 
 from limeshelf.dispatch.rate_limiter import REDUCED_RATE_PERIOD_S
 from tests.support.fleet import DATA_CENTRES, FleetWorld, run_fleet, send_steady_load
-from tests.support.notices import most_in_window, tolerated
+from tests.support.notices import max_calls_in_window, tolerated_calls
 
 RATE_PER_S = 2.0
 LOAD_S = 8.0
@@ -34,7 +34,7 @@
         )
         for replica in replicas:
             assert replica.stated
-            assert most_in_window(world, replica) <= tolerated(RATE_PER_S)
+            assert max_calls_in_window(world, replica) <= tolerated_calls(RATE_PER_S)
             # The rate is still used; a new pacer allows half of it at first.
             assert (
                 len(replica.seen)
@@ -97,7 +97,7 @@
             send_steady_load(world, '/safe/x', 12.0), send_steady_load(world, '/stream/x', 12.0)
         )
         for replica in replicas:
-            assert most_in_window(world, replica) <= tolerated(2.3)
+            assert max_calls_in_window(world, replica) <= tolerated_calls(2.3)
             owners = [world.components(n).dispatchers for n in range(len(world.centres))]
             assert all(
                 one.of_centre(centre) is not None for one in owners for centre in DATA_CENTRES
--- a/tests/platform_soak/notices.py
+++ b/tests/platform_soak/notices.py
@@ -9,12 +9,12 @@
 
 from standins.users_platform.replica import STATUS_FULL
 from tests.support.notices import (
-    AGREED_AFTER_S,
-    KNOWN_AFTER_S,
-    LEAVING_AFTER_S,
-    TOLERATED_IN_REST,
+    COMPLIANCE_DELAY_S,
+    LEAVING_TOLERANCE_S,
+    SHARING_DELAY_S,
+    TOLERATED_CALLS_IN_PAUSE,
     WINDOW_S,
-    tolerated,
+    tolerated_calls,
 )
 
 if TYPE_CHECKING:
@@ -77,7 +77,7 @@
         if stated.needs.rest_s is None or stated.status != STATUS_FULL:
             continue
         gateway = observations.gateway_of(stated.call_id)
-        begin_s = stated.at_s + KNOWN_AFTER_S
+        begin_s = stated.at_s + COMPLIANCE_DELAY_S
         end_s = min(stated.at_s + float(stated.needs.rest_s), replica.next_start_s(stated.at_s))
         within = [
             seen
@@ -86,7 +86,7 @@
             and observations.gateway_of(seen.call_id) == gateway
             and observations.is_conclusive(replica, seen, stated.at_s)
         ]
-        if len(within) > TOLERATED_IN_REST:
+        if len(within) > TOLERATED_CALLS_IN_PAUSE:
             yield f'{replica.replica_id}: {len(within)} calls from {gateway} during its pause'
 
 
@@ -97,7 +97,7 @@
         late = [
             seen
             for seen in replica.seen
-            if stated.at_s + LEAVING_AFTER_S < seen.at_s < end_s
+            if stated.at_s + LEAVING_TOLERANCE_S < seen.at_s < end_s
             and observations.gateway_of(seen.call_id) == gateway
             and observations.is_conclusive(replica, seen, stated.at_s)
         ]
@@ -129,12 +129,12 @@
         seen.at_s
         for seen in replica.seen
         if (at_s := notified_s.get(observations.gateway_of(seen.call_id))) is not None
-        and at_s + KNOWN_AFTER_S <= seen.at_s <= period[-1].at_s
+        and at_s + COMPLIANCE_DELAY_S <= seen.at_s <= period[-1].at_s
         and observations.is_conclusive(replica, seen, seen.at_s)
     ]
     for end_s in times:
         count = sum(end_s - WINDOW_S < one <= end_s for one in times)
-        if end_s >= period[0].at_s + AGREED_AFTER_S and count > tolerated(rate_per_s):
+        if end_s >= period[0].at_s + SHARING_DELAY_S and count > tolerated_calls(rate_per_s):
             yield (
                 f'{replica.replica_id}: {count} calls in {WINDOW_S:.0f} s, '
                 f'states a limit of {rate_per_s}/s'
