--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -11,8 +11,8 @@
 
 from standins.calls import get, wait_until
 from tests.features.environment import World
-from tests.support.history import faults_of, key_runs
-from tests.support.load import Load
+from tests.support.history import count_runs_by_key, find_history_violations
+from tests.support.load import LoadGenerator
 
 MODELS = [f'm{number}' for number in range(6)]
 REPEATS = 3
@@ -26,7 +26,7 @@
         self.system = self.world.system
         assert self.world.apply()[0] == 0
         self.world.await_ready()
-        self.load = Load(self.system, MODELS)
+        self.load = LoadGenerator(self.system, MODELS)
 
     def outcomes_since(self, since: int) -> str:
         """Return the outcomes of the calls from index *since* of the history, as text."""
@@ -138,7 +138,7 @@
                 times = [action() for _ in range(repeats)]
                 times_text = ' '.join(f'{seconds:.2f}' for seconds in times)
                 print(f'{name:<44}{times_text:<24}{recovery.outcomes_since(since)}', flush=True)
-        faults = faults_of(recovery.load.history, key_runs(recovery.system))
+        faults = find_history_violations(recovery.load.history, count_runs_by_key(recovery.system))
         print(f'{len(faults)} faults in the history of {len(recovery.load.history)} calls')
         for fault in faults[:5]:
             print(f'  {fault}')
--- a/tests/feeds/test_follower.py
+++ b/tests/feeds/test_follower.py
@@ -17,7 +17,7 @@
 from limeshelf.feeds.table_copy import TableCopy
 from limeshelf.platform.store import StoreClient
 from standins.users_platform.store import StoreStandIn
-from tests.support.positions import at
+from tests.support.positions import make_position
 
 
 def encoded(value: str) -> str:
@@ -113,7 +113,7 @@
     Row,
     key=st.sampled_from('abc'),
     value=st.binary(max_size=2),
-    position=st.builds(at, st.integers(1, 30)),
+    position=st.builds(make_position, st.integers(1, 30)),
     gone=st.booleans(),
 )
 
@@ -131,8 +131,10 @@
     copy = TableCopy('t', check_is_newer)
     for drawn, version, is_full in pages:
         if is_full:
-            existing = tuple(row for row in drawn if not row.gone and row.position <= at(version))
-            copy.apply_full_read(Page(existing, at(version)))
+            existing = tuple(
+                row for row in drawn if not row.gone and row.position <= make_position(version)
+            )
+            copy.apply_full_read(Page(existing, make_position(version)))
         else:
             copy.apply_rows(drawn)
 
--- a/tests/feeds/test_late_configuration.py
+++ b/tests/feeds/test_late_configuration.py
@@ -31,7 +31,7 @@
 from limeshelf.feeds.store_backoff import StoreBackoff
 from limeshelf.feeds.table_copy import TableCopy
 from limeshelf.util.clock import boottime_s
-from tests.support.positions import at
+from tests.support.positions import make_position
 
 #: How long the store may hold a call for changes of the members, and of the configuration.
 MEMBERS_WAIT_S = 3.0
@@ -53,7 +53,7 @@
 
     def put(self, table: str) -> None:
         self.version += 1
-        self.rows[table] = Row('key', b'', at(self.version))
+        self.rows[table] = Row('key', b'', make_position(self.version))
         self._changed.set()
         self._changed = asyncio.Event()
 
@@ -81,7 +81,7 @@
     def _page(self, table: str, after: Position) -> Page:
         row = self.rows.get(table)
         rows = (row,) if row is not None and row.position > after else ()
-        return Page(rows, at(self.version), 0, boottime_s())
+        return Page(rows, make_position(self.version), 0, boottime_s())
 
 
 class IsolatedGateway:
@@ -102,7 +102,7 @@
 
 def copy_updated_by_peer(table: str, rule: FollowRule) -> TableCopy:
     copy = TableCopy(table, lambda row: None, rule)
-    copy.apply_update([], at(0), at(1), 0.0)
+    copy.apply_update([], make_position(0), make_position(1), 0.0)
     return copy
 
 
@@ -132,7 +132,7 @@
         # Peers still send updates, as they do to a gateway that is due; only the store is
         # unavailable.
         for copy in (members, config):
-            copy.apply_update([], at(0), at(1), 0.0)
+            copy.apply_update([], make_position(0), make_position(1), 0.0)
         store.is_unavailable = False
         store.put('op')
         took_s = await until(lambda: config.rows(), MEMBERS_WAIT_S + 1.0)
--- a/tests/gateway/test_keys.py
+++ b/tests/gateway/test_keys.py
@@ -190,7 +190,9 @@
 
 def test_unreadable_newer_configuration_invalidates_the_keys_of_the_current_one() -> None:
     async def scenario(world: KeyWorld) -> None:
-        world.store.put('op', 'config', support.encoded({'Version': 3, 'Tenants': 'none'}))
+        world.store.put(
+            'op', 'config', support.encode_row_value({'Version': 3, 'Tenants': 'none'})
+        )
         active_config = world.gateway.components.active_config
         await world.until(lambda: active_config.is_superseded)
         assert active_config.version == 2
--- a/tests/support/test_history.py
+++ b/tests/support/test_history.py
@@ -1,4 +1,4 @@
-"""The checks of a history find what they are there for."""
+"""Tests that the history checks detect each kind of violation."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import attrs
 import pytest
 
-from tests.support.history import Call, faults_of, judge_stream
+from tests.support.history import Call, check_stream, find_history_violations
 
 CALL = Call('book', 'c', 'k', 'x-0', 1.0, 2.0, 200, 'completed', True, 3)
 MARK = f'c.{zlib.crc32(b"user: hello"):08x}'
@@ -19,8 +19,8 @@
     return ''.join(f'data: {json.dumps(event)}\n\n' for event in events) + end
 
 
-def test_history_that_keeps_the_promises_has_no_fault() -> None:
-    assert faults_of([CALL], {'k': 1}) == []
+def test_correct_history_has_no_violation() -> None:
+    assert find_history_violations([CALL], {'k': 1}) == []
 
 
 @pytest.mark.parametrize(
@@ -35,21 +35,21 @@
     ],
     ids=['not-whole', 'missing', 'ran-twice', 'never-ran', 'ran-though-not-run', 'step-back'],
 )
-def test_broken_promise_is_found(calls: list[Call], runs: dict[str, int]) -> None:
-    assert len(faults_of(calls, runs)) == 1
+def test_violation_is_found(calls: list[Call], runs: dict[str, int]) -> None:
+    assert len(find_history_violations(calls, runs)) == 1
 
 
-def test_stream_is_judged_token_by_token() -> None:
+def test_stream_is_checked_token_by_token() -> None:
     whole = stream(f'{MARK}.0 ', f'{MARK}.1 ')
-    assert judge_stream(whole, 'c', 'hello', 2) == ('completed', True)
-    assert judge_stream(whole, 'c', 'hello', 3) == ('completed', False)
-    assert judge_stream(whole, 'd', 'hello', 2) == ('completed', False)
+    assert check_stream(whole, 'c', 'hello', 2) == ('completed', True)
+    assert check_stream(whole, 'c', 'hello', 3) == ('completed', False)
+    assert check_stream(whole, 'd', 'hello', 2) == ('completed', False)
     swapped = stream(f'{MARK}.1 ', f'{MARK}.0 ')
-    assert judge_stream(swapped, 'c', 'hello', 2) == ('completed', False)
+    assert check_stream(swapped, 'c', 'hello', 2) == ('completed', False)
 
 
-def test_cut_stream_is_dropped_unless_it_says_so() -> None:
-    assert judge_stream(stream(f'{MARK}.0 ', end=''), 'c', 'hello', 2) == ('dropped', True)
+def test_truncated_stream_is_dropped_unless_it_ends_with_an_error() -> None:
+    assert check_stream(stream(f'{MARK}.0 ', end=''), 'c', 'hello', 2) == ('dropped', True)
     error = f'data: {json.dumps({"error": {"outcome": "may_have_run"}})}\n\n'
     broken = stream(f'{MARK}.0 ', end=error)
-    assert judge_stream(broken, 'c', 'hello', 2) == ('may_have_run', True)
+    assert check_stream(broken, 'c', 'hello', 2) == ('may_have_run', True)
