--- a/limeshelf/standalone/placement/__init__.py
+++ b/limeshelf/standalone/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Which model sits in which memory: ledger, anchors, policies and orders."""
+"""Model placement: memory accounting, anchor replicas, policies and load orders."""
--- a/limeshelf/standalone/placement/anchors.py
+++ b/limeshelf/standalone/placement/anchors.py
@@ -1,7 +1,7 @@
-"""The one replica of each model that must not be unloaded, agreed in the table.
+"""Stores the anchor of each model: the one replica that must not be unloaded.
 
-Owns the anchors as last read and the writes whose outcome is unknown. Relies on the
-table and on the lease: a write counts only under the epoch that the placer holds
+Anchors are rows of the table. Owns the anchors as last read and the writes whose outcome
+is unknown. Each write is conditional on the epoch that the placer holds
 (docs/design/reachable.rst).
 """
 
@@ -21,8 +21,8 @@
     from limeshelf.standalone.services.table import TableClient, TransactOutcome
 
 ANCHOR_PREFIX = 'anchor/'
-#: One row for each data centre, written with each change of an anchor, so that
-#: readers read a few rows as long as nothing changes.
+#: Prefix of one row for each data centre, written with each change of an anchor. Readers poll
+#: these few rows and read the anchors only after a change.
 CHANGE_PREFIX = 'anchor-change/'
 
 
@@ -31,8 +31,8 @@
     """Where a model's anchor replica is.
 
     :param row_version: version of its row in the table.
-    :param handoff: the owner has no memory free and asks another data centre to take
-        the anchor over.
+    :param handoff: the data centre of the anchor has no memory free and asks another one
+        to take the anchor over.
     """
 
     model: str
@@ -43,11 +43,11 @@
 
 
 class AnchorBook:
-    """The anchors of all models, as last read, and what may have changed since.
+    """The anchors of all models as last read, and the own writes of unknown outcome.
 
-    Only the placer of an upstream's own data centre moves an anchor *to* that
-    upstream, and the same placer sends its unload orders. So whether an
-    upstream holds an anchor is never a race between two data centres.
+    Only the placer of an upstream's data centre moves an anchor *to* that upstream, and the
+    same placer sends the upstream its unload orders. An unload therefore never races with
+    a move of the anchor by another data centre.
     """
 
     def __init__(self, table: TableClient, lease: LeaseKeeper, data_centre: str) -> None:
@@ -55,8 +55,8 @@
         self._lease = lease
         self._data_centre = data_centre
         self._anchors: dict[str, Anchor] = {}
-        #: Own upstreams that a write of unknown outcome may have made anchors, by
-        #: model, with the row version that the write was conditional on.
+        #: By model: own upstreams to which a write of unknown outcome may have moved the
+        #: anchor, with the row version that the write was conditional on.
         self._unconfirmed: dict[str, dict[str, int]] = {}
         self.is_read = False
         self._change_versions: dict[str, int] = {}
@@ -71,7 +71,10 @@
         return dict(self._anchors)
 
     def may_be_anchored(self, model: str, upstream_id: str) -> bool:
-        """Return whether the anchor may be at the upstream; true before the first read."""
+        """Return whether the anchor of *model* may be at the upstream.
+
+        True for all before the first read.
+        """
         if not self.is_read:
             return True
         anchor = self._anchors.get(model)
@@ -85,12 +88,12 @@
             versions = {row.key: row.version for row in changes}
             if self.is_read and versions == self._change_versions:
                 return True
-            # The rows are read after the versions: a change in between is read
-            # now, and once more at the next refresh.
+            # The versions are read before the rows, so that a change in between is not
+            # missed: the next refresh reads the rows again.
             rows = await self._table.scan(ANCHOR_PREFIX)
         except (PlatformUnavailable, PlatformUnknown) as error:
-            # Anchors last read stay good for unloads: only the own placer moves an
-            # anchor to an own engine, and it does so through this book.
+            # The anchors last read still protect own engines from unloads: only this
+            # placer moves an anchor to an own engine, through this object.
             logging.log_every_n_seconds(
                 logging.WARNING, 'anchors=not_read error=%r', OUTAGE_LOG_S, error
             )
@@ -98,29 +101,30 @@
         self._change_versions = versions
         self._anchors = {anchor.model: anchor for anchor in map(_anchor_of, rows)}
         for model in list(self._unconfirmed):
-            self._drop_refuted(model)
+            self._drop_failed_writes(model)
         self.is_read = True
         return True
 
-    def _drop_refuted(self, model: str) -> None:
+    def _drop_failed_writes(self, model: str) -> None:
         anchor = self._anchors.get(model)
         version = anchor.row_version if anchor else 0
-        left = {
+        pending = {
             upstream_id: based_on
             for upstream_id, based_on in self._unconfirmed[model].items()
-            # While the row has the version that the write was conditional on, the
-            # write may still arrive.
+            # While the row still has the version that the write was conditional on,
+            # the write may yet take effect.
             if version == based_on
         }
-        if left:
-            self._unconfirmed[model] = left
+        if pending:
+            self._unconfirmed[model] = pending
         else:
             del self._unconfirmed[model]
 
     async def put(self, model: str, upstream_id: str, handoff: bool = False) -> bool:
-        """Move the anchor of *model* to an own upstream; return whether it is there.
+        """Move the anchor of *model* to an own upstream; return whether the write was committed.
 
-        A handoff leaves it where it is and only asks for a taker.
+        :param handoff: the upstream keeps the anchor, and other data centres are asked to
+            take it over.
         """
         before = self._anchors.get(model)
         based_on = before.row_version if before else 0
@@ -133,11 +137,11 @@
         try:
             outcome = await self._write(model, based_on, value)
         except PlatformUnavailable:
-            # No effect; the placer logs the move as not made and plans it again.
+            # The write had no effect: the placer logs the move as not made and plans it again.
             self._unconfirmed[model].pop(upstream_id, None)
             return False
         except PlatformUnknown:
-            # The upstream counts as the anchor until the row's version has moved on
+            # The upstream counts as the anchor until the row has another version
             # (test_replica_that_a_lost_answer_may_have_made_the_anchor_stays).
             return False
         self._unconfirmed[model].pop(upstream_id, None)
@@ -157,7 +161,7 @@
         try:
             outcome = await self._write(model, before.row_version, None)
         except (PlatformUnavailable, PlatformUnknown) as error:
-            # The next round drops it: an anchor without a deployment has no effect.
+            # The next round tries again: an anchor without a deployment has no effect.
             logging.log_every_n_seconds(
                 logging.WARNING, 'anchor=%s state=not_dropped error=%r', OUTAGE_LOG_S, model, error
             )
@@ -170,7 +174,7 @@
     async def _write(
         self, model: str, based_on: int, value: dict[str, Any] | None
     ) -> TransactOutcome:
-        """Write the row of *model* under the epoch that is held; ``None`` deletes it.
+        """Write the row of *model*, conditional on the held epoch; ``None`` deletes the row.
 
         :param based_on: version of the row that the write is conditional on.
         """
--- a/limeshelf/standalone/placement/capacity.py
+++ b/limeshelf/standalone/placement/capacity.py
@@ -1,7 +1,7 @@
-"""Finds an own engine with memory for a model, and counts what a round has given away.
+"""Finds own engines with free memory for a model and reserves memory within a round.
 
-Relies on the view of the round only; unloads that make memory free are in
-:mod:`limeshelf.standalone.placement.eviction`.
+Reads only the view of the round; :mod:`limeshelf.standalone.placement.eviction` chooses the
+unloads that make memory free.
 """
 
 from __future__ import annotations
@@ -22,9 +22,9 @@
 
 @attrs.define
 class Reservations:
-    """Memory that moves of the same round will take, by engine.
+    """Memory, by engine, that earlier moves of the same round will use.
 
-    Without it two models of one round would be placed into the same free bytes.
+    Without reservations two moves of one round could count on the same free bytes.
     """
 
     _bytes: dict[str, int] = attrs.field(factory=dict)
@@ -35,17 +35,17 @@
         self._bytes[upstream_id] = self._bytes.get(upstream_id, 0) + total_bytes
 
     def free_bytes(self, engine: EngineView) -> int:
-        """Return what is free on *engine* and not reserved; below 0 if overbooked."""
+        """Return the free and unreserved bytes of *engine*; negative if too many are reserved."""
         return engine.free_bytes - self._bytes.get(engine.upstream_id, 0)
 
 
 def missing_items(unit: UnitView, engine: EngineView) -> list[Item]:
-    """Return the items of *unit* that surely are not in the memory of *engine*."""
+    """Return the items of *unit* that are certainly not in the memory of *engine*."""
     return [item for item in unit.items if item.item_id not in engine.possible_ids]
 
 
 def ready_engine(unit: UnitView, view: PlacementView) -> EngineView | None:
-    """Return the least loaded own engine on which the whole unit is surely ready."""
+    """Return the least loaded own engine on which all items of the unit are ready."""
     wanted = {item.item_id for item in unit.items}
     holders = [engine for engine in view.replicas(unit.base.item_id) if engine.own]
     ready = [engine for engine in holders if wanted <= engine.sure_ids]
@@ -55,20 +55,20 @@
 def engine_with_most_free(
     unit: UnitView, engines: Iterable[EngineView], reservations: Reservations
 ) -> EngineView | None:
-    """Return the engine with the most free memory among those that the whole unit fits."""
+    """Return the engine with the most free memory, if the whole unit fits there."""
     fitting = [e for e in engines if reservations.free_bytes(e) >= unit.total_bytes]
     return max(fitting, key=lambda e: (reservations.free_bytes(e), e.upstream_id), default=None)
 
 
 def reserve_missing(unit: UnitView, engine: EngineView, reservations: Reservations) -> None:
-    """Reserve what *engine* lacks of *unit*."""
+    """Reserve memory on *engine* for the items of *unit* that it lacks."""
     reservations.add(engine, sum(item.total_bytes for item in missing_items(unit, engine)))
 
 
-def load_somewhere(
+def load_on_another_engine(
     unit: UnitView, view: PlacementView, reservations: Reservations, reason: str
 ) -> list[Move]:
-    """Return loads of *unit* on a further own engine, or the unloads they need first."""
+    """Return loads of *unit* on an own engine that lacks it, or the unloads needed first."""
     lacking = [e for e in view.own_engines if unit.base.item_id not in e.possible_ids]
     engine = engine_with_most_free(unit, lacking, reservations)
     if engine is not None:
@@ -83,7 +83,7 @@
 
 
 def loads_on(unit: UnitView, engine: EngineView, items: list[Item], reason: str) -> list[Move]:
-    """Return the loads that can start now: an adapter waits for its base."""
+    """Return the loads that can start now; an adapter needs its base model to be ready."""
     return [
         Move(MoveKind.LOAD, unit.model, engine.upstream_id, item, reason)
         for item in items
--- a/limeshelf/standalone/placement/eviction.py
+++ b/limeshelf/standalone/placement/eviction.py
@@ -1,7 +1,7 @@
-"""Chooses which further replicas an engine unloads to make memory free for a model.
+"""Chooses the replicas beside the anchors that an engine unloads to make memory free.
 
-Relies on the view of the round only. What it returns is a proposal: the unload gate
-(:mod:`limeshelf.standalone.placement.gate`) judges each unload again.
+Reads only the view of the round. The unloads are proposals: the unload gate
+(:mod:`limeshelf.standalone.placement.gate`) checks each one again.
 """
 
 from __future__ import annotations
@@ -22,17 +22,17 @@
     short_bytes: int,
     idle_s: float = 0.0,
 ) -> list[Move]:
-    """Return unloads of further replicas on *engine* that make *short_bytes* free.
+    """Return unloads of redundant replicas on *engine* that make *short_bytes* free.
 
     Old versions go first, then the models that have been idle the longest.
 
     :param unit: the model that the memory is for; it is not unloaded.
-    :param short_bytes: what the model needs beyond the free memory.
-    :param idle_s: replicas used more recently are left alone.
-    :return: no moves when nothing is short, or when all of them would not be enough.
+    :param short_bytes: bytes that the model needs beyond the free memory.
+    :param idle_s: replicas used more recently than this are not unloaded.
+    :returns: no moves if no memory is short, or if all possible unloads are not enough.
     """
     moves: list[Move] = []
-    for item_id in _old_spares(engine, view):
+    for item_id in _redundant_old_versions(engine, view):
         if short_bytes <= 0:
             break
         item = Item(item_id, '', 0, 0)
@@ -43,7 +43,7 @@
     for other in sorted(view.units.values(), key=lambda u: (-u.idle_s, u.model)):
         if short_bytes <= 0:
             break
-        if other.model == unit.model or not _is_spare(other, engine, view, idle_s):
+        if other.model == unit.model or not _is_redundant(other, engine, view, idle_s):
             continue
         for item in reversed(other.items):
             if item.item_id in engine.possible_ids:
@@ -52,8 +52,8 @@
     return moves if short_bytes <= 0 else []
 
 
-def _old_spares(engine: EngineView, view: PlacementView) -> list[str]:
-    """Return old versions on *engine* that their anchors hold too, adapters first."""
+def _redundant_old_versions(engine: EngineView, view: PlacementView) -> list[str]:
+    """Return old versions on *engine* that their anchor engines also hold, adapters first."""
     found = []
     for item_id in sorted(engine.sure_ids, reverse=True):
         unit = view.units.get(model_of(item_id))
@@ -67,7 +67,7 @@
     return found
 
 
-def _is_spare(unit: UnitView, engine: EngineView, view: PlacementView, idle_s: float) -> bool:
+def _is_redundant(unit: UnitView, engine: EngineView, view: PlacementView, idle_s: float) -> bool:
     anchor = view.anchors.get(unit.model)
     return (
         unit.base.item_id in engine.sure_ids
--- a/limeshelf/standalone/placement/gate.py
+++ b/limeshelf/standalone/placement/gate.py
@@ -1,7 +1,8 @@
-"""The last check before an unload: every deployed model stays reachable.
+"""Final check before an unload, so that every deployed model stays reachable.
 
-Owns the unloads that it let pass in this round. Relies on the view of the round and on
-the anchors, with writes of unknown outcome counted (docs/design/reachable.rst).
+Owns the unloads allowed in this round. Reads the view of the round and the anchors; an
+anchor write of unknown outcome counts as if it may have succeeded
+(docs/design/reachable.rst).
 """
 
 from __future__ import annotations
@@ -16,10 +17,10 @@
 
 
 class UnloadGate:
-    """Judges unloads by what one round saw, whatever the policy asked for.
+    """Checks the unloads of one round against its view, independently of the policy.
 
-    An unload that it lets pass is taken out of its picture, so that two
-    unloads of one round cannot count on each other's replica.
+    An allowed unload no longer counts as a replica, so that two unloads of one round cannot
+    rely on each other's replica.
     """
 
     def __init__(self, view: PlacementView, anchors: AnchorBook) -> None:
@@ -28,14 +29,14 @@
         self._removed: set[tuple[str, str]] = set()
 
     def may_unload(self, item_id: str, upstream_id: str) -> bool:
-        """Return whether *item_id* may leave the memory of the own engine."""
+        """Return whether *item_id* may be unloaded from the own engine *upstream_id*."""
         unit = self._view.units.get(model_of(item_id))
         if unit is None:
             allowed = True
         elif item_id in {item.item_id for item in unit.items}:
-            allowed = self._is_spare(unit, item_id, upstream_id)
+            allowed = self._is_redundant(unit, item_id, upstream_id)
         else:
-            allowed = self._is_replaced(unit, item_id) or self._is_old_spare(
+            allowed = self._is_replaced(unit, item_id) or self._is_redundant_old_version(
                 unit, item_id, upstream_id
             )
         if allowed:
@@ -43,13 +44,13 @@
         return allowed
 
     def has_unloaded(self, model: str, upstream_id: str) -> bool:
-        """Return whether a part of *model* was unloaded from the own engine in this round."""
+        """Return whether this round unloads any item of *model* from the own engine."""
         return any(
             model_of(item_id) == model and holder == upstream_id
             for item_id, holder in self._removed
         )
 
-    def _is_spare(self, unit: UnitView, item_id: str, upstream_id: str) -> bool:
+    def _is_redundant(self, unit: UnitView, item_id: str, upstream_id: str) -> bool:
         if self._anchors.may_be_anchored(unit.model, upstream_id):
             return False
         anchor = self._view.anchors.get(unit.model)
@@ -60,7 +61,7 @@
         return len(others) >= needed
 
     def _is_replaced(self, unit: UnitView, item_id: str) -> bool:
-        """Return whether the deployed version stands whole at the anchor."""
+        """Return whether all items of the deployed version are ready at the anchor."""
         name = unversioned(item_id)
         if all(unversioned(item.item_id) != name for item in unit.items):
             return True
@@ -69,11 +70,11 @@
             self._is_ready(item.item_id, anchor.upstream_id) for item in unit.items
         )
 
-    def _is_old_spare(self, unit: UnitView, item_id: str, upstream_id: str) -> bool:
-        """Return whether the anchor itself holds this old version still.
+    def _is_redundant_old_version(self, unit: UnitView, item_id: str, upstream_id: str) -> bool:
+        """Return whether the anchor engine, another one, still holds this old version.
 
-        Without this, replicas of old versions could fill the memory that the
-        new ones need (tests/standalone/placement/test_rollout.py).
+        Without this rule replicas of old versions could keep the memory that the new
+        versions need (tests/standalone/placement/test_rollout.py).
         """
         if self._anchors.may_be_anchored(unit.model, upstream_id):
             return False
--- a/limeshelf/standalone/placement/intents.py
+++ b/limeshelf/standalone/placement/intents.py
@@ -1,7 +1,7 @@
-"""Intents: orders written to the table before they go to an engine that checks no fence.
+"""Write-ahead log of orders for an engine that does not check the fence.
 
-Owns the row of one engine. Relies on the table and on the epoch of the lease
-(docs/design/memory.rst).
+An intent is an order written to the table before it is sent. Owns the row of one engine;
+each write is conditional on the epoch of the lease (docs/design/memory.rst).
 """
 
 from __future__ import annotations
@@ -25,10 +25,10 @@
 
 
 class IntentLog:
-    """The row with the open intents of one engine.
+    """The table row with the open intents of one engine.
 
-    A successor reads it after it has taken the epoch. A deposed placer can add
-    nothing afterwards, since each write is conditional on the epoch row.
+    A new leader reads the row after it has acquired its epoch. From then on a former leader
+    can add no intents, since each write is conditional on the epoch row.
     """
 
     def __init__(self, table: TableClient, lease: LeaseKeeper, upstream_id: str) -> None:
@@ -42,7 +42,7 @@
         try:
             row = await self._table.read(self._key)
         except (PlatformUnavailable, PlatformUnknown) as error:
-            # The worker gives the engine no order until a later read succeeds.
+            # The worker sends the engine no order until a later read succeeds.
             logging.log_every_n_seconds(
                 logging.WARNING, '%s state=not_read error=%r', OUTAGE_LOG_S, self._key, error
             )
@@ -51,9 +51,9 @@
         return list(self._orders)
 
     async def add(self, order: Order, keep_s: float) -> bool:
-        """Write an intent; return whether it surely stands.
+        """Write an intent; return whether the write was committed.
 
-        :param keep_s: intents expired for longer are removed from the row.
+        :param keep_s: intents that expired longer ago are removed from the row.
         """
         limit_s = wall_s() - keep_s
         orders = [kept for kept in self._orders if kept.expires_unix_s > limit_s]
@@ -63,8 +63,8 @@
         try:
             outcome = await self._table.transact([epoch_condition], [Write(self._key, value)])
         except (PlatformUnavailable, PlatformUnknown) as error:
-            # The order is not sent. If the intent was written after all, a successor
-            # counts an order that never came, which errs on the safe side.
+            # The order is not sent. If the intent was written after all, the next leader
+            # counts memory for an order that was never sent, which is safe.
             logging.warning('%s state=not_added item=%s error=%r', self._key, order.item_id, error)
             return False
         if not isinstance(outcome, Committed):
--- a/limeshelf/standalone/placement/ledger.py
+++ b/limeshelf/standalone/placement/ledger.py
@@ -1,7 +1,7 @@
-"""Counts every byte of an engine's memory that may be in use.
+"""Counts the bytes of an engine's memory that may be in use.
 
-Owns the engine's last report and the orders that may still take effect; decides
-whether a load fits (docs/design/memory.rst). Relies on nothing else.
+Owns the engine's last report and the orders that may still take effect; decides whether
+a load fits (docs/design/memory.rst).
 """
 
 from __future__ import annotations
@@ -20,21 +20,20 @@
 class OpenOrder:
     """An order that may still take effect.
 
-    :param dead_after_s: boot clock time after which a report shows for sure
-        whether it took effect, for an engine that checks no fence.
+    :param resolved_after_s: boot clock time after which the order can no longer take
+        effect, so that a report shows its outcome; used if the engine checks no fence.
     """
 
     order: Order
-    dead_after_s: float
+    resolved_after_s: float
 
 
 class Ledger:
-    """Memory of one engine, counted pessimistically.
+    """Upper bound of the memory in use on one engine.
 
-    What counts is the last report plus each open load. An open order is
-    settled when the engine's report covers its number, which a fence-checking
-    engine makes final: it refuses lower numbers and lower epochs from then on.
-    An engine that checks no fence settles an order only by its expiry.
+    The bound is the last report plus all open loads. If the engine checks the fence, an
+    open order is resolved once a report covers its number: from then on the engine refuses
+    lower numbers and lower epochs. If it does not, an order is resolved only by its expiry.
 
     :param checks_fence: whether the engine refuses old epochs and numbers.
     """
@@ -44,30 +43,30 @@
         self.report: EngineReport | None = None
         self.open_orders: list[OpenOrder] = []
 
-    def take_report(self, report: EngineReport, now_s: float) -> bool:
-        """Take in *report* unless an equally new one is known; say whether."""
+    def record_report(self, report: EngineReport, now_s: float) -> bool:
+        """Record *report* if it is newer than the last one; return whether it is."""
         known = self.report
         same_boot = known is not None and known.boot_id == report.boot_id
         if same_boot and known is not None and report.sequence <= known.sequence:
             return False
         self.report = report
-        self.open_orders = [o for o in self.open_orders if not self._is_settled(o, now_s)]
+        self.open_orders = [o for o in self.open_orders if not self._is_resolved(o, now_s)]
         return True
 
-    def add_order(self, order: Order, dead_after_s: float) -> None:
-        """Count *order* from now on; call it before the order is sent."""
-        self.open_orders.append(OpenOrder(order, dead_after_s))
+    def add_order(self, order: Order, resolved_after_s: float) -> None:
+        """Count *order* as open; must be called before the order is sent."""
+        self.open_orders.append(OpenOrder(order, resolved_after_s))
 
     def remove_order(self, order: Order) -> None:
-        """Count *order* no more, because it surely was never sent."""
+        """Stop counting *order*, which was certainly never sent."""
         self.open_orders = [o for o in self.open_orders if o.order is not order]
 
-    def _is_settled(self, entry: OpenOrder, now_s: float) -> bool:
+    def _is_resolved(self, entry: OpenOrder, now_s: float) -> bool:
         assert self.report is not None
         if not self.checks_fence:
-            return now_s > entry.dead_after_s
+            return now_s > entry.resolved_after_s
         order = entry.order
-        # An order names the boot it is meant for, so a restart kills it.
+        # The engine refuses an order that names another boot, so a restart resolves it.
         if order.boot_id != self.report.boot_id:
             return True
         covered = (self.report.last_epoch, self.report.last_order)
@@ -80,13 +79,13 @@
 
     @property
     def free_bytes(self) -> int:
-        """Return the bytes that are surely free; 0 before the first report."""
+        """Return the bytes that are certainly free; 0 before the first report."""
         if self.report is None:
             return 0
         return max(0, self.report.capacity_bytes - self.possible_bytes)
 
     def may_load(self, item_id: str, total_bytes: int) -> bool:
-        """Return whether the item fits beside all that may be in use."""
+        """Return whether the item fits beside all items that may be in memory."""
         if self.report is None:
             return False
         extra_bytes = max(0, total_bytes - self._possible_items().get(item_id, 0))
@@ -97,7 +96,7 @@
         return set(self._possible_items())
 
     def sure_ids(self) -> set[str]:
-        """Return the items that are ready and that no open order can remove."""
+        """Return the items that are ready and that no open order unloads."""
         if self.report is None:
             return set()
         unloading = {
@@ -114,11 +113,11 @@
         return {item.item_id: item.total_bytes for item in held}
 
     def open_ids(self, action: OrderAction) -> set[str]:
-        """Return the items that open orders of this kind are about."""
+        """Return the items that open orders of this kind name."""
         return {o.order.item_id for o in self.open_orders if o.order.action is action}
 
     def loading_count(self) -> int:
-        """Return the loads that may be running."""
+        """Return the number of loads that may be running."""
         reported = self.report.items if self.report else []
         loading = {i.item_id for i in reported if i.state is ItemState.LOADING}
         held = {i.item_id for i in reported}
--- a/limeshelf/standalone/placement/load_check.py
+++ b/limeshelf/standalone/placement/load_check.py
@@ -1,6 +1,6 @@
-"""Decides whether a load may be ordered now, whatever the planner asked for.
+"""Final check before a load is ordered, independent of the planner.
 
-Relies on the ledger of the engine; owns nothing.
+Reads the ledger of the engine; holds no state.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
     """Return whether *item* may be loaded on the engine of *ledger*.
 
     :param running_loads: loads that may be running on all own engines.
-    :param max_loads: most loads at one time (setting ``placer.max_loads``).
+    :param max_loads: maximum number of concurrent loads (setting ``placer.max_loads``).
     """
     if item.item_id in ledger.possible_ids():
         return LoadCheck.ALREADY_THERE
--- a/limeshelf/standalone/placement/order_check.py
+++ b/limeshelf/standalone/placement/order_check.py
@@ -1,6 +1,6 @@
-"""Decides whether an order may still go out, judged immediately before it does.
+"""Final check immediately before an order is sent.
 
-Owns nothing and relies on nothing: the worker gives what the lease and the clock say
+Holds no state: the worker passes in the state of the lease and the time
 (docs/design/memory.rst).
 """
 
@@ -14,7 +14,7 @@
 
 
 class OrderCheck(enum.StrEnum):
-    """Whether an order may go out, and if not, why."""
+    """Whether an order may be sent, and if not, why."""
 
     ALLOWED = 'allowed'
     OTHER_EPOCH = 'other_epoch'
@@ -26,14 +26,14 @@
 def check_order(
     order: Order, epoch: int | None, unix_s: float, checks_fence: bool, lease_is_valid: bool
 ) -> OrderCheck:
-    """Return whether *order* may go out by what the lease and the clock say.
+    """Return whether *order* may be sent, given the lease and the time.
 
-    An engine that checks the fence refuses a deposed holder by itself, so the last holder
-    may order it while the table is out of reach. One that checks none gets orders only
-    under a valid lease, and each has to be an intent in the table first.
+    An engine that checks the fence refuses the orders of a former leader itself, so the last
+    lease holder may go on sending it orders while the table is unreachable. An engine that
+    does not is sent orders only under a valid lease, each after its intent was written.
 
-    :param epoch: epoch held now, ``None`` if none is.
-    :param unix_s: time on the wall clock, to which orders expire.
+    :param epoch: epoch held now, ``None`` if this placer does not lead.
+    :param unix_s: wall clock time; orders state their expiry on this clock.
     """
     if epoch != order.epoch:
         return OrderCheck.OTHER_EPOCH
--- a/limeshelf/standalone/placement/placer.py
+++ b/limeshelf/standalone/placement/placer.py
@@ -1,8 +1,7 @@
-"""The placement loop of one data centre: gather the view, plan, check, order.
+"""Placement loop of one data centre: builds the view, plans, checks and orders moves.
 
-Owns the workers of the own engines, the planner with the policy in force, and the pace
-of loads. Relies on the lease (only its holder orders), the anchors, the configuration
-and the upstream directory. The rules themselves stand in ``planner``, ``policies``,
+Owns the workers of the own engines, the planner with the current policy, and the rate limit
+of loads. Only the lease holder sends orders. The rules are in ``planner``, ``policies``,
 ``load_check``, ``gate`` and ``ledger``.
 """
 
@@ -15,7 +14,7 @@
 
 from limeshelf.standalone.config.document import PolicyKind
 from limeshelf.standalone.config.items import model_of
-from limeshelf.standalone.placement.demand import DemandBook
+from limeshelf.standalone.placement.demand import DemandTracker
 from limeshelf.standalone.placement.gate import UnloadGate
 from limeshelf.standalone.placement.intents import IntentLog
 from limeshelf.standalone.placement.ledger import Ledger
@@ -44,7 +43,7 @@
     from limeshelf.standalone.services.table import TableClient
     from limeshelf.standalone.upstreams.pool import UpstreamPool
 
-#: Anchors are read again after this time: two rounds at the default of placer.round_s.
+#: Interval between reads of the anchors: two rounds at the default of placer.round_s.
 ANCHOR_READ_S = 1.0
 
 
@@ -64,7 +63,7 @@
         metrics: Metrics,
         decisions: DecisionLog,
     ) -> None:
-        self.demand = DemandBook()
+        self.demand = DemandTracker()
         self._data_centre = data_centre
         self._settings = settings
         self._config = config
@@ -92,7 +91,7 @@
         self._tasks.supervise(self._run, 'placement')
 
     async def close(self) -> None:
-        """Stop, and give the lease back."""
+        """Stop all tasks and release the lease."""
         await self._tasks.close()
         await self._lease.release()
 
@@ -108,7 +107,7 @@
             await asyncio.sleep(jittered_s(self._settings.round_s))
 
     async def round(self) -> None:
-        """Gather the view, plan and order once, if this placer leads."""
+        """Run one placement round, if this placer leads."""
         self._assign_workers()
         if self._lease.epoch is not None:
             await self._decide()
@@ -116,7 +115,7 @@
             self._anchors.is_read = False
 
     def _assign_workers(self) -> None:
-        """Run one worker for each engine of the data centre, while leading."""
+        """Run one worker for each engine of the data centre while leading, none otherwise."""
         engines = {
             u.upstream_id: u
             for u in self._upstreams.own_centre()
@@ -156,24 +155,24 @@
         view = self._view_builder.build(now_s, self.workers)
         gate = UnloadGate(view, self._anchors)
         for move in self._current_planner().plan(view):
-            await self._carry_out(move, gate)
+            await self._execute(move, gate)
         await self._drop_old_anchors()
         self._metrics.count('placement.rounds')
 
     def _current_planner(self) -> Planner:
         policy = self._config.catalog.policy_for(PolicyKind.PLACEMENT, None, 1.0)
         if self._planner is None or policy != self._policy:
-            made = placement_policies.get(policy.implementation).from_config(policy)
+            placement_policy = placement_policies.get(policy.implementation).from_config(policy)
             if self._planner is None:
-                self._planner = Planner(made)
-            self._planner.policy = made
+                self._planner = Planner(placement_policy)
+            self._planner.policy = placement_policy
             self._policy = policy
             logging.info('placement=policy name=%s', policy.name)
         return self._planner
 
-    async def _carry_out(self, move: Move, gate: UnloadGate) -> None:
+    async def _execute(self, move: Move, gate: UnloadGate) -> None:
         if move.kind in (MoveKind.ANCHOR, MoveKind.HANDOFF):
-            await self._carry_out_anchor(move, gate)
+            await self._execute_anchor_move(move, gate)
             return
         worker = self.workers.get(move.upstream_id)
         if worker is None or not worker.is_ready:
@@ -185,9 +184,9 @@
         else:
             self._unload(move, worker, gate)
 
-    async def _carry_out_anchor(self, move: Move, gate: UnloadGate) -> None:
-        # Planned by what stood there before this round's unloads
-        # (tests/standalone/placement/test_reachable_scenarios.py).
+    async def _execute_anchor_move(self, move: Move, gate: UnloadGate) -> None:
+        # The move was planned before this round's unloads, so its target may since have lost
+        # the replica (tests/standalone/placement/test_reachable_scenarios.py).
         done = not gate.has_unloaded(move.model, move.upstream_id) and await self._anchors.put(
             move.model, move.upstream_id, handoff=move.kind is MoveKind.HANDOFF
         )
@@ -198,7 +197,7 @@
         running = sum(other.ledger.loading_count() for other in self.workers.values())
         check = check_load(item, worker.ledger, running, self._settings.max_loads)
         if check is not LoadCheck.ALLOWED or not self._load_rate.try_take():
-            # The planner asks again in the next round, so no line for each round.
+            # Debug level only: the planner proposes the load again in every round.
             logging.debug('load=%s upstream=%s check=%s', item.item_id, move.upstream_id, check)
             return
         worker.submit(
--- a/limeshelf/standalone/placement/planner.py
+++ b/limeshelf/standalone/placement/planner.py
@@ -1,9 +1,9 @@
-"""Plans the moves of a round: the rules every placement keeps, then the policy's moves.
+"""Plans the moves of a round: first by the rules common to all policies, then by the policy.
 
-Owns how long each model has been without an anchor. Relies on nothing but the view of
-the round. The rules, in their order: each model has an anchor that holds the whole
-model; each has its least number of replicas; replicas hold the adapters in use; items
-that no deployment names go.
+Owns the time since when each model has had no anchor; reads only the view of the round.
+The rules, in order: each model has an anchor engine that holds all its items; each model has
+its minimum number of replicas; replicas hold the adapters in use; items that no deployment
+names are unloaded.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from limeshelf.standalone.placement.capacity import (
     Reservations,
     engine_with_most_free,
-    load_somewhere,
+    load_on_another_engine,
     loads_on,
     missing_items,
     ready_engine,
@@ -29,16 +29,16 @@
     from limeshelf.standalone.placement.policies import PlacementPolicy
     from limeshelf.standalone.placement.view import AnchorView, EngineView, PlacementView, UnitView
 
-#: Pause for each data centre that ranks before the own one for a model that is placed nowhere.
-#: Four rounds at the default of placer.round_s.
-RANK_PAUSE_S = 2.0
+#: Delay before placing a model without an anchor, for each data centre that ranks before the own
+#: one. Four rounds at the default of placer.round_s.
+RANK_DELAY_S = 2.0
 
 
 @attrs.define
 class Planner:
     """Plans the moves of one data centre.
 
-    :param policy: asks for replicas beyond those that must be.
+    :param policy: proposes replicas beyond the required ones.
     """
 
     policy: PlacementPolicy
@@ -76,7 +76,7 @@
         self, unit: UnitView, view: PlacementView, reservations: Reservations
     ) -> list[Move]:
         since_s = self._unplaced_since_s.setdefault(unit.model, view.now_s)
-        if view.now_s - since_s < view.ranks.get(unit.model, 0) * RANK_PAUSE_S:
+        if view.now_s - since_s < view.ranks.get(unit.model, 0) * RANK_DELAY_S:
             return []
         engine = ready_engine(unit, view) or engine_with_most_free(
             unit, view.own_engines, reservations
@@ -90,7 +90,7 @@
 def _take_over(
     unit: UnitView, anchor: AnchorView, view: PlacementView, reservations: Reservations
 ) -> list[Move]:
-    """Take the anchor of another data centre that asks for it or is out of sight."""
+    """Take over an anchor that another data centre hands off or whose engine is lost."""
     if not (anchor.handoff or anchor.lost):
         return []
     ready = ready_engine(unit, view)
@@ -98,19 +98,19 @@
         return [Move(MoveKind.ANCHOR, unit.model, ready.upstream_id, unit.base, 'take-over')]
     if view.possible_own(unit.base.item_id):
         return []
-    return load_somewhere(unit, view, reservations, 'take-over')
+    return load_on_another_engine(unit, view, reservations, 'take-over')
 
 
 def _replace_anchor(
     unit: UnitView, anchor: AnchorView, view: PlacementView, reservations: Reservations
 ) -> list[Move]:
-    """Move an anchor off an own engine that is gone, leaving or drained."""
+    """Move an anchor off an own engine that is gone, shutting down or drained."""
     ready = ready_engine(unit, view)
     if ready is not None:
         return [Move(MoveKind.ANCHOR, unit.model, ready.upstream_id, unit.base, 'replace')]
     if view.possible_own(unit.base.item_id):
         return []
-    loads = load_somewhere(unit, view, reservations, 'replace')
+    loads = load_on_another_engine(unit, view, reservations, 'replace')
     if loads or anchor.handoff:
         return loads
     return [Move(MoveKind.HANDOFF, unit.model, anchor.upstream_id, unit.base, 'no-room')]
@@ -119,7 +119,7 @@
 def _anchor_loads(
     unit: UnitView, engine: EngineView, view: PlacementView, reservations: Reservations
 ) -> list[Move]:
-    """Load what the anchor engine lacks, or move the anchor where it fits."""
+    """Load the items that the anchor engine lacks, or move the anchor if they do not fit."""
     missing = missing_items(unit, engine)
     if not missing:
         return []
@@ -133,25 +133,25 @@
         if ready is not None:
             return [Move(MoveKind.ANCHOR, unit.model, ready.upstream_id, unit.base, 'fit')]
         if not view.possible_own(unit.base.item_id):
-            return load_somewhere(unit, view, reservations, 'fit')
+            return load_on_another_engine(unit, view, reservations, 'fit')
         return []
     reservations.add(engine, missing_bytes)
     return loads_on(unit, engine, missing, 'anchor')
 
 
 def _minimum_moves(unit: UnitView, view: PlacementView, reservations: Reservations) -> list[Move]:
-    """Ask for the replicas that a deployment must have beside its anchor."""
+    """Load replicas up to the minimum number that the deployment requires."""
     anchor = view.anchors.get(unit.model)
     if unit.min_replicas < 2 or anchor is None or view.ranks.get(unit.model, 0) != 0:
         return []
     holders = [r for r in view.engines.values() if unit.base.item_id in r.possible_ids]
     if len(holders) >= unit.min_replicas:
         return []
-    return load_somewhere(unit, view, reservations, 'minimum')
+    return load_on_another_engine(unit, view, reservations, 'minimum')
 
 
 def _completion_moves(unit: UnitView, view: PlacementView) -> list[Move]:
-    """Load adapters onto further own replicas that lack them and have memory free."""
+    """Load missing adapters onto own replicas other than the anchor, where memory is free."""
     anchor = view.anchors.get(unit.model)
     wanted_ids = _wanted_adapter_ids(unit, anchor, view)
     moves: list[Move] = []
@@ -169,9 +169,9 @@
 def _wanted_adapter_ids(
     unit: UnitView, anchor: AnchorView | None, view: PlacementView
 ) -> frozenset[str]:
-    """Return the adapters that further replicas of *unit* must hold.
+    """Return the adapters that replicas of *unit* other than the anchor must hold.
 
-    A replica that may become the anchor needs every adapter, any other those in use.
+    All adapters if a replica is about to become the anchor, otherwise those in use.
     """
     adapter_ids = frozenset(item.item_id for item in unit.items[1:])
     if anchor is not None and _has_to_move(anchor, view):
@@ -180,7 +180,7 @@
 
 
 def _has_to_move(anchor: AnchorView, view: PlacementView) -> bool:
-    """Return whether another engine is to become the anchor."""
+    """Return whether the anchor must move to another engine."""
     if anchor.handoff or anchor.lost:
         return True
     if anchor.data_centre != view.data_centre:
@@ -190,7 +190,7 @@
 
 
 def _removal_moves(view: PlacementView) -> list[Move]:
-    """Unload what no deployment names, once the new version stands."""
+    """Unload items that no deployment names, old versions only once the new one is ready."""
     deployed = {item.item_id: item for unit in view.units.values() for item in unit.items}
     moves: list[Move] = []
     for engine in view.own_engines:
@@ -211,7 +211,7 @@
 
 
 def _is_replaced(item_id: str, unit: UnitView, view: PlacementView) -> bool:
-    """Return whether the deployed version of an old item is ready somewhere."""
+    """Return whether each item of the deployed version is ready on some engine."""
     wanted = [i.item_id for i in unit.items if unversioned(i.item_id) == unversioned(item_id)]
     if not wanted:
         return True
--- a/limeshelf/standalone/placement/policies.py
+++ b/limeshelf/standalone/placement/policies.py
@@ -1,9 +1,8 @@
-"""Placement policies: which models get more replicas than they must have.
+"""Placement policies: which models get replicas beyond the required ones.
 
-Owns the registry of policies and what each remembers between rounds. A policy only
-adds moves to the rules that every placement keeps
-(:mod:`limeshelf.standalone.placement.planner`); the ledger and the unload gate judge
-them, so it cannot unload an anchor or overcommit.
+Owns the registry of policies and the state that each keeps between rounds. A policy only
+adds moves to those of the planner (:mod:`limeshelf.standalone.placement.planner`); the ledger
+and the unload gate check them, so a policy cannot unload an anchor or overcommit memory.
 """
 
 from __future__ import annotations
@@ -22,15 +21,15 @@
 
 
 class PlacementPolicy(Protocol):
-    """Asks for further replicas."""
+    """Proposes replicas beyond the required ones."""
 
     @classmethod
     def from_config(cls, policy: Policy) -> PlacementPolicy:
-        """Build the policy with the numbers of *policy*."""
+        """Build the policy with the parameters of *policy*."""
         ...
 
     def propose(self, view: PlacementView) -> list[Move]:
-        """Return the moves that it asks for, the most useful first."""
+        """Return the proposed moves, the most useful first."""
         ...
 
 
@@ -40,11 +39,11 @@
 @placement_policies.register('static')
 @attrs.define
 class StaticPlacement:
-    """Keep the replicas that every model must have, and no others."""
+    """Keeps only the required replicas."""
 
     @classmethod
     def from_config(cls, policy: Policy) -> StaticPlacement:
-        """Build the policy; it has no numbers."""
+        """Build the policy; it has no parameters."""
         return cls()
 
     def propose(self, view: PlacementView) -> list[Move]:
@@ -55,22 +54,22 @@
 @placement_policies.register('least-recently-used')
 @attrs.define
 class SwapOnDemand:
-    """Load a busy model wherever it is missing; evict the longest idle one.
+    """Loads a busy model on a further engine and evicts the models idle the longest.
 
-    The naive baseline of the measurements.
+    Serves as the simple baseline in experiments.
 
-    :param busy_load: requests in flight for each replica that call for another.
+    :param busy_load: requests in flight per replica above which a replica is added.
     """
 
     busy_load: float
 
     @classmethod
     def from_config(cls, policy: Policy) -> SwapOnDemand:
-        """Build the policy; number ``busy_load``."""
+        """Build the policy; parameter ``busy_load``."""
         return cls(policy.number('busy_load', 2.0))
 
     def propose(self, view: PlacementView) -> list[Move]:
-        """Return loads of all busy models, each with the unloads it needs."""
+        """Return one load for each busy model, with the unloads that it needs."""
         moves: list[Move] = []
         for unit in sorted(view.units.values(), key=lambda u: -u.load):
             replicas = len(view.replicas(unit.base.item_id))
@@ -87,19 +86,19 @@
 @placement_policies.register('spread')
 @attrs.define
 class Spread:
-    """Even out the load of the engines with as few loads as that takes.
+    """Balances the load of the engines with few model loads.
 
-    A replica is added only when the engine that lacks it carries so much less
-    load than those that have it that the difference will outlast the move, and
-    not again before the last addition has had time to show.
+    A replica is added only if an engine without the model has so much less load than all
+    engines with it that the difference will outlast the load, and only after the previous
+    replica of the model has had time to take effect.
 
-    :param gap_load: least difference of load, in requests in work.
-    :param settle_s: pause after an addition of the same model.
-    :param idle_s: replicas idle for less are not evicted for others.
+    :param gap_load: minimum difference of load, in running requests.
+    :param settle_s: minimum time between two additions of the same model.
+    :param idle_s: replicas idle for less than this are not evicted.
     """
 
-    #: Of seven settings tried on three variants, two seeds, these attained most (figures in
-    #: docs/design/experiments.rst).
+    #: The best of seven settings in experiments on three variants with two seeds
+    #: (docs/design/experiments.rst).
     GAP_LOAD: ClassVar[float] = 8.0
     SETTLE_S: ClassVar[float] = 8.0
     IDLE_S: ClassVar[float] = 30.0
@@ -111,7 +110,7 @@
 
     @classmethod
     def from_config(cls, policy: Policy) -> Spread:
-        """Build the policy; numbers ``gap_load``, ``settle_s``, ``idle_s``."""
+        """Build the policy; parameters ``gap_load``, ``settle_s``, ``idle_s``."""
         return cls(
             policy.number('gap_load', cls.GAP_LOAD),
             policy.number('settle_s', cls.SETTLE_S),
@@ -119,10 +118,10 @@
         )
 
     def propose(self, view: PlacementView) -> list[Move]:
-        """Return at most one addition, with the unloads it needs."""
+        """Return at most one load, with the unloads that it needs."""
         least_load = min((engine.load for engine in view.own_engines), default=0.0)
         for unit in sorted(view.units.values(), key=_gain, reverse=True):
-            if unit.load <= 0 or self._is_settling(unit, view.now_s):
+            if unit.load <= 0 or self._was_added_recently(unit, view.now_s):
                 continue
             holders = view.replicas(unit.base.item_id)
             lightest_load = min((holder.load for holder in holders), default=0.0)
@@ -139,19 +138,19 @@
             return [*moves, _load(unit, engine, 'spread')]
         return []
 
-    def _is_settling(self, unit: UnitView, now_s: float) -> bool:
+    def _was_added_recently(self, unit: UnitView, now_s: float) -> bool:
         return now_s - self._added_s.get(unit.model, float('-inf')) < self.settle_s
 
 
 @placement_policies.register('spread-few-moves')
 @attrs.define
 class SpreadFewMoves(Spread):
-    """Spread with a larger gap and longer pauses, for those who pay for moves.
+    """``Spread`` with a larger gap and longer intervals, for systems where loads are costly.
 
-    A preset that operators name in a configuration (docs/operators/policies.rst).
+    A preset that operators select in a configuration (docs/operators/policies.rst).
     """
 
-    #: Of the same seven settings these moved least.
+    #: The setting with the fewest moves in the same experiments.
     GAP_LOAD: ClassVar[float] = 24.0
     SETTLE_S: ClassVar[float] = 120.0
     IDLE_S: ClassVar[float] = 120.0
@@ -162,7 +161,7 @@
 
 
 def _least_loaded(unit: UnitView, view: PlacementView) -> EngineView | None:
-    """Return the own engine with the least load that lacks the unit."""
+    """Return the least loaded own engine without the unit's base model."""
     lacking = [r for r in view.own_engines if unit.base.item_id not in r.possible_ids]
     return min(lacking, key=lambda r: (r.load, -r.free_bytes), default=None)
 
--- a/limeshelf/standalone/placement/view.py
+++ b/limeshelf/standalone/placement/view.py
@@ -1,7 +1,4 @@
-"""What a placement decision sees, and what it may ask for.
-
-Immutable inputs and outcomes of the rules; relies on nothing.
-"""
+"""Immutable inputs (views) and outputs (moves) of the placement rules."""
 
 from __future__ import annotations
 
@@ -15,11 +12,11 @@
 
 @attrs.frozen
 class UnitView:
-    """A deployed model with its adapters: what is placed together.
+    """A deployed model with its adapters, which are placed together.
 
     :param items: the base model first, then its adapters.
     :param load: mean number of requests in flight, over all replicas.
-    :param used_adapter_ids: adapters asked for lately.
+    :param used_adapter_ids: adapters requested recently.
     :param idle_s: time since the last request.
     """
 
@@ -43,15 +40,15 @@
 
 @attrs.frozen
 class EngineView:
-    """One engine.
+    """One engine as a placement round sees it.
 
-    :param own: whether the deciding placer orders this engine.
-    :param open: whether new work and loads may go to it.
-    :param free_bytes: surely free; known for own engines only.
+    :param own: whether the engine is in the data centre of the planning placer.
+    :param open: whether new requests and loads may be sent to it.
+    :param free_bytes: certainly free bytes; 0 for engines that are not own.
     :param possible_ids: items that may be in its memory.
-    :param sure_ids: items that are ready and stay so without a new order.
-    :param load: mean number of requests in work.
-    :param held_bytes: memory of each item, as reported; known for own engines.
+    :param sure_ids: items that are ready and that no open order unloads.
+    :param load: number of running requests.
+    :param held_bytes: reported memory of each item; empty for engines that are not own.
     """
 
     upstream_id: str
@@ -68,9 +65,9 @@
 
 @attrs.frozen
 class AnchorView:
-    """Where a unit's anchor is.
+    """Location of a unit's anchor.
 
-    :param lost: its engine has been out of sight for long.
+    :param lost: its engine has not been seen open for ``ENGINE_LOST_AFTER_S``.
     """
 
     upstream_id: str
@@ -81,11 +78,11 @@
 
 @attrs.frozen
 class PlacementView:
-    """Everything that the rules of one placement round read.
+    """All inputs of one placement round.
 
-    :param now_s: time of the round, on any clock that only advances.
-    :param ranks: by model, the place of the own data centre in the order in
-        which data centres may take an unplaced model; 0 goes first.
+    :param now_s: time of the round on a monotonic clock.
+    :param ranks: by model, the position of the own data centre in the order in which data
+        centres may place a model without an anchor; 0 is first.
     """
 
     now_s: float
@@ -97,12 +94,12 @@
 
     @functools.cached_property
     def own_engines(self) -> list[EngineView]:
-        """Return the engines that this placer orders and that are open."""
+        """Return the open engines of the own data centre."""
         return [engine for engine in self.engines.values() if engine.own and engine.open]
 
     @functools.cached_property
     def _holders(self) -> dict[str, list[EngineView]]:
-        """Return the open engines by item that is surely ready there."""
+        """Return, by item, the open engines on which it is certainly ready."""
         holders: dict[str, list[EngineView]] = {}
         for engine in self.engines.values():
             if engine.open:
@@ -112,7 +109,7 @@
 
     @functools.cached_property
     def _possible_own(self) -> dict[str, list[EngineView]]:
-        """Return the own open engines by item that may be in their memory."""
+        """Return, by item, the own open engines that may hold it in memory."""
         holders: dict[str, list[EngineView]] = {}
         for engine in self.own_engines:
             for item_id in engine.possible_ids:
@@ -120,7 +117,7 @@
         return holders
 
     def replicas(self, item_id: str) -> list[EngineView]:
-        """Return the open engines on which the item is surely ready."""
+        """Return the open engines on which the item is certainly ready."""
         return self._holders.get(item_id, [])
 
     def possible_own(self, item_id: str) -> list[EngineView]:
@@ -129,7 +126,7 @@
 
 
 class MoveKind(enum.StrEnum):
-    """What a move asks for."""
+    """Kind of a move."""
 
     LOAD = 'load'
     UNLOAD = 'unload'
@@ -139,9 +136,9 @@
 
 @attrs.frozen
 class Move:
-    """One request of the planner or a policy; the placer checks it before it acts.
+    """One step proposed by the planner or a policy; the placer checks it before execution.
 
-    :param reason: short code for the decision line.
+    :param reason: short code for the decision log.
     """
 
     kind: MoveKind
--- a/limeshelf/standalone/placement/view_builder.py
+++ b/limeshelf/standalone/placement/view_builder.py
@@ -1,7 +1,7 @@
-"""Gathers the view of a placement round from the directories and the ledgers.
+"""Builds the view of a placement round.
 
-Owns when each engine with an anchor was last seen open. Relies on the configuration,
-the upstream directory, the anchors, the demand and the workers' ledgers.
+Reads the configuration, the upstream directory, the anchors, the demand and the workers'
+ledgers. Owns the time at which each engine with an anchor was last seen open.
 """
 
 from __future__ import annotations
@@ -19,18 +19,19 @@
     from limeshelf.standalone.config.holder import ConfigHolder
     from limeshelf.standalone.membership.upstreams import Upstream, UpstreamDirectory
     from limeshelf.standalone.placement.anchors import AnchorBook
-    from limeshelf.standalone.placement.demand import DemandBook
+    from limeshelf.standalone.placement.demand import DemandTracker
     from limeshelf.standalone.placement.worker import EngineWorker
 
-#: An anchor's engine that was not seen open for this long counts as lost
+#: An engine with an anchor that was not seen open for this long counts as lost
 #: (docs/design/reachable.rst).
-LOST_S = 15.0
+ENGINE_LOST_AFTER_S = 15.0
 
 
 class PlacementViewBuilder:
-    """Makes the view of each round.
+    """Builds the view of each round.
 
-    :param fresh_s: a report of an own engine older than this is not relied on.
+    :param fresh_s: maximum age of the last report of an own engine; with an older one the
+        engine does not count as open.
     """
 
     def __init__(
@@ -39,7 +40,7 @@
         config: ConfigHolder,
         upstreams: UpstreamDirectory,
         anchors: AnchorBook,
-        demand: DemandBook,
+        demand: DemandTracker,
         fresh_s: float,
     ) -> None:
         self._data_centre = data_centre
@@ -48,7 +49,7 @@
         self._anchors = anchors
         self._demand = demand
         self._fresh_s = fresh_s
-        self._seen_s: dict[str, float] = {}
+        self._last_open_s: dict[str, float] = {}
 
     def build(self, now_s: float, workers: Mapping[str, EngineWorker]) -> PlacementView:
         """Return the view of the round at *now_s* (boot clock)."""
@@ -113,5 +114,5 @@
     def _is_lost(self, upstream_id: str, engines: dict[str, EngineView], now_s: float) -> bool:
         engine = engines.get(upstream_id)
         if engine is not None and engine.open:
-            self._seen_s[upstream_id] = now_s
-        return now_s - self._seen_s.setdefault(upstream_id, now_s) > LOST_S
+            self._last_open_s[upstream_id] = now_s
+        return now_s - self._last_open_s.setdefault(upstream_id, now_s) > ENGINE_LOST_AFTER_S
--- a/limeshelf/standalone/placement/worker.py
+++ b/limeshelf/standalone/placement/worker.py
@@ -1,7 +1,6 @@
 """Sends the orders of the leading placer to one engine and reads its reports.
 
-Owns the queue of orders, their numbers and the epoch for which the engine is fenced.
-Relies on the lease, the ledger, the intent log and the client of the engine.
+Owns the queue of orders, their numbers and the epoch to which the engine's fence was raised.
 """
 
 from __future__ import annotations
@@ -28,13 +27,13 @@
     from limeshelf.standalone.placement.ledger import Ledger
     from limeshelf.standalone.upstreams.pool import UpstreamPool
 
-#: Limit of one order or report: two rounds at the default of placer.round_s.
+#: Timeout of one order or report: two rounds at the default of placer.round_s.
 EXCHANGE_TIMEOUT_S = 1.0
 
 
 @attrs.frozen
 class UnnumberedOrder:
-    """An order before it has a number."""
+    """An order before the worker assigns its number, epoch and expiry."""
 
     action: OrderAction
     item_id: str
@@ -43,11 +42,11 @@
 
 
 class EngineWorker:
-    """One task for one engine.
+    """Sends orders to one engine, in one task.
 
-    Before the first order of an epoch it raises the engine's fence to that
-    epoch, which ends every order of earlier placers; toward an engine that
-    checks no fence it counts the predecessor's intents instead.
+    Before the first order of an epoch the worker raises the engine's fence to that epoch, after
+    which the engine refuses all orders of earlier leaders. If the engine checks no fence, the
+    worker counts the intents of earlier leaders as open orders instead.
     """
 
     def __init__(
@@ -75,21 +74,21 @@
 
     @property
     def is_ready(self) -> bool:
-        """Return whether the ledger is sure, and orders may be decided."""
+        """Return whether the ledger counts all earlier orders, so that new ones may be sent."""
         if self.ledger.report is None or self._lease.epoch is None:
             return False
-        # A restarted engine has forgotten the fence, so it must be raised anew.
+        # A restarted engine has lost its fence, which must be raised again.
         return self._ready_for == (self._lease.epoch, self.ledger.report.boot_id)
 
     @property
-    def _settle_s(self) -> float:
-        """Return the time after which an order can no longer take effect."""
+    def _order_resolution_s(self) -> float:
+        """Return how long after its creation an order may still take effect."""
         return self._settings.order_life_s + self._settings.clock_margin_s
 
     def submit(self, draft: UnnumberedOrder) -> None:
         """Number *draft*, count it in the ledger and queue it for sending."""
         order = self._numbered(draft)
-        self.ledger.add_order(order, boottime_s() + self._settle_s)
+        self.ledger.add_order(order, boottime_s() + self._order_resolution_s)
         self._queue.append(order)
         self._arrived.set()
 
@@ -114,34 +113,34 @@
             return
 
     async def step(self) -> None:
-        """Take over if needed, send what is queued, read a report."""
+        """Prepare the engine for a new epoch if needed, send queued orders and read a report."""
         if self._lease.epoch is None:
-            self._forget_epoch()
+            self._discard_epoch()
         elif not self.is_ready:
             await self._take_over(self._lease.epoch)
         while self._queue:
             await self._send(self._queue.popleft())
-        self._settle_lost_orders()
+        self._fence_lost_orders()
         report = await self._pool.engine(self.upstream).report(EXCHANGE_TIMEOUT_S)
-        self._take_report(report)
+        self._record_report(report)
 
-    def _forget_epoch(self) -> None:
+    def _discard_epoch(self) -> None:
         self._ready_for = None
         for order in self._queue:
             self.ledger.remove_order(order)
         self._queue.clear()
 
     async def _take_over(self, epoch: int) -> None:
-        self._forget_epoch()
+        self._discard_epoch()
         self._number = 0
         report = await self._pool.engine(self.upstream).report(EXCHANGE_TIMEOUT_S)
-        self._take_report(report)
+        self._record_report(report)
         if not self.ledger.checks_fence:
             await self._count_intents(epoch)
             return
         fence = self._numbered(UnnumberedOrder(OrderAction.FENCE, '', '', 0), epoch)
         answer = await self._pool.engine(self.upstream).order(fence, EXCHANGE_TIMEOUT_S)
-        self._take_report(answer.report)
+        self._record_report(answer.report)
         if answer.refusal is OrderRefusal.NONE:
             self._ready_for = (epoch, answer.report.boot_id)
             logging.info('upstream=%s fence=%d', self.upstream.upstream_id, epoch)
@@ -152,9 +151,10 @@
         orders = await self._intents.read()
         if orders is None:
             return
-        # Whatever the clocks say, none of them outlives this.
+        # The expiry on the wall clock is not used: however the clocks of both leaders differ,
+        # no order takes effect after this time.
         for order in orders:
-            self.ledger.add_order(order, boottime_s() + self._settle_s)
+            self.ledger.add_order(order, boottime_s() + self._order_resolution_s)
         self._ready_for = (epoch, self.ledger.report.boot_id if self.ledger.report else '')
 
     def _numbered(self, draft: UnnumberedOrder, epoch: int | None = None) -> Order:
@@ -179,7 +179,7 @@
             return
         self._metrics.count(f'placement.orders.{order.action}')
         answer = await self._pool.engine(self.upstream).order(order, EXCHANGE_TIMEOUT_S)
-        self._take_report(answer.report)
+        self._record_report(answer.report)
         if answer.refusal is OrderRefusal.NONE:
             return
         self._metrics.count(f'placement.refused.{answer.refusal}')
@@ -213,19 +213,23 @@
             return check
         if not await self._intents.add(order, self._settings.clock_margin_s):
             return OrderCheck.INTENT_NOT_WRITTEN
-        # The write may have outlasted the lease.
+        # The lease may have expired during the write.
         return OrderCheck.ALLOWED if self._lease.is_valid() else OrderCheck.LEASE_NOT_VALID
 
-    def _settle_lost_orders(self) -> None:
-        """Follow a lost order by a fence order, which settles it."""
+    def _fence_lost_orders(self) -> None:
+        """Submit a fence order, whose report resolves open orders older than their lifetime."""
         if not self.is_ready or not self.ledger.checks_fence:
             return
         limit_s = boottime_s() - self._settings.order_life_s
-        stuck = [o for o in self.ledger.open_orders if o.dead_after_s - self._settle_s < limit_s]
+        stuck = [
+            o
+            for o in self.ledger.open_orders
+            if o.resolved_after_s - self._order_resolution_s < limit_s
+        ]
         if stuck and not self._queue:
             self._metrics.count('placement.orders_lost')
             self.submit(UnnumberedOrder(OrderAction.FENCE, '', '', 0))
 
-    def _take_report(self, report: EngineReport) -> None:
-        self.ledger.take_report(report, boottime_s())
+    def _record_report(self, report: EngineReport) -> None:
+        self.ledger.record_report(report, boottime_s())
         self.reported_s = boottime_s()
--- a/tests/mutate.py
+++ b/tests/mutate.py
@@ -47,7 +47,7 @@
     Mutation(
         'an unfenced order is settled by its number',
         'standalone/placement/ledger.py',
-        'return now_s > entry.dead_after_s',
+        'return now_s > entry.resolved_after_s',
         'return entry.order.number <= self.report.last_order',
         'tests/standalone/placement/test_memory_scenarios.py',
     ),
--- a/tests/standalone/placement/test_gate.py
+++ b/tests/standalone/placement/test_gate.py
@@ -1,4 +1,4 @@
-"""The last check before an unload, case by case."""
+"""Unit tests of the unload gate."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def anchored(*moves: tuple[str, TableFault]) -> AnchorBook:
-    """Return the book of a placer that moved the anchor of ``m`` along."""
+    """Return the anchors of a placer after these moves of the anchor of ``m``."""
     table = FakeTable()
     book = AnchorBook(table, LeaseKeeper(table, 'x', 'p', 3.0), 'x')
 
@@ -40,7 +40,7 @@
     return book
 
 
-def test_anchor_stays_and_a_spare_replica_may_go() -> None:
+def test_redundant_replica_may_be_unloaded_but_not_the_anchor() -> None:
     seen = view(engine('u0', 'm@1'), engine('u1', 'm@1'))
     gate = UnloadGate(seen, anchored(('u0', TableFault.NONE)))
     assert not gate.may_unload('m@1', 'u0')
@@ -48,7 +48,7 @@
 
 
 def test_replica_that_a_lost_answer_may_have_made_the_anchor_stays() -> None:
-    """The table has the anchor at u1 by now, and its old holder may unload."""
+    """The write took effect: the anchor is at u1, and the former anchor u0 may unload."""
     seen = view(engine('u0', 'm@1'), engine('u1', 'm@1'))
     book = anchored(('u0', TableFault.NONE), ('u1', TableFault.LOST_AFTER))
     assert not UnloadGate(seen, book).may_unload('m@1', 'u1')
@@ -61,7 +61,7 @@
     assert not UnloadGate(seen, book).may_unload('m@1', 'u1')
 
 
-def test_nothing_goes_before_the_anchors_were_read() -> None:
+def test_no_unload_before_the_anchors_were_read() -> None:
     table = FakeTable()
     book = AnchorBook(table, LeaseKeeper(table, 'x', 'p', 3.0), 'x')
     seen = view(engine('u0', 'm@1'), engine('u1', 'm@1'))
--- a/tests/standalone/placement/test_load_check.py
+++ b/tests/standalone/placement/test_load_check.py
@@ -1,4 +1,4 @@
-"""Whether a load may be ordered, case by case."""
+"""Unit tests of the check before a load."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     """Return the ledger of an engine of ten bytes after one report."""
     made = Ledger(checks_fence=True)
     used_bytes = sum(item.total_bytes for item in held)
-    made.take_report(EngineReport('b', 1, 10, used_bytes, 0, 0, False, 1, 1, list(held)), 0.0)
+    made.record_report(EngineReport('b', 1, 10, used_bytes, 0, 0, False, 1, 1, list(held)), 0.0)
     return made
 
 
--- a/tests/standalone/placement/test_memory_machine.py
+++ b/tests/standalone/placement/test_memory_machine.py
@@ -1,4 +1,4 @@
-"""Memory is never overcommitted: two placers, one engine, every fault of orders."""
+"""Memory is never overcommitted: state machine of two placers, one engine and order faults."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 @attrs.define
 class Contender:
-    """One placer: its lease keeper, its ledger and its worker."""
+    """One of the two placers that compete for the lease."""
 
     lease: LeaseKeeper
     ledger: Ledger
@@ -48,7 +48,7 @@
 
 
 class MemoryMachine(RuleBasedStateMachine):
-    """The engine adds up what it holds; the placers must never make that too much."""
+    """The simulated engine counts its memory, which must never exceed its capacity."""
 
     checks_fence = True
 
@@ -130,7 +130,7 @@
 
     @rule(number=PLACERS, last_item=ITEMS, fault=ORDER_FAULTS)
     def take_over(self, number: int, last_item: str, fault: str) -> None:
-        """The other placer sends a last order and pauses; this one takes its place."""
+        """The other placer sends a last order and pauses; this one acquires the lease."""
         self.lead(1 - number)
         self.lead(number)
         self.clock.advance(2.5)
@@ -162,8 +162,8 @@
             self.engine.finish()
 
     @rule(order_fault=ORDER_FAULTS, table_fault=st.sampled_from(list(TableFault)), kind=KINDS)
-    def strike(self, order_fault: str, table_fault: TableFault, kind: str) -> None:
-        """Break the next order or the next use of the table."""
+    def inject_fault(self, order_fault: str, table_fault: TableFault, kind: str) -> None:
+        """Inject an order or table fault, toggle a table outage or deliver late writes."""
         if kind == 'order':
             self.engine.next_order = order_fault
         elif kind == 'table':
@@ -183,7 +183,7 @@
 
 
 class UnfencedMemoryMachine(MemoryMachine):
-    """The same toward an engine that checks neither fence nor number."""
+    """The same with an engine that checks neither fence nor order numbers."""
 
     checks_fence = False
 
--- a/tests/standalone/placement/test_memory_scenarios.py
+++ b/tests/standalone/placement/test_memory_scenarios.py
@@ -1,4 +1,4 @@
-"""Memory: the sequences that fuzzing reaches rarely, one by one."""
+"""Memory is never overcommitted: sequences that random testing rarely reaches."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def test_restarted_engine_is_fenced_anew() -> None:
-    """A restarted engine has forgotten the fence, so a deposed placer's order passes it."""
+    """A restarted engine has lost its fence and would accept orders of a former leader."""
     with machine(MemoryMachine) as made:
         made.take_over(1, 'e', 'lost')
         made.work(1)
@@ -38,7 +38,7 @@
 
 
 def test_old_holder_is_stopped_by_the_fence() -> None:
-    """A holder that wakes after a pause still believes in its lease."""
+    """A former leader sends orders after a pause because it has not seen its lease expire."""
     with machine(MemoryMachine) as made:
         made.work(1)
         made.take_over(1, 'e', 'lost')
@@ -50,7 +50,7 @@
 
 
 def test_intent_of_the_predecessor_counts_where_no_fence_is_checked() -> None:
-    """Its last order is on the way while the successor decides."""
+    """The last order of the former leader is in transit while the new leader plans."""
     with machine(UnfencedMemoryMachine) as made:
         made.work(1)
         made.take_over(1, 'a', 'transit')
@@ -62,7 +62,7 @@
 
 
 def test_unfenced_order_counts_until_it_has_expired() -> None:
-    """Where numbers are not checked, a later order does not settle an earlier one."""
+    """If the engine checks no numbers, a later order does not resolve an earlier one."""
     with machine(UnfencedMemoryMachine) as made:
         made.engine.next_order = 'transit'
         made.load(0, ['a'])
--- a/tests/standalone/placement/test_order_check.py
+++ b/tests/standalone/placement/test_order_check.py
@@ -1,4 +1,4 @@
-"""Whether an order may still go out, case by case."""
+"""Unit tests of the check before an order is sent."""
 
 from __future__ import annotations
 
@@ -20,16 +20,16 @@
 
 
 @pytest.mark.parametrize('checks_fence', [True, False])
-def test_order_of_the_held_epoch_goes_out(checks_fence: bool) -> None:
+def test_order_of_the_held_epoch_is_sent(checks_fence: bool) -> None:
     assert check_order(ORDER, 3, 99.9, checks_fence, True) is OrderCheck.ALLOWED
 
 
 @pytest.mark.parametrize('epoch', [None, 2, 4])
-def test_order_of_another_epoch_stays(epoch: int | None) -> None:
+def test_order_of_another_epoch_is_not_sent(epoch: int | None) -> None:
     assert check_order(ORDER, epoch, 99.9, True, True) is OrderCheck.OTHER_EPOCH
 
 
-def test_expired_order_stays() -> None:
+def test_expired_order_is_not_sent() -> None:
     assert check_order(ORDER, 3, 100.0, True, True) is OrderCheck.EXPIRED
 
 
--- a/tests/standalone/placement/test_planner.py
+++ b/tests/standalone/placement/test_planner.py
@@ -1,4 +1,4 @@
-"""Which adapters further replicas get, case by case."""
+"""Unit tests of the adapters that replicas other than the anchor get."""
 
 from __future__ import annotations
 
--- a/tests/standalone/placement/test_rollout.py
+++ b/tests/standalone/placement/test_rollout.py
@@ -1,4 +1,4 @@
-"""New versions come into force also when memory is full of further replicas."""
+"""New versions replace old ones even if redundant replicas of old versions fill all memory."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def full_engine(name: str) -> EngineView:
-    """Return an engine that is full of old versions, the one anchored here and a spare."""
+    """Return an engine filled by old versions: one anchored here and one redundant replica."""
     held = {'m@1': SIZE_BYTES, 'n@1': SIZE_BYTES}
     ids = frozenset(held)
     return EngineView(name, 'x', True, True, 2 * SIZE_BYTES, 0, ids, ids, 0.0, held)
@@ -40,7 +40,7 @@
     return PlacementView(0.0, 'x', units, engines, anchors, {'m': 0, 'n': 0})
 
 
-def test_old_spare_replicas_make_place_for_new_versions() -> None:
+def test_redundant_old_replicas_are_evicted_for_new_versions() -> None:
     policy = Policy('even', PolicyKind.PLACEMENT, 'spread')
     planner = Planner(placement_policies.get('spread').from_config(policy))
     moves = planner.plan(full_view())
@@ -48,7 +48,7 @@
     assert ('n@1', 'u0') in unloads
 
 
-def test_gate_lets_old_spares_go_and_keeps_the_last_old_copy() -> None:
+def test_gate_allows_unloads_of_old_versions_only_beside_the_anchor() -> None:
     gate = UnloadGate(full_view(), anchored(('u0', TableFault.NONE)))
     assert gate.may_unload('m@1', 'u1')
     assert not gate.may_unload('m@1', 'u0')
