--- a/limeshelf/standalone/lease/__init__.py
+++ b/limeshelf/standalone/lease/__init__.py
@@ -1,1 +1,1 @@
-"""The fenced lease that makes one placer per data centre the leader."""
+"""Fenced lease that elects one placer per data centre as leader."""
--- a/limeshelf/standalone/lease/keeper.py
+++ b/limeshelf/standalone/lease/keeper.py
@@ -1,7 +1,7 @@
-"""Holds, renews, loses and gives back the leader lease of a data centre.
+"""Acquires, renews and releases the leader lease of a data centre.
 
-Owns what this process knows of the lease row and of the epoch row. Relies on the table
-and on a clock that goes on while the process is paused (docs/design/memory.rst).
+Owns the last known versions of the lease row and the epoch row. Needs a clock that advances
+while the process is paused (docs/design/memory.rst).
 """
 
 from __future__ import annotations
@@ -21,18 +21,17 @@
 
     from limeshelf.standalone.services.table import TableClient
 
-#: A contender waits for this many lease lives without a renewal. Being above
-#: one, it leaves room for clocks that run at slightly different rates. See
-#: docs/design/memory.rst.
-TAKE_OVER_LIVES = 1.5
+#: A contender takes over after this many lease periods without a renewal. More than one, to allow
+#: for clocks that run at slightly different rates (docs/design/memory.rst).
+TAKE_OVER_LEASE_PERIODS = 1.5
 
 
 @attrs.frozen
 class HeldLease:
-    """The lease as its holder knows it.
+    """The lease from the view of its holder.
 
-    :param valid_until_s: on the boot clock; counted from before the renewal
-        was sent, so it ends before any contender may take over.
+    :param valid_until_s: on the boot clock; counted from before the renewal was sent, so
+        that the lease expires before any contender may take over.
     """
 
     epoch: int
@@ -41,7 +40,7 @@
 
 @attrs.frozen
 class _ObservedRow:
-    """The lease row of another holder: its version, and since when it has that."""
+    """Version of another holder's lease row, and when this process first read that version."""
 
     version: int
     since_s: float
@@ -50,7 +49,7 @@
 class LeaseKeeper:
     """One contender for the lease row of a data centre.
 
-    :param clock: seconds that go on while the process is paused.
+    :param clock: seconds on a clock that advances while the process is paused.
     """
 
     def __init__(
@@ -74,27 +73,27 @@
 
     @property
     def epoch(self) -> int | None:
-        """Return the epoch of the lease held or last held, if not superseded."""
+        """Return the epoch of the lease held or last held, ``None`` if superseded or released."""
         return self.held.epoch if self.held else None
 
     def is_valid(self) -> bool:
-        """Return whether nobody else can hold the lease at this moment."""
+        """Return whether this process holds the lease and no other can hold it now."""
         return self.held is not None and self._clock() < self.held.valid_until_s
 
     async def step(self) -> None:
-        """Renew the lease, or try to take it when it is free.
+        """Renew the lease, or acquire it if it is free.
 
-        While the table cannot be reached a holder keeps its epoch, though the
-        lease is no longer valid: it is then the last holder.
+        While the table is unreachable the last holder keeps its epoch, even after the lease
+        has expired.
         """
         try:
             if self.held is None:
-                await self._contend()
+                await self._acquire_if_free()
             else:
                 await self._renew(self.held.epoch)
         except (PlatformUnavailable, PlatformUnknown) as error:
-            # A holder stays the last one, a contender stays out; the next step tries
-            # again.
+            # The state is unchanged: the holder keeps its epoch, a contender acquires none.
+            # The next step tries again.
             logging.log_every_n_seconds(
                 logging.WARNING,
                 'lease=%s state=not_kept error=%r',
@@ -104,7 +103,7 @@
             )
 
     async def release(self) -> None:
-        """Give the lease back, so that a successor need not wait."""
+        """Release the lease, so that another placer can acquire it at once."""
         if self.held is None:
             return
         epoch = self.held.epoch
@@ -116,13 +115,13 @@
                 [Write(self.lease_key, value)],
             )
         except (PlatformUnavailable, PlatformUnknown) as error:
-            # The lease runs out by itself; a successor waits a little longer.
+            # The lease expires by itself; the next holder acquires it later.
             logging.warning('lease=%s state=not_released error=%r', self.lease_key, error)
             return
         logging.info('lease=%s state=released epoch=%d', self.lease_key, epoch)
 
     def supersede(self) -> None:
-        """Give up the epoch, because a higher one was seen somewhere."""
+        """Give up the epoch, because a higher one was observed."""
         if self.held is not None:
             logging.info('lease=%s state=superseded epoch=%d', self.lease_key, self.held.epoch)
         self.held = None
@@ -137,25 +136,25 @@
                 [Write(self.lease_key, value)],
             )
         except PlatformUnknown:
-            await self._settle(epoch, started_s)
+            await self._read_back_renewal(epoch, started_s)
             return
         if isinstance(outcome, Committed):
             self._lease_version = outcome.versions[self.lease_key]
             self.held = HeldLease(epoch, started_s + self._lease_s)
             return
-        await self._settle(epoch, started_s)
+        await self._read_back_renewal(epoch, started_s)
 
-    async def _settle(self, epoch: int, started_s: float) -> None:
-        """Read back whether the lease is still ours after a lost answer."""
+    async def _read_back_renewal(self, epoch: int, started_s: float) -> None:
+        """Read the row to find out whether this process still holds the lease."""
         row = await self._table.read(self.lease_key)
-        if not _is(row, self._holder_id, epoch):
+        if not _is_held_by(row, self._holder_id, epoch):
             self.supersede()
             return
         if row.version != self._lease_version:
             self._lease_version = row.version
             self.held = HeldLease(epoch, started_s + self._lease_s)
 
-    async def _contend(self) -> None:
+    async def _acquire_if_free(self) -> None:
         row = await self._table.read(self.lease_key)
         if not self._is_free(row):
             return
@@ -171,27 +170,31 @@
         try:
             outcome = await self._table.transact(conditions, writes)
         except PlatformUnknown:
-            # Whether the lease was taken stands in the row, which is read now or by the
-            # next step.
-            await self._settle_lost_answer(epoch, started_s)
+            # The rows show whether the write took effect; if they cannot be read now, the
+            # next step reads them.
+            await self._read_back_acquisition(epoch, started_s)
             return
         if isinstance(outcome, Committed):
             versions = outcome.versions
-            self._take(epoch, started_s, versions[self.lease_key], versions[self.epoch_key])
+            self._record_acquired(
+                epoch, started_s, versions[self.lease_key], versions[self.epoch_key]
+            )
 
-    async def _settle_lost_answer(self, epoch: int, started_s: float) -> None:
-        """Take the lease if its rows show that the write without an answer took it."""
+    async def _read_back_acquisition(self, epoch: int, started_s: float) -> None:
+        """Record the lease as held if the rows show that the unanswered write took effect."""
         self._observed = None
         row = await self._table.read(self.lease_key)
-        if not _is(row, self._holder_id, epoch):
+        if not _is_held_by(row, self._holder_id, epoch):
             return
         epoch_row = await self._table.read(self.epoch_key)
-        # Between the two reads a successor may have written the epoch row;
-        # its version must never pass for ours.
-        if _is(epoch_row, self._holder_id, epoch):
-            self._take(epoch, started_s, row.version, epoch_row.version)
+        # Another placer may have written the epoch row between the two reads; the version of
+        # that write must not be recorded as that of this epoch.
+        if _is_held_by(epoch_row, self._holder_id, epoch):
+            self._record_acquired(epoch, started_s, row.version, epoch_row.version)
 
-    def _take(self, epoch: int, started_s: float, lease_version: int, epoch_version: int) -> None:
+    def _record_acquired(
+        self, epoch: int, started_s: float, lease_version: int, epoch_version: int
+    ) -> None:
         self.held = HeldLease(epoch, started_s + self._lease_s)
         self._lease_version = lease_version
         self.epoch_version = epoch_version
@@ -204,9 +207,9 @@
         if self._observed is None or self._observed.version != row.version:
             self._observed = _ObservedRow(row.version, now_s)
             return False
-        return now_s - self._observed.since_s > TAKE_OVER_LIVES * self._lease_s
+        return now_s - self._observed.since_s > TAKE_OVER_LEASE_PERIODS * self._lease_s
 
 
-def _is(row: VersionedRow, holder_id: str, epoch: int) -> bool:
+def _is_held_by(row: VersionedRow, holder_id: str, epoch: int) -> bool:
     value = row.value or {}
     return value.get('holder') == holder_id and value.get('epoch') == epoch
--- a/tests/standalone/lease/test_lease_machine.py
+++ b/tests/standalone/lease/test_lease_machine.py
@@ -1,4 +1,4 @@
-"""Never two valid leases: two keepers whose clocks run at different rates, and pauses."""
+"""Never two valid leases, with clocks of different rates, pauses and table faults."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from tests.support.table import FakeTable, TableFault
 
 LEASE_S = 3.0
-#: How fast each keeper's clock runs.
+#: Rate of each contender's clock.
 RATES = (1.0, 1.1)
 KEEPERS = st.integers(0, 1)
 
 
 class LeaseMachine(RuleBasedStateMachine):
-    """At every instant at most one keeper holds its lease for valid."""
+    """At most one contender considers its lease valid at any time."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -45,11 +45,11 @@
         self.loop.run_until_complete(self.keepers[number].release())
 
     @rule(fault=st.sampled_from(list(TableFault)))
-    def strike(self, fault: TableFault) -> None:
+    def inject_table_fault(self, fault: TableFault) -> None:
         self.table.next_faults.append(fault)
 
     @rule()
-    def late(self) -> None:
+    def deliver_late_writes(self) -> None:
         self.table.deliver_late()
 
     @rule(seconds=st.sampled_from([0.5, 3.0, 10.0]))
@@ -68,7 +68,7 @@
     run_machine(LeaseMachine, examples=500, steps=50)
 
 
-def test_a_released_lease_is_taken_at_once() -> None:
+def test_released_lease_is_acquired_at_once() -> None:
     machine = LeaseMachine()
     machine.step(0, 0.0)
     machine.release(0)
