--- a/limeshelf/standalone/membership/__init__.py
+++ b/limeshelf/standalone/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which instances and upstreams are live, leaving or gone."""
+"""Membership: the live, leaving and removed processes and upstreams."""
--- a/limeshelf/standalone/membership/listing.py
+++ b/limeshelf/standalone/membership/listing.py
@@ -1,7 +1,7 @@
-"""Keeps the instance list: read from the platform, or sent by the process that reads it.
+"""Keeps the instance list up to date, from the platform or from a peer.
 
-Owns the list last known. Relies on the client of the instance list and on the peers; one
-entry process of a data centre reads the list and sends it to the others.
+One entry process of a data centre reads the list and sends it to the others. Owns the list
+last known.
 """
 
 from __future__ import annotations
@@ -23,16 +23,16 @@
     from limeshelf.standalone.membership.processes import ProcessDirectory
     from limeshelf.standalone.services.instances import InstanceListClient, Listed
 
-#: An unchanged instance list is sent again after this time, for peers that missed it; a
-#: starting process reads the list by itself.
+#: An unchanged instance list is sent again after this time, for peers that missed it. A
+#: starting process reads the list itself.
 LISTED_REFRESH_S = 30.0
 
 
 class InstanceListSync:
-    """Reads the instance list, sends it to peers and takes it from them.
+    """Reads the instance list, sends it to peers and receives it from them.
 
-    :param reads_platform: tells whether this process is the data centre's
-        reader of the platform at the moment.
+    :param reads_platform: returns whether this process currently reads the list for its
+        data centre.
     """
 
     def __init__(
@@ -50,8 +50,8 @@
         self._listed: list[Listed] = []
         self._sent: list[Listed] = []
         self._sent_s = float('-inf')
-        node.add_handler(ListedInstances, self._take)
-        processes.add_new_listener(self._send_to_newcomer)
+        node.add_handler(ListedInstances, self._handle_listed_instances)
+        processes.add_new_listener(self._send_to_new_process)
 
     def add_listener(self, listener: Callable[[list[Listed]], None]) -> None:
         """Call *listener* with each new instance list."""
@@ -62,38 +62,38 @@
         try:
             listed = await self._instances.list()
         except (PlatformUnavailable, PlatformUnknown) as error:
-            # The list known so far stays good: an upstream that is gone is found by
-            # its failed connections, and the next read brings what is new.
+            # The last list stays in use: failed connections reveal upstreams that are gone, and
+            # the next successful read adds new ones.
             logging.log_every_n_seconds(
                 logging.WARNING, 'instances=not_read error=%r', OUTAGE_LOG_S, error
             )
             return False
-        self._use(listed)
+        self._apply(listed)
         if self._reads_platform():
             self._send(listed)
         return True
 
     def _send(self, listed: list[Listed]) -> None:
-        """Send the list to the data centre when it changed, and now and then."""
+        """Send the list to the data centre if it changed or ``LISTED_REFRESH_S`` have passed."""
         now_s = boottime_s()
         if listed == self._sent and now_s - self._sent_s < LISTED_REFRESH_S:
             return
         self._sent, self._sent_s = listed, now_s
         self._node.send_all(self._processes.centre_addresses(), ListedInstances(listed))
 
-    def _use(self, listed: list[Listed]) -> None:
+    def _apply(self, listed: list[Listed]) -> None:
         self._listed = listed
         self._processes.take_listed(listed)
         for listener in self._listeners:
             listener(listed)
 
-    def _take(self, envelope: Envelope) -> None:
-        self._use(envelope.message.instances)
+    def _handle_listed_instances(self, envelope: Envelope) -> None:
+        self._apply(envelope.message.instances)
 
-    def _send_to_newcomer(self, newcomer: Heartbeat) -> None:
+    def _send_to_new_process(self, newcomer: Heartbeat) -> None:
         """Send the instance list to a process that has just started.
 
-        It may have started while the platform is down
+        The process may have started while the platform is down
         (tests/features/configuration.feature).
         """
         near = newcomer.data_centre == self._processes.own.data_centre
--- a/limeshelf/standalone/membership/processes.py
+++ b/limeshelf/standalone/membership/processes.py
@@ -1,7 +1,7 @@
-"""Which processes of limeshelf are alive, from the list and from heartbeats.
+"""Tracks the live limeshelf processes by heartbeats and the instance list.
 
-Owns the last heartbeat of each peer and the listed entry instances; chooses which
-process does a duty for its data centre. Relies on nothing else.
+Owns the last heartbeat of each peer and the listed entry instances; assigns duties to the
+entry processes of the data centre.
 """
 
 from __future__ import annotations
@@ -26,18 +26,18 @@
 
 
 @attrs.define
-class _Heard:
+class _ReceivedHeartbeat:
     heartbeat: Heartbeat
-    heard_s: float
+    received_s: float
 
 
 class ProcessDirectory:
-    """Knows the peers of this process.
+    """The peers of this process.
 
-    Peers are dialled wherever the instance list or the seeds name them; they
-    count as alive only when heard of lately.
+    Messages go to the peers in the instance list, the seeds and the heartbeats. Only peers
+    with a recent heartbeat count as alive.
 
-    :param silence_s: a peer unheard for this long counts as gone.
+    :param silence_s: time without a heartbeat after which a peer counts as gone.
     """
 
     def __init__(self, own: Heartbeat, seeds: list[str], silence_s: float) -> None:
@@ -45,7 +45,7 @@
         self._seeds = seeds
         self._silence_s = silence_s
         self._listed: dict[str, Listed] = {}
-        self._heard: dict[tuple[str, str], _Heard] = {}
+        self._heard: dict[tuple[str, str], _ReceivedHeartbeat] = {}
         self._new_listeners: list[Callable[[Heartbeat], None]] = []
 
     def add_new_listener(self, listener: Callable[[Heartbeat], None]) -> None:
@@ -53,25 +53,25 @@
         self._new_listeners.append(listener)
 
     def take_listed(self, instances: list[Listed]) -> None:
-        """Take in a new instance list."""
+        """Replace the instance list."""
         self._listed = {
             listed.instance_id: listed for listed in instances if listed.kind is ListedKind.ENTRY
         }
 
     def take_heartbeat(self, heartbeat: Heartbeat) -> None:
-        """Note that a process is alive."""
+        """Record the heartbeat of a peer."""
         key = (heartbeat.instance_id, heartbeat.program)
         known = self._heard.get(key)
-        self._heard[key] = _Heard(heartbeat, boottime_s())
+        self._heard[key] = _ReceivedHeartbeat(heartbeat, boottime_s())
         if known is None or known.heartbeat.boot_id != heartbeat.boot_id:
             logging.info('peer=%s/%s state=heard boot=%s', *key, heartbeat.boot_id)
             for listener in self._new_listeners:
                 listener(heartbeat)
 
     def forget_silent(self) -> None:
-        """Drop the peers that have fallen silent."""
+        """Remove the peers without a heartbeat for ``silence_s``."""
         limit_s = boottime_s() - self._silence_s
-        for key in [key for key, heard in self._heard.items() if heard.heard_s < limit_s]:
+        for key in [key for key, heard in self._heard.items() if heard.received_s < limit_s]:
             del self._heard[key]
             logging.info('peer=%s/%s state=silent', *key)
 
@@ -80,9 +80,9 @@
         return [self.own, *(heard.heartbeat for heard in self._heard.values())]
 
     def centre_addresses(self, *programs: str) -> list[str]:
-        """Return peer addresses inside the own data centre, without the own.
+        """Return the addresses of the peers in the own data centre, without this process.
 
-        :param programs: only of these programs; of all if none is named.
+        :param programs: programs to include; all if none is given.
         """
         found = {
             beat.address
@@ -108,15 +108,16 @@
         )
 
     def is_chosen(self, duty: str, count: int = 1) -> bool:
-        """Return whether the own entry process is among those chosen for *duty*.
+        """Return whether the own entry process is among the *count* chosen for *duty*.
 
-        Two may think so for a short while, and none may; each duty bears both.
+        While membership changes, more or fewer processes may consider themselves chosen, also
+        none; every duty must tolerate both.
         """
         entries = set(self.live_entries()) | {self.own.instance_id}
         return self.own.instance_id in rank(duty, entries)[:count]
 
     def remote_entries(self) -> dict[str, list[str]]:
-        """Return entry peer addresses by other data centre."""
+        """Return the listed addresses of entry processes in other data centres, by data centre."""
         found: dict[str, list[str]] = {}
         for listed in self._listed.values():
             if listed.data_centre != self.own.data_centre:
@@ -125,7 +126,7 @@
         return found
 
     def listed_addresses(self, *programs: str) -> list[str]:
-        """Return peer addresses of all data centres, as the list has them."""
+        """Return the listed peer addresses of all data centres."""
         return [
             address for listed in self._listed.values() for address in _addresses(listed, programs)
         ]
--- a/limeshelf/standalone/membership/reach.py
+++ b/limeshelf/standalone/membership/reach.py
@@ -1,7 +1,7 @@
-"""Sends which process has which revision in force to the other data centres.
+"""Sends the configuration revision of each process to the other data centres.
 
-Owns what was sent last. Relies on the heartbeats of the own data centre; admin programs
-show the result to operators.
+Reads the revisions from the heartbeats of the own data centre; admin programs show them to
+operators.
 """
 
 from __future__ import annotations
@@ -19,10 +19,10 @@
     from limeshelf.peers.node import PeerNode
     from limeshelf.standalone.membership.processes import ProcessDirectory
 
-#: Pause between two messages when a revision changed.
-CHANGED_S = 0.25
-#: Pause between two messages when none did.
-UNCHANGED_S = 5.0
+#: Interval between checks for changed revisions.
+CHANGED_INTERVAL_S = 0.25
+#: Interval between messages while no revision changes.
+UNCHANGED_INTERVAL_S = 5.0
 
 
 class ReachSender:
@@ -33,15 +33,15 @@
         self._node = node
 
     async def run(self) -> None:
-        """Send changes soon, and everything now and then."""
+        """Send all revisions after a change, and periodically without one."""
         sent: dict[str, int] = {}
         sent_s = 0.0
         while True:
-            await asyncio.sleep(jittered_s(CHANGED_S))
+            await asyncio.sleep(jittered_s(CHANGED_INTERVAL_S))
             if not self._processes.is_chosen('gateway'):
                 continue
             revisions = centre_revisions(self._processes)
-            if revisions == sent and boottime_s() - sent_s < UNCHANGED_S:
+            if revisions == sent and boottime_s() - sent_s < UNCHANGED_INTERVAL_S:
                 continue
             sent, sent_s = revisions, boottime_s()
             message = Reach(self._processes.own.data_centre, revisions, relay=True)
@@ -50,7 +50,7 @@
                     self._node.send(random.choice(addresses), message)
 
     def relay(self, envelope: Envelope) -> None:
-        """Pass a message on to the admin processes of the own data centre."""
+        """Forward a message to the admin processes of the own data centre."""
         message: Reach = envelope.message
         if message.relay:
             inner = Reach(message.data_centre, message.revisions)
@@ -58,7 +58,7 @@
 
 
 def centre_revisions(processes: ProcessDirectory) -> dict[str, int]:
-    """Return the revisions of the data centre's processes, as heard."""
+    """Return the revision of each live process of the data centre, from its heartbeat."""
     return {
         f'{beat.instance_id}/{beat.program}': beat.revision
         for beat in processes.heard()
--- a/limeshelf/standalone/membership/rendezvous.py
+++ b/limeshelf/standalone/membership/rendezvous.py
@@ -1,7 +1,6 @@
-"""Rendezvous hashing: everybody ranks the same members in the same order.
+"""Rendezvous hashing: all processes rank the same members in the same order.
 
-Owns no state and relies on nothing: who does a duty follows from the members alone, without
-a message.
+Holds no state. Duties are assigned from the set of members alone, without messages.
 """
 
 from __future__ import annotations
@@ -12,15 +11,15 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-#: Length of a weight: enough that two members hardly ever have the same; where they do, their
-#: names decide.
+#: Length of a weight: long enough to make equal weights very unlikely. Equal ones are ordered
+#: by member name.
 WEIGHT_BYTES = 8
 
 
 def rank(key: str, members: Iterable[str]) -> list[str]:
-    """Return *members*, the highest weight for *key* first.
+    """Return *members* by descending weight for *key*.
 
-    A member that joins or leaves moves only the keys it wins or held.
+    A member that joins or leaves changes only the keys that it ranks first for.
     """
     return sorted(members, key=lambda member: _weight(key, member), reverse=True)
 
--- a/limeshelf/standalone/membership/states.py
+++ b/limeshelf/standalone/membership/states.py
@@ -1,6 +1,6 @@
-"""States of upstreams for the peers: made from reports, shortened to what peers lack.
+"""Builds upstream states from reports and omits what peers have already been sent.
 
-Owns what was sent last of each upstream. Relies on nothing but the messages.
+Owns the state last sent of each upstream.
 """
 
 from __future__ import annotations
@@ -18,8 +18,8 @@
 #: Item lists are sent again after this time, for peers that missed the change
 #: (docs/design/membership.rst).
 ITEMS_REFRESH_S = 5.0
-#: An unchanged state is sent again after this time (with the bounded probes it took the
-#: traffic at six processes from 4,852 to 3,155 B/s).
+#: An unchanged state is sent again after this time. Together with the limit on probes this
+#: reduced the traffic at six processes from 4,852 to 3,155 B/s.
 MAX_SEND_GAP_S = 1.5
 #: Running counts are rounded down to a multiple of this before they count as a change.
 RUNNING_STEP = 4
@@ -32,16 +32,14 @@
 
 
 class SentStates:
-    """What the peers have been sent of each upstream."""
+    """The last state of each upstream that was sent to the peers."""
 
     def __init__(self) -> None:
         self._sent: dict[str, _Sent] = {}
         self._items_sent_s: dict[str, float] = {}
 
     def shorten(self, state: UpstreamState, now_s: float) -> UpstreamState | None:
-        """Return what of *state* to send now, ``None`` if the peers know it all.
-
-        What is returned counts as sent.
+        """Return the parts of *state* to send now, ``None`` if none; record them as sent.
 
         :param now_s: time on the boot clock.
         """
@@ -92,7 +90,7 @@
 
 
 def unreachable_state(upstream: Upstream) -> UpstreamState:
-    """Return the state of an upstream that gives no report."""
+    """Return the state of an upstream whose probes fail."""
     return UpstreamState(
         upstream.upstream_id, upstream.boot_id, upstream.sequence, False, False, 0, None
     )
--- a/limeshelf/standalone/membership/upstreams.py
+++ b/limeshelf/standalone/membership/upstreams.py
@@ -1,7 +1,7 @@
-"""Which upstreams may get work, and what they hold.
+"""Directory of the upstreams: their state, their items and whether they accept requests.
 
-Owns the last state of each upstream and the boots that announced to leave. Relies on
-the instance list and on states that it is given.
+Owns the last state of each upstream and the boots that announced their shutdown. Fed from the
+instance list and from state messages.
 """
 
 from __future__ import annotations
@@ -21,18 +21,18 @@
     from limeshelf.standalone.messages import UpstreamState
 
 
-#: States kept for upstreams that are not listed yet.
-EARLY_LIMIT = 10_000
+#: Maximum number of states kept for upstreams that are not listed yet.
+UNLISTED_STATES_LIMIT = 10_000
 
 
 @attrs.define
 class Upstream:
     """One upstream as this process knows it.
 
-    :param left_boot_ids: boots that announced to leave; they get no new work
-        whatever the list says.
+    :param left_boot_ids: boots that announced their shutdown; they get no new requests,
+        regardless of their state in the instance list.
     :param heard_s: when the last state arrived, on the boot clock.
-    :param avoid_until_s: no new work before, after a failed connection.
+    :param avoid_until_s: no new requests before this time, after a failed connection.
     """
 
     listed: Listed
@@ -52,17 +52,17 @@
 
     @property
     def leaving(self) -> bool:
-        """Return whether it gets no new work."""
-        said_so = bool(self.left_boot_ids) and (
+        """Return whether the upstream is shutting down and gets no new requests."""
+        announced = bool(self.left_boot_ids) and (
             not self.boot_id or self.boot_id in self.left_boot_ids
         )
-        return said_so or self.listed.state is ListedState.LEAVING
+        return announced or self.listed.state is ListedState.LEAVING
 
 
 class UpstreamDirectory:
     """All upstreams of all data centres.
 
-    :param stale_s: a state older than this is not trusted.
+    :param stale_s: age beyond which a state is stale.
     """
 
     def __init__(self, data_centre: str, stale_s: float) -> None:
@@ -71,15 +71,15 @@
         self._upstreams: dict[str, Upstream] = {}
         #: Upstreams that hold some version of an item, by its unversioned name.
         self._holders: dict[str, set[str]] = {}
-        self._early: dict[str, UpstreamState] = {}
+        self._unlisted_states: dict[str, UpstreamState] = {}
         self._leaving_listeners: list[Callable[[str, str], None]] = []
 
     def add_leaving_listener(self, listener: Callable[[str, str], None]) -> None:
-        """Call *listener* with upstream id and boot id when it first leaves."""
+        """Call *listener* with upstream id and boot id once for each boot that is leaving."""
         self._leaving_listeners.append(listener)
 
     def take_listed(self, instances: list[Listed]) -> None:
-        """Take in a new instance list; upstreams no longer listed are dropped."""
+        """Apply a new instance list; upstreams no longer listed are removed."""
         listed = {
             line.instance_id: line for line in instances if line.kind is not ListedKind.ENTRY
         }
@@ -87,16 +87,16 @@
             self._set_items(self._upstreams.pop(upstream_id), frozenset())
             logging.info('upstream=%s state=unlisted', upstream_id)
         for upstream_id, line in listed.items():
-            self._take_line(upstream_id, line)
+            self._apply_listed(upstream_id, line)
 
-    def _take_line(self, upstream_id: str, line: Listed) -> None:
+    def _apply_listed(self, upstream_id: str, line: Listed) -> None:
         known = self._upstreams.get(upstream_id)
         if known is None:
             self._upstreams[upstream_id] = Upstream(line)
             logging.info('upstream=%s state=listed kind=%s', upstream_id, line.kind)
-            early = self._early.pop(upstream_id, None)
-            if early is not None:
-                self.take_state(early)
+            unlisted_state = self._unlisted_states.pop(upstream_id, None)
+            if unlisted_state is not None:
+                self.take_state(unlisted_state)
             return
         if line.address != known.listed.address:
             self._set_items(known, frozenset())
@@ -105,10 +105,10 @@
         known.listed = line
 
     def take_state(self, state: UpstreamState) -> None:
-        """Take in a state, unless it is older than the one known."""
+        """Record a state, unless it is older than the last one."""
         known = self._upstreams.get(state.upstream_id)
         if known is None:
-            self._keep_early(state)
+            self._keep_unlisted_state(state)
             return
         if state.boot_id == known.boot_id and state.sequence < known.sequence:
             return
@@ -130,13 +130,13 @@
         if state.leaving:
             self.mark_leaving(state.upstream_id, state.boot_id)
 
-    def _keep_early(self, state: UpstreamState) -> None:
-        """Keep a state that came before the list that names its upstream."""
-        if len(self._early) < EARLY_LIMIT and state.ready_items is not None:
-            self._early[state.upstream_id] = state
+    def _keep_unlisted_state(self, state: UpstreamState) -> None:
+        """Keep a state that arrived before the instance list that names its upstream."""
+        if len(self._unlisted_states) < UNLISTED_STATES_LIMIT and state.ready_items is not None:
+            self._unlisted_states[state.upstream_id] = state
 
     def _set_items(self, upstream: Upstream, items: frozenset[str]) -> None:
-        """Note what an upstream holds, and keep the index of holders in step."""
+        """Record the items that an upstream holds and update the index of holders."""
         if items == upstream.ready_items:
             return
         for name in map(unversioned, upstream.ready_items - items):
@@ -146,7 +146,7 @@
         upstream.ready_items = items
 
     def mark_leaving(self, upstream_id: str, boot_id: str) -> None:
-        """Give this boot of the upstream no new work from now on."""
+        """Mark this boot of the upstream as leaving: it gets no new requests."""
         known = self._upstreams.get(upstream_id)
         if known is None:
             return
@@ -159,13 +159,13 @@
             listener(upstream_id, boot_id)
 
     def avoid(self, upstream_id: str, for_s: float) -> None:
-        """Give the upstream no new work for a while, after a failed connection."""
+        """Send the upstream no new requests for *for_s* seconds, after a failed connection."""
         known = self._upstreams.get(upstream_id)
         if known is not None:
             known.avoid_until_s = boottime_s() + for_s
 
     def get(self, upstream_id: str) -> Upstream | None:
-        """Return one upstream."""
+        """Return the upstream, ``None`` if it is not listed."""
         return self._upstreams.get(upstream_id)
 
     def all(self) -> list[Upstream]:
@@ -194,18 +194,18 @@
         return [u for u in self._upstreams.values() if u.listed.data_centre == self.data_centre]
 
     def all_heard(self) -> bool:
-        """Return whether a state of every live upstream has arrived."""
+        """Return whether a state of every upstream that is not leaving has arrived."""
         return all(
             upstream.heard_s > float('-inf') or upstream.leaving
             for upstream in self._upstreams.values()
         )
 
     def is_fresh(self, upstream: Upstream) -> bool:
-        """Return whether the last state is recent and found it reachable."""
+        """Return whether the last state is recent and says that the upstream is reachable."""
         return upstream.reachable and boottime_s() - upstream.heard_s <= self._stale_s
 
     def takes_work(self, upstream: Upstream, drained: frozenset[str]) -> bool:
-        """Return whether new work may go to the upstream."""
+        """Return whether new requests may be sent to the upstream."""
         return (
             not upstream.leaving
             and upstream.upstream_id not in drained
--- a/limeshelf/standalone/membership/watch.py
+++ b/limeshelf/standalone/membership/watch.py
@@ -1,8 +1,7 @@
-"""Probes the upstreams that fall to this instance and sends their states to the peers.
+"""Probes the upstreams assigned to this instance and sends their states to the peers.
 
-Owns which upstreams are probed here and the states not yet sent. Relies on the peers for
-who else is there and on the clients of the upstreams for reports
-(docs/design/membership.rst).
+Owns the set of upstreams probed here and the states not yet sent. The assignment follows from
+the live entry processes (docs/design/membership.rst).
 """
 
 from __future__ import annotations
@@ -33,23 +32,23 @@
     from limeshelf.standalone.messages import Heartbeat
     from limeshelf.standalone.upstreams.pool import UpstreamPool
 
-#: Entry instances that probe each upstream (docs/design/membership.rst).
-WATCHERS = 2
-#: Failed probes in a row after which an upstream counts as unreachable.
+#: Number of entry instances that probe each upstream (docs/design/membership.rst).
+PROBERS_PER_UPSTREAM = 2
+#: Consecutive failed probes after which an upstream counts as unreachable.
 FAILED_PROBES = 3
-#: Pause between two sendings of own states to the other data centres.
-REMOTE_PERIOD_S = 1.0
-#: Limit of one probe.
+#: Interval between messages with own states to the other data centres.
+REMOTE_SHARE_INTERVAL_S = 1.0
+#: Timeout of one probe.
 REPORT_TIMEOUT_S = 1.0
-#: Probes that one process makes in a second, over all upstreams: one costs about 0.9 ms
+#: Limit of probes per second in one process, over all upstreams: one costs about 0.9 ms
 #: (docs/CAPACITY.md).
 PROBES_PER_S = 10.0
 
 
 class UpstreamWatch:
-    """Probes the upstreams that fall to this instance.
+    """Probes the upstreams assigned to this instance.
 
-    :param report_s: least pause between two probes of one upstream.
+    :param report_s: minimum pause between two probes of one upstream.
     """
 
     def __init__(
@@ -69,27 +68,27 @@
         self._watched: dict[str, asyncio.Task[None]] = {}
         self._unsent: dict[str, UpstreamState] = {}
         self._sent = SentStates()
-        upstreams.add_leaving_listener(self._spread_leaving)
-        processes.add_new_listener(self._send_to_newcomer)
+        upstreams.add_leaving_listener(self._broadcast_leaving)
+        processes.add_new_listener(self._send_to_new_process)
 
     def start(self) -> None:
-        """Start to assign, watch and share."""
+        """Start the tasks that assign upstreams, probe them and send their states."""
         self._tasks.supervise(self._assign, 'watch-assign')
         self._tasks.supervise(self._share, 'watch-share')
         self._tasks.supervise(self._share_remote, 'watch-share-remote')
 
     async def close(self) -> None:
-        """Stop watching."""
+        """Stop all tasks."""
         await self._tasks.close()
 
-    def _is_ours(self, upstream: Upstream) -> bool:
+    def _is_assigned(self, upstream: Upstream) -> bool:
         entries = set(self._processes.live_entries()) | {self._processes.own.instance_id}
-        chosen = rank(upstream.upstream_id, entries)[:WATCHERS]
+        chosen = rank(upstream.upstream_id, entries)[:PROBERS_PER_UPSTREAM]
         return self._processes.own.instance_id in chosen
 
     async def _assign(self) -> None:
         while True:
-            ours = {u.upstream_id for u in self._upstreams.own_centre() if self._is_ours(u)}
+            ours = {u.upstream_id for u in self._upstreams.own_centre() if self._is_assigned(u)}
             for upstream_id in set(self._watched) - ours:
                 self._watched.pop(upstream_id).cancel()
             for upstream_id in ours - set(self._watched):
@@ -104,21 +103,21 @@
             if upstream is None:
                 return
             try:
-                self._take(await self._probe(upstream))
+                self._record_state(await self._probe(upstream))
                 failed = 0
             except LimeshelfError:
-                # A single lost report decides nothing; the directory logs the change of state.
+                # One failed probe changes no state; the directory logs each change.
                 failed += 1
                 if failed >= FAILED_PROBES:
-                    self._take(unreachable_state(upstream))
+                    self._record_state(unreachable_state(upstream))
             await asyncio.sleep(jittered_s(self._probe_pause_s))
 
     @property
     def _probe_pause_s(self) -> float:
         """Return the pause between two probes of one upstream.
 
-        It grows with the number of upstreams watched, so that probing costs the
-        same however many there are.
+        It grows with the number of probed upstreams, so that the total rate of probes
+        stays within ``PROBES_PER_S``.
         """
         return max(self._report_s, len(self._watched) / PROBES_PER_S)
 
@@ -129,7 +128,7 @@
         plain = await self._pool.plain(upstream).report(REPORT_TIMEOUT_S)
         return plain_state(upstream.upstream_id, plain)
 
-    def _take(self, state: UpstreamState) -> None:
+    def _record_state(self, state: UpstreamState) -> None:
         self._upstreams.take_state(state)
         self._unsent[state.upstream_id] = state
 
@@ -146,7 +145,7 @@
 
     async def _share_remote(self) -> None:
         while True:
-            await asyncio.sleep(jittered_s(REMOTE_PERIOD_S))
+            await asyncio.sleep(jittered_s(REMOTE_SHARE_INTERVAL_S))
             if not self._processes.is_chosen('gateway'):
                 continue
             states = [
@@ -157,15 +156,15 @@
                 if addresses:
                     self._node.send(random.choice(addresses), message)
 
-    def _send_to_newcomer(self, heartbeat: Heartbeat) -> None:
-        """Send all that is watched here to a process that has just started."""
+    def _send_to_new_process(self, heartbeat: Heartbeat) -> None:
+        """Send the states of the upstreams probed here to a process that has just started."""
         watched = filter(None, map(self._upstreams.get, self._watched))
         states = [known_state(upstream) for upstream in watched if upstream.boot_id]
         if states and heartbeat.data_centre == self._upstreams.data_centre:
             message = UpstreamStates(self._upstreams.data_centre, states)
             self._node.send(heartbeat.address, message)
 
-    def _spread_leaving(self, upstream_id: str, boot_id: str) -> None:
+    def _broadcast_leaving(self, upstream_id: str, boot_id: str) -> None:
         notice = LeavingNotice(upstream_id, boot_id)
         self._node.send_all(self._processes.centre_addresses(), notice)
         relayed = LeavingNotice(upstream_id, boot_id, relay=True)
--- a/tests/mutate.py
+++ b/tests/mutate.py
@@ -117,7 +117,7 @@
     Mutation(
         'leaving is not remembered by boot',
         'standalone/membership/upstreams.py',
-        '        return said_so or self.listed.state is ListedState.LEAVING',
+        '        return announced or self.listed.state is ListedState.LEAVING',
         '        return self.listed.state is ListedState.LEAVING',
         'tests/standalone/membership',
     ),
--- a/tests/standalone/membership/test_upstreams.py
+++ b/tests/standalone/membership/test_upstreams.py
@@ -1,4 +1,4 @@
-"""The index of holders stays in step with what the upstreams report to hold."""
+"""The index of holders always matches the items that the upstreams report."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
         self.directory.take_state(state)
 
     @invariant()
-    def index_is_in_step(self) -> None:
+    def index_matches_reports(self) -> None:
         for item in ITEMS:
             name = unversioned(item)
             expected = {
@@ -52,7 +52,7 @@
             assert {u.upstream_id for u in self.directory.holders(item)} == expected
 
     @invariant()
-    def leaving_is_remembered(self) -> None:
+    def leaving_boot_gets_no_requests(self) -> None:
         for upstream in self.directory.all():
             if upstream.boot_id in upstream.left_boot_ids:
                 assert not self.directory.takes_work(upstream, frozenset())
