--- a/limeshelf/standalone/revisions/__init__.py
+++ b/limeshelf/standalone/revisions/__init__.py
@@ -1,1 +1,1 @@
-"""Revisions of the configuration: commit, fetch and spread."""
+"""Revisions of the configuration: commit, fetch and distribution to peers."""
--- a/limeshelf/standalone/revisions/store.py
+++ b/limeshelf/standalone/revisions/store.py
@@ -1,7 +1,7 @@
-"""Commits revisions to the platform and fetches them from it.
+"""Commits configuration revisions to the platform and reads them back.
 
-Owns the forms of the rows ``config/...`` in the table. Relies on the table, whose
-conditional writes decide between operators, and on the object store for snapshots.
+Owns the format of the rows ``config/...`` in the table. Conditional writes to the table resolve
+races between operators; snapshots are in the object store.
 """
 
 from __future__ import annotations
@@ -27,10 +27,10 @@
 REVISION_PREFIX = 'config/revision/'
 OPERATION_PREFIX = 'config/operation/'
 SNAPSHOT_PREFIX = 'config-snapshot-'
-#: A whole snapshot is stored each time the revision is a multiple of this.
+#: A snapshot is stored for each revision that is a multiple of this.
 SNAPSHOT_EVERY = 20
-#: Attempts to learn the outcome of a commit whose answer was lost.
-SETTLE_ATTEMPTS = 3
+#: Attempts to commit, or to find out whether a commit without an answer took effect.
+COMMIT_ATTEMPTS = 3
 
 
 @attrs.frozen
@@ -48,7 +48,7 @@
 
 @attrs.frozen
 class RevisionRecord:
-    """Who changed what and when."""
+    """The stored record of one revision: its changes, operator and time."""
 
     revision: int
     operation_id: str
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True)
 class Applied:
-    """The operation is committed as this revision."""
+    """The operation was committed as this revision."""
 
     revision: int
 
@@ -69,7 +69,7 @@
 class RaceLost:
     """Other operators committed first; nothing was changed.
 
-    :param others: what they changed since the base revision.
+    :param others: their revisions since the base revision.
     """
 
     revision: int
@@ -78,33 +78,37 @@
 
 @dataclass(frozen=True)
 class Undecided:
-    """The platform did not answer; repeating the call with the same
-    operation id shows whether it was committed."""
+    """The outcome is unknown; repeating the call with the same operation id shows whether it
+    was committed."""
 
 
 @dataclass(frozen=True)
 class NotApplied:
-    """The platform cannot be reached; nothing was changed."""
+    """The platform is unreachable; nothing was changed."""
 
 
 CommitOutcome = Applied | RaceLost | Undecided | NotApplied
 
 
 class RevisionStore:
-    """The configuration in the platform's services."""
+    """The configuration stored in the platform's table and object store."""
 
     def __init__(self, table: TableClient, objects: ObjectStoreClient) -> None:
         self._table = table
         self._objects = objects
 
     async def head(self) -> Head:
-        """Return the latest revision; raises the platform errors."""
+        """Return the latest revision.
+
+        :raises PlatformUnavailable: the table is unreachable.
+        :raises PlatformUnknown: the table sent no whole answer.
+        """
         row = await self._table.read(HEAD_KEY)
         value = row.value or {'revision': 0, 'snapshot_revision': 0}
         return Head(value['revision'], value['snapshot_revision'], row.version)
 
     async def record(self, revision: int) -> RevisionRecord | None:
-        """Return one revision's record."""
+        """Return the record of *revision*, ``None`` if there is none."""
         row = await self._table.read(_revision_key(revision))
         return None if row.value is None else msgspec.convert(row.value, RevisionRecord)
 
@@ -119,7 +123,7 @@
         return records
 
     async def snapshot(self, revision: int) -> Document | None:
-        """Return the stored snapshot of *revision*."""
+        """Return the stored snapshot of *revision*, ``None`` if there is none."""
         plain = await self._objects.get(f'{SNAPSHOT_PREFIX}{revision}')
         return None if plain is None else document_from_json(plain)
 
@@ -137,7 +141,7 @@
         """
         record = RevisionRecord(based_on + 1, operation_id, operator, wall_s(), note, changes)
         may_be_written = False
-        for _ in range(SETTLE_ATTEMPTS):
+        for _ in range(COMMIT_ATTEMPTS):
             try:
                 outcome = await self._try_commit(record)
             except PlatformUnavailable:
@@ -152,10 +156,10 @@
         return Undecided()
 
     async def _try_commit(self, record: RevisionRecord) -> Applied | RaceLost | None:
-        """Return the outcome, or ``None`` when others wrote in between.
+        """Return the outcome, or ``None`` if another operator wrote between read and write.
 
-        The head is read before the operation's row: once the head has moved
-        on, a write of ours that is still on its way can no longer commit.
+        The head is read before the operation's row: once the head has another version, a write
+        of this operation that is still in transit can no longer commit.
         """
         head = await self.head()
         done = await self._operation(record.operation_id)
@@ -192,7 +196,10 @@
         return RaceLost(head_revision, await self.records_after(based_on, head_revision))
 
     async def store_snapshot(self, revision: int, document: Document) -> None:
-        """Store a snapshot and note it in the head; a failure costs only speed."""
+        """Store a snapshot and record it in the head.
+
+        Failures are only logged: without the snapshot processes read more records.
+        """
         try:
             await self._objects.put(f'{SNAPSHOT_PREFIX}{revision}', document_to_json(document))
             head = await self.head()
--- a/limeshelf/standalone/revisions/sync.py
+++ b/limeshelf/standalone/revisions/sync.py
@@ -1,8 +1,7 @@
-"""Keeps one process at the highest revision it can reach, and sends it to its peers.
+"""Keeps the configuration at the highest available revision and sends it to peers.
 
-Owns when the platform was last read and which peer was last asked. Relies on the revision
-store, on the peers, and on :mod:`limeshelf.standalone.membership.listing` for whom to ask;
-the configuration itself is in :mod:`limeshelf.standalone.config.holder`.
+Owns the times of the last platform read and of the last pull from each peer. The configuration
+itself is in :mod:`limeshelf.standalone.config.holder`.
 """
 
 from __future__ import annotations
@@ -40,20 +39,20 @@
     from limeshelf.standalone.membership.processes import ProcessDirectory
     from limeshelf.standalone.revisions.store import RevisionStore
 
-#: A starting process gives its peers this long to answer when the platform does not.
-PEERS_ANSWER_S = 2.0
-#: Pause between two tries of a starting process, and between two pulls from one peer.
-START_PAUSE_S = 0.2
-#: One process of a data centre reads the platform for all; the others read it this many times
-#: less often, which covers the time without a reader.
+#: A starting process waits this long for answers of peers if the platform does not answer.
+PEER_ANSWER_TIMEOUT_S = 2.0
+#: Interval between attempts of a starting process, and between pulls from one peer.
+PULL_INTERVAL_S = 0.2
+#: One process of a data centre reads the platform for all. The others read it this many times
+#: less often, in case no process is assigned for a while.
 IDLE_READ_FACTOR = 20
 
 
 class RevisionSync:
     """Fetches from the platform, pushes to and pulls from peers.
 
-    :param reads_platform: tells whether this process is the data centre's
-        reader of the platform at the moment.
+    :param reads_platform: returns whether this process currently reads the platform for its
+        data centre.
     """
 
     def __init__(
@@ -75,31 +74,31 @@
         self._reads_platform = reads_platform
         self._read_s = float('-inf')
         self._pulled: dict[str, float] = {}
-        node.add_handler(ConfigChanges, self._take_changes)
-        node.add_handler(ConfigSnapshot, self._take_snapshot)
-        node.add_handler(ConfigPull, self._answer_pull)
-        node.add_handler(Heartbeat, self._compare)
+        node.add_handler(ConfigChanges, self._handle_changes)
+        node.add_handler(ConfigSnapshot, self._handle_snapshot)
+        node.add_handler(ConfigPull, self._handle_pull)
+        node.add_handler(Heartbeat, self._handle_heartbeat)
 
     async def start(self) -> None:
-        """Return once the highest revision within reach is in force.
+        """Return once the highest available revision is applied.
 
-        With the platform that is its head; without it, the highest of the
-        peers that answer.
+        This is the head in the platform or, while the platform is unreachable, the highest
+        revision of the peers that answer.
         """
         started_s = boottime_s()
         while True:
             if await self._read_platform():
                 return
             self._ask_peers()
-            await asyncio.sleep(START_PAUSE_S)
-            waited = boottime_s() - started_s > PEERS_ANSWER_S
+            await asyncio.sleep(PULL_INTERVAL_S)
+            waited = boottime_s() - started_s > PEER_ANSWER_TIMEOUT_S
             highest = max(beat.revision for beat in self._processes.heard())
             if waited and self._config.revision > 0 and self._config.revision >= highest:
                 logging.info('config=started_from_peers revision=%d', self._config.revision)
                 return
 
     async def run(self) -> None:
-        """Follow the platform, while this process is the one that reads it."""
+        """Poll the platform: often if this process is assigned to, otherwise rarely."""
         while True:
             await asyncio.sleep(jittered_s(self._poll_s))
             overdue = boottime_s() - self._read_s > self._poll_s * IDLE_READ_FACTOR
@@ -108,7 +107,7 @@
                 await self._read_platform()
 
     def push(self, based_on: int) -> None:
-        """Send what lies after *based_on* to the data centre, and one peer of each other."""
+        """Send the changes after *based_on* to the data centre and one peer of each other one."""
         message = self._update_after(based_on)
         self._node.send_all(self._processes.centre_addresses(), message)
         for addresses in self._processes.remote_entries().values():
@@ -123,8 +122,8 @@
             if head.revision > before:
                 await self._fetch(head.revision, head.snapshot_revision)
         except (PlatformUnavailable, PlatformUnknown) as error:
-            # The revision in force goes on; peers may bring a higher one meanwhile, and
-            # the next poll asks again.
+            # The current revision stays in use. Peers may send a higher one, and the next
+            # poll reads the platform again.
             logging.log_every_n_seconds(
                 logging.WARNING, 'config=head_not_read error=%r', OUTAGE_LOG_S, error
             )
@@ -143,7 +142,7 @@
             try:
                 self._config.take_changes(record.revision - 1, record.revision, record.changes)
             except StaleRevision:
-                # A peer's push got here first; the next poll reads what is left.
+                # A peer has pushed a higher revision meanwhile; the next poll reads the rest.
                 logging.info('config=overtaken revision=%d', record.revision)
                 return
 
@@ -152,7 +151,7 @@
         self._node.send_all(addresses, ConfigPull(self._config.revision))
         self._node.send_all(addresses, self._processes.own)
 
-    def _compare(self, envelope: Envelope) -> None:
+    def _handle_heartbeat(self, envelope: Envelope) -> None:
         beat: Heartbeat = envelope.message
         if beat.revision < self._config.revision:
             self._node.send(beat.address, self._update_after(beat.revision))
@@ -161,15 +160,15 @@
 
     def _pull(self, address: str) -> None:
         now_s = boottime_s()
-        if now_s - self._pulled.get(address, float('-inf')) < START_PAUSE_S:
+        if now_s - self._pulled.get(address, float('-inf')) < PULL_INTERVAL_S:
             return
         self._pulled[address] = now_s
         self._node.send(address, ConfigPull(self._config.revision))
 
-    def _answer_pull(self, envelope: Envelope) -> None:
-        have: int = envelope.message.have_revision
-        if have < self._config.revision:
-            self._node.send(envelope.sender, self._update_after(have))
+    def _handle_pull(self, envelope: Envelope) -> None:
+        peer_revision: int = envelope.message.have_revision
+        if peer_revision < self._config.revision:
+            self._node.send(envelope.sender, self._update_after(peer_revision))
 
     def _update_after(self, revision: int) -> ConfigChanges | ConfigSnapshot:
         steps = self._config.changes_after(revision)
@@ -178,7 +177,7 @@
         plain = document_to_json(self._config.catalog.document)
         return ConfigSnapshot(self._config.revision, plain)
 
-    def _take_changes(self, envelope: Envelope) -> None:
+    def _handle_changes(self, envelope: Envelope) -> None:
         message: ConfigChanges = envelope.message
         before = self._config.revision
         try:
@@ -192,7 +191,7 @@
             logging.warning('config=refused sender=%s', envelope.sender)
         self._relay(before, envelope)
 
-    def _take_snapshot(self, envelope: Envelope) -> None:
+    def _handle_snapshot(self, envelope: Envelope) -> None:
         message: ConfigSnapshot = envelope.message
         before = self._config.revision
         try:
@@ -202,7 +201,7 @@
         self._relay(before, envelope)
 
     def _relay(self, before: int, envelope: Envelope) -> None:
-        """Pass a change from another data centre on inside the own one."""
+        """Forward a change from another data centre within the own one."""
         foreign = envelope.data_centre != self._processes.own.data_centre
         if foreign and self._config.revision > before:
             message = self._update_after(before)
--- a/tests/standalone/revisions/test_revisions_machine.py
+++ b/tests/standalone/revisions/test_revisions_machine.py
@@ -1,4 +1,4 @@
-"""Configuration never reverts: operators race, answers get lost, peers answer out of order."""
+"""Configuration never reverts, with racing operators, lost answers and reordered pushes."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class NoObjects:
-    """An object store that has nothing."""
+    """An empty object store."""
 
     async def get(self, key: str) -> None:
         return None
@@ -49,8 +49,8 @@
         return self.loop.run_until_complete(coroutine)
 
     @rule(number=HOLDERS, name=NAMES, size=st.integers(1, 9))
-    def operate(self, number: int, name: str, size: int) -> None:
-        """An operator changes what its instance shows, on the revision it shows."""
+    def commit_change(self, number: int, name: str, size: int) -> None:
+        """An operator commits a change based on the revision of one instance."""
         holder = self.holders[number]
         before = holder.catalog.document
         others = [d for d in before.deployments if d.name != name]
@@ -75,12 +75,12 @@
             self.open.append(arguments)
 
     @rule()
-    def ask_again(self) -> None:
+    def repeat_undecided(self) -> None:
         if self.open:
             self._commit(self.open.pop(0))
 
     def _committed(self) -> dict[str, int]:
-        """Return revision by operation id, as the commits had it."""
+        """Return the committed revision of each operation, by operation id."""
         found: dict[str, int] = {}
         for writes in self.table.commits:
             for write in writes:
@@ -98,10 +98,17 @@
             changes = [Change(**change) for change in record['changes']]
             holder.take_changes(revision - 1, revision, changes)
 
-    @rule(teller=HOLDERS, hearer=HOLDERS, based_on=st.integers(0, 5), whole=st.booleans())
-    def tell(self, teller: int, hearer: int, based_on: int, whole: bool) -> None:
-        """A peer's telling arrives, whatever the hearer has by now."""
-        source, target = self.holders[teller], self.holders[hearer]
+    @rule(
+        source_number=HOLDERS,
+        target_number=HOLDERS,
+        based_on=st.integers(0, 5),
+        whole=st.booleans(),
+    )
+    def push_to_peer(
+        self, source_number: int, target_number: int, based_on: int, whole: bool
+    ) -> None:
+        """A push of one peer reaches another, which may be at any revision by then."""
+        source, target = self.holders[source_number], self.holders[target_number]
         if whole:
             target.take_snapshot(source.revision, source.catalog.document)
             return
@@ -113,11 +120,11 @@
                 return
 
     @rule(fault=st.sampled_from(list(TableFault)))
-    def strike(self, fault: TableFault) -> None:
+    def inject_table_fault(self, fault: TableFault) -> None:
         self.table.next_faults.append(fault)
 
     @rule()
-    def late(self) -> None:
+    def deliver_late_writes(self) -> None:
         self.table.deliver_late()
 
     @invariant()
--- a/tests/standalone/revisions/test_store.py
+++ b/tests/standalone/revisions/test_store.py
@@ -1,4 +1,4 @@
-"""Commits whose answers are lost."""
+"""Commits with lost answers, late writes and races."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
     return asyncio.run(store.commit(CHANGES, based_on, operation_id, 'who', ''))
 
 
-def test_late_write_is_not_called_not_applied() -> None:
-    """The write is still on its way when the table goes down."""
+def test_late_write_is_not_reported_as_not_applied() -> None:
+    """The write is still in transit when the table becomes unreachable."""
     table = FakeTable()
     store = RevisionStore(table, NoObjects())
     table.next_faults.extend([TableFault.NONE, TableFault.NONE, TableFault.LATE, TableFault.DOWN])
@@ -27,14 +27,14 @@
     assert commit(store, 'op1') == Applied(1)
 
 
-def test_lost_answer_is_settled_by_reading_back() -> None:
+def test_lost_answer_is_resolved_by_reading_back() -> None:
     table = FakeTable()
     store = RevisionStore(table, NoObjects())
     table.next_faults.extend([TableFault.NONE, TableFault.NONE, TableFault.LOST_AFTER])
     assert commit(store, 'op1') == Applied(1)
 
 
-def test_race_shows_what_the_other_changed() -> None:
+def test_lost_race_returns_the_revisions_of_others() -> None:
     store = RevisionStore(FakeTable(), NoObjects())
     assert commit(store, 'op1') == Applied(1)
     lost = commit(store, 'op2')
