--- a/limeshelf/standalone/services/http.py
+++ b/limeshelf/standalone/services/http.py
@@ -1,7 +1,7 @@
-"""One JSON exchange with a platform service: deadline, rate limit, outcome.
+"""HTTP client for the JSON calls to one platform service, with timeout and rate limit.
 
-Owns the session and the rate limit of one service. Never repeats a call: every repeat
-is decided by the caller.
+Owns the session and the rate limit of one service. Never retries a call: retries are up to the
+caller.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 @attrs.frozen
 class Reply:
-    """A whole answer of a platform service."""
+    """A complete answer of a platform service."""
 
     status: int
     body: bytes
@@ -37,8 +37,8 @@
 class ServiceClient:
     """Sends requests to one platform service.
 
-    :param timeout_s: longest time of one call, the answer included.
-    :param calls_per_s: calls beyond this rate fail at once, unsent.
+    :param timeout_s: timeout of one call, including the whole answer.
+    :param calls_per_s: rate limit; calls beyond it fail at once without being sent.
     """
 
     def __init__(self, service: str, base_url: str, timeout_s: float, calls_per_s: float) -> None:
@@ -50,14 +50,15 @@
 
     @classmethod
     def from_settings(cls, service: str, base_url: str, settings: PlatformSettings) -> Self:
-        """Build the client of one service with the limits that hold for all."""
+        """Build the client of one service with the limits common to all services."""
         return cls(service, base_url, settings.timeout_s, settings.calls_per_s)
 
     async def call(self, method: str, path: str, body: Any = None) -> Reply:
-        """Make one call and return its whole answer.
+        """Make one call and return its complete answer.
 
-        :raises PlatformUnavailable: it had no effect (not sent, or refused).
-        :raises PlatformUnknown: it was sent, and no whole answer came.
+        :raises PlatformUnavailable: the call had no effect (not sent, or refused).
+        :raises PlatformUnknown: the call may have had an effect: no complete answer arrived, or
+            the service reported an internal error.
         """
         if not self._rate.try_take():
             raise PlatformUnavailable(self.service)
--- a/limeshelf/standalone/services/instances.py
+++ b/limeshelf/standalone/services/instances.py
@@ -1,7 +1,6 @@
-"""The list of live and leaving instances; it lags behind the truth.
+"""Client of the list of live and leaving instances, which may be out of date.
 
-Owns no state; :mod:`limeshelf.standalone.membership.listing` keeps what was read. Relies on
-``services.http`` for the exchange.
+Holds no state; :mod:`limeshelf.standalone.membership.listing` keeps the list last read.
 """
 
 from __future__ import annotations
@@ -19,7 +18,7 @@
 
 
 class ListedKind(enum.StrEnum):
-    """What runs on a listed instance."""
+    """Kind of program on a listed instance."""
 
     ENTRY = 'entry'
     ENGINE = 'engine'
@@ -35,13 +34,13 @@
 
 @attrs.frozen
 class Listed:
-    """One line of the instance list.
+    """One entry of the instance list.
 
     :param address: ``ip:port`` of an upstream's HTTP listener.
     :param peer_addresses: of an entry instance: program name to ``ip:port``.
     :param service: of a plain service: its name.
     :param capacity_bytes: of an engine: its accelerator memory.
-    :param checks_fence: whether the upstream checks who gives it an order.
+    :param checks_fence: whether the upstream refuses orders of a lower epoch or number.
     """
 
     instance_id: str
--- a/limeshelf/standalone/services/objects.py
+++ b/limeshelf/standalone/services/objects.py
@@ -1,8 +1,4 @@
-"""The object store: whole values under a key.
-
-Owns no state; the store holds the snapshots of the configuration. Relies on
-``services.http`` for the exchange.
-"""
+"""Client of the object store, which holds the snapshots of the configuration."""
 
 from __future__ import annotations
 
@@ -32,7 +28,7 @@
         return cls(ServiceClient.from_settings('objects', settings.objects_url, settings))
 
     async def put(self, key: str, value: Any) -> None:
-        """Store *value* as JSON under *key*; storing it again changes nothing."""
+        """Store *value* as JSON under *key*; idempotent."""
         await self._client.call('PUT', f'/objects/{quote(key, safe="")}', value)
 
     async def get(self, key: str) -> Any | None:
--- a/limeshelf/standalone/services/outages.py
+++ b/limeshelf/standalone/services/outages.py
@@ -1,10 +1,7 @@
-"""How often a lasting outage of a platform service is written to the log.
-
-Owns the one figure that all modules use which go on through an outage.
-"""
+"""Limits how often an outage of a platform service is logged, the same in all modules."""
 
 from __future__ import annotations
 
-#: Least pause between two lines of one place about an outage: its calls come up to some times a
-#: second, and one line is enough.
+#: Minimum interval between two log lines of one call site about an outage. Calls may fail several
+#: times a second.
 OUTAGE_LOG_S = 10.0
--- a/limeshelf/standalone/services/table.py
+++ b/limeshelf/standalone/services/table.py
@@ -1,7 +1,6 @@
-"""The transactional table service: rows with versions, conditional writes.
+"""Client of the transactional table service: versioned rows and conditional writes.
 
-Owns no state; the rows belong to the modules that write them. Relies on
-``services.http`` for the exchange.
+Holds no state; the format of each row is defined by the module that writes it.
 """
 
 from __future__ import annotations
@@ -24,7 +23,7 @@
 class VersionedRow:
     """One row as read.
 
-    :param version: grows with each write; 0 stands for an absent row.
+    :param version: increases with each write; 0 if the row is absent.
     """
 
     key: str
@@ -57,7 +56,10 @@
 
 @dataclass(frozen=True)
 class Conflicted:
-    """No write took effect; the rows whose condition failed, as they are."""
+    """No write took effect.
+
+    :param rows: current state of the rows whose condition failed.
+    """
 
     rows: list[VersionedRow]
 
@@ -87,9 +89,10 @@
         return msgspec.convert(reply.json(), list[VersionedRow])
 
     async def transact(self, conditions: list[Condition], writes: list[Write]) -> TransactOutcome:
-        """Write all of *writes* if every condition holds, else nothing.
+        """Apply all of *writes* atomically if every condition holds, otherwise none.
 
-        :raises PlatformUnknown: the commit may or may not have happened.
+        :raises PlatformUnavailable: nothing was written.
+        :raises PlatformUnknown: the writes may or may not have taken effect.
         """
         body = {'conditions': conditions, 'writes': writes}
         reply = await self._client.call('POST', '/transact', body)
--- a/limeshelf/standalone/services/weights.py
+++ b/limeshelf/standalone/services/weights.py
@@ -1,7 +1,6 @@
-"""The weight store: which weights exist and how large they are.
+"""Client of the weight store: which weights exist, and their sizes.
 
-Owns no state; the admin program checks the sizes of new models against it. Relies on
-``services.http`` for the exchange.
+Holds no state. The admin program checks the sizes of new models against the store.
 """
 
 from __future__ import annotations
@@ -21,7 +20,7 @@
 
 @attrs.frozen
 class Manifest:
-    """What the store has of one item."""
+    """Size of the stored weights of one item."""
 
     item_id: str
     weights_bytes: int
@@ -39,7 +38,7 @@
         return cls(ServiceClient.from_settings('weights', settings.weights_url, settings))
 
     async def manifest(self, item_id: str) -> Manifest | None:
-        """Return the manifest of *item_id*, or ``None`` if the store lacks it."""
+        """Return the manifest of *item_id*, or ``None`` if the store has no weights of it."""
         reply = await self._client.call('GET', f'/manifests/{quote(item_id, safe="")}')
         if reply.status == HTTPStatus.NOT_FOUND:
             return None
