--- a/limeshelf/standalone/revisions/sync.py
+++ b/limeshelf/standalone/revisions/sync.py
@@ -166,9 +166,9 @@
         self._node.send(address, ConfigPull(self._config.revision))
 
     def _handle_pull(self, envelope: Envelope) -> None:
-        peer_revision: int = envelope.message.have_revision
-        if peer_revision < self._config.revision:
-            self._node.send(envelope.sender, self._update_after(peer_revision))
+        have: int = envelope.message.have_revision
+        if have < self._config.revision:
+            self._node.send(envelope.sender, self._update_after(have))
 
     def _update_after(self, revision: int) -> ConfigChanges | ConfigSnapshot:
         steps = self._config.changes_after(revision)
