--- a/limeshelf/standalone/experiment/centres.py
+++ b/limeshelf/standalone/experiment/centres.py
@@ -14,10 +14,10 @@
 from limeshelf.metrics.decision_log import DecisionLog
 from limeshelf.metrics.statsd import Metrics
 from limeshelf.settings.model import MetricsSettings, PlacerSettings
-from limeshelf.standalone.lease.keeper import LeaseKeeper
+from limeshelf.standalone.lease.keeper import LeaderLease
 from limeshelf.standalone.membership.upstreams import UpstreamDirectory
 from limeshelf.standalone.messages import Demand, ItemDemand
-from limeshelf.standalone.placement.anchors import AnchorBook
+from limeshelf.standalone.placement.anchors import AnchorDirectory
 from limeshelf.standalone.placement.placer import Placer
 from limeshelf.standalone.routing.loads import UpstreamLoads
 
@@ -55,7 +55,7 @@
     upstreams: UpstreamDirectory
     loads: UpstreamLoads
     placer: Placer
-    lease: LeaseKeeper
+    lease: LeaderLease
     arrived: dict[str, int] = attrs.field(factory=dict)
     refused: dict[str, int] = attrs.field(factory=dict)
     waiting: dict[str, int] = attrs.field(factory=dict)
@@ -74,7 +74,7 @@
         settings = PlacerSettings(loads_per_s=loads_per_s, max_loads=MAX_LOADS)
         upstreams = UpstreamDirectory(name, STALE_S)
         upstreams.take_listed(listed)
-        lease = LeaseKeeper(table, name, f'placer-{name}', settings.lease_s)
+        lease = LeaderLease(table, name, f'placer-{name}', settings.lease_s)
         pool: Any = EnginePool(engines)
         placer = Placer(
             name,
@@ -84,7 +84,7 @@
             pool,
             table,
             lease,
-            AnchorBook(table, lease, name),
+            AnchorDirectory(table, lease, name),
             Metrics(MetricsSettings(), 'experiment'),
             DecisionLog(False),
         )
--- a/limeshelf/standalone/experiment/simulation.py
+++ b/limeshelf/standalone/experiment/simulation.py
@@ -144,7 +144,7 @@
         for centre in self._centres.values():
             demand = centre.take_demand(ROUND_S)
             for other in self._centres.values():
-                other.placer.demand.take(demand, self._clock.now_s)
+                other.placer.demand.record(demand, self._clock.now_s)
             self._loop.run_until_complete(centre.place())
         self._events.after(ROUND_S, self._placement_round)
 
--- a/limeshelf/standalone/lease/keeper.py
+++ b/limeshelf/standalone/lease/keeper.py
@@ -46,7 +46,7 @@
     since_s: float
 
 
-class LeaseKeeper:
+class LeaderLease:
     """One contender for the lease row of a data centre.
 
     :param clock: seconds on a clock that advances while the process is paused.
--- a/limeshelf/standalone/placement/anchors.py
+++ b/limeshelf/standalone/placement/anchors.py
@@ -17,7 +17,7 @@
 from limeshelf.standalone.services.table import Committed, Condition, VersionedRow, Write
 
 if TYPE_CHECKING:
-    from limeshelf.standalone.lease.keeper import LeaseKeeper
+    from limeshelf.standalone.lease.keeper import LeaderLease
     from limeshelf.standalone.services.table import TableClient, TransactOutcome
 
 ANCHOR_PREFIX = 'anchor/'
@@ -42,7 +42,7 @@
     handoff: bool = False
 
 
-class AnchorBook:
+class AnchorDirectory:
     """The anchors of all models as last read, and the own writes of unknown outcome.
 
     Only the placer of an upstream's data centre moves an anchor *to* that upstream, and the
@@ -50,7 +50,7 @@
     a move of the anchor by another data centre.
     """
 
-    def __init__(self, table: TableClient, lease: LeaseKeeper, data_centre: str) -> None:
+    def __init__(self, table: TableClient, lease: LeaderLease, data_centre: str) -> None:
         self._table = table
         self._lease = lease
         self._data_centre = data_centre
--- a/limeshelf/standalone/placement/demand.py
+++ b/limeshelf/standalone/placement/demand.py
@@ -47,7 +47,7 @@
         self._models: dict[str, _SmoothedDemand] = {}
         self._item_used_s: dict[str, float] = {}
 
-    def take(self, demand: Demand, now_s: float) -> None:
+    def record(self, demand: Demand, now_s: float) -> None:
         """Record the demand that one entry instance reported."""
         waiting: dict[str, int] = {}
         for item in demand.items:
--- a/limeshelf/standalone/placement/gate.py
+++ b/limeshelf/standalone/placement/gate.py
@@ -12,7 +12,7 @@
 from limeshelf.standalone.config.items import model_of, unversioned
 
 if TYPE_CHECKING:
-    from limeshelf.standalone.placement.anchors import AnchorBook
+    from limeshelf.standalone.placement.anchors import AnchorDirectory
     from limeshelf.standalone.placement.view import PlacementView, UnitView
 
 
@@ -23,7 +23,7 @@
     rely on each other's replica.
     """
 
-    def __init__(self, view: PlacementView, anchors: AnchorBook) -> None:
+    def __init__(self, view: PlacementView, anchors: AnchorDirectory) -> None:
         self._view = view
         self._anchors = anchors
         self._removed: set[tuple[str, str]] = set()
--- a/limeshelf/standalone/placement/intents.py
+++ b/limeshelf/standalone/placement/intents.py
@@ -18,7 +18,7 @@
 from limeshelf.util.clock import wall_s
 
 if TYPE_CHECKING:
-    from limeshelf.standalone.lease.keeper import LeaseKeeper
+    from limeshelf.standalone.lease.keeper import LeaderLease
     from limeshelf.standalone.services.table import TableClient
 
 INTENT_PREFIX = 'intent/'
@@ -31,7 +31,7 @@
     can add no intents, since each write is conditional on the epoch row.
     """
 
-    def __init__(self, table: TableClient, lease: LeaseKeeper, upstream_id: str) -> None:
+    def __init__(self, table: TableClient, lease: LeaderLease, upstream_id: str) -> None:
         self._table = table
         self._lease = lease
         self._key = f'{INTENT_PREFIX}{upstream_id}'
--- a/limeshelf/standalone/placement/placer.py
+++ b/limeshelf/standalone/placement/placer.py
@@ -37,9 +37,9 @@
     from limeshelf.settings.model import PlacerSettings
     from limeshelf.standalone.config.document import Policy
     from limeshelf.standalone.config.holder import ConfigHolder
-    from limeshelf.standalone.lease.keeper import LeaseKeeper
+    from limeshelf.standalone.lease.keeper import LeaderLease
     from limeshelf.standalone.membership.upstreams import Upstream, UpstreamDirectory
-    from limeshelf.standalone.placement.anchors import AnchorBook
+    from limeshelf.standalone.placement.anchors import AnchorDirectory
     from limeshelf.standalone.services.table import TableClient
     from limeshelf.standalone.upstreams.pool import UpstreamPool
 
@@ -58,8 +58,8 @@
         upstreams: UpstreamDirectory,
         pool: UpstreamPool,
         table: TableClient,
-        lease: LeaseKeeper,
-        anchors: AnchorBook,
+        lease: LeaderLease,
+        anchors: AnchorDirectory,
         metrics: Metrics,
         decisions: DecisionLog,
     ) -> None:
--- a/limeshelf/standalone/placement/view_builder.py
+++ b/limeshelf/standalone/placement/view_builder.py
@@ -18,7 +18,7 @@
 
     from limeshelf.standalone.config.holder import ConfigHolder
     from limeshelf.standalone.membership.upstreams import Upstream, UpstreamDirectory
-    from limeshelf.standalone.placement.anchors import AnchorBook
+    from limeshelf.standalone.placement.anchors import AnchorDirectory
     from limeshelf.standalone.placement.demand import DemandTracker
     from limeshelf.standalone.placement.worker import EngineWorker
 
@@ -39,7 +39,7 @@
         data_centre: str,
         config: ConfigHolder,
         upstreams: UpstreamDirectory,
-        anchors: AnchorBook,
+        anchors: AnchorDirectory,
         demand: DemandTracker,
         fresh_s: float,
     ) -> None:
--- a/limeshelf/standalone/placement/worker.py
+++ b/limeshelf/standalone/placement/worker.py
@@ -21,7 +21,7 @@
 if TYPE_CHECKING:
     from limeshelf.metrics.statsd import Metrics
     from limeshelf.settings.model import PlacerSettings
-    from limeshelf.standalone.lease.keeper import LeaseKeeper
+    from limeshelf.standalone.lease.keeper import LeaderLease
     from limeshelf.standalone.membership.upstreams import Upstream
     from limeshelf.standalone.placement.intents import IntentLog
     from limeshelf.standalone.placement.ledger import Ledger
@@ -54,7 +54,7 @@
         upstream: Upstream,
         pool: UpstreamPool,
         ledger: Ledger,
-        lease: LeaseKeeper,
+        lease: LeaderLease,
         intents: IntentLog,
         settings: PlacerSettings,
         metrics: Metrics,
--- a/limeshelf/standalone/programs/placer.py
+++ b/limeshelf/standalone/programs/placer.py
@@ -14,10 +14,10 @@
 import typer
 
 from limeshelf.peers.codec import Envelope
-from limeshelf.standalone.lease.keeper import LeaseKeeper
+from limeshelf.standalone.lease.keeper import LeaderLease
 from limeshelf.standalone.membership.processes import PLACER_PROGRAM
 from limeshelf.standalone.messages import Demand
-from limeshelf.standalone.placement.anchors import AnchorBook
+from limeshelf.standalone.placement.anchors import AnchorDirectory
 from limeshelf.standalone.placement.placer import Placer
 from limeshelf.standalone.programs.process import Process
 from limeshelf.standalone.programs.runner import EXIT_OK, ProgramService, run_program
@@ -35,7 +35,7 @@
         await process.start()
         self.pool = UpstreamPool(settings.entry.connect_timeout_s)
         holder_id = process.processes.own.boot_id
-        lease = LeaseKeeper(
+        lease = LeaderLease(
             process.table, settings.data_centre, holder_id, settings.placer.lease_s
         )
         self.placer = Placer(
@@ -46,7 +46,7 @@
             self.pool,
             process.table,
             lease,
-            AnchorBook(process.table, lease, settings.data_centre),
+            AnchorDirectory(process.table, lease, settings.data_centre),
             process.metrics,
             process.decisions,
         )
@@ -56,7 +56,7 @@
         process.tasks.supervise(self._place, 'place')
 
     def _take_demand(self, envelope: Envelope) -> None:
-        self.placer.demand.take(envelope.message, boottime_s())
+        self.placer.demand.record(envelope.message, boottime_s())
 
     async def _place(self) -> None:
         await self.process.synchronise()
--- a/tests/forms/test_rows.py
+++ b/tests/forms/test_rows.py
@@ -50,8 +50,8 @@
     PriorityClass,
     Split,
 )
-from limeshelf.standalone.lease.keeper import LeaseKeeper
-from limeshelf.standalone.placement.anchors import AnchorBook
+from limeshelf.standalone.lease.keeper import LeaderLease
+from limeshelf.standalone.placement.anchors import AnchorDirectory
 from limeshelf.standalone.placement.intents import IntentLog
 from limeshelf.standalone.revisions.store import Applied, Head, RevisionStore
 from limeshelf.standalone.services.http import Reply
@@ -460,12 +460,12 @@
                 'epoch/placer/z1': {'holder': 'p-0', 'epoch': 6},
             }
         )
-        lease = LeaseKeeper(table, 'z1', 'p-1', 2.0)
+        lease = LeaderLease(table, 'z1', 'p-1', 2.0)
         held = {'holder': 'p-1', 'epoch': 7}
         await lease.step()
         assert table.values == {'lease/placer/z1': held, 'epoch/placer/z1': held}
         assert lease.epoch == 7
-        other = LeaseKeeper(table, 'z1', 'p-2', 2.0)
+        other = LeaderLease(table, 'z1', 'p-2', 2.0)
         await other.step()
         assert other.epoch is None
         await lease.release()
@@ -509,7 +509,7 @@
                 'anchor-change/z2': {'changed': True},
             }
         )
-        book = AnchorBook(table, LeaseKeeper(table, 'z1', 'p-1', 2.0), 'z1')
+        book = AnchorDirectory(table, LeaderLease(table, 'z1', 'p-1', 2.0), 'z1')
         assert await book.refresh()
         anchor = book.get('old')
         assert anchor is not None
@@ -545,7 +545,7 @@
 
     async def play() -> None:
         table = FakeTable()
-        lease = LeaseKeeper(table, 'z1', 'p-1', 2.0)
+        lease = LeaderLease(table, 'z1', 'p-1', 2.0)
         assert await IntentLog(table, lease, 'u-1').add(order, 60.0)
         assert table.values == {'intent/u-1': {'orders': [plain]}}
         assert await IntentLog(table, lease, 'u-1').read() == [order]
--- a/tests/standalone/lease/test_lease_machine.py
+++ b/tests/standalone/lease/test_lease_machine.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from limeshelf.standalone.lease.keeper import LeaseKeeper
+from limeshelf.standalone.lease.keeper import LeaderLease
 from tests.support.fuzzing import run_machine
 from tests.support.table import FakeTable, TableFault
 
@@ -26,7 +26,7 @@
         self.table = FakeTable()
         self.now_s = 0.0
         self.keepers = [
-            LeaseKeeper(
+            LeaderLease(
                 self.table, 'x', f'k{n}', LEASE_S, clock=lambda rate=rate: self.now_s * rate
             )
             for n, rate in enumerate(RATES)
--- a/tests/standalone/placement/test_memory_machine.py
+++ b/tests/standalone/placement/test_memory_machine.py
@@ -18,7 +18,7 @@
 from limeshelf.errors import LimeshelfError
 from limeshelf.metrics.statsd import Metrics
 from limeshelf.settings.model import MetricsSettings, PlacerSettings
-from limeshelf.standalone.lease.keeper import LeaseKeeper
+from limeshelf.standalone.lease.keeper import LeaderLease
 from limeshelf.standalone.membership.upstreams import Upstream
 from limeshelf.standalone.placement.intents import IntentLog
 from limeshelf.standalone.placement.ledger import Ledger
@@ -42,7 +42,7 @@
 class Contender:
     """One of the two placers that compete for the lease."""
 
-    lease: LeaseKeeper
+    lease: LeaderLease
     ledger: Ledger
     worker: EngineWorker
 
@@ -70,7 +70,7 @@
             checks_fence=self.checks_fence,
         )
         settings = PlacerSettings()
-        lease = LeaseKeeper(
+        lease = LeaderLease(
             self.table,
             'x',
             f'placer{number}',
--- a/tests/standalone/placement/test_reachable_machine.py
+++ b/tests/standalone/placement/test_reachable_machine.py
@@ -22,10 +22,10 @@
 )
 from limeshelf.standalone.config.holder import ConfigHolder
 from limeshelf.standalone.config.items import Item, items_of, model_of, unversioned
-from limeshelf.standalone.lease.keeper import LeaseKeeper
+from limeshelf.standalone.lease.keeper import LeaderLease
 from limeshelf.standalone.membership.upstreams import UpstreamDirectory
 from limeshelf.standalone.messages import Demand, ItemDemand, UpstreamState
-from limeshelf.standalone.placement.anchors import AnchorBook
+from limeshelf.standalone.placement.anchors import AnchorDirectory
 from limeshelf.standalone.placement.placer import Placer
 from limeshelf.standalone.placement.policies import placement_policies
 from limeshelf.standalone.placement.view import Move, MoveKind, PlacementView
@@ -69,7 +69,7 @@
         settings = PlacerSettings(loads_per_s=1000.0, max_loads=100)
         self.config = ConfigHolder()
         self.upstreams = UpstreamDirectory(name, 4.0)
-        lease = LeaseKeeper(
+        lease = LeaderLease(
             machine.table,
             name,
             f'placer-{name}',
@@ -85,7 +85,7 @@
             OraclePool(machine.engines),
             machine.table,
             lease,
-            AnchorBook(machine.table, lease, name),
+            AnchorDirectory(machine.table, lease, name),
             Metrics(MetricsSettings(), 'test'),
             DecisionLog(enabled=False),
         )
@@ -204,7 +204,7 @@
     def _demand(self, name: str, model: str, waiting: int) -> None:
         item = ItemDemand(f'{model}@v0', 1, 0, waiting)
         demand = Demand(f'entry-{name}', 1.0, [item])
-        self.centres[name].placer.demand.take(demand, self.clock.now_s)
+        self.centres[name].placer.demand.record(demand, self.clock.now_s)
 
     @rule(policy=st.sampled_from(['swap', 'even', 'reckless']))
     def swap_policy(self, policy: str) -> None:
