--- a/tests/mutate.py
+++ b/tests/mutate.py
@@ -47,7 +47,7 @@
     Mutation(
         'an unfenced order is resolved by its number',
         'standalone/placement/ledger.py',
-        'return now_s > entry.dead_after_s',
+        'return now_s > entry.resolved_after_s',
         'return entry.order.number <= self.report.last_order',
         'tests/standalone/placement/test_memory_scenarios.py',
     ),
@@ -117,7 +117,7 @@
     Mutation(
         'a leaving notice is not kept for the boot',
         'standalone/membership/upstreams.py',
-        '        return said_so or self.listed.state is ListedState.LEAVING',
+        '        return announced or self.listed.state is ListedState.LEAVING',
         '        return self.listed.state is ListedState.LEAVING',
         'tests/standalone/membership',
     ),
