--- a/limeshelf/programs/components.py
+++ b/limeshelf/programs/components.py
@@ -238,20 +238,12 @@
         wire = PlatformWire()
         self.budgets = RetryBudgets(retry_rule(settings))
         self.pool = ConnectionPool(wire)
-        plain_selector = PlainReplicaSelector(self.directory, settings.data_centre)
-        selector = ReplicaSelector(
-            self.directory, plain_selector, self.dispatch_client, self.permits
-        )
+        plain = PlainReplicaSelector(self.directory, settings.data_centre)
+        selector = ReplicaSelector(self.directory, plain, self.dispatch_client, self.permits)
         self.access = AccessGuard(self.active_config, self.config_age_s, access_rule(settings))
-        quarantine = QuarantineGuard(Quarantine(self.suspects), self.crash_detector)
+        guard = QuarantineGuard(Quarantine(self.suspects), self.crash_detector)
         attempts = AttemptRunner(
-            wire,
-            self.directory,
-            self.pool,
-            self.active_config,
-            quarantine,
-            self.notices,
-            self.meter,
+            wire, self.directory, self.pool, self.active_config, guard, self.notices, self.meter
         )
         self.pipeline = Pipeline(
             wire,
@@ -263,7 +255,7 @@
             self.active_config,
             self.access,
             LimitGuard(self.limits),
-            quarantine,
+            guard,
         )
         self.frontend = HttpFrontend(self.pipeline, wire, self.metrics)
 
