--- a/limeshelf/placement/eviction.py
+++ b/limeshelf/placement/eviction.py
@@ -26,7 +26,7 @@
 
 
 def choose_eviction(
-    model: str, replica: ReplicaView, snapshot: PlacementSnapshot, copy_values: CopyValues
+    model: str, replica: ReplicaView, snapshot: PlacementSnapshot, values: CopyValues
 ) -> Eviction | None:
     """Return what to evict so that *model* fits, or ``None`` if it cannot fit.
 
@@ -36,7 +36,7 @@
     needed_mb = snapshot.size_mb(model) - snapshot.free_mb(replica)
     if needed_mb <= 0:
         return Eviction()
-    losses = copy_values.losses(replica)
+    losses = values.losses(replica)
     evicted: list[str] = []
     for name in losses:
         if snapshot.demand(name).may_be_retried:
--- a/limeshelf/placement/load_limits.py
+++ b/limeshelf/placement/load_limits.py
@@ -34,15 +34,15 @@
 
 
 def must_keep_idle_reserve(
-    model: str, idle_gain: float, snapshot: PlacementSnapshot, copy_values: CopyValues
+    model: str, idle_gain: float, snapshot: PlacementSnapshot, values: CopyValues
 ) -> bool:
     """Return whether a load from the weight store would use replicas that are kept idle.
 
     :param idle_gain: what a further copy gains on an idle replica, in calls per second.
     """
-    if copy_values.is_low_demand:
+    if values.is_low_demand:
         return False
-    if copy_values.is_latency_tolerant(model) and copy_values.starved_s(model) < LONG_STARVED_S:
+    if values.is_latency_tolerant(model) and values.starved_s(model) < LONG_STARVED_S:
         reserved_share = LATENCY_TOLERANT_RESERVED_SHARE
     elif idle_gain >= URGENT_GAIN_PER_S:
         return False
@@ -51,17 +51,17 @@
     return len(snapshot.idle) <= reserved_share * len(snapshot.replicas)
 
 
-def may_load_from_store(model: str, snapshot: PlacementSnapshot, copy_values: CopyValues) -> bool:
+def may_load_from_store(model: str, snapshot: PlacementSnapshot, values: CopyValues) -> bool:
     """Return whether a replica may load a model from the weight store now."""
-    if copy_values.is_low_demand:
+    if values.is_low_demand:
         return True
-    is_tolerant = copy_values.is_latency_tolerant(model)
+    is_tolerant = values.is_latency_tolerant(model)
     if not is_tolerant and not snapshot.copies(model).total:
         return True
     replicas = len(snapshot.replicas)
     if snapshot.count_long_loads() >= max(1.0, LONG_LOADS_SHARE * replicas):
         return False
-    if not is_tolerant or copy_values.starved_s(model) >= LONG_STARVED_S:
+    if not is_tolerant or values.starved_s(model) >= LONG_STARVED_S:
         return True
     return snapshot.loading < max(1.0, LATENCY_TOLERANT_LOADING_SHARE * replicas)
 
--- a/limeshelf/placement/load_options.py
+++ b/limeshelf/placement/load_options.py
@@ -41,7 +41,7 @@
 
 
 def load_options(
-    model: str, snapshot: PlacementSnapshot, copy_values: CopyValues, store_allowed: bool
+    model: str, snapshot: PlacementSnapshot, values: CopyValues, store_allowed: bool
 ) -> list[LoadOption]:
     """Return every option for a model.
 
@@ -53,7 +53,7 @@
         from_store = replica.needs_store(model)
         if replica.has_copy(model) or (from_store and not store_allowed):
             continue
-        eviction = choose_eviction(model, replica, snapshot, copy_values)
+        eviction = choose_eviction(model, replica, snapshot, values)
         if eviction is None:
             continue
         load_s = replica.load_s(spec)
@@ -81,7 +81,7 @@
 
 
 def predicted_ready_in_s(
-    models: list[str], snapshot: PlacementSnapshot, copy_values: CopyValues
+    models: list[str], snapshot: PlacementSnapshot, values: CopyValues
 ) -> dict[str, float]:
     """Return when busy replicas are expected to have loaded models from their local weights.
 
@@ -96,7 +96,7 @@
         candidates = [
             (free_in_s[one.replica_id] + one.load_s(spec), one.replica_id)
             for one in _busy_with_local_weights(model, snapshot)
-            if choose_eviction(model, one, snapshot, copy_values) is not None
+            if choose_eviction(model, one, snapshot, values) is not None
         ]
         if candidates:
             ready_in_s, replica_id = min(candidates)
--- a/limeshelf/placement/planner.py
+++ b/limeshelf/placement/planner.py
@@ -1,9 +1,8 @@
 """Chooses the next model copy to load and the replica to load it on.
 
-Only plans: the caller sends the orders and logs each move (event ``move``). Copies are compared
-by their value (``copy_values.py``); ``eviction.py`` selects what is unloaded, ``load_limits.py``
-says when a load must not start, and ``overdue.py`` which models go first because they have waited
-longest.
+Only plans: the caller sends the orders and logs each move (event ``move``). ``copy_values.py``
+evaluates copies, ``eviction.py`` selects what is unloaded, ``load_limits.py`` says when a load
+must not start, and ``overdue.py`` which models go first because they have waited longest.
 """
 
 from __future__ import annotations
@@ -56,7 +55,7 @@
 #: executes one order at a time.
 BLOCKED_ADAPTER_COST_PER_S = 0.3
 #: Tolerance for floating-point sums of gains and losses that are added up in different orders.
-ROUNDING_TOLERANCE_PER_S = 1e-6
+SUM_TOLERANCE_PER_S = 1e-6
 #: Decimal places of gain and loss in the log line of a move.
 LOGGED_DIGITS = 2
 
@@ -64,8 +63,7 @@
 class NotLoadedReason(enum.StrEnum):
     """Why a model that calls wait for is not loaded now; the values appear in log lines."""
 
-    #: The remaining idle replicas are reserved for models with a higher gain or with
-    #: latency-critical calls.
+    #: The idle replicas are reserved for models with a higher gain or latency-critical calls.
     IDLE_RESERVE = 'withheld'
     #: All copies that could be evicted on idle replicas have a higher value, or are kept because
     #: refused callers are expected to retry for them.
@@ -98,8 +96,7 @@
     :ivar loss: value of the evicted copies, in calls per second.
     :ivar unserved_s: time for which the model has been requested without any call being served.
     :ivar tier: where the load finds the weights.
-    :ivar replicas_with_weights: for a load from the store, the other replicas that have the
-        weights in memory or on disk.
+    :ivar replicas_with_weights: for a load from the store, other replicas with local weights.
     """
 
     replica_id: str
@@ -166,50 +163,39 @@
     ) -> CopyMove | None:
         """Return the best move to make now, or ``None`` if there is none.
 
-        Overdue models come first. The others are tried in descending order of what one more copy
-        gains on an idle replica, until a worthwhile move is found.
+        Overdue models come first, then others by descending idle gain, until a move is worthwhile.
 
-        :param store_allowed: whether a load from the weight store may start now; otherwise models
-            are loaded only from the disk and memory of the replicas' machines.
-        :param may_prefetch: whether all replicas are known, so that a model that none of them
-            reports is certain to be on none.
+        :param store_allowed: whether loads from the weight store may start; else only local ones.
+        :param may_prefetch: whether all replicas are known, so that unreported models are on none.
         """
         snapshot = PlacementSnapshot.capture(self._engine, self._demands, replicas)
-        copy_values = CopyValues(
-            snapshot, self._initial_copies, self._starved_s, self._model_values
-        )
+        values = CopyValues(snapshot, self._initial_copies, self._starved_s, self._model_values)
         for model in overdue_models(snapshot, self._barred, self._overdue_loads):
-            move = _overdue_move(model, snapshot, copy_values, store_allowed)
+            move = _overdue_move(model, snapshot, values, store_allowed)
             if move is not None:
                 return move
         loadable = (name for name in self._engine.models if name not in self._barred)
-        candidates = [(copy_values.idle_gain(name), name) for name in loadable]
+        candidates = [(values.idle_gain(name), name) for name in loadable]
         candidates.sort(reverse=True)
-        for idle_gain, model in candidates:
-            if idle_gain < MIN_GAIN_PER_S:
+        for gain, model in candidates:
+            if gain < MIN_GAIN_PER_S:
                 break
-            if has_enough_loading(model, snapshot) or not _may_gain(
-                model, idle_gain, snapshot, copy_values
-            ):
+            if has_enough_loading(model, snapshot) or not _may_gain(model, gain, snapshot, values):
                 continue
             from_store = store_allowed and not must_keep_idle_reserve(
-                model, idle_gain, snapshot, copy_values
+                model, gain, snapshot, values
             )
-            move = _best_move(model, snapshot, copy_values, from_store)
+            move = _best_move(model, snapshot, values, from_store)
             if move is not None:
                 return move
-        return (
-            self._prefetch_move(snapshot, copy_values) if store_allowed and may_prefetch else None
-        )
+        return self._prefetch_move(snapshot, values) if store_allowed and may_prefetch else None
 
-    def _prefetch_move(
-        self, snapshot: PlacementSnapshot, copy_values: CopyValues
-    ) -> CopyMove | None:
-        found = choose_prefetch(snapshot, copy_values, self._barred)
+    def _prefetch_move(self, snapshot: PlacementSnapshot, values: CopyValues) -> CopyMove | None:
+        found = choose_prefetch(snapshot, values, self._barred)
         if found is None:
             return None
         model, option = found
-        scored = _ScoredOption(option, copy_values.gain(model, option.replica), 0.0)
+        scored = _ScoredOption(option, values.gain(model, option.replica), 0.0)
         return scored.as_move(model, MoveReason.PREFETCH, 0.0, ())
 
     def waiting_models(
@@ -219,65 +205,55 @@
         if not any(demand.recently_missing for demand in self._demands.values()):
             return WaitingModels()
         snapshot = PlacementSnapshot.capture(self._engine, self._demands, replicas)
-        copy_values = CopyValues(
-            snapshot, self._initial_copies, self._starved_s, self._model_values
-        )
+        values = CopyValues(snapshot, self._initial_copies, self._starved_s, self._model_values)
         waiting = [
             name
             for name in self._engine.models
             if snapshot.demand(name).recently_missing and not snapshot.copies(name).total
         ]
-        waiting.sort(key=lambda name: (-copy_values.idle_gain(name), name))
+        waiting.sort(key=lambda name: (-values.idle_gain(name), name))
         loadable = [name for name in waiting if name not in self._barred]
-        ready_in_s = predicted_ready_in_s(loadable, snapshot, copy_values)
+        ready_in_s = predicted_ready_in_s(loadable, snapshot, values)
         not_loaded = {
-            name: _not_loaded_reason(name, snapshot, copy_values, store_allowed)
-            for name in waiting
+            name: _not_loaded_reason(name, snapshot, values, store_allowed) for name in waiting
         }
         return WaitingModels(ready_in_s, not_loaded)
 
 
 def _not_loaded_reason(
-    model: str, snapshot: PlacementSnapshot, copy_values: CopyValues, store_allowed: bool
+    model: str, snapshot: PlacementSnapshot, values: CopyValues, store_allowed: bool
 ) -> NotLoadedReason:
     if not snapshot.idle:
         return NotLoadedReason.NO_IDLE_REPLICA
     if not all(replica.needs_store(model) for replica in snapshot.idle):
         return NotLoadedReason.LOWER_VALUE
-    if must_keep_idle_reserve(model, copy_values.idle_gain(model), snapshot, copy_values):
+    if must_keep_idle_reserve(model, values.idle_gain(model), snapshot, values):
         return NotLoadedReason.IDLE_RESERVE
-    may_start = store_allowed and may_load_from_store(model, snapshot, copy_values)
+    may_start = store_allowed and may_load_from_store(model, snapshot, values)
     return NotLoadedReason.LOWER_VALUE if may_start else NotLoadedReason.STORE_LIMITED
 
 
-def _may_gain(
-    model: str, idle_gain: float, snapshot: PlacementSnapshot, copy_values: CopyValues
-) -> bool:
+def _may_gain(model: str, gain: float, snapshot: PlacementSnapshot, values: CopyValues) -> bool:
     """Return whether a load could gain more than it loses on any replica.
 
     A cheap check against an upper bound: a copy gains most on an idle replica in a data centre
     without a copy, and every eviction loses at least the replica's least valuable copy.
     """
-    max_loss = (
-        idle_gain * ONLY_IN_DATA_CENTRE_FACTOR / MIN_GAIN_LOSS_RATIO + ROUNDING_TOLERANCE_PER_S
-    )
+    max_loss = gain * ONLY_IN_DATA_CENTRE_FACTOR / MIN_GAIN_LOSS_RATIO + SUM_TOLERANCE_PER_S
     size_mb = snapshot.size_mb(model)
     return any(
-        snapshot.free_mb(replica) >= size_mb or copy_values.min_loss(replica) <= max_loss
+        snapshot.free_mb(replica) >= size_mb or values.min_loss(replica) <= max_loss
         for replica in snapshot.idle
     )
 
 
 def _overdue_move(
-    model: str, snapshot: PlacementSnapshot, copy_values: CopyValues, store_allowed: bool
+    model: str, snapshot: PlacementSnapshot, values: CopyValues, store_allowed: bool
 ) -> CopyMove | None:
-    """Return the cheapest move that loads an overdue model.
-
-    Returns ``None`` while every move costs more than the model's waiting time allows.
-    """
+    """Return the cheapest move for an overdue model if its waiting time allows the cost."""
     unserved_s = snapshot.demand(model).unserved_s
-    options = load_options(model, snapshot, copy_values, store_allowed)
-    scored = _score_options(model, options, snapshot, copy_values)
+    options = load_options(model, snapshot, values, store_allowed)
+    scored = _score_options(model, options, snapshot, values)
     best = max(scored, key=lambda one: one.net, default=None)
     if best is None or best.net < -allowed_loss_per_s(unserved_s):
         return None
@@ -287,15 +263,13 @@
 
 
 def _best_move(
-    model: str, snapshot: PlacementSnapshot, copy_values: CopyValues, store_allowed: bool
+    model: str, snapshot: PlacementSnapshot, values: CopyValues, store_allowed: bool
 ) -> CopyMove | None:
     """Return the move for a model with the highest gain after all costs, if one is worthwhile."""
-    store_allowed = store_allowed and may_load_from_store(model, snapshot, copy_values)
+    store_allowed = store_allowed and may_load_from_store(model, snapshot, values)
     reason = MoveReason.OVERLOADED if snapshot.copies(model).total else MoveReason.MISSING
-    options = load_options(model, snapshot, copy_values, store_allowed)
-    worthwhile = [
-        one for one in _score_options(model, options, snapshot, copy_values) if one.net > 0
-    ]
+    options = load_options(model, snapshot, values, store_allowed)
+    worthwhile = [one for one in _score_options(model, options, snapshot, values) if one.net > 0]
     if not worthwhile:
         return None
     best = max(worthwhile, key=lambda one: one.net)
@@ -324,11 +298,7 @@
     net: float
 
     def as_move(
-        self,
-        model: str,
-        reason: MoveReason,
-        unserved_s: float,
-        replicas_with_weights: tuple[str, ...],
+        self, model: str, reason: MoveReason, unserved_s: float, with_weights: tuple[str, ...]
     ) -> CopyMove:
         option = self.option
         return CopyMove(
@@ -342,17 +312,17 @@
             round(option.eviction.loss, LOGGED_DIGITS),
             unserved_s,
             option.replica.tier(model),
-            replicas_with_weights,
+            with_weights,
         )
 
 
 def _score_options(
-    model: str, options: list[LoadOption], snapshot: PlacementSnapshot, copy_values: CopyValues
+    model: str, options: list[LoadOption], snapshot: PlacementSnapshot, values: CopyValues
 ) -> list[_ScoredOption]:
     shortest_s = min((option.ready_in_s for option in options), default=0.0)
     scored = []
     for option in options:
-        gain = copy_values.gain(model, option.replica)
+        gain = values.gain(model, option.replica)
         cost = _move_cost(option, snapshot)
         cost += gain * (option.ready_in_s - shortest_s) / LOAD_HORIZON_S
         net = gain - MIN_GAIN_LOSS_RATIO * option.eviction.loss - cost
--- a/limeshelf/placement/prefetch.py
+++ b/limeshelf/placement/prefetch.py
@@ -30,15 +30,13 @@
 
 
 def choose_prefetch(
-    snapshot: PlacementSnapshot, copy_values: CopyValues, barred: Collection[str]
+    snapshot: PlacementSnapshot, values: CopyValues, barred: Collection[str]
 ) -> tuple[str, LoadOption] | None:
     """Return the next model to prefetch and its option, or ``None``.
 
     Prefers a replica where the weights that the load may displace from disk are also on others.
     """
-    if not copy_values.is_low_demand or snapshot.loading >= MAX_LOADING_SHARE * len(
-        snapshot.replicas
-    ):
+    if not values.is_low_demand or snapshot.loading >= MAX_LOADING_SHARE * len(snapshot.replicas):
         return None
     if any(not one.is_idle and not one.loading for one in snapshot.replicas):
         # The weights on such a replica may not be known yet.
@@ -46,17 +44,17 @@
     for model in uncached_models(snapshot, barred):
         options = [
             option
-            for option in load_options(model, snapshot, copy_values, store_allowed=True)
-            if all(_is_dispensable(name, snapshot, copy_values) for name in option.eviction.models)
+            for option in load_options(model, snapshot, values, store_allowed=True)
+            if all(_is_dispensable(name, snapshot, values) for name in option.eviction.models)
         ]
         if options:
             return model, min(options, key=lambda one: _prefetch_cost(one, snapshot))
     return None
 
 
-def _is_dispensable(model: str, snapshot: PlacementSnapshot, copy_values: CopyValues) -> bool:
+def _is_dispensable(model: str, snapshot: PlacementSnapshot, values: CopyValues) -> bool:
     """Return whether a copy can be evicted for a while without its callers being affected."""
-    return snapshot.copies(model).ready > 1 or not copy_values.had_initial_copies(model)
+    return snapshot.copies(model).ready > 1 or not values.had_initial_copies(model)
 
 
 def _prefetch_cost(option: LoadOption, snapshot: PlacementSnapshot) -> tuple[int, float, str]:
--- a/tests/placement/test_copy_values.py
+++ b/tests/placement/test_copy_values.py
@@ -27,27 +27,27 @@
     replicas = [replica('r1', 'hot')]
     assert values_of(demands, replicas).idle_gain('rare') == pytest.approx(0.6 + 2 * 0.3)
     demands['rare'] = rare_calls(0.3, call_waits=True)
-    copy_values = values_of(demands, replicas, starved_s={'rare': 10.0})
-    assert copy_values.idle_gain('rare') == pytest.approx(0.6 + 2 * 0.3 + 1.0 + 1.5)
+    values = values_of(demands, replicas, starved_s={'rare': 10.0})
+    assert values.idle_gain('rare') == pytest.approx(0.6 + 2 * 0.3 + 1.0 + 1.5)
     longer = values_of(demands, replicas, starved_s={'rare': 100.0})
     assert longer.idle_gain('rare') == pytest.approx(0.6 + 2 * 0.3 + 1.0 + 3.0)
 
 
 def test_further_copy_gains_the_calls_that_are_served_by_it() -> None:
     replicas = [replica('r1', 'hot'), replica('r2'), replica('r3', data_centre='c2')]
-    copy_values = values_of({'hot': busy(20, replicas=1.5)}, replicas)
+    values = values_of({'hot': busy(20, replicas=1.5)}, replicas)
     # The calls that one copy cannot serve, plus 1.5 for the redundancy of a second copy.
     more_per_s = 20 * 0.5 / 1.5 + 1.5
-    assert copy_values.gain('hot', replicas[1]) == pytest.approx(more_per_s)
-    assert copy_values.gain('hot', replicas[2]) == pytest.approx(1.2 * more_per_s)
+    assert values.gain('hot', replicas[1]) == pytest.approx(more_per_s)
+    assert values.gain('hot', replicas[2]) == pytest.approx(1.2 * more_per_s)
 
 
 def test_first_copy_on_a_busy_replica_keeps_at_least_half_its_value() -> None:
     demands = {'hot': busy(20, replicas=2.0), 'rare': rare_calls(0.3)}
     replicas = [replica('r1', 'hot'), replica('r2', 'big')]
-    copy_values = values_of(demands, replicas)
-    idle_gain = copy_values.gain('rare', replicas[1])
-    assert copy_values.gain('rare', replicas[0]) == pytest.approx((0.5 + 0.5 * 0.15) * idle_gain)
+    values = values_of(demands, replicas)
+    idle_gain = values.gain('rare', replicas[1])
+    assert values.gain('rare', replicas[0]) == pytest.approx((0.5 + 0.5 * 0.15) * idle_gain)
 
 
 def test_loss_of_an_only_copy_counts_twice_if_latency_critical() -> None:
@@ -58,13 +58,11 @@
         'small': ModelDemand(objective_s=2.5),
         'rare': ModelDemand(objective_s=2.4),
     }
-    copy_values = values_of(demands, replicas)
-    assert copy_values.loss('small', replicas[0]) == pytest.approx(0.6)
+    values = values_of(demands, replicas)
+    assert values.loss('small', replicas[0]) == pytest.approx(0.6)
     expected_per_s = 0.3 * (20 + 0) / 2
     assert expected_per_s > EXPECTED_LIMIT_PER_S
-    assert copy_values.loss('rare', replicas[0]) == pytest.approx(
-        2 * (0.6 + 2 * EXPECTED_LIMIT_PER_S)
-    )
+    assert values.loss('rare', replicas[0]) == pytest.approx(2 * (0.6 + 2 * EXPECTED_LIMIT_PER_S))
     few = values_of({**demands, 'hot': busy(6)}, replicas)
     assert few.loss('rare', replicas[0]) == pytest.approx(2 * (0.6 + 2 * 0.3 * (6 + 0) / 2))
 
@@ -73,8 +71,8 @@
     """If few models get most calls, its value must not keep waiting models from being loaded."""
     replicas = [replica('r1', 'hot', 'small', 'rare')]
     demands = {'hot': busy(60), 'rare': busy(5), 'small': ModelDemand(objective_s=1.0)}
-    copy_values = values_of(demands, replicas)
-    assert copy_values.loss('small', replicas[0]) < 0.5 * copy_values.loss('rare', replicas[0])
+    values = values_of(demands, replicas)
+    assert values.loss('small', replicas[0]) < 0.5 * values.loss('rare', replicas[0])
 
 
 def test_latency_critical_copy_is_not_evicted_for_a_waiting_model() -> None:
@@ -86,17 +84,17 @@
         'small': rare_calls(0.1),
         'other': rare_calls(0.2, call_waits=True),
     }
-    copy_values = values_of(demands, replicas, starved_s={'other': 30.0})
-    assert copy_values.gain('other', replicas[0]) < 1.3 * copy_values.loss('rare', replicas[0])
-    assert copy_values.gain('other', replicas[1]) > 1.3 * copy_values.loss('small', replicas[1])
+    values = values_of(demands, replicas, starved_s={'other': 30.0})
+    assert values.gain('other', replicas[0]) < 1.3 * values.loss('rare', replicas[0])
+    assert values.gain('other', replicas[1]) > 1.3 * values.loss('small', replicas[1])
 
 
 def test_value_of_initial_copies_falls_with_the_square_of_their_number() -> None:
     replicas = [replica(f'r{n}', 'hot') for n in range(3)]
-    copy_values = values_of({}, replicas, initial_copies={'hot': 4})
-    assert copy_values.is_low_demand
-    assert copy_values.loss('hot', replicas[0]) == pytest.approx(0.4 * 4 / 9)
-    assert copy_values.idle_gain('hot') == pytest.approx(0.4 * 4 / 16)
+    values = values_of({}, replicas, initial_copies={'hot': 4})
+    assert values.is_low_demand
+    assert values.loss('hot', replicas[0]) == pytest.approx(0.4 * 4 / 9)
+    assert values.idle_gain('hot') == pytest.approx(0.4 * 4 / 16)
     assert values_of({}, replicas, initial_copies={'hot': 3}).idle_gain('hot') == 0.0
 
 
--- a/tests/placement/test_load_options.py
+++ b/tests/placement/test_load_options.py
@@ -74,9 +74,9 @@
 
 def test_models_that_wait_for_one_replica_are_loaded_in_sequence() -> None:
     snapshot = survey_of(occupied('r1', 2.0, 'rare', 'other'))
-    copy_values = CopyValues(snapshot, {}, {})
+    values = CopyValues(snapshot, {}, {})
     disk_load_s = engine().models['rare'].disk_load_s
-    assert predicted_ready_in_s(['rare', 'other', 'small'], snapshot, copy_values) == {
+    assert predicted_ready_in_s(['rare', 'other', 'small'], snapshot, values) == {
         'rare': 2.0 + disk_load_s,
         'other': 2.0 + 2 * disk_load_s,
     }
