--- a/tests/features/steps/world_steps.py
+++ b/tests/features/steps/world_steps.py
@@ -270,7 +270,7 @@
 
 @when('{_} "{name}" announces that it is leaving')
 def announce_leaving(context, _: str, name: str) -> None:
-    post(f'{context.world.system.upstreams[name].started.http}/_leave', {})
+    post(f'{context.world.system.upstreams[name].child.http}/_leave', {})
     context.left = name
     time.sleep(4.0)
 
